--- /dev/null
+++ b/tests/golden/record.py
@@ -0,0 +1,59 @@
+"""Writes the goldens of the wire anew: python tests/golden/record.py REVISION
+
+REVISION is the one whose code is being recorded; it goes into each file. A golden is recorded before a change that
+must not be seen on the wire, never to make a failing comparison pass.
+"""
+
+from __future__ import annotations
+
+import base64
+import json
+import pathlib
+import re
+import sys
+
+HERE = pathlib.Path(__file__).parent
+TEXT, BASE64 = "text", "base64"
+
+
+def written(area: str, name: str, data: bytes, messages: dict) -> object:
+    """Lines of text (latin-1, so byte by byte); of a protobuf message its text for readers, and its bytes."""
+    if area not in messages:
+        return data.decode("latin-1").splitlines(keepends=True)
+    from google.protobuf import descriptor_pool, text_format
+
+    message = messages[area](name).FromString(data)
+    text = text_format.MessageToString(message, descriptor_pool=descriptor_pool.Default())
+    text = re.sub(r"\n *\}", " }", text)  # half as many lines
+    return {TEXT: text.splitlines(), BASE64: base64.b64encode(data).decode()}
+
+
+def read(value: object) -> bytes:
+    """The bytes of a golden, from either form."""
+    if isinstance(value, dict):
+        return base64.b64decode(value[BASE64])
+    return "".join(value).encode("latin-1")
+
+
+def load(area: str) -> dict[str, bytes]:
+    table = json.loads((HERE / f"{area}.json").read_text(encoding="utf-8"))
+    return {name: read(value) for name, value in table["goldens"].items()}
+
+
+def main(revision: str) -> None:
+    root = HERE.parent.parent
+    sys.path[:0] = [str(root), str(HERE.parent), str(HERE)]
+    import drive
+
+    for area in drive.AREAS:
+        found = drive.bytes_of(area)
+        goldens = {name: written(area, name, data, drive.MESSAGES) for name, data in found.items()}
+        for name, value in goldens.items():
+            assert read(value) == found[name], name
+        table = {"revision": revision, "goldens": goldens}
+        (HERE / f"{area}.json").write_text(json.dumps(table, indent=1) + "\n", encoding="utf-8")
+        print(area, len(goldens))
+
+
+if __name__ == "__main__":
+    main(sys.argv[1])
