--- /dev/null
+++ b/tests/characterization/record.py
@@ -0,0 +1,645 @@
+"""Records the plays under ``data``: what the decision module does in seeded worlds, in virtual time.
+
+The plays were recorded from revision 1d28f5d, before the module was renamed and split, by
+
+    PYTHONPATH=.:tests python -m characterization.record
+
+from the root of the repository. The script only stays to show how: the replay feeds the recorded events, so that
+a change of this world's draws changes no test. Recording anew takes today's behaviour for right; do it only for a
+change of behaviour that is meant, and say so in its commit.
+
+A file starts with a header (settings and seed); each line after is one step: the time in microseconds, the events,
+the actions, and the queries made after it (name, the destinations asked for, result). Names and fields: mapping.py.
+"""
+
+from __future__ import annotations
+
+import copy
+import heapq
+import json
+import random
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import helpers
+from characterization import mapping, recording
+from scalefall import interface
+from scalefall.settings import read_settings
+
+MS, S = 1000, 1_000_000
+REVISION = "1d28f5d"
+EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
+CANCEL_US = 3 * MS  # until a call that is called off has its outcome
+LIST_US = 40 * MS  # until the directory answers
+
+Outcome, Status, ListKind = interface.Outcome, interface.Status, interface.ListKind
+FAST_FAULTS = {
+    "error": Outcome.ERROR,
+    "full": Outcome.FULL,
+    "connect": Outcome.CONNECT_FAILED,
+    "reset": Outcome.RESET,
+    "crowded": Outcome.CROWDED,
+    "not_sent": Outcome.NOT_SENT,
+}
+
+
+@dataclass
+class Fault:
+    """A span of seconds in which an endpoint (or each, where none is named) fails."""
+
+    kind: str  # one of FAST_FAULTS, "hang" or "slow"
+    start: float
+    end: float
+    endpoint: str = ""
+    share: float = 1.0  # of the calls
+    tells_wait: bool = False
+
+
+@dataclass
+class Stream:
+    """Messages of one class for one destination, at a rate a second within a span of seconds."""
+
+    rate: float
+    class_name: str = "safe"
+    destination: int = 1
+    start: float = 0.0
+    end: float = 1e9
+    keys: int = 0  # that many ordering keys; 0: none
+
+
+@dataclass
+class Play:
+    """One world: endpoints as (id, destination, kind, zone, latency in ms, weight, most calls at once)."""
+
+    name: str
+    settings: interface.Settings
+    endpoints: list[tuple]
+    streams: list[Stream]
+    seconds: float = 24.0
+    faults: list[Fault] = field(default_factory=list)
+    changes: list[tuple[float, ListKind, list[tuple[str, Status, float | None]]]] = field(default_factory=list)
+    limits: dict[int, float] = field(default_factory=dict)  # calls a second that a destination takes
+    new_limits: list[tuple[float, int, float]] = field(default_factory=list)
+    others: float = 0.0  # share of the limit that other senders use
+    tells_limit: bool = False
+    tells_wait: bool = False  # of calls above the limit
+    withdrawn: float = 0.01
+    finished: float = 0.02  # answers that are errors and final
+    foreign: float = 0.0  # calls a second of other proxies
+    probed: float = 0.0  # probe outcomes a second
+    list_fails: int = 0  # so many times in a row, when asked for
+    restored: int = 0
+    learned: list[tuple[int, str, float, float]] = field(default_factory=list)
+    closing: tuple[float, float] | None = None  # told at, and until, in seconds
+
+
+class World:
+    """Plays one Play against the decision module and keeps the steps."""
+
+    def __init__(self, play: Play, seed: int) -> None:
+        self.play, self.seed = play, seed
+        self.draw = random.Random(seed * 7919 + 11)
+        self.sender = mapping.make_sender(play.settings, seed)
+        self.queue: list[tuple[int, int, Any]] = []
+        self.number = 0
+        self.rows = {
+            row[0]: interface.Endpoint(row[0], row[3], row[2], row[1], Status.READY, row[5], row[6])
+            for row in play.endpoints
+        }
+        self.latency = {row[0]: row[4] * MS for row in play.endpoints}
+        self.limits = dict(play.limits)
+        self.used: dict[tuple[int, int], float] = {}
+        self.attempts: dict[str, int] = {}
+        self.out: dict[tuple[str, int], tuple[str, int]] = {}  # endpoint and start of what is out
+        self.timers: dict[int, int] = {}
+        self.fails_left = play.list_fails
+        self.steps: list[list[Any]] = []
+
+    def push(self, at: float, event: Any) -> None:
+        tick = self.play.settings.tick_us
+        self.number += 1
+        heapq.heappush(self.queue, (-(-int(at) // tick) * tick, self.number, event))
+
+    def chance(self, share: float) -> bool:
+        return share > 0 and self.draw.random() < share
+
+    # -- what comes by itself
+
+    def plan(self) -> None:
+        play = self.play
+        kind = ListKind.CACHED if play.settings.ask or play.learned else ListKind.WHOLE
+        self.push(0, interface.Listed(kind, [copy.copy(row) for row in self.rows.values()]))
+        for row in play.learned:
+            self.push(0, interface.Known(*row))
+        for number in range(play.restored):
+            self.push(0, self.restored(number))
+        for at, list_kind, rows in play.changes:
+            self.push(at * S, (list_kind, rows))
+        for at, destination, limit in play.new_limits:
+            self.push(at * S, (destination, limit))
+        for stream in play.streams:
+            self.plan_stream(stream)
+        for rate, make in ((play.foreign, self.foreign), (play.probed, self.probed)):
+            at = self.draw.expovariate(rate) if rate else play.seconds
+            while at < play.seconds:
+                self.push(at * S, make(int(at * S)))
+                at += self.draw.expovariate(rate)
+        if play.closing:
+            self.push(play.closing[0] * S, interface.Closing(int(play.closing[1] * S)))
+
+    def plan_stream(self, stream: Stream) -> None:
+        rules = self.play.settings.classes.get(stream.class_name)
+        end = min(stream.end, self.play.seconds)
+        at = stream.start + self.draw.expovariate(stream.rate)
+        while at < end:
+            name = f"m{len(self.attempts)}"
+            self.attempts[name] = 0
+            due = int(at * S) + (rules.deadline_us if rules else 8 * S)
+            key = f"k{self.draw.randrange(stream.keys)}" if stream.keys else None
+            self.push(at * S, interface.Message(name, stream.destination, stream.class_name, due, None, key))
+            if self.chance(self.play.withdrawn):
+                self.push((at + self.draw.uniform(0, 2)) * S, interface.Dropped(name))
+            at += self.draw.expovariate(stream.rate)
+
+    def restored(self, number: int) -> interface.Message:
+        """A message that an earlier process took on: its history differs from one to the next."""
+        names = sorted(self.play.settings.classes)
+        rules = self.play.settings.classes[names[number % len(names)]]
+        used = number % 4
+        ran = None if number % 3 == 0 else self.draw.randrange(-2 * S, S // 10)
+        zone = self.draw.choice(("a", "b")) if ran is not None and number % 2 else ""
+        due = self.draw.randrange(-S // 2, rules.deadline_us)
+        override = None
+        if number % 5 == 0:
+            override = copy.copy(rules)
+            override.deadline_us, override.late_worth = rules.deadline_us // 2, 0.2
+            override.key_ttl_us = rules.key_ttl_us // 2
+        key = f"k{number % 3}" if rules.in_order else None
+        name = f"r{number}"
+        self.attempts[name] = used
+        destination = self.play.endpoints[number % len(self.play.endpoints)][1]
+        return interface.Message(name, destination, rules.name, due, None, key, used, ran, zone, True, override)
+
+    def foreign(self, at: int) -> interface.Reported:
+        endpoint = self.draw.choice([*self.rows, "unlisted"])
+        outcome = self.draw.choice([Outcome.OK] * 6 + [Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT])
+        wait = self.draw.choice((0, 0, 300 * MS)) if outcome is Outcome.FULL else 0
+        return interface.Reported(endpoint, max(0, at - self.draw.randrange(2 * S)), outcome, wait, {})
+
+    def probed(self, _at: int) -> interface.Probed:
+        return interface.Probed(self.draw.choice(list(self.rows)), self.draw.choice(list(Outcome)), 30 * MS)
+
+    # -- endpoints
+
+    def called(self, now: int, endpoint: str) -> tuple[Outcome | None, int, int]:
+        """Outcome of a call (None: it hangs), how long it takes, and the wait that it tells."""
+        row = self.rows[endpoint]
+        latency = int(self.latency[endpoint] * self.draw.uniform(0.6, 1.8))
+        for fault in self.play.faults:
+            if fault.start * S <= now < fault.end * S and fault.endpoint in ("", endpoint) and self.chance(fault.share):
+                if fault.kind == "hang":
+                    return None, 0, 0
+                if fault.kind == "slow":
+                    latency *= 8
+                    break
+                wait = int(fault.end * S) - now if fault.tells_wait else 0
+                return FAST_FAULTS[fault.kind], self.draw.randrange(2 * MS, 30 * MS), wait
+        if row.status is Status.GONE:
+            return Outcome.CONNECT_FAILED, 2 * MS, 0
+        limit = self.limits.get(row.destination)
+        if limit:
+            span = (row.destination, now // S)
+            self.used[span] = self.used.get(span, limit * self.play.others) + 1
+            if self.used[span] > limit:
+                return Outcome.FULL, 5 * MS, (S - now % S if self.play.tells_wait else 0)
+        if self.chance(self.play.finished):
+            return Outcome.ERROR, latency, 0
+        return Outcome.OK, latency, 0
+
+    def report(self, now: int, endpoint: str) -> dict[str, float]:
+        destination = self.rows[endpoint].destination
+        limit = self.limits.get(destination)
+        if not limit or not self.play.tells_limit:
+            return {}
+        used = self.used.get((destination, now // S), limit * self.play.others)
+        return {"x1": limit, "x0": round(max(0.0, 1 - used / limit), 3)}
+
+    # -- actions
+
+    def perform(self, now: int, actions: list[Any]) -> None:
+        calls: dict[str, tuple[int, tuple[Outcome | None, int, int]]] = {}
+        for action in actions:
+            if isinstance(action, interface.Send):
+                most = self.play.settings.per_call.get(self.rows[action.endpoint].kind, 1)
+                carried, result = calls.get(action.endpoint, (most, None))
+                if carried >= most:
+                    carried, result = 0, self.called(now, action.endpoint)
+                calls[action.endpoint] = (carried + 1, result)
+                self.send(now, action, result)
+            elif isinstance(action, interface.Cancel):
+                found = self.out.get((action.id, action.attempt))
+                if found:
+                    self.end(now, CANCEL_US, action.id, action.attempt, Outcome.CANCELLED, 0)
+            elif isinstance(action, interface.SetTimer):
+                self.number += 1
+                self.timers[action.token] = self.number
+                self.push(now + max(self.play.settings.tick_us, action.delay_us), (action.token, self.number, "timer"))
+            elif isinstance(action, interface.Subscribe):
+                self.subscribe(now)
+
+    def send(self, now: int, action: interface.Send, result: tuple[Outcome | None, int, int]) -> None:
+        attempt = self.attempts[action.id]
+        self.attempts[action.id] += 1
+        self.out[action.id, attempt] = (action.endpoint, now)
+        outcome, latency, wait = result
+        if self.chance(0.02):  # one message of a call may fare differently from the others
+            outcome, latency = self.draw.choice((Outcome.ERROR, Outcome.FULL, Outcome.RESET)), latency + 20 * MS
+        if outcome is None or latency > action.timeout_us:
+            outcome, latency, wait = Outcome.TIMEOUT, action.timeout_us, 0
+        self.end(now, latency, action.id, attempt, outcome, wait)
+
+    def end(self, now: int, latency: int, name: str, attempt: int, outcome: Outcome, wait: int) -> None:
+        endpoint, start = self.out[name, attempt]
+        finished = outcome is Outcome.OK or (outcome is Outcome.ERROR and self.chance(self.play.finished * 5))
+        report = self.report(now, endpoint) if outcome in (Outcome.OK, Outcome.FULL) else {}
+        taken = now + latency - start
+        self.push(now + latency, interface.Attempted(name, attempt, endpoint, outcome, taken, finished, wait, report))
+
+    def subscribe(self, now: int) -> None:
+        if self.fails_left > 0:
+            self.fails_left -= 1
+            self.push(now + LIST_US, interface.Listed(ListKind.FAILED))
+        else:
+            self.push(now + LIST_US, (ListKind.WHOLE, []))
+
+    # -- one step
+
+    def resolve(self, entry: Any) -> Any:
+        """An event as it is when its time comes; None where nothing is left of it."""
+        if isinstance(entry, tuple) and len(entry) == 3:
+            return interface.Timer(entry[0]) if self.timers.get(entry[0]) == entry[1] else None
+        if isinstance(entry, tuple) and isinstance(entry[0], int):
+            self.limits[entry[0]] = entry[1]
+            return None
+        if isinstance(entry, tuple):
+            kind, rows = entry
+            changed = []
+            for name, status, weight in rows:
+                row = self.rows[name]
+                row.status, row.weight = status, row.weight if weight is None else weight
+                changed.append(copy.copy(row))
+            whole = [copy.copy(row) for row in self.rows.values() if row.status is not Status.GONE]
+            return interface.Listed(kind, whole if kind is ListKind.WHOLE else changed)
+        if isinstance(entry, interface.Attempted):
+            return entry if self.out.pop((entry.id, entry.attempt), None) else None
+        return entry
+
+    def run(self) -> list[Any]:
+        self.plan()
+        number = 0
+        while self.queue and self.queue[0][0] < self.play.seconds * S:
+            now, events = self.queue[0][0], []
+            while self.queue and self.queue[0][0] == now:
+                event = self.resolve(heapq.heappop(self.queue)[2])
+                events += [event] if event is not None else []
+            if not events:
+                continue
+            recorded = [mapping.pack(event) for event in events]
+            actions = mapping.handle(self.sender, now, events)
+            self.steps.append([now, recorded, [mapping.pack(action) for action in actions], self.queries(number)])
+            self.perform(now, actions)
+            number += 1
+        header = {
+            "play": self.play.name,
+            "revision": REVISION,
+            "seed": self.seed,
+            "settings": mapping.SETTINGS.pack(self.play.settings),
+        }
+        return [header, *self.steps]
+
+    def queries(self, number: int) -> list[list[Any]]:
+        queries: list[list[Any]] = []
+        if number % 25 == 7:
+            queries.append(["learned_rates", None, mapping.learned_rates(self.sender)])
+        if number % 10 == 3:
+            among = None if number % 20 == 3 else [1, 99]
+            queries.append(["allowances", among, mapping.allowances(self.sender, among)])
+        return queries
+
+
+# -- the plays
+
+
+def example(**changes: Any) -> interface.Settings:
+    """The settings of example/config.json, with changes."""
+    settings = read_settings(json.loads(EXAMPLE.read_text())["settings"])
+    for name, value in changes.items():
+        setattr(settings, name, value)
+    return settings
+
+
+def rows(
+    *ids: str,
+    destination: int = 1,
+    kind: str = "one",
+    zones: str = "ab",
+    ms: float = 60,
+    weight: float = 0.0,
+    most: int = 0,
+) -> list[tuple]:
+    return [(name, destination, kind, zones[n % len(zones)], ms, weight, most) for n, name in enumerate(ids)]
+
+
+ALL_CLASSES = [Stream(6), Stream(4, "keyed"), Stream(3, "zoned"), Stream(3, "unsafe"), Stream(3, "ordered", keys=4)]
+MIXED_FAULTS = [
+    Fault("error", 3, 5, "e1"),
+    Fault("hang", 6, 9, "e2"),
+    Fault("connect", 10, 12, "e1"),
+    Fault("reset", 12, 14, "e3"),
+    Fault("crowded", 14, 15, "e2"),
+    Fault("not_sent", 15, 16),
+    Fault("slow", 16, 18),
+    Fault("full", 18, 19, "e1"),
+    Fault("error", 0, 24, share=0.05),
+]
+GONE, READY, DRAINING = Status.GONE, Status.READY, Status.DRAINING
+CHANGES, WHOLE = ListKind.CHANGES, ListKind.WHOLE
+DRAINS = [
+    (4, CHANGES, [("e1", DRAINING, None)]),
+    (6, CHANGES, [("e1", GONE, None)]),
+    (8, CHANGES, [("e1", READY, None)]),
+    (10, WHOLE, [("e2", GONE, None)]),
+    (13, CHANGES, [("e2", READY, None)]),
+    (17, WHOLE, [("e3", DRAINING, None)]),
+]
+
+
+def plays() -> list[Play]:
+    s = helpers.settings
+    outage = [Fault("error", 6, 11)]
+    tight = dict(fall_us=1500 * MS, cold_us=8 * S, cold_from=0.26)
+    return [
+        Play("classes", s(), rows("e1", "e2", "e3"), ALL_CLASSES, faults=MIXED_FAULTS),
+        Play(
+            "classes-halving",
+            s(halving=True, slots=6, turn_gap_us=800 * MS),
+            rows("e1", "e2", "e3"),
+            ALL_CLASSES,
+            faults=MIXED_FAULTS,
+        ),
+        Play("no-cancelling", s(cancelling=False, slots=4), rows("e1", "e2", "e3"), ALL_CLASSES, faults=MIXED_FAULTS),
+        Play(
+            "hang-cancelling",
+            s(slots=3),
+            rows("e1") + rows("f1", destination=2) + rows("g1", destination=3) + rows("h1", "h2", destination=4),
+            [
+                Stream(1, "unsafe"),
+                Stream(1, "unsafe", destination=2),
+                Stream(4, "safe", destination=3),
+                Stream(1, "ordered", destination=4, keys=2),
+            ],
+            faults=[Fault("hang", 2, 16, "e1"), Fault("hang", 3, 20, "f1"), Fault("hang", 12, 14, "h1")],
+        ),
+        Play("drains", s(), rows("e1", "e2", "e3"), ALL_CLASSES, changes=DRAINS),
+        Play("apart", s(), rows("e1", "e2", "e3", kind="route"), ALL_CLASSES, faults=MIXED_FAULTS, changes=DRAINS),
+        Play(
+            "apart-limits",
+            s(siblings=3),
+            rows("e1", "e2", kind="route"),
+            [Stream(14)],
+            limits={1: 9},
+            others=0.2,
+            tells_limit=True,
+            tells_wait=True,
+            foreign=3,
+        ),
+        Play(
+            "batches",
+            s(slots=4),
+            rows("e1", "e2", kind="many"),
+            [Stream(40), Stream(10, "keyed"), Stream(4, "ordered", keys=2)],
+            seconds=12,
+            limits={1: 8},
+            faults=[Fault("error", 4, 5), Fault("hang", 8, 9)],
+        ),
+        Play(
+            "batches-told",
+            s(slots=6, siblings=4),
+            rows("e1", kind="many"),
+            [Stream(40)],
+            seconds=12,
+            limits={1: 6},
+            tells_limit=True,
+            tells_wait=True,
+            others=0.3,
+        ),
+        Play(
+            "example",
+            example(siblings=3),
+            rows("e1", kind="toy", zones=["here"]),
+            [Stream(6, "event-notice"), Stream(6, "status-update"), Stream(3, "fee-order"), Stream(0.5, "unknown")],
+            limits={1: 12},
+            tells_limit=True,
+            faults=[Fault("reset", 6, 8), Fault("full", 14, 18, tells_wait=True)],
+            list_fails=3,
+        ),
+        Play(
+            "ask-fails",
+            s(ask=True, siblings=8, ask_within_us=3 * S),
+            rows("e1", "e2"),
+            [Stream(5)],
+            list_fails=6,
+            seconds=30,
+        ),
+        Play("limit-none", s(siblings=4), rows("e1", "e2"), [Stream(12)], limits={1: 20}, others=0.6),
+        Play(
+            "limit-answers",
+            s(siblings=4),
+            rows("e1", "e2"),
+            [Stream(14)],
+            limits={1: 20},
+            others=0.4,
+            tells_limit=True,
+            tells_wait=True,
+            new_limits=[(6, 1, 8), (14, 1, 30)],
+        ),
+        Play(
+            "limit-nominal",
+            s(weights="nominal", siblings=3, **tight),
+            rows("e1", "e2", weight=24),
+            [Stream(10)],
+            limits={1: 24},
+            others=0.5,
+            faults=outage,
+        ),
+        Play(
+            "limit-rough",
+            s(weights="rough", siblings=3, **tight),
+            rows("e1", "e2", weight=30),
+            [Stream(10)],
+            limits={1: 24},
+            others=0.5,
+            faults=outage,
+        ),
+        Play(
+            "limit-told",
+            s(weights="told", siblings=2),
+            rows("e1", "e2", weight=10),
+            [Stream(9)],
+            limits={1: 10},
+            tells_wait=True,
+            changes=[
+                (6, CHANGES, [("e1", READY, 4.0)]),
+                (10, CHANGES, [("e1", READY, 20.0)]),
+                (14, CHANGES, [("e1", READY, 0.0)]),
+                (18, CHANGES, [("e2", READY, 6.0)]),
+            ],
+        ),
+        Play(
+            "outage-route",
+            s(weights="nominal", **tight),
+            rows("e1", weight=20),
+            [Stream(10), Stream(3, "unsafe")],
+            faults=[Fault("connect", 5, 9)],
+            seconds=30,
+        ),
+        Play(
+            "outage-endpoint",
+            s(**tight),
+            rows("e1", "e2", "e3"),
+            [Stream(14)],
+            faults=[Fault("error", 5, 9, "e1"), Fault("hang", 16, 19, "e2")],
+            seconds=30,
+        ),
+        Play(
+            "outage-waits",
+            s(**tight, siblings=3),
+            rows("e1", "e2"),
+            [Stream(10)],
+            seconds=30,
+            faults=[Fault("full", 5, 10, tells_wait=True), Fault("full", 14, 15, tells_wait=True)],
+        ),
+        Play(
+            "outage-again",
+            s(**tight),
+            rows("e1"),
+            [Stream(10)],
+            seconds=36,
+            foreign=1,
+            faults=[Fault("error", 5, 8), Fault("error", 10, 11), Fault("reset", 13, 14), Fault("error", 15, 16)],
+        ),
+        Play(
+            "connection-cap",
+            s(slots=8),
+            rows("e1", "e2", most=2, ms=300),
+            [Stream(12)],
+            faults=[Fault("connect", 3, 22, "e1", share=0.3), Fault("crowded", 6, 10, share=0.3)],
+        ),
+        Play(
+            "restart",
+            s(weights="none", **tight),
+            rows("e1", "e2") + rows("f1", destination=2),
+            [Stream(5), Stream(3, "ordered", keys=3), Stream(3, "zoned", destination=2)],
+            restored=60,
+            seconds=14,
+            learned=[(1, "", 6.0, 9.0), (2, "", 3.0, 0.0), (7, "", 1.0, 1.0)],
+            faults=[Fault("error", 2, 4)],
+        ),
+        Play(
+            "restart-apart",
+            s(ask=True, **tight),
+            rows("e1", "e2", kind="route"),
+            [Stream(6)],
+            restored=20,
+            seconds=14,
+            learned=[(1, "e1", 5.0, 8.0), (1, "e2", 2.0, 0.0)],
+            faults=[Fault("hang", 1, 4, "e1")],
+            list_fails=1,
+        ),
+        Play(
+            "shutdown", s(), rows("e1", "e2"), ALL_CLASSES, seconds=18, closing=(8, 13), faults=[Fault("slow", 6, 10)]
+        ),
+        Play(
+            "overload",
+            s(slots=3, max_held=40, attempts={2: 2}),
+            rows("e1", ms=120) + rows("f1", destination=2),
+            [
+                Stream(30, start=2, end=8),
+                Stream(6, "keyed"),
+                Stream(8, "unsafe", start=4),
+                Stream(4, destination=2),
+                Stream(1, destination=3),
+            ],
+            limits={1: 12},
+            probed=1,
+            faults=[Fault("error", 3, 14, "f1", share=0.5)],
+        ),
+        Play(
+            "forgotten",
+            s(),
+            rows("e1") + rows("f1", destination=2),
+            [Stream(1), Stream(1, destination=2, end=4)],
+            seconds=80,
+            changes=[(6, CHANGES, [("f1", GONE, None)]), (75, CHANGES, [("e1", READY, None)])],
+        ),
+    ]
+
+
+# -- the settings reader
+
+
+def settings_rows() -> list[list[Any]]:
+    """Configurations with one value changed at a time, each with the settings or the complaint."""
+    base = json.loads(EXAMPLE.read_text())["settings"]
+    base["tenants"] = [{"name": "t1", "quotaPerS": 5}]
+    base["grades"][0]["keyScope"] = "zone"
+    base["grades"][2]["fifoByKey"] = True
+    base["turnGap"] = 250
+    base["familyInfo"]["late"] = "halving"
+    configs = [base, {}, None, [], "x"]
+    for path in paths_of(base):
+        for value in ("absent", None, -1, 0, 0.5, 7, True, False, "x", "push", "rough", "zone", [], {}):
+            configs.append(changed(base, path, value))
+    rows = []
+    for config in configs:
+        try:
+            rows.append([config, True, mapping.settings_from(config)])
+        except mapping.SettingsError as error:
+            rows.append([config, False, str(error)])
+        except (TypeError, AttributeError, KeyError):
+            continue  # a value that the reader does not look at before it uses it: no form to hold it to
+    return rows
+
+
+def paths_of(value: Any, before: tuple = ()) -> list[tuple]:
+    pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    return [found for key, part in pairs for found in ((*before, key), *paths_of(part, (*before, key)))]
+
+
+def changed(base: Any, path: tuple, value: Any) -> Any:
+    result = copy.deepcopy(base)
+    *before, last = path
+    table = result
+    for key in before:
+        table = table[key]
+    if value == "absent":
+        del table[last]
+    else:
+        table[last] = value
+    return result
+
+
+def main() -> None:
+    recording.DATA.mkdir(exist_ok=True)
+    total = recording.write("settings", settings_rows())
+    for number, play in enumerate(plays()):
+        rows = World(play, 100 + number).run()
+        size = recording.write(f"play-{play.name}", rows)
+        total += size
+        print(f"{play.name}: {len(rows) - 1} steps, {size} bytes")
+    print(f"total {total} bytes")
+
+
+if __name__ == "__main__":
+    main()
