--- /dev/null
+++ b/tests/scaling/test_known_red.py
@@ -0,0 +1,38 @@
+"""KNOWN-RED.txt: what is listed is passed over, and nothing else."""
+
+import pathlib
+
+import pytest
+from benchmarks.scaling.known_red import MOST_LINES, KnownRedError, checks_passed_over, read_known_red
+
+ROOT = pathlib.Path(__file__).parent.parent.parent
+
+
+def write(folder, *lines):
+    path = folder / "KNOWN-RED.txt"
+    path.write_text("".join(f"{line}\n" for line in lines))
+    return path
+
+
+def test_a_listed_check_is_passed_over_by_its_whole_name_alone(tmp_path):
+    listed = read_known_red(write(tmp_path, "scale: control: heartbeat | slower here | 35", "tests/test_x.py | y | 9"))
+    assert checks_passed_over(listed) == {"control: heartbeat"}
+
+
+def test_without_a_file_nothing_is_passed_over(tmp_path):
+    assert read_known_red(tmp_path / "KNOWN-RED.txt") == []
+
+
+@pytest.mark.parametrize("line", ["scale: a", "scale: a | cause", "scale: a | cause |", "scale: a | b | 1 | 2"])
+def test_a_line_without_test_cause_and_issue_is_an_error(tmp_path, line):
+    with pytest.raises(KnownRedError, match=r"KNOWN-RED\.txt:1: expected"):
+        read_known_red(write(tmp_path, line))
+
+
+def test_more_lines_than_may_be_listed_are_an_error(tmp_path):
+    with pytest.raises(KnownRedError, match="at most"):
+        read_known_red(write(tmp_path, *["scale: a | cause | 1"] * (MOST_LINES + 1)))
+
+
+def test_the_project_s_own_file_can_be_read():
+    read_known_red(ROOT / "KNOWN-RED.txt")
