--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -30,9 +30,9 @@
 from scalefall.assignment.model import ShardGrant
 from scalefall.control.allocator import MOST, UNLIMITED
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
-from scalefall.control.edge import resources, wire
-from scalefall.control.edge.server import Control, Options, Peer as StreamPeer, ShardingOptions
-from scalefall.control.edge.state import Folder
+from scalefall.control.transport import resources, wire
+from scalefall.control.transport.server import Control, Options, Peer as StreamPeer, ShardingOptions
+from scalefall.control.transport.state import Folder
 from scalefall.control.grants import Grant
 from scalefall.control.streams import Response
 from scalefall.net import http, streams
@@ -461,12 +461,12 @@
 def packed(resource):
     """A resource as an incremental response carries it: name, version, time to live, body."""
     response = Response(resource.type, "n", "v", (resource,))
-    return wire.Responses().bytes(response, True, True)
+    return wire.ResponseEncoder().bytes(response, True, True)
 
 
 def fixed_resources(title, rows, attempts, carried):
     rules = {7: RouteRules(frozenset(carried), attempts, S)}
-    made = resources.fixed({7: rows}, rules, settings(classes=CLASSES))
+    made = resources.static_resources({7: rows}, rules, settings(classes=CLASSES))
     return {f"{title} {resource.type.rpartition('.')[2]}": packed(resource) for resource in made}
 
 
@@ -488,7 +488,7 @@
         "lasting": ([row("e0")], [allowed(e0=inf)]),
     }
     return {
-        f"endpoints {name}": resources.endpoints(7, entries, told, S, 0 if name == "lasting" else TTL)
+        f"endpoints {name}": resources.endpoint_resource(7, entries, told, S, 0 if name == "lasting" else TTL)
         for name, (entries, told) in cases.items()
     }
 
@@ -498,12 +498,12 @@
     found |= fixed_resources("one-try", [row("e0", calls=4), row("e1")], 1, CLASSES)
     found |= fixed_resources("nothing", [], 3, ["freely"])
     found |= {name: packed(resource) for name, resource in endpoint_lists().items()}
-    return found | {"lease": packed(resources.lease(TTL))}
+    return found | {"lease": packed(resources.lease_resource(TTL))}
 
 
 def xds_responses() -> Bytes:
     lists = endpoint_lists()
-    pair, lasting = (lists["endpoints ready"], resources.lease(TTL)), (lists["endpoints lasting"],)
+    pair, lasting = (lists["endpoints ready"], resources.lease_resource(TTL)), (lists["endpoints lasting"],)
     cases = {
         "new": Response(EDS, "n1", "v1", pair),
         "no-time-to-live": Response(EDS, "n1", "v1", lasting),
@@ -518,7 +518,7 @@
         "delta-leased": (True, True),
     }
     return {
-        f"{form} {name}": wire.Responses().bytes(response, *flags)
+        f"{form} {name}": wire.ResponseEncoder().bytes(response, *flags)
         for name, response in cases.items()
         for form, flags in forms.items()
     }
--- a/tests/edge/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -7,12 +7,12 @@
 
 import grpc
 import pytest
-from edgehelp import Raw, Started, control, status
+from transporthelp import Raw, Started, control, status
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2, rlqs_pb2_grpc
 
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.catalog import EDS
-from scalefall.control.edge import resources, wire
+from scalefall.control.transport import resources, wire
 
 SHARDS, ROUTES = 8, range(1, 21)
 FLAGS = ("--plain-text", "--shards", str(SHARDS), "--lease", "0.6", "--delay", "0.2", "--move-after", "1")
@@ -49,7 +49,7 @@
             self._said += 1
             message = rlqs_pb2.RateLimitQuotaUsageReports(domain=node)
             bucket = message.bucket_quota_usages.add().bucket_id.bucket
-            bucket.update({wire.SAID: f"{self._said}", wire.HAD: f"{self.had}"})
+            bucket.update({wire.REPORT_NUMBER: f"{self._said}", wire.ACKNOWLEDGED_GRANT: f"{self.had}"})
             yield message
             with contextlib.suppress(queue.Empty):
                 going_on = self._news.get(timeout=0.1)
@@ -83,7 +83,7 @@
     found, end = set(), time.monotonic() + LONG
     while found != wanted and time.monotonic() < end:
         response = raw.next()
-        found |= {resources.destination(row.name) for row in response.resources if row.name != resources.LEASE}
+        found |= {resources.destination(row.name) for row in response.resources if row.name != resources.LEASE_NAME}
         found -= {resources.destination(name) for name in response.removed_resources}
         raw.ack(response)
     return found
