--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -11,7 +11,7 @@
 from scalefall import interface as i
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.catalog import EDS, Catalog
-from scalefall.control.transport import resources, wire
+from scalefall.control.transport import quota_wire, resources, wire
 from scalefall.control.grants import UNITS_PER_CALL, MIN_GRANT, Ledger
 from scalefall.control.streams import Request, Response, XdsStream
 from scalefall.lab.hollow import configuration
@@ -179,7 +179,7 @@
 def _serialized(ledger: Ledger, times: Iterator[int], into: list[bytes]) -> None:
     """A turn at the next of the times, and its messages."""
     into[:] = [
-        wire.grant(grant, {wire.ROUTE: f"{grant.destination}"}, 1).SerializeToString()
+        quota_wire.grant(grant, {quota_wire.ROUTE: f"{grant.destination}"}, 1).SerializeToString()
         for grant in ledger.step(next(times))
     ]
 
@@ -226,7 +226,7 @@
 def _stream(catalog_: Catalog, names: int) -> XdsStream:
     """One that has what it asked for and has acknowledged it."""
     stream = XdsStream(catalog_, "n", True)
-    (response,) = stream.request(Request(EDS, names=tuple(resources.name(number) for number in range(names))))
+    (response,) = stream.request(Request(EDS, names=tuple(resources.resource_name(number) for number in range(names))))
     stream.request(Request(EDS, response.nonce))
     return stream
 
@@ -238,7 +238,7 @@
     def tell() -> None:
         change()
         for stream in made:
-            (action,) = stream.changed({(EDS, resources.name(0))})
+            (action,) = stream.changed({(EDS, resources.resource_name(0))})
             responses.encode(action, True, True)
             stream.request(Request(EDS, action.nonce))
 
--- a/benchmarks/scaling/reckoning.py
+++ b/benchmarks/scaling/reckoning.py
@@ -12,7 +12,7 @@
 from benchmarks.scaling import target
 from benchmarks.scaling.checks import Budget, key
 from benchmarks.scaling.figures import Figure, Quantity
-from scalefall.control.transport.server import BYTES_PER_REQUEST, REQUEST_RATE
+from scalefall.control.transport.stream_reader import BYTES_PER_REQUEST, REQUEST_RATE
 from scalefall.control.service import UNSETTLED_STEP_US
 from scalefall.control.streams import MAX_NAMES
 from scalefall.lab.proxy.contract import ASK_US, SECOND
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -157,7 +157,8 @@
     if plain_text and not ipaddress.ip_address(listen.rpartition(":")[0].strip("[]")).is_loopback:
         raise click.UsageError(f"--plain-text is for loopback only, not for {listen}")
     try:
-        from scalefall.control.transport import run, server, tls
+        from scalefall.control.transport import run, tls
+        from scalefall.control.transport.options import ServerOptions, ShardingOptions
         from scalefall.control.transport.state import StateDirectory, StateDirectoryError
     except ModuleNotFoundError as error:
         if error.name.startswith("scalefall"):
@@ -169,9 +170,9 @@
     def tell(line: str, good: bool) -> None:
         log.log(logging.INFO if good else logging.ERROR, "%s", line)
 
-    sharding = server.ShardingOptions(shards, int(move_after * 1_000_000), sender_load) if shards else None
+    sharding = ShardingOptions(shards, int(move_after * 1_000_000), sender_load) if shards else None
     spans = (int(each * 1_000_000) for each in (lease, delay, endpoint_lease, report_every))
-    options = server.ServerOptions(listen, *spans, sharding)
+    options = ServerOptions(listen, *spans, sharding)
     try:
         held = None if plain_text else tls.CertificateStore(tls.CertificatePaths(certificate, key, clients), tell)
         run.run(start.config, options, StateDirectory(state), held, read_again)
--- a/scalefall/control/transport/__init__.py
+++ b/scalefall/control/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Where control meets the network: protobuf, gRPC, certificates and files. Nothing here decides."""
+"""Everything of the control service that does I/O: gRPC streams, TLS certificates, files. It takes no decisions."""
--- /dev/null
+++ b/scalefall/control/transport/event_log.py
@@ -0,0 +1,18 @@
+"""The lines that the service asks for, written to the log."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterable
+
+from scalefall.control.service import LogEvent
+from scalefall.net.checks import log
+
+
+def write_events(events: Iterable[LogEvent]) -> None:
+    """Write one line for each event: its name, then its fields, which also stand beside the text in JSON."""
+    for event in events:
+        level = logging.DEBUG if event.fine else logging.INFO
+        if log.isEnabledFor(level):
+            text = " ".join(f"{name}={value}" for name, value in event.fields.items())
+            log.log(level, f"{event.event}: %s", text, extra={"fields": event.fields})
--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -1,81 +1,135 @@
-"""Who grants, and what outlasts the process: the folder's lock, numbers above all that were given, what the module
-knew, and which sender has which shard. `state.Folder` reads and writes; the service decides."""
+"""Which process leads, and what a leader leaves to the next one.
+
+The leader is the one that grants. It leaves the numbers above all that it may have given, what the module knew, and
+which sender has which shard. The state directory reads and writes; the service decides.
+"""
 
 from __future__ import annotations
 
+from enum import Enum
+from typing import Any
+
+from scalefall import interface as i
 from scalefall.control import snapshot
-from scalefall.control.transport import state
 from scalefall.control.service import ControlService
+from scalefall.control.transport.state import NUMBERS_PER_BLOCK, StateDirectory, StateDirectoryError
 from scalefall.net.checks import log
 
+RESERVE_AHEAD = NUMBERS_PER_BLOCK // 2  # unused numbers at which the next block is reserved: long before they run out
+
+
+class Role(Enum):
+    """What this process is among those that share a state directory."""
+
+    STANDBY = "standby"
+    LEADER = "leader"
+
 
 class LeaderState:
-    def __init__(self, service: ControlService, folder: state.StateDirectory, quiet_us: int) -> None:
-        """quiet_us: for so long nothing is granted after a start, as an earlier process may have granted all."""
-        self._service, self._folder, self._quiet = service, folder, quiet_us
-        self._kept: object = None
-        self._kept_generation = 0  # of the assignment's snapshot that was written last
-        self.granting = False
-
-    def acquire_leadership(self, now: int, wall: int) -> bool:
-        """Try to be the one that grants; whether it is from now on. Nothing is granted before what another process may
-        have granted has run out. state.StateDirectoryError if the folder can't be used."""
-        if self.granting or not self._folder.acquire_lock():
+    """This process's role, and the state that outlives it."""
+
+    def __init__(self, service: ControlService, directory: StateDirectory, quiet_us: int) -> None:
+        """Stand by.
+
+        Args:
+            service: What leads or stands by.
+            directory: The state that the processes share.
+            quiet_us: How long nothing is granted after a start, as an earlier process may have granted everything.
+        """
+        self._service = service
+        self._directory = directory
+        self._quiet_us = quiet_us
+        self._saved: dict[str, Any] | None = None  # the snapshot that was written last, without its time
+        self._saved_generation = 0  # of the assignment that was written last
+        self._role = Role.STANDBY
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this process is the one that grants."""
+        return self._role is Role.LEADER
+
+    def acquire_leadership(self, now_us: int, wall_us: int) -> bool:
+        """Try to become the leader; True if this process is one from now on and was not before.
+
+        Nothing is granted before what another process may have granted has run out.
+
+        Args:
+            now_us: The monotonic clock.
+            wall_us: The wall clock.
+
+        Raises:
+            StateDirectoryError: The state directory cannot be used.
+        """
+        if self.is_leader or not self._directory.acquire_lock():
             return False
-        first = self._folder.open_epoch()
-        self._service.become_leader(now, first, self._kept_snapshot())
-        events = self._recalled(now, wall)
-        self._service.restore(events, now)
-        self.granting = True
+        first = self._directory.open_epoch()
+        self._service.become_leader(now_us, first, self._load_assignment())
+        events = self._load_events(now_us, wall_us)
+        self._service.restore(events, now_us)
+        self._role = Role.LEADER
         log.info(
             "granting: from number %d, in %.1f s",
             first,
-            self._quiet / 1e6,
+            self._quiet_us / 1e6,
             extra={"fields": {"epoch": first, "recalled": len(events)}},
         )
         return True
 
-    def _recalled(self, now: int, wall: int) -> list:
+    def _load_events(self, now_us: int, wall_us: int) -> list[i.Event]:
+        """What the last leader knew, as events; nothing where it cannot be read."""
         try:
-            kept = self._folder.load_snapshot()
-            return snapshot.restore(kept, now, wall) if kept is not None else []
-        except ValueError as error:
+            saved = self._directory.load_snapshot()
+            return snapshot.restore(saved, now_us, wall_us) if saved is not None else []
+        except (StateDirectoryError, ValueError) as error:
             log.warning("figures of the one before: cannot be read (%s)", error)
             return []
 
-    def _kept_snapshot(self) -> str | None:
+    def _load_assignment(self) -> str | None:
         try:
-            return self._folder.load_assignment()
-        except ValueError as error:
+            return self._directory.load_assignment()
+        except StateDirectoryError as error:
             log.error("assignment of the one before: cannot be read, all shards are placed anew: %s", error)
             return None
 
-    def save(self, now: int, wall: int) -> None:
-        """Write what has changed since the last time; what can't be written is one line in the log."""
-        if not self.granting:
+    def save(self, now_us: int, wall_us: int) -> None:
+        """Write what has changed since the last time; what cannot be written is one line in the log."""
+        if not self.is_leader:
             return
         service = self._service
-        kept = snapshot.capture(service.allocator.unsettled_allowances(), service.module.known(), now, wall)
+        current = snapshot.capture(service.allocator.unsettled_allowances(), service.module.known(), now_us, wall_us)
         try:
-            if kept | {"wall": 0} != self._kept or kept["doubts"] or kept["waits"]:
-                self._folder.save_snapshot(kept)
-                self._kept = kept | {"wall": 0}
-            if service.generation() != self._kept_generation:
-                self._kept_generation = service.generation()
-                self._folder.save_assignment(service.snapshot())
-        except OSError as error:
-            log.error("figures cannot be kept: %s", error.strerror or error)
+            self._save_snapshot(current)
+            self._save_assignment()
+        except StateDirectoryError as error:
+            log.error("figures cannot be kept: %s", error)
+
+    def _save_snapshot(self, current: dict[str, Any]) -> None:
+        """Write the snapshot if it differs, or has rows whose age counts: doubts and waits."""
+        timeless = current | {"wall": 0}
+        if timeless != self._saved or current["doubts"] or current["waits"]:
+            self._directory.save_snapshot(current)
+            self._saved = timeless
+
+    def _save_assignment(self) -> None:
+        generation = self._service.generation()
+        if generation == self._saved_generation:
+            return
+        self._saved_generation = generation
+        text = self._service.snapshot()
+        if text is not None:
+            self._directory.save_assignment(text)
 
     def reserve_numbers(self) -> None:
-        """Numbers for what is granted next; where they can't be had, this process grants no more."""
-        if not self.granting or self._service.ledger.number <= self._folder.reserved - state.BLOCK // 2:
+        """Reserve numbers for the next grants; where they cannot be had, this process grants no more."""
+        used = self._service.ledger.number
+        if not self.is_leader or used <= self._directory.reserved - RESERVE_AHEAD:
             return
         try:
-            self._folder.reserve_numbers(self._service.ledger.number)
-        except state.StateDirectoryError as error:
+            self._directory.reserve_numbers(used)
+        except StateDirectoryError as error:
             log.error("cannot grant any more: %s", error)
-            self.granting = False
+            self._role = Role.STANDBY
 
     def release(self) -> None:
-        """Another process may grant."""
-        self._folder.release()
+        """Let another process lead."""
+        self._directory.release()
--- /dev/null
+++ b/scalefall/control/transport/load_report_streams.py
@@ -0,0 +1,76 @@
+"""Load report streams (LRS): what clients' calls came to. Source: envoy.service.load_stats.v3."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+import grpc
+from envoy.service.load_stats.v3 import lrs_pb2
+
+from scalefall.control.service import ControlService
+from scalefall.control.transport import clock
+from scalefall.control.transport.leadership import LeaderState
+from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
+from scalefall.control.transport.quotas import Quotas
+from scalefall.control.transport.reports import LoadReportIndex
+from scalefall.control.transport.resource_streams import NOT_LEADER
+from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.control.transport.stream_reader import read_messages
+from scalefall.net.list_stream import Entry
+
+
+class LoadReportStreams:
+    """Serves load report streams."""
+
+    def __init__(
+        self,
+        service: ControlService,
+        quotas: Quotas,
+        peers: PeerRegistry,
+        driver: ServiceDriver,
+        leader_state: LeaderState,
+        report_us: int,
+    ) -> None:
+        """Take what the streams work on.
+
+        Args:
+            service: Is told of the calls.
+            quotas: Counts the calls where destinations are divided by their load.
+            peers: The open streams.
+            driver: Sends what follows.
+            leader_state: Whether this process leads.
+            report_us: The interval between reports that clients are asked for.
+        """
+        self._service = service
+        self._quotas = quotas
+        self._peers = peers
+        self._driver = driver
+        self._leader_state = leader_state
+        self._report_us = report_us
+        self._index = LoadReportIndex(())
+
+    def use_endpoints(self, entries: Iterable[Entry]) -> None:
+        """Take the fleet's endpoints, by whose addresses reports are read."""
+        self._index = LoadReportIndex(entries)
+
+    async def serve(self, peer: Peer) -> None:
+        """Serve one stream."""
+        async for message in read_messages(peer, lrs_pb2.LoadStatsRequest):
+            if not self._leader_state.is_leader:
+                raise StreamEndedError(grpc.StatusCode.UNAVAILABLE, NOT_LEADER)
+            if not peer.node:
+                self._peers.identify(peer, message.node.id)
+                peer.send(self._first_answer())
+            now_us = clock.monotonic_us()
+            self._quotas.count_calls(self._index, message.cluster_stats)
+            calls = list(self._index.events(message.cluster_stats, now_us))
+            if calls:
+                self._service.calls_reported(calls, now_us)
+                self._driver.schedule()
+
+    def _first_answer(self) -> bytes:
+        """Ask for reports of all clusters by endpoint, at the interval of the options."""
+        answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
+        answer.load_reporting_interval.FromMicroseconds(self._report_us)
+        data: bytes = answer.SerializeToString()
+        return data
--- /dev/null
+++ b/scalefall/control/transport/peers.py
@@ -0,0 +1,187 @@
+"""One client's stream: who it is, what waits to be sent on it, and how it ends.
+
+A client that reads slowly holds up its own writer alone. What may wait for it is bounded by its streams' windows, and
+beyond MAX_OUTGOING_MESSAGES it is cut off.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+import grpc
+
+from scalefall.control.rate_limits import ClientRateLimiter
+from scalefall.control.transport import clock, tls
+from scalefall.control.transport.quotas import QuotaSession
+from scalefall.errors import ScalefallError
+
+MAX_STREAMS = 5_000  # open at a time, over all clients: bounds the process's memory
+MAX_OUTGOING_MESSAGES = 2_000  # that wait for one client to read them
+MAX_NODE_LENGTH = 256  # characters of a node id
+OPENING_RATE = (50, 10)  # streams that one node may open: at once, and a second
+MAX_REMEMBERED_NODES = 10_000  # whose rate of opening streams is known: twice MAX_STREAMS
+
+
+@dataclass(slots=True, frozen=True)
+class StreamEnd:
+    """The gRPC status that a stream ends with, and its text."""
+
+    status: grpc.StatusCode
+    reason: str
+
+
+class StreamEndedError(ScalefallError):
+    """The stream is to end with a status: the client broke a rule, or another process has to serve it."""
+
+    def __init__(self, status: grpc.StatusCode, reason: str) -> None:
+        """Note the status and its text."""
+        super().__init__(reason)
+        self.end = StreamEnd(status, reason)
+
+
+@dataclass(slots=True)
+class Peer:
+    """One client's stream.
+
+    Attributes:
+        number: The stream's number, which the service knows it by.
+        context: gRPC's side of the stream.
+        task: The task that reads the stream; cancelled to end it.
+        certificate: The client's certificate; None on a plain text connection.
+        incremental: Whether it speaks the incremental form of the discovery protocol.
+        understands_ttl: Whether the client knows resources' times to live.
+        node: The node id; empty until its first message.
+        repeats_names: Whether its last request had the names of the one before.
+        outgoing: Messages that wait to be written.
+        outgoing_ready: Set while there are some.
+        end: How it is to end, once that was decided here.
+        quota: What it has said of itself, on a quota stream.
+    """
+
+    number: int
+    context: grpc.aio.ServicerContext
+    task: asyncio.Task[None]
+    certificate: tls.ClientCertificate | None
+    incremental: bool = False
+    understands_ttl: bool = False
+    node: str = ""
+    repeats_names: bool = False
+    outgoing: deque[bytes] = field(default_factory=deque)
+    outgoing_ready: asyncio.Event = field(default_factory=asyncio.Event)
+    end: StreamEnd | None = None
+    quota: QuotaSession = field(default_factory=QuotaSession)
+
+    def send(self, data: bytes) -> None:
+        """Queue a message; a client with too many unread ones is cut off."""
+        self.outgoing.append(data)
+        self.outgoing_ready.set()
+        if len(self.outgoing) > MAX_OUTGOING_MESSAGES:
+            self.close(grpc.StatusCode.RESOURCE_EXHAUSTED, "it does not read what it is sent")
+
+    def close(self, status: grpc.StatusCode, reason: str) -> None:
+        """End the stream with a status; only the first one counts."""
+        if self.end is None:
+            self.end = StreamEnd(status, reason)
+            self.task.cancel()
+
+    async def write_outgoing(self) -> None:
+        """Write what is queued, until cancelled."""
+        while True:
+            await self.outgoing_ready.wait()
+            while self.outgoing:
+                await self.context.write(self.outgoing.popleft())
+            self.outgoing_ready.clear()
+
+
+class PeerRegistry:
+    """The open streams by number, and who may open one."""
+
+    def __init__(self, certificates: tls.CertificateStore | None) -> None:
+        """Start with no streams.
+
+        Args:
+            certificates: Who may connect; None on plain text, where whoever connects is believed.
+        """
+        self._certificates = certificates
+        self._peers: dict[int, Peer] = {}
+        self._numbers = itertools.count(1)
+        self._openings = ClientRateLimiter(*OPENING_RATE, MAX_REMEMBERED_NODES)
+
+    def __iter__(self) -> Iterator[Peer]:
+        """Iterate over the streams that are open now; they may close meanwhile."""
+        return iter(list(self._peers.values()))
+
+    def get(self, number: int) -> Peer | None:
+        """Return an open stream; None if it is closed."""
+        return self._peers.get(number)
+
+    def add(self, peer: Peer) -> None:
+        """Take in a stream."""
+        self._peers[peer.number] = peer
+
+    def remove(self, peer: Peer) -> None:
+        """Forget a stream that has closed."""
+        self._peers.pop(peer.number, None)
+
+    def admit(self, context: grpc.aio.ServicerContext, task: asyncio.Task[None]) -> Peer:
+        """Take in a stream that is being opened, read by this task.
+
+        Raises:
+            StreamEndedError: Too many are open, or its certificate names no node.
+        """
+        if len(self._peers) >= MAX_STREAMS:
+            raise StreamEndedError(grpc.StatusCode.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} streams are open")
+        certificate = self._client_certificate(context)
+        if certificate is not None and not certificate.nodes:
+            raise StreamEndedError(grpc.StatusCode.UNAUTHENTICATED, "the certificate names no node")
+        peer = Peer(next(self._numbers), context, task, certificate)
+        self.add(peer)
+        return peer
+
+    def _client_certificate(self, context: grpc.aio.ServicerContext) -> tls.ClientCertificate | None:
+        if self._certificates is None:
+            return None
+        chain = context.auth_context().get("x509_pem_cert", ())
+        return tls.read_client_certificate(next(iter(chain), b""))
+
+    def identify(self, peer: Peer, node: str) -> None:
+        """Set which node a stream is of, or check that it is still the same.
+
+        Raises:
+            StreamEndedError: The node id is malformed, not the stream's or not the certificate's, or the node opens
+                streams too often.
+        """
+        if not _is_node_id(node):
+            reason = f"a node id is 1 to {MAX_NODE_LENGTH} printable characters without a slash"
+            raise StreamEndedError(grpc.StatusCode.INVALID_ARGUMENT, reason)
+        if peer.node and node != peer.node:
+            raise StreamEndedError(grpc.StatusCode.INVALID_ARGUMENT, "a stream is one node's")
+        if peer.certificate is not None and node not in peer.certificate.nodes:
+            raise StreamEndedError(grpc.StatusCode.PERMISSION_DENIED, f"the certificate is not for node {node}")
+        if not peer.node and self._openings.rejects(node, clock.monotonic_us()):
+            raise StreamEndedError(grpc.StatusCode.RESOURCE_EXHAUSTED, "streams are opened too often")
+        peer.node = node
+
+    def close_untrusted(self, wall_s: float) -> None:
+        """Close the streams whose certificate has ended, or whose authority was taken out of the file.
+
+        Args:
+            wall_s: The wall clock, in seconds.
+        """
+        if self._certificates is None:
+            return
+        for peer in self:
+            if peer.certificate is None:
+                continue
+            if peer.certificate.expires_s <= wall_s:
+                peer.close(grpc.StatusCode.UNAUTHENTICATED, "the certificate has ended")
+            elif not self._certificates.trusts(peer.certificate.pem):
+                peer.close(grpc.StatusCode.UNAUTHENTICATED, "the certificate's authority is not trusted any more")
+
+
+def _is_node_id(node: str) -> bool:
+    return 0 < len(node) <= MAX_NODE_LENGTH and node.isprintable() and "/" not in node
--- /dev/null
+++ b/scalefall/control/transport/quota_wire.py
@@ -0,0 +1,253 @@
+"""Quota messages to and from the types of grants. No I/O. Source: envoy.service.rate_limit_quota.v3.
+
+By route, a bucket's keys are the client's own and name the route. A client may number its reports, and then tells the
+highest grant that it has had.
+
+Where destinations are divided among senders, a grant is of a shard. Its bucket names the shard, the epoch and the
+number, the route too where the shard is one destination's own, and the share where that is not all. Allowances of
+destinations that are not unlimited follow as buckets of shard and route alone. A report's bucket names the number of
+the report and the highest grant number of all that came on this stream, in whose order nothing is lost.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import replace
+from typing import NamedTuple, TypeAlias
+
+from envoy.service.rate_limit_quota.v3 import rlqs_pb2
+from envoy.type.v3 import ratelimit_strategy_pb2, token_bucket_pb2
+from google.protobuf import wrappers_pb2
+
+from scalefall.assignment.model import WHOLE, ShardGrant
+from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
+from scalefall.control.grants import UNITS_PER_CALL, Grant
+from scalefall.control.transport.protobuf import duration
+from scalefall.errors import RemoteProtocolError
+
+FILL_US = 10_000  # the shortest time between fills of a token bucket
+US_PER_SECOND = 1_000_000
+MAX_NUMBER_DIGITS = 18  # fits 64 bits signed
+
+# Keys of buckets.
+ROUTE = "route"
+ACKNOWLEDGED_GRANT = "had"
+REPORT_NUMBER = "said"
+GRANT = "grant"
+LAST_REPORT = "heard"
+SHARD = "shard"
+EPOCH = "epoch"
+SHARE = "share"
+
+Usage: TypeAlias = rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage
+
+
+# -- by route
+
+
+class ReportedRoute(NamedTuple):
+    """A row of a report, of a route.
+
+    Attributes:
+        route: The route; None if the bucket names none.
+        acknowledged_grant: The highest grant that the client has had; 0 if it does not number them.
+        report_number: The number of this report; None if the client does not number them.
+        keys: The bucket's keys without the numbers.
+    """
+
+    route: int | None
+    acknowledged_grant: int
+    report_number: int | None
+    keys: dict[str, str]
+
+
+def read_route_report(usage: Usage) -> ReportedRoute:
+    """Read a row of a report; what is malformed counts as left out."""
+    keys = usage.bucket_id.bucket
+    return ReportedRoute(
+        _number(keys.get(ROUTE)),
+        _number(keys.get(ACKNOWLEDGED_GRANT)) or 0,
+        _number(keys.get(REPORT_NUMBER)),
+        {key: value for key, value in keys.items() if key not in (ACKNOWLEDGED_GRANT, REPORT_NUMBER)},
+    )
+
+
+def calls_of(usage: Usage) -> float:
+    """Return the calls a second that the client would have made."""
+    calls: int = usage.num_requests_allowed + usage.num_requests_denied
+    elapsed_s: float = usage.time_elapsed.ToMicroseconds() / US_PER_SECOND
+    return calls / elapsed_s if elapsed_s > 0 else 0.0
+
+
+def grant(given: Grant, bucket: dict[str, str], last_report: int | None) -> rlqs_pb2.RateLimitQuotaResponse:
+    """Return a grant as an assignment of one bucket.
+
+    A client that numbers its reports is told the grant's number, and the last report that was received before: its
+    lease counts from when it sent that one, so no delay of the link makes it longer.
+
+    Args:
+        given: The grant.
+        bucket: The bucket's keys, as the client reported them.
+        last_report: The number of the client's last report; None if it does not number them.
+    """
+    if last_report is not None:
+        bucket = bucket | {GRANT: f"{given.number}", LAST_REPORT: f"{last_report}"}
+    response = rlqs_pb2.RateLimitQuotaResponse()
+    _assign(response, bucket, given.lease_us, given.amount)
+    return response
+
+
+def abandon(bucket: Mapping[str, str]) -> rlqs_pb2.RateLimitQuotaResponse:
+    """Return the answer to a bucket that names no route of ours."""
+    action = rlqs_pb2.RateLimitQuotaResponse.BucketAction(
+        bucket_id=rlqs_pb2.BucketId(bucket=bucket),
+        abandon_action=rlqs_pb2.RateLimitQuotaResponse.BucketAction.AbandonAction(),
+    )
+    return rlqs_pb2.RateLimitQuotaResponse(bucket_action=[action])
+
+
+# -- by shard
+
+
+class SessionReport(NamedTuple):
+    """A report of a process that is granted shards.
+
+    Attributes:
+        acknowledged_grant: The highest grant that it has had on this stream; 0 for none.
+        report_number: The number of this report; None if it is left out.
+    """
+
+    acknowledged_grant: int
+    report_number: int | None
+
+
+class ReceivedShardGrants(NamedTuple):
+    """Grants as a client receives them.
+
+    Attributes:
+        grants: The grants.
+        last_report: The client's last report that was received before they were sent; None if none was numbered.
+    """
+
+    grants: list[ShardGrant]
+    last_report: int | None
+
+
+def read_session_report(usage: Usage) -> SessionReport | None:
+    """Read a report; None for a bucket of a route."""
+    keys = usage.bucket_id.bucket
+    if ROUTE in keys:
+        return None
+    return SessionReport(_number(keys.get(ACKNOWLEDGED_GRANT)) or 0, _number(keys.get(REPORT_NUMBER)))
+
+
+def shard_grants(grants: Iterable[ShardGrant], last_report: int | None) -> rlqs_pb2.RateLimitQuotaResponse:
+    """Return grants of shards to one holder as one response; the first bucket names the last report."""
+    response = rlqs_pb2.RateLimitQuotaResponse()
+    for given in grants:
+        bucket = _shard_bucket(given)
+        if last_report is not None and not response.bucket_action:
+            bucket[LAST_REPORT] = f"{last_report}"
+        _assign(response, bucket, given.lease_us, UNLIMITED if given.share else 0)
+        for destination, amount in given.limits:
+            _assign(response, {SHARD: f"{given.shard}", ROUTE: f"{destination}"}, given.lease_us, amount)
+    return response
+
+
+def _shard_bucket(given: ShardGrant) -> dict[str, str]:
+    bucket = {SHARD: f"{given.shard}", EPOCH: f"{given.epoch}", GRANT: f"{given.number}"}
+    if given.destination is not None:
+        bucket[ROUTE] = f"{given.destination}"
+    if 0 < given.share < WHOLE:
+        bucket[SHARE] = f"{given.share}"
+    return bucket
+
+
+def read_shard_grants(response: rlqs_pb2.RateLimitQuotaResponse, holder: str) -> ReceivedShardGrants:
+    """Read grants of shards: the other way, for clients of our own.
+
+    Raises:
+        RemoteProtocolError: It is no response with grants of shards.
+    """
+    try:
+        return _read_shard_grants(response, holder)
+    except ValueError as error:
+        raise RemoteProtocolError(str(error)) from error
+
+
+def _read_shard_grants(response: rlqs_pb2.RateLimitQuotaResponse, holder: str) -> ReceivedShardGrants:
+    grants: list[ShardGrant] = []
+    last_report: int | None = None
+    for action in response.bucket_action:
+        keys, assignment = action.bucket_id.bucket, action.quota_assignment_action
+        amount = amount_of(assignment.rate_limit_strategy)
+        if EPOCH not in keys:
+            _add_limit(grants, keys, amount)
+            continue
+        if LAST_REPORT in keys:
+            last_report = int(keys[LAST_REPORT])
+        grants.append(_read_grant(keys, amount, assignment.assignment_time_to_live.ToMicroseconds(), holder))
+    return ReceivedShardGrants(grants, last_report)
+
+
+def _read_grant(keys: Mapping[str, str], amount: int, lease_us: int, holder: str) -> ShardGrant:
+    share = int(keys.get(SHARE, f"{WHOLE}")) if amount else 0
+    destination = int(keys[ROUTE]) if ROUTE in keys else None
+    return ShardGrant(holder, int(keys[SHARD]), int(keys[EPOCH]), int(keys[GRANT]), share, lease_us, (), destination)
+
+
+def _add_limit(grants: list[ShardGrant], keys: Mapping[str, str], amount: int) -> None:
+    """Add the allowance of one destination to the grant of its shard, which is the last one."""
+    shard = int(keys[SHARD])
+    if not grants or grants[-1].shard != shard:
+        raise ValueError(f"an allowance of shard {shard} follows no grant of it")
+    grants[-1] = replace(grants[-1], limits=(*grants[-1].limits, (int(keys[ROUTE]), amount)))
+
+
+# -- both
+
+
+def _assign(response: rlqs_pb2.RateLimitQuotaResponse, bucket: dict[str, str], lease_us: int, amount: int) -> None:
+    action = response.bucket_action.add()
+    action.bucket_id.bucket.update(bucket)
+    action.quota_assignment_action.assignment_time_to_live.FromMicroseconds(lease_us)
+    action.quota_assignment_action.rate_limit_strategy.CopyFrom(_strategy(amount))
+
+
+def _strategy(amount: int) -> ratelimit_strategy_pb2.RateLimitStrategy:
+    """Return a rate as a bucket that holds one fill, so that nothing is saved up; rounded down.
+
+    Args:
+        amount: Thousandths of a call a second.
+    """
+    strategy = ratelimit_strategy_pb2.RateLimitStrategy
+    if amount <= 0:
+        return strategy(blanket_rule=strategy.DENY_ALL)
+    if amount > MAX_LIMITED:
+        return strategy(blanket_rule=strategy.ALLOW_ALL)
+    tokens = max(1, amount * FILL_US // (UNITS_PER_CALL * US_PER_SECOND))
+    fill_interval_us = -(-tokens * UNITS_PER_CALL * US_PER_SECOND // amount)
+    return strategy(
+        token_bucket=token_bucket_pb2.TokenBucket(
+            max_tokens=tokens,
+            tokens_per_fill=wrappers_pb2.UInt32Value(value=tokens),
+            fill_interval=duration(fill_interval_us),
+        )
+    )
+
+
+def amount_of(strategy: ratelimit_strategy_pb2.RateLimitStrategy) -> int:
+    """Return a rate in thousandths of a call a second: the other way, for clients of our own."""
+    if strategy.HasField("token_bucket"):
+        bucket = strategy.token_bucket
+        tokens: int = bucket.tokens_per_fill.value
+        interval_us: int = bucket.fill_interval.ToMicroseconds()
+        return tokens * UNITS_PER_CALL * US_PER_SECOND // max(1, interval_us)
+    return UNLIMITED if strategy.blanket_rule == ratelimit_strategy_pb2.RateLimitStrategy.ALLOW_ALL else 0
+
+
+def _number(text: str | None) -> int | None:
+    """Return a number that is written in plain digits; None for anything else."""
+    if text and text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS:
+        return int(text)
+    return None
--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -4,8 +4,8 @@
 is reported by named metrics beside successes and errors, each with its number of calls, says how errors ended:
 
     scalefall.full, scalefall.timeout, scalefall.reset, scalefall.connect_failed     calls that ended so
-    scalefall.wait_ms       the longest wait that answers told, as of this report
-    x0, x1                  ORCA's named metrics as the endpoint told them (also as named_metrics.x0): the mean
+    scalefall.wait_ms       the longest Retry-After of its answers, as of this report
+    x0, x1                  ORCA's named metrics as the endpoint reported them (also as named_metrics.x0): the mean
 
 Errors that nothing says more of are errors. Source: envoy.service.load_stats.v3, gRFC A64, A85.
 """
@@ -13,14 +13,20 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
+from itertools import cycle
+from math import inf
+from typing import NamedTuple, TypeAlias
 
 from envoy.config.endpoint.v3 import load_report_pb2
 
 from scalefall import interface as i
 from scalefall.control.transport import resources
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 
 METRIC_PREFIX = "scalefall."
+RETRY_AFTER_METRIC = METRIC_PREFIX + "wait_ms"
+ORCA_PREFIX = "named_metrics."
 OUTCOME_METRICS = {
     "full": i.Outcome.FULL,
     "timeout": i.Outcome.TIMEOUT,
@@ -28,87 +34,131 @@
     "connect_failed": i.Outcome.CONNECT_FAILED,
 }
 NAMED_METRICS = ("x0", "x1")
-MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that the module is told one by one
-MOST_WAIT_MS = 3_600_000
-MOST_INTERVAL_US = 60_000_000
-Place = tuple[int, str, int]  # route, address, port
+MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that become an event each: bounds a step
+MAX_RETRY_AFTER_MS = 3_600_000  # an hour: a longer one is a client's mistake
+MAX_INTERVAL_US = 60_000_000  # a minute between reports, likewise
+
+Stats: TypeAlias = load_report_pb2.UpstreamEndpointStats | load_report_pb2.UpstreamLocalityStats
+
+
+class EndpointAddress(NamedTuple):
+    """Where a load report finds an endpoint."""
+
+    route: int
+    host: str
+    port: int
 
 
 class LoadReportIndex:
     """The endpoints of a fleet as load reports name them."""
 
-    def __init__(self, entries: Iterable[Entry], most_reported: int = MAX_REPORTED_CALLS) -> None:
-        """most_reported: calls of one endpoint and outcome in one report that the module is told one by one."""
-        self._most = most_reported
-        self._ids: dict[Place, str] = {}
-        self._zones: dict[tuple[int, str], list[str]] = {}
+    def __init__(self, entries: Iterable[Entry], max_reported_calls: int = MAX_REPORTED_CALLS) -> None:
+        """Index the endpoints.
+
+        Args:
+            entries: The fleet's endpoints.
+            max_reported_calls: Calls of one endpoint and outcome in one report that become an event each.
+        """
+        self._max_reported_calls = max_reported_calls
+        self._ids: dict[EndpointAddress, str] = {}
+        self._ids_by_zone: dict[tuple[int, str], list[str]] = {}
         for entry in entries:
-            end = entry.endpoint
-            self._ids[end.destination, *entry.address] = end.id
-            self._zones.setdefault((end.destination, end.zone), []).append(end.id)
+            endpoint = entry.endpoint
+            self._ids[EndpointAddress(endpoint.destination, *entry.address)] = endpoint.id
+            self._ids_by_zone.setdefault((endpoint.destination, endpoint.zone), []).append(endpoint.id)
 
     @staticmethod
     def loads(stats: Iterable[load_report_pb2.ClusterStats]) -> dict[int, int]:
-        """Calls that were issued, by destination: all of them, however many the module is told one by one."""
-        found: dict[int, int] = {}
+        """Return the calls that were issued, by destination: all of them, however many become an event each."""
+        loads: dict[int, int] = {}
         for cluster in stats:
-            route = resources.destination(cluster.cluster_name)
+            route = resources.destination_of(cluster.cluster_name)
             if route is not None:
-                calls = sum(_issued(locality) for locality in cluster.upstream_locality_stats)
-                found[route] = found.get(route, 0) + calls
-        return found
+                calls = sum(_issued_calls(locality) for locality in cluster.upstream_locality_stats)
+                loads[route] = loads.get(route, 0) + calls
+        return loads
 
-    def events(self, stats: Iterable[load_report_pb2.ClusterStats], now: int) -> Iterator[i.Reported]:
-        """What is of no cluster or endpoint of ours says nothing."""
+    def events(self, stats: Iterable[load_report_pb2.ClusterStats], now_us: int) -> Iterator[i.Reported]:
+        """Yield an event for each call; what is of no cluster or endpoint of ours says nothing."""
         for cluster in stats:
-            route = resources.destination(cluster.cluster_name)
+            route = resources.destination_of(cluster.cluster_name)
             if route is None:
                 continue
-            span = min(MOST_INTERVAL_US, cluster.load_report_interval.ToMicroseconds())
+            interval_us = max(0, min(MAX_INTERVAL_US, cluster.load_report_interval.ToMicroseconds()))
             for locality in cluster.upstream_locality_stats:
-                if locality.upstream_endpoint_stats:
-                    for row in locality.upstream_endpoint_stats:
-                        at = row.address.socket_address
-                        name = self._ids.get((route, at.address, at.port_value))
-                        if name is not None:
-                            yield from _calls([name], row, now, max(0, span), self._most)
-                else:
-                    names = self._zones.get((route, locality.locality.zone))
-                    if names:
-                        yield from _calls(names, locality, now, max(0, span), self._most)
-
-
-def _issued(row: load_report_pb2.UpstreamLocalityStats) -> int:
-    """Clients that tell no number of issued calls tell how those that ended did."""
-    return row.total_issued_requests or sum(
-        end.total_issued_requests or end.total_successful_requests + end.total_error_requests
-        for end in row.upstream_endpoint_stats or (row,)
+                for endpoints, row in self._rows(route, locality):
+                    yield from _call_events(endpoints, row, now_us, interval_us, self._max_reported_calls)
+
+    def _rows(self, route: int, locality: load_report_pb2.UpstreamLocalityStats) -> Iterator[tuple[list[str], Stats]]:
+        """Yield the endpoints that a row speaks of, with the row: one each, else all of the zone together."""
+        if not locality.upstream_endpoint_stats:
+            endpoints = self._ids_by_zone.get((route, locality.locality.zone))
+            if endpoints:
+                yield endpoints, locality
+            return
+        for row in locality.upstream_endpoint_stats:
+            address = row.address.socket_address
+            endpoint = self._ids.get(EndpointAddress(route, address.address, address.port_value))
+            if endpoint is not None:
+                yield [endpoint], row
+
+
+def _issued_calls(locality: load_report_pb2.UpstreamLocalityStats) -> int:
+    """Return the calls issued; clients that tell no such number tell how those that ended did."""
+    issued: int = locality.total_issued_requests
+    return issued or sum(
+        row.total_issued_requests or row.total_successful_requests + row.total_error_requests
+        for row in locality.upstream_endpoint_stats or (locality,)
     )
 
 
-def _calls(names: list[str], row: object, now: int, span_us: int, most: int) -> Iterator[i.Reported]:
-    """Failures last, so that they aren't taken back by successes of the same report; successes count as sent at its
-    beginning and failures at its end, which is the cautious side of both."""
-    ends, report, wait = {}, {}, 0
+@dataclass(slots=True)
+class _Metrics:
+    """What the named metrics of a row say.
+
+    Attributes:
+        failures: Calls that failed, by outcome.
+        load_report: The mean of each named metric of the endpoint.
+        retry_after_us: The longest Retry-After; 0 for none.
+    """
+
+    failures: dict[i.Outcome, int]
+    load_report: dict[str, float]
+    retry_after_us: int = 0
+
+
+def _read_metrics(row: Stats) -> _Metrics:
+    found = _Metrics({}, {})
     for metric in row.load_metric_stats:
-        name = metric.metric_name.removeprefix("named_metrics.")
+        name = metric.metric_name.removeprefix(ORCA_PREFIX)
         count, total = metric.num_requests_finished_with_metric, metric.total_metric_value
-        if not 0 <= total < float("inf"):
+        if not 0 <= total < inf:
             continue
         if name in NAMED_METRICS and count:
-            report[name] = total / count
-        elif name == METRIC_PREFIX + "wait_ms":
-            wait = int(min(total, MOST_WAIT_MS) * 1000)
+            found.load_report[name] = total / count
+        elif name == RETRY_AFTER_METRIC:
+            found.retry_after_us = int(min(total, MAX_RETRY_AFTER_MS) * 1000)
         elif name.startswith(METRIC_PREFIX) and name.removeprefix(METRIC_PREFIX) in OUTCOME_METRICS:
-            ends[OUTCOME_METRICS[name.removeprefix(METRIC_PREFIX)]] = count
-    ends[i.Outcome.ERROR] = max(0, row.total_error_requests - sum(ends.values()))
-    at = 0
-    for _ in range(min(most, row.total_successful_requests)):
-        yield i.Reported(names[at % len(names)], now - span_us, i.Outcome.OK, 0, report)
-        at += 1
-    for outcome, count in ends.items():
-        for _ in range(min(most, count)):
-            yield i.Reported(names[at % len(names)], now, outcome, wait, report)
-            at += 1
-    if wait and not any(ends.values()):
-        yield i.Reported(names[0], now, i.Outcome.NOT_SENT, wait)
+            found.failures[OUTCOME_METRICS[name.removeprefix(METRIC_PREFIX)]] = count
+    unexplained = row.total_error_requests - sum(found.failures.values())
+    found.failures[i.Outcome.ERROR] = max(0, unexplained)
+    return found
+
+
+def _call_events(
+    endpoints: list[str], row: Stats, now_us: int, interval_us: int, max_reported_calls: int
+) -> Iterator[i.Reported]:
+    """Yield an event for each call of a row, over its endpoints in turn.
+
+    Failures come last, so that they are not taken back by successes of the same report; successes count as sent at its
+    beginning and failures at its end, which is the cautious side of both.
+    """
+    metrics = _read_metrics(row)
+    in_turn = cycle(endpoints)
+    for _ in range(min(max_reported_calls, row.total_successful_requests)):
+        yield i.Reported(next(in_turn), now_us - interval_us, i.Outcome.OK, 0, metrics.load_report)
+    for outcome, count in metrics.failures.items():
+        for _ in range(min(max_reported_calls, count)):
+            yield i.Reported(next(in_turn), now_us, outcome, metrics.retry_after_us, metrics.load_report)
+    if metrics.retry_after_us and not any(metrics.failures.values()):
+        yield i.Reported(endpoints[0], now_us, i.Outcome.NOT_SENT, metrics.retry_after_us)
--- /dev/null
+++ b/scalefall/control/transport/resource_streams.py
@@ -0,0 +1,85 @@
+"""Discovery streams: the aggregated discovery service (ADS) in its state-of-the-world and its incremental form.
+
+Source: envoy.service.discovery.v3.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TypeAlias
+
+import grpc
+from envoy.service.discovery.v3 import discovery_pb2
+
+from scalefall.control.service import ControlService
+from scalefall.control.streams import Request
+from scalefall.control.transport import clock, wire
+from scalefall.control.transport.leadership import LeaderState
+from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
+from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.control.transport.stream_reader import read_messages
+
+NOT_LEADER = "another process grants here"  # the status text of what only the leader serves
+
+DiscoveryRequest: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
+
+
+class ResourceStreams:
+    """Serves discovery streams."""
+
+    def __init__(
+        self,
+        service: ControlService,
+        peers: PeerRegistry,
+        driver: ServiceDriver,
+        leader_state: LeaderState,
+        leader_only: bool,
+    ) -> None:
+        """Take what the streams work on.
+
+        Args:
+            service: Decides what is sent.
+            peers: The open streams.
+            driver: Sends it.
+            leader_state: Whether this process leads.
+            leader_only: Whether only the leader serves resources, as where destinations are divided: who has which is
+                known to the leader alone.
+        """
+        self._service = service
+        self._peers = peers
+        self._driver = driver
+        self._leader_state = leader_state
+        self._leader_only = leader_only
+
+    async def serve_state_of_the_world(self, peer: Peer) -> None:
+        """Serve a stream whose responses carry all resources of a type."""
+        await self._serve(peer, discovery_pb2.DiscoveryRequest, wire.request)
+
+    async def serve_incremental(self, peer: Peer) -> None:
+        """Serve a stream whose responses carry what has changed."""
+        peer.incremental = True
+        await self._serve(peer, discovery_pb2.DeltaDiscoveryRequest, wire.delta_request)
+
+    async def _serve(
+        self,
+        peer: Peer,
+        new_message: Callable[[], DiscoveryRequest],
+        parse: Callable[[DiscoveryRequest], Request],
+    ) -> None:
+        async for message in read_messages(peer, new_message):
+            if self._leader_only and not self._leader_state.is_leader:
+                raise StreamEndedError(grpc.StatusCode.UNAVAILABLE, NOT_LEADER)
+            self._identify(peer, message)
+            self._driver.send(self._service.request(peer.number, parse(message), clock.monotonic_us()))
+            peer.repeats_names = self._service.repeats(peer.number)
+            self._driver.schedule()
+
+    def _identify(self, peer: Peer, message: DiscoveryRequest) -> None:
+        """Take the node from the first message; a later one may leave it out."""
+        if peer.node:
+            if message.node.id:
+                self._peers.identify(peer, message.node.id)
+            return
+        self._peers.identify(peer, message.node.id)
+        peer.understands_ttl = wire.TTL_FEATURE in message.node.client_features
+        self._service.resource_stream_opened(peer.number, peer.node, peer.incremental, peer.understands_ttl)
--- /dev/null
+++ b/scalefall/control/transport/service_driver.py
@@ -0,0 +1,110 @@
+"""The service in real time: its steps when they are due, what it sends, and the lines that it asks for."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+
+import grpc
+
+from scalefall.assignment.service import ShardGrants
+from scalefall.control.grants import Grant
+from scalefall.control.service import ControlService, Outgoing
+from scalefall.control.streams import CloseStream, Response, ResponseRejected, StreamAction
+from scalefall.control.transport import clock, event_log, wire
+from scalefall.control.transport.leadership import LeaderState
+from scalefall.control.transport.peers import Peer, PeerRegistry
+from scalefall.control.transport.quotas import Quotas
+from scalefall.net.checks import log
+
+
+class ServiceDriver:
+    """Runs a service's steps by one timer, and hands what it gives to the peers' queues."""
+
+    def __init__(self, service: ControlService, quotas: Quotas, peers: PeerRegistry, leader_state: LeaderState) -> None:
+        """Take the service and its peers; no step is run before start()."""
+        self._service = service
+        self._quotas = quotas
+        self._peers = peers
+        self._leader_state = leader_state
+        self._encoder = wire.ResponseEncoder()
+        self._is_started = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at_us = 0
+
+    def start(self) -> None:
+        """Let schedule() set the timer from now on."""
+        self._is_started = True
+
+    def stop(self) -> None:
+        """Cancel the next step."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    # -- steps
+
+    def schedule(self) -> None:
+        """Set the timer to the service's next deadline. Before start() nothing happens."""
+        if not self._is_started:
+            return
+        now_us = clock.monotonic_us()
+        deadline_us = self._service.next_deadline(now_us)
+        if self._timer is not None:
+            if self._timer_at_us <= deadline_us:
+                return  # it comes early enough, and schedules anew then
+            self._timer.cancel()
+        self._timer_at_us = deadline_us
+        self._timer = asyncio.get_running_loop().call_later((deadline_us - now_us) / 1e6, self._step)
+
+    def _step(self) -> None:
+        self._timer = None
+        self.send(self._service.step(clock.monotonic_us()))
+        self._leader_state.reserve_numbers()
+        self.write_events()
+        self.schedule()
+
+    def write_events(self) -> None:
+        """Write the log lines that the service has asked for since the last time."""
+        events, self._service.emitted_events = self._service.emitted_events, []
+        event_log.write_events(events)
+
+    def stream_closed(self, peer: Peer) -> None:
+        """Tell the service that a stream is gone, whichever kind it was."""
+        self._peers.remove(peer)
+        self._service.resource_stream_closed(peer.number)
+        self._service.quota_stream_closed(peer.number, clock.monotonic_us())
+        self.write_events()
+        if self._timer is not None:
+            self.schedule()
+
+    # -- what goes out
+
+    def send(self, outgoing: Iterable[Outgoing]) -> None:
+        """Hand what the service gives to its streams; what is for one that has closed is dropped."""
+        for number, action in outgoing:
+            peer = self._peers.get(number)
+            if peer is not None:
+                self._deliver(peer, action)
+
+    def _deliver(self, peer: Peer, action: StreamAction | Grant | ShardGrants) -> None:
+        match action:
+            case Response():
+                peer.send(self._encoder.encode(action, peer.incremental, peer.understands_ttl))
+            case Grant() | ShardGrants():
+                data = self._quotas.grant_message(peer.quota, action)
+                if data is not None and self._leader_state.is_leader:
+                    peer.send(data)
+            case ResponseRejected():
+                _log_rejection(peer, action)
+            case CloseStream():
+                peer.close(grpc.StatusCode.INVALID_ARGUMENT, action.reason)
+
+
+def _log_rejection(peer: Peer, rejection: ResponseRejected) -> None:
+    log.warning(
+        "rejected: %s keeps what it had of %s: %s",
+        peer.node,
+        ", ".join(rejection.names),
+        rejection.text,
+        extra={"fields": {"node": peer.node, "type": rejection.type, "names": rejection.names}},
+    )
--- a/scalefall/control/transport/tls.py
+++ b/scalefall/control/transport/tls.py
@@ -1,8 +1,9 @@
-"""Certificates: this service's own, who may connect, and which node a certificate is for.
+"""TLS certificates: this service's own, who may connect, and which nodes a client's certificate is for.
 
-The files are looked at for each new connection: a pair or an authority that was replaced counts from the next one on,
-with no restart. Replacing that is half done (a key that doesn't belong to the certificate) leaves the old pair in use.
-A certificate names its node by a DNS or URI entry of its subject alternative name that equals the node id.
+The files are looked at for each new connection: a certificate, key or authority that was replaced counts from the next
+connection on, with no restart. While they are replaced only in part (a key that does not belong to the certificate)
+the old ones stay in use. A certificate names its node by a DNS or URI entry of its subject alternative name that
+equals the node id.
 """
 
 from __future__ import annotations
@@ -12,143 +13,215 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import lru_cache
+from typing import NamedTuple
 
 import grpc
 from cryptography import x509
 from cryptography.exceptions import InvalidSignature
+from cryptography.hazmat.primitives.asymmetric.types import CertificatePublicKeyTypes, PublicKeyTypes
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat, load_pem_private_key
 
-MOST_BYTES = 1_000_000
-MOST_CHECKED = 10_000  # certificates whose signature is remembered
+from scalefall.errors import ConfigurationError
 
+MAX_FILE_BYTES = 1_000_000  # read of a PEM file: far above a chain of certificates
+MAX_CACHED_SIGNATURES = 10_000  # certificates whose signature check is remembered: twice the streams of a server
 
-class CertificateError(Exception):
-    """The files can't be used; the text is one plain line."""
+
+class CertificateError(ConfigurationError):
+    """The certificate files cannot be used; the text is one plain line."""
 
 
 @dataclass(slots=True, frozen=True)
 class CertificatePaths:
+    """Where the PEM files are.
+
+    Attributes:
+        certificate: This service's certificate with its chain.
+        key: Its private key.
+        clients: The authorities that sign the clients' certificates.
+    """
+
     certificate: str
     key: str
-    clients: str  # the authorities that proxies' certificates are signed by
+    clients: str
 
 
 @dataclass(slots=True, frozen=True)
 class CertificatePair:
+    """The contents of the files, read together and checked; each is PEM.
+
+    Attributes:
+        certificate: This service's certificate with its chain.
+        key: Its private key.
+        clients: The authorities that sign the clients' certificates.
+        expires: When the service's certificate ends, in UTC.
+    """
+
     certificate: bytes
     key: bytes
     clients: bytes
-    ends: datetime.datetime
+    expires: datetime.datetime
+
+
+@dataclass(slots=True, frozen=True)
+class ClientCertificate:
+    """What a client's certificate says.
+
+    Attributes:
+        pem: The certificate itself.
+        nodes: The node ids that it is for; empty if it cannot be read or names none.
+        expires_s: When it ends, in seconds of the wall clock.
+    """
+
+    pem: bytes
+    nodes: frozenset[str]
+    expires_s: float
+
+
+class _FileVersion(NamedTuple):
+    """What differs once a file was replaced; zeros for a file that is not there."""
+
+    modified_ns: int
+    size_bytes: int
+    inode: int
 
 
 def read(paths: CertificatePaths, now: datetime.datetime) -> CertificatePair:
-    certificate, key, clients = (_bytes(path) for path in (paths.certificate, paths.key, paths.clients))
-    chain = _certificates(certificate, paths.certificate)
-    _certificates(clients, paths.clients)
+    """Read and check the files.
+
+    Args:
+        paths: Where they are.
+        now: The time at which the certificate has to be valid, in UTC.
+
+    Raises:
+        CertificateError: A file cannot be read, the key is another certificate's, or the certificate has ended.
+    """
+    certificate, key, clients = (_read_file(path) for path in (paths.certificate, paths.key, paths.clients))
+    leaf = _parse_certificates(certificate, paths.certificate)[0]
+    _parse_certificates(clients, paths.clients)
     try:
-        private = load_pem_private_key(key, None)
+        private_key = load_pem_private_key(key, None)
     except (ValueError, TypeError) as error:
-        raise CertificateError(
-            f"{paths.key} holds no private key that can be read: {str(error).splitlines()[0]}"
-        ) from None
-    if _public(private.public_key()) != _public(chain[0].public_key()):
+        reason = str(error).splitlines()[0]
+        raise CertificateError(f"{paths.key} holds no private key that can be read: {reason}") from None
+    if _public_bytes(private_key.public_key()) != _public_bytes(leaf.public_key()):
         raise CertificateError(f"{paths.key} is not the key of {paths.certificate}")
-    if chain[0].not_valid_after_utc <= now:
-        raise CertificateError(f"{paths.certificate} ended at {chain[0].not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
-    return CertificatePair(certificate, key, clients, chain[0].not_valid_after_utc)
+    if leaf.not_valid_after_utc <= now:
+        raise CertificateError(f"{paths.certificate} ended at {leaf.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
+    return CertificatePair(certificate, key, clients, leaf.not_valid_after_utc)
 
 
 class CertificateStore:
-    """The pair in use. `tell` is called with a line for the log when files change or can't be used."""
+    """The certificates in use, read again when the files change."""
 
-    def __init__(self, paths: CertificatePaths, tell: Callable[[str, bool], None]) -> None:
-        self._paths, self._tell = paths, tell
-        self._seen = self._marks()
-        self.pair = read(paths, _now())
+    def __init__(self, paths: CertificatePaths, report: Callable[[str, bool], None]) -> None:
+        """Read the files.
+
+        Args:
+            paths: Where they are.
+            report: Called with a line for the log, and whether it is good news, when files change or cannot be used.
+
+        Raises:
+            CertificateError: They cannot be used.
+        """
+        self._paths = paths
+        self._report = report
+        self._versions = self._file_versions()
+        self.pair = read(paths, _utc_now())
 
     def credentials(self) -> grpc.ServerCredentials:
-        return grpc.dynamic_ssl_server_credentials(_configuration(self.pair), self._fetch, True)
+        """Return gRPC credentials that ask for a client certificate and follow the files."""
+        return grpc.dynamic_ssl_server_credentials(_server_configuration(self.pair), self._fetch_configuration, True)
+
+    def trusts(self, certificate: bytes) -> bool:
+        """Whether an authority in use now has signed a client's certificate, given as PEM.
 
-    def _fetch(self) -> grpc.ServerCertificateConfiguration | None:
-        """Called for each handshake, in a thread of the library; None: no change."""
-        marks = self._marks()
-        if marks == self._seen:
+        An authority that was taken out of the file so ends its clients' streams.
+        """
+        return _is_signed_by(certificate, self.pair.clients)
+
+    def _fetch_configuration(self) -> grpc.ServerCertificateConfiguration | None:
+        """Return what has changed since the last handshake; None for no change.
+
+        gRPC calls this for each handshake, in a thread of its own.
+        """
+        versions = self._file_versions()
+        if versions == self._versions:
             return None
-        self._seen = marks
+        self._versions = versions
         try:
-            self.pair = read(self._paths, _now())
+            self.pair = read(self._paths, _utc_now())
         except CertificateError as error:
-            self._tell(f"certificates stay as they were: {error}", False)
+            self._report(f"certificates stay as they were: {error}", False)
             return None
-        self._tell(f"certificates replaced: valid until {self.pair.ends:%Y-%m-%d %H:%M} UTC", True)
-        return _configuration(self.pair)
-
-    def _marks(self) -> list[tuple[int, int, int]]:
-        marks = []
-        for path in (self._paths.certificate, self._paths.key, self._paths.clients):
-            try:
-                stat = os.stat(path)
-                marks.append((stat.st_mtime_ns, stat.st_size, stat.st_ino))
-            except OSError:
-                marks.append((0, 0, 0))
-        return marks
+        self._report(f"certificates replaced: valid until {self.pair.expires:%Y-%m-%d %H:%M} UTC", True)
+        return _server_configuration(self.pair)
 
-    def trusts(self, certificate: bytes) -> bool:
-        """Whether an authority in use now has signed it: one that was taken out ends its proxies' streams."""
-        return _signed(certificate, self.pair.clients)
+    def _file_versions(self) -> list[_FileVersion]:
+        return [_file_version(path) for path in (self._paths.certificate, self._paths.key, self._paths.clients)]
 
 
-def identity(certificate: bytes) -> tuple[frozenset[str], float]:
-    """The nodes that a client's certificate is for, and when it ends, as seconds of the wall clock."""
+def read_client_certificate(pem: bytes) -> ClientCertificate:
+    """Read which nodes a client's certificate is for, and when it ends."""
     try:
-        theirs = x509.load_pem_x509_certificate(certificate)
-        names = theirs.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
+        certificate = x509.load_pem_x509_certificate(pem)
+        names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except (ValueError, x509.ExtensionNotFound):
-        return frozenset(), 0.0
-    return (
-        frozenset(names.get_values_for_type(x509.DNSName) + names.get_values_for_type(x509.UniformResourceIdentifier)),
-        theirs.not_valid_after_utc.timestamp(),
-    )
+        return ClientCertificate(pem, frozenset(), 0.0)
+    dns_names = names.get_values_for_type(x509.DNSName)
+    uris = names.get_values_for_type(x509.UniformResourceIdentifier)
+    return ClientCertificate(pem, frozenset(dns_names + uris), certificate.not_valid_after_utc.timestamp())
 
 
-@lru_cache(maxsize=MOST_CHECKED)
-def _signed(certificate: bytes, authorities: bytes) -> bool:
-    """Asked again and again of every stream, and the same until the authorities change."""
+@lru_cache(maxsize=MAX_CACHED_SIGNATURES)
+def _is_signed_by(certificate: bytes, authorities: bytes) -> bool:
+    """Whether one of the authorities has signed it: cached, as it is asked of every stream again and again."""
     try:
-        theirs = x509.load_pem_x509_certificate(certificate)
-        for authority in x509.load_pem_x509_certificates(authorities):
-            try:
-                theirs.verify_directly_issued_by(authority)
-                return True
-            except (ValueError, TypeError, InvalidSignature):
-                continue
+        client = x509.load_pem_x509_certificate(certificate)
+        issuers = x509.load_pem_x509_certificates(authorities)
     except ValueError:
-        pass
-    return False
+        return False
+    return any(_is_issued_by(client, issuer) for issuer in issuers)
 
 
-def _configuration(pair: CertificatePair) -> grpc.ServerCertificateConfiguration:
+def _is_issued_by(certificate: x509.Certificate, issuer: x509.Certificate) -> bool:
+    try:
+        certificate.verify_directly_issued_by(issuer)
+    except (ValueError, TypeError, InvalidSignature):
+        return False
+    return True
+
+
+def _server_configuration(pair: CertificatePair) -> grpc.ServerCertificateConfiguration:
     return grpc.ssl_server_certificate_configuration([(pair.key, pair.certificate)], pair.clients)
 
 
-def _certificates(data: bytes, path: str) -> list[x509.Certificate]:
+def _parse_certificates(data: bytes, path: str) -> list[x509.Certificate]:
     try:
         return x509.load_pem_x509_certificates(data)
     except ValueError:
         raise CertificateError(f"{path} holds no certificate that can be read") from None
 
 
-def _public(key: object) -> bytes:
+def _public_bytes(key: PublicKeyTypes | CertificatePublicKeyTypes) -> bytes:
     return key.public_bytes(Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
 
 
-def _bytes(path: str) -> bytes:
+def _read_file(path: str) -> bytes:
     try:
         with open(path, "rb") as file:
-            return file.read(MOST_BYTES)
+            return file.read(MAX_FILE_BYTES)
     except OSError as error:
         raise CertificateError(f"{path}: {error.strerror}") from None
 
 
-def _now() -> datetime.datetime:
-    return datetime.datetime.now(datetime.timezone.utc)
+def _file_version(path: str) -> _FileVersion:
+    try:
+        stat = os.stat(path)
+    except OSError:
+        return _FileVersion(0, 0, 0)
+    return _FileVersion(stat.st_mtime_ns, stat.st_size, stat.st_ino)
+
+
+def _utc_now() -> datetime.datetime:
+    return datetime.datetime.now(datetime.UTC)
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -16,7 +16,7 @@
 from scalefall.assignment.service import ShardGrants
 from scalefall.control.transport import reports, resources, wire
 from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
-from scalefall.control.transport.server import BYTES_PER_REPEATED_REQUEST, BYTES_PER_REQUEST, REQUEST_RATE
+from scalefall.control.transport.stream_reader import BYTES_PER_REPEATED_REQUEST, BYTES_PER_REQUEST, REQUEST_RATE
 from scalefall.control.grants import Grant
 from scalefall.control.members import JoinRejected
 from scalefall.control.service import ResourceBuilder, Outgoing, RouteEntries, ControlService
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -130,7 +130,7 @@
 
     def _names(self) -> list[str]:
         """What a new stream of resources asks for."""
-        return [resources.name(route) for route in self._routes]
+        return [resources.resource_name(route) for route in self._routes]
 
     def _open(
         self, control: Control, kind: StreamKind, receive: Callable[[bytes], None]
@@ -165,7 +165,7 @@
             if listed is None:
                 self.contract.beaten()
                 continue
-            route = resources.destination(row.name)
+            route = resources.destination_of(row.name)
             self.contract.listed(route, listed.states, listed.blocked, listed.ttl_us, route in self._first)
             self._first.discard(route)
             self.last_change = self._clock.now
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -11,7 +11,7 @@
 from scalefall.assignment.model import WHOLE
 from scalefall.assignment.service import ShardedService
 from scalefall.assignment.sharding import Sharding
-from scalefall.control.transport import resources, wire
+from scalefall.control.transport import quota_wire, resources
 from scalefall.control.service import ResourceBuilder
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, ControlOptions, Opening, StreamKind
@@ -64,13 +64,13 @@
         said, had = self._contract.report(now)
         message = messages.QuotaReport(domain=self._node)
         message.bucket_quota_usages.add().bucket_id.bucket.update(
-            {wire.REPORT_NUMBER: f"{said}", wire.ACKNOWLEDGED_GRANT: f"{had}"}
+            {quota_wire.REPORT_NUMBER: f"{said}", quota_wire.ACKNOWLEDGED_GRANT: f"{had}"}
         )
         return message.SerializeToString()
 
     def receive(self, data: bytes, now: int) -> None:
         """A message of the quota stream."""
-        grants, heard = wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
+        grants, heard = quota_wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
         self.received += len(grants)
         self._contract.shards_granted(grants, heard if heard is not None else 0)
 
@@ -115,7 +115,7 @@
         for row in response.resources:
             self._on_row(row)
         for name in response.removed_resources:
-            route = resources.destination(name)
+            route = resources.destination_of(name)
             self.contract.removed(route)
             self.addresses.pop(route, None)
         self.contract.answered(self._clock.now)
@@ -129,7 +129,7 @@
             self.contract.leased(listed.ttl_us, self._first_lease)
             self._first_lease = False
         else:
-            route = resources.destination(row.name)
+            route = resources.destination_of(row.name)
             self.contract.listed(route, listed.states, listed.blocked, listed.ttl_us, False)
             self.addresses[route] = next(iter(listed.states), "")
             self.last_change = self._clock.now
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -92,7 +92,7 @@
 
     async def _ads(self, channel: grpc.aio.Channel) -> None:
         call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources()
-        names, first = [resources.name(route) for route in self._routes], set(self._routes)
+        names, first = [resources.resource_name(route) for route in self._routes], set(self._routes)
         self._contract.opened(_now())
         if self._options.count:
             self.say("opened")
@@ -101,7 +101,7 @@
             kind = Kind.HEARTBEATS if messages.is_heartbeat(response) else Kind.RESOURCES
             self._read(kind, response)
             for row in response.resources:
-                route, listed = resources.destination(row.name), messages.endpoint_states(row)
+                route, listed = resources.destination_of(row.name), messages.endpoint_states(row)
                 if listed is None:
                     self._contract.beaten()
                     continue
--- a/scalefall/lab/proxy/messages.py
+++ b/scalefall/lab/proxy/messages.py
@@ -15,7 +15,7 @@
 
 from scalefall import interface as i
 from scalefall.control.catalog import EDS
-from scalefall.control.transport import reports, resources, wire
+from scalefall.control.transport import quota_wire, reports, resources, wire
 
 USAGE_SPAN_S = 1000  # a rate is told as so many thousandths of calls over this span, as calls are whole numbers
 STATES = {health: word for word, health in resources.HEALTH.items()}
@@ -100,7 +100,7 @@
         usage = message.bucket_quota_usages.add(num_requests_allowed=int(calls * USAGE_SPAN_S))
         usage.time_elapsed.FromSeconds(USAGE_SPAN_S)
         usage.bucket_id.bucket.update(
-            {wire.ROUTE: f"{route}", wire.ACKNOWLEDGED_GRANT: f"{had}", wire.REPORT_NUMBER: f"{said}"}
+            {quota_wire.ROUTE: f"{route}", quota_wire.ACKNOWLEDGED_GRANT: f"{had}", quota_wire.REPORT_NUMBER: f"{said}"}
         )
     return message
 
@@ -110,10 +110,10 @@
         keys, given = action.bucket_id.bucket, action.quota_assignment_action
         if action.HasField("quota_assignment_action"):
             yield ReceivedGrant(
-                int(keys[wire.ROUTE]),
-                wire.amount_of(given.rate_limit_strategy),
-                int(keys[wire.GRANT]),
-                int(keys[wire.LAST_REPORT]),
+                int(keys[quota_wire.ROUTE]),
+                quota_wire.amount_of(given.rate_limit_strategy),
+                int(keys[quota_wire.GRANT]),
+                int(keys[quota_wire.LAST_REPORT]),
                 given.assignment_time_to_live.ToMicroseconds(),
             )
 
@@ -134,7 +134,7 @@
 
 
 def _cluster_stats(route: int, place: str, rows: list[Call], span_us: int, now: int) -> load_report_pb2.ClusterStats:
-    stats = load_report_pb2.ClusterStats(cluster_name=resources.name(route))
+    stats = load_report_pb2.ClusterStats(cluster_name=resources.resource_name(route))
     stats.load_report_interval.FromMicroseconds(span_us)
     host, _, port = place.rpartition(":")
     end = stats.upstream_locality_stats.add().upstream_endpoint_stats.add(
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -10,7 +10,7 @@
 from scalefall.assignment.service import ShardedService, ShardGrants
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.transport import resources, wire
+from scalefall.control.transport import quota_wire, resources
 from scalefall.control.grants import UNITS_PER_CALL
 from scalefall.control.service import ResourceBuilder
 from scalefall.control.streams import Request, Response
@@ -28,7 +28,7 @@
 
 def built_list(number, rows, allowed, now):
     states = {entry.endpoint.id: "ready" for entry in rows}
-    return Resource(EDS, resources.name(number), "1", states, destination=number)
+    return Resource(EDS, resources.resource_name(number), "1", states, destination=number)
 
 
 def built_fixed(rows, routes):
@@ -56,7 +56,9 @@
 
     def received(self, action):
         if isinstance(action, ShardGrants):
-            grants, _ = wire.read_shard_grants(wire.shard_grants(action.grants, 1), f"{self.node}/{self.instance}")
+            grants, _ = quota_wire.read_shard_grants(
+                quota_wire.shard_grants(action.grants, 1), f"{self.node}/{self.instance}"
+            )
             assert tuple(grants) == action.grants
             self.contract.shards_granted(grants, self.heard)
         elif isinstance(action, Response):
@@ -73,8 +75,8 @@
                 self.lists.add(resource.destination)
                 self.contract.listed(resource.destination, resource.body, False, 0, False)
         for name in response.removed:
-            self.lists.discard(resources.destination(name))
-            self.contract.removed(resources.destination(name))
+            self.lists.discard(resources.destination_of(name))
+            self.contract.removed(resources.destination_of(name))
         self.contract.answered(self.world.now)
         self.world.carry(self.world.service.request(self.ads, Request(EDS, response.nonce), self.world.now))
 
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -28,11 +28,13 @@
 from scalefall import adapter
 from scalefall import interface as i
 from scalefall.assignment.model import ShardGrant
-from scalefall.control.allocator import MOST, UNLIMITED
+from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
-from scalefall.control.transport import resources, wire
-from scalefall.control.transport.server import Control, Options, Peer as StreamPeer, ShardingOptions
-from scalefall.control.transport.state import Folder
+from scalefall.control.transport import quota_wire, resources, wire
+from scalefall.control.transport.options import ServerOptions, ShardingOptions
+from scalefall.control.transport.peers import Peer as StreamPeer
+from scalefall.control.transport.server import ControlServer
+from scalefall.control.transport.state import StateDirectory
 from scalefall.control.grants import Grant
 from scalefall.control.streams import Response
 from scalefall.net import http, streams
@@ -461,7 +463,7 @@
 def packed(resource):
     """A resource as an incremental response carries it: name, version, time to live, body."""
     response = Response(resource.type, "n", "v", (resource,))
-    return wire.ResponseEncoder().bytes(response, True, True)
+    return wire.ResponseEncoder().encode(response, True, True)
 
 
 def fixed_resources(title, rows, attempts, carried):
@@ -518,7 +520,7 @@
         "delta-leased": (True, True),
     }
     return {
-        f"{form} {name}": wire.ResponseEncoder().bytes(response, *flags)
+        f"{form} {name}": wire.ResponseEncoder().encode(response, *flags)
         for name, response in cases.items()
         for form, flags in forms.items()
     }
@@ -533,23 +535,31 @@
 
 def quotas() -> Bytes:
     bucket = {"route": "7", "name": "n"}
-    amounts = {"deny": 0, "least": 1, "slow": 200, "pace": 12_345, "fast": 2_000_000, "most": MOST, "all": UNLIMITED}
+    amounts = {
+        "deny": 0,
+        "least": 1,
+        "slow": 200,
+        "pace": 12_345,
+        "fast": 2_000_000,
+        "most": MAX_LIMITED,
+        "all": UNLIMITED,
+    }
     found = {
-        f"grant {name}": kept(wire.grant(Grant("h/1", 7, 3, amount, 4 * S), bucket, None))
+        f"grant {name}": kept(quota_wire.grant(Grant("h/1", 7, 3, amount, 4 * S), bucket, None))
         for name, amount in amounts.items()
     }
-    found["grant numbered"] = kept(wire.grant(Grant("h/1", 7, 3, 1500, 4 * S), bucket, 12))
-    found["withdrawn numbered"] = kept(wire.grant(Grant("h/1", 7, 4, 0, 4 * S), bucket, 13))
-    found["abandon"] = kept(wire.abandon({"route": "99"}))
-    found["abandon nothing"] = kept(wire.abandon({}))
+    found["grant numbered"] = kept(quota_wire.grant(Grant("h/1", 7, 3, 1500, 4 * S), bucket, 12))
+    found["withdrawn numbered"] = kept(quota_wire.grant(Grant("h/1", 7, 4, 0, 4 * S), bucket, 13))
+    found["abandon"] = kept(quota_wire.abandon({"route": "99"}))
+    found["abandon nothing"] = kept(quota_wire.abandon({}))
     part = ShardGrant("h/1", 5, 2, 9, 1_000_000, 4 * S, ())
     limited = ShardGrant("h/1", 6, 3, 10, 250_000, 4 * S, ((7, 1500), (8, 0), (9, UNLIMITED)))
     gone, own = ShardGrant("h/1", 5, 2, 11, 0, 4 * S, ()), ShardGrant("h/1", 8, 1, 12, 500_000, 4 * S, (), 7)
     cases = {"whole": [part], "limited": [limited], "withdrawn": [gone], "own": [own], "none": []}
     cases["several"] = [part, limited, own, gone]
     for name, grants in cases.items():
-        found[f"shards {name}"] = kept(wire.shard_grants(grants, None))
-        found[f"shards {name} heard"] = kept(wire.shard_grants(grants, 14))
+        found[f"shards {name}"] = kept(quota_wire.shard_grants(grants, None))
+        found[f"shards {name} heard"] = kept(quota_wire.shard_grants(grants, 14))
     return found
 
 
@@ -569,7 +579,15 @@
         return self.metadata
 
 
-def streamed(divided, serve, *messages, metadata=()):
+SERVE = {
+    "whole": lambda server: server.resource_streams.serve_state_of_the_world,
+    "delta": lambda server: server.resource_streams.serve_incremental,
+    "load": lambda server: server.load_report_streams.serve,
+    "quota": lambda server: server.quota_streams.serve,
+}
+
+
+def streamed(divided, form, *messages, metadata=()):
     """What one client gets at once of a control service with one route."""
     rows = [row("e0"), row("e1", "b")]
     classes = {"freely": CLASSES["freely"]}
@@ -578,20 +596,18 @@
     with tempfile.TemporaryDirectory() as folder:
         config = Config("n", LOCAL, None, folder, 3, 100, 10**6, 10**8, told, read_list(list_update(0)), fleet=fleet)
         shards = ShardingOptions(4, 10 * S, 0.0) if divided else None
-        options = Options("127.0.0.1:0", 4 * S, 5 * S, TTL, 2 * S, shards)
-        control = Control(config, options, Folder(folder), None)
-        control._take()
+        options = ServerOptions("127.0.0.1:0", 4 * S, 5 * S, TTL, 2 * S, shards)
+        with StateDirectory(folder) as directory:
+            server = ControlServer(config, options, directory, None)
+            server.try_to_lead()
 
-        async def run():
-            peer = StreamPeer(1, Said(messages, metadata), asyncio.current_task(), None, b"", float("inf"))
-            control._peers[1] = peer
-            await getattr(control, serve)(peer)
-            return list(peer.waiting)
+            async def run():
+                peer = StreamPeer(1, Said(messages, metadata), asyncio.current_task(), None)
+                server.peers.add(peer)
+                await SERVE[form](server)(peer)
+                return list(peer.outgoing)
 
-        try:
             return asyncio.run(run())
-        finally:
-            control._lasting.release()
 
 
 def control_streams() -> Bytes:
@@ -604,16 +620,16 @@
         for kind in (LDS, RDS, CDS, EDS):
             word = kind.rpartition(".")[2]
             asked = discovery_pb2.DiscoveryRequest(type_url=kind, node=node, resource_names=["route-7"])
-            keep(f"{title} whole {word}", streamed(divided, "_whole", asked))
+            keep(f"{title} whole {word}", streamed(divided, "whole", asked))
             more = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=kind, node=node, resource_names_subscribe=["route-7", "route-8", "scalefall-lease"]
             )
-            keep(f"{title} delta {word}", streamed(divided, "_delta", more))
+            keep(f"{title} delta {word}", streamed(divided, "delta", more))
         load = lrs_pb2.LoadStatsRequest(node=node)
-        keep(f"{title} load", streamed(divided, "_load", load, lrs_pb2.LoadStatsRequest()))
+        keep(f"{title} load", streamed(divided, "load", load, lrs_pb2.LoadStatsRequest()))
         report = rlqs_pb2.RateLimitQuotaUsageReports(domain="n")
         report.bucket_quota_usages.add().bucket_id.bucket.update({"route": "99"})
-        data = streamed(divided, "_quota", report, metadata=(("scalefall-node", "n"),))
+        data = streamed(divided, "quota", report, metadata=(("scalefall-node", "n"),))
         keep(f"{title} quota unknown-route", [kept(rlqs_pb2.RateLimitQuotaResponse.FromString(one)) for one in data])
     return found
 
--- a/tests/transport/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -12,7 +12,7 @@
 
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.catalog import EDS
-from scalefall.control.transport import resources, wire
+from scalefall.control.transport import quota_wire, resources
 
 SHARDS, ROUTES = 8, range(1, 21)
 FLAGS = ("--plain-text", "--shards", str(SHARDS), "--lease", "0.6", "--delay", "0.2", "--move-after", "1")
@@ -49,14 +49,14 @@
             self._said += 1
             message = rlqs_pb2.RateLimitQuotaUsageReports(domain=node)
             bucket = message.bucket_quota_usages.add().bucket_id.bucket
-            bucket.update({wire.REPORT_NUMBER: f"{self._said}", wire.ACKNOWLEDGED_GRANT: f"{self.had}"})
+            bucket.update({quota_wire.REPORT_NUMBER: f"{self._said}", quota_wire.ACKNOWLEDGED_GRANT: f"{self.had}"})
             yield message
             with contextlib.suppress(queue.Empty):
                 going_on = self._news.get(timeout=0.1)
 
     def take(self):
         """The next response, acknowledged."""
-        grants, heard = wire.read_shard_grants(next(self.call), self.node)
+        grants, heard = quota_wire.read_shard_grants(next(self.call), self.node)
         assert heard is None or heard <= self._said
         for grant in grants:
             assert grant.number > self.shards.get(grant.shard, (0, 0))[0]
@@ -83,8 +83,8 @@
     found, end = set(), time.monotonic() + LONG
     while found != wanted and time.monotonic() < end:
         response = raw.next()
-        found |= {resources.destination(row.name) for row in response.resources if row.name != resources.LEASE_NAME}
-        found -= {resources.destination(name) for name in response.removed_resources}
+        found |= {resources.destination_of(row.name) for row in response.resources if row.name != resources.LEASE_NAME}
+        found -= {resources.destination_of(name) for name in response.removed_resources}
         raw.ack(response)
     return found
 
@@ -133,7 +133,7 @@
 def test_a_route_s_bucket_is_abandoned_and_a_standby_turns_lists_away(folder):
     with control(folder, *FLAGS) as process, grpc.insecure_channel(process.at) as channel:
         message = rlqs_pb2.RateLimitQuotaUsageReports(domain="n")
-        message.bucket_quota_usages.add().bucket_id.bucket.update({wire.ROUTE: "1"})
+        message.bucket_quota_usages.add().bucket_id.bucket.update({quota_wire.ROUTE: "1"})
         call = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel).StreamRateLimitQuotas(iter([message]), timeout=LONG)
         assert next(call).bucket_action[0].HasField("abandon_action")
         call.cancel()
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -18,7 +18,7 @@
 from test_program import LONG, ROOT
 
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
-from scalefall.control.transport import wire
+from scalefall.control.transport import quota_wire
 
 
 @pytest.fixture
@@ -201,7 +201,7 @@
         if action.HasField("abandon_action"):
             return None
         return (
-            wire.amount_of(action.quota_assignment_action.rate_limit_strategy),
+            quota_wire.amount_of(action.quota_assignment_action.rate_limit_strategy),
             int(keys["grant"]),
             int(keys["heard"]),
         )
