--- a/benchmarks/assignment_options.py
+++ b/benchmarks/assignment_options.py
@@ -24,7 +24,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from scalefall.assignment.isolation import ISOLATE, QuietCounts, decide
+from scalefall.assignment.isolation_policy import ISOLATE, QuietCounts, decide
 from scalefall.assignment.model import Node
 from scalefall.assignment.placement import IDLE_PART, Limits, Table, place
 from scalefall.assignment.sharding import Sharding, mix
--- a/scalefall/assignment/assembly.py
+++ b/scalefall/assignment/assembly.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from scalefall.assignment import isolation, placement, snapshot
+from scalefall.assignment import isolation_policy, placement, snapshot
 from scalefall.assignment.coordinator import Coordinator, CoordinatorSettings, CoordinatorState
 from scalefall.assignment.model import AssignmentError, Node
 from scalefall.assignment.placement import Limits, Plan, Table
@@ -60,15 +60,15 @@
 
 
 class RememberingIsolation:
-    """isolation.decide, with its counts kept from call to call."""
+    """isolation_policy.decide, with its counts kept from call to call."""
 
     def __init__(self) -> None:
-        self._quiet = isolation.QuietCounts()
+        self._quiet = isolation_policy.QuietCounts()
 
     def __call__(
         self, loads: Mapping[int, float], sharding: Sharding, mean: float
     ) -> tuple[tuple[int, ...], tuple[int, ...]]:
-        change = isolation.decide(loads, sharding, mean, self._quiet)
+        change = isolation_policy.decide(loads, sharding, mean, self._quiet)
         self._quiet = change.quiet
         return change.isolate, change.merge
 
--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -24,11 +24,11 @@
 from typing import Any, Protocol
 
 from scalefall.assignment.coverage import Coverage
-from scalefall.assignment.fleet import Fleet, node_of
 from scalefall.assignment.ledger import ShardLedger
-from scalefall.assignment.loads import LoadMeans
+from scalefall.assignment.load_means import LoadMeans
+from scalefall.assignment.membership import Fleet, node_of
 from scalefall.assignment.model import WHOLE, AssignmentError, Node, ShardGrant
-from scalefall.assignment.shard import NEVER
+from scalefall.assignment.shard_record import NEVER
 
 MEASURED_US = 120_000_000  # four reports on all senders: near enough to move shards by
 SETTLE_US = 1_000_000  # a zone's streams end within a heartbeat interval of each other: one decision for all of them
--- a/scalefall/assignment/coverage.py
+++ b/scalefall/assignment/coverage.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Iterable
 
-from scalefall.assignment.fleet import node_of
+from scalefall.assignment.membership import node_of
 
 
 class Coverage:
--- a/scalefall/assignment/isolations.py
+++ b/scalefall/assignment/isolation_transitions.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from scalefall.assignment.model import UNLIMITED, AssignmentError
-from scalefall.assignment.records import ShardRecords
+from scalefall.assignment.shard_records import ShardRecords
 
 
 class IsolationState(Enum):
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -38,10 +38,10 @@
 
 from collections.abc import Mapping
 
-from scalefall.assignment.isolations import Isolations, IsolationState
+from scalefall.assignment.isolation_transitions import Isolations, IsolationState
 from scalefall.assignment.model import UNLIMITED, WHOLE, AssignmentError, ShardGrant
-from scalefall.assignment.records import ShardRecords
-from scalefall.assignment.shard import NEVER, Holding, SentGrant, Shard
+from scalefall.assignment.shard_record import NEVER, Holding, SentGrant, Shard
+from scalefall.assignment.shard_records import ShardRecords
 from scalefall.net.checks import check
 
 
--- a/scalefall/assignment/shard.py
+++ b/scalefall/assignment/shard_record.py
@@ -8,7 +8,7 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from scalefall.assignment.limits import LimitLog
+from scalefall.assignment.limit_log import LimitLog
 from scalefall.assignment.model import WHOLE
 
 NEVER = 1 << 62
--- a/scalefall/assignment/records.py
+++ b/scalefall/assignment/shard_records.py
@@ -7,7 +7,7 @@
 
 import heapq
 
-from scalefall.assignment.shard import NEVER, Shard
+from scalefall.assignment.shard_record import NEVER, Shard
 
 
 class ShardRecords:
--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -9,7 +9,7 @@
 
 from scalefall.assignment.coordinator import MEASURED_US, SETTLE_US, Coordinator, CoordinatorSettings
 from scalefall.assignment.holder import ShardHolder
-from scalefall.assignment.loads import AVERAGED_US
+from scalefall.assignment.load_means import AVERAGED_US
 from scalefall.assignment.model import UNLIMITED, WHOLE, AssignmentError, Node, ShardGrant
 
 S = 1_000_000
--- a/tests/assignment/test_isolation.py
+++ b/tests/assignment/test_isolation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from scalefall.assignment.isolation import MERGE_AFTER, QuietCounts, decide
+from scalefall.assignment.isolation_policy import MERGE_AFTER, QuietCounts, decide
 from scalefall.assignment.model import AssignmentError
 from scalefall.assignment.sharding import MOST_SHARDS, Sharding
 
--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from scalefall.assignment.holder import ShardHolder
-from scalefall.assignment.isolations import IsolationState
+from scalefall.assignment.isolation_transitions import IsolationState
 from scalefall.assignment.ledger import ShardLedger
 from scalefall.assignment.model import UNLIMITED, WHOLE, AssignmentError
 from scalefall.control import allocator
