--- a/benchmarks/assignment_options.py
+++ b/benchmarks/assignment_options.py
@@ -24,9 +24,9 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from scalefall.assignment.isolation_policy import ISOLATE, QuietCounts, decide
+from scalefall.assignment.isolation_policy import ISOLATION_THRESHOLD, LowLoadStreaks, decide
 from scalefall.assignment.model import Node
-from scalefall.assignment.placement import IDLE_PART, Limits, Table, place
+from scalefall.assignment.placement import IDLE_FRACTION, PlacementLimits, Table, place
 from scalefall.assignment.sharding import Sharding, mix
 from scalefall.assignment.snapshot import TableState, encode
 
@@ -66,7 +66,7 @@
         self.node_load = size.events / size.nodes
 
     def isolate(self, sharding: Sharding) -> Sharding:
-        return decide(dict(enumerate(self.first)), sharding, self.node_load, QuietCounts()).apply(sharding)
+        return decide(dict(enumerate(self.first)), sharding, self.node_load, LowLoadStreaks()).apply(sharding)
 
     def by_shard(self, sharding: Sharding) -> tuple[dict[int, float], dict[int, float], Counter[int]]:
         """Loads of both measurements, and the number of destinations, by shard."""
@@ -119,7 +119,7 @@
     ring = sorted((hash((mix(int(n.name[-4:])), point)), n.name) for n in nodes for point in range(POINTS))
     names, points = [name for _, name in ring], [point for point, _ in ring]
     carried = dict.fromkeys((node.name for node in nodes), 0.0)
-    idle = sum(loads.values()) / len(shards) * IDLE_PART
+    idle = sum(loads.values()) / len(shards) * IDLE_FRACTION
     cap = BOUND * sum(loads.get(shard, idle) for shard in shards) / len(nodes)
     table = {}
     for shard in shards:
@@ -188,9 +188,9 @@
     }
 
 
-def table_option(limits: Limits, former: list[Node]) -> Option:
+def table_option(limits: PlacementLimits, former_nodes: list[Node]) -> Option:
     def decide_table(before: Table, loads: dict, nodes: list[Node], _counts: dict, shards: list[int]) -> Table:
-        return place(before, loads, nodes, limits, shards, former=former).table
+        return place(before, loads, nodes, limits, shards, former_nodes=former_nodes).table
 
     return decide_table
 
@@ -219,7 +219,7 @@
     print("|" + " --- |" * 10)
     for isolated in (False, True):
         sharding = traffic.isolate(Sharding(count)) if isolated else Sharding(count)
-        limits = Limits(BOUND, ISOLATE * traffic.node_load if isolated else 0)
+        limits = PlacementLimits(BOUND, ISOLATION_THRESHOLD * traffic.node_load if isolated else 0)
         loads, noisy, members = traffic.by_shard(sharding)
         shards = list(sharding.shards())
         table = table_option(limits, nodes)
@@ -253,7 +253,7 @@
 def sweep(size: Size, counts: tuple[int, ...], exponent: float, seed: int) -> None:
     """The table with isolation at several shard counts: balance against the cost of renewals."""
     traffic, nodes = Traffic(size, exponent, seed), fleet(size)
-    limits = Limits(BOUND, ISOLATE * traffic.node_load)
+    limits = PlacementLimits(BOUND, ISOLATION_THRESHOLD * traffic.node_load)
     print(f"\nZipf {exponent}, the table with isolation, by shared shards\n")
     print(
         "| shards | isolated | grants | max/mean | after noise: as it was, anew | moved by noise "
@@ -266,7 +266,7 @@
         shards = list(sharding.shards())
         table = place({}, loads, nodes, limits, shards).table
         anew = place(table, noisy, nodes, limits, shards)
-        zone = place(table, loads, events(size, nodes)["zone lost"], limits, shards, former=nodes)
+        zone = place(table, loads, events(size, nodes)["zone lost"], limits, shards, former_nodes=nodes)
         held = Counter(name for holders in table.values() for name in holders)
         mean, most = sum(held.values()) / len(nodes), max(held.values())
         cost = RENEWAL * RENEWALS_A_SECOND
--- a/benchmarks/scaling/watch.py
+++ b/benchmarks/scaling/watch.py
@@ -59,7 +59,7 @@
     held: set[int] = set()
     for sender in fleet.senders:
         if not sender.is_over:
-            held |= sender.contract.holder.held(now)
+            held |= sender.contract.holder.leased_shards(now)
     return held
 
 
--- a/scalefall/assignment/assembly.py
+++ b/scalefall/assignment/assembly.py
@@ -8,11 +8,12 @@
 
 from scalefall.assignment import isolation_policy, placement, snapshot
 from scalefall.assignment.coordinator import Coordinator, CoordinatorSettings, CoordinatorState
-from scalefall.assignment.model import AssignmentError, Node
-from scalefall.assignment.placement import Limits, Plan, Table
+from scalefall.assignment.model import Node
+from scalefall.assignment.placement import PlacementLimits, Plan, Table
 from scalefall.assignment.sharding import Sharding
+from scalefall.errors import AssignmentError
 
-BOUND = 1.15  # of a sender's measured load over the mean: true loads stray from it, and are to stay within 1.25
+LOAD_BOUND = 1.15  # of a sender's measured load over the mean: true loads stray from it, and are to stay within 1.25
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +31,7 @@
         return f"shards {self.shards}"
 
 
-class RememberingPlacement:
+class StatefulPlacement:
     """placement.place, told where nodes that are gone stood, so that their shards stay in their region."""
 
     def __init__(self, nodes: Iterable[Node] = ()) -> None:
@@ -41,15 +42,15 @@
         table: Table,
         loads: Mapping[int, float],
         nodes: Sequence[Node],
-        limits: Limits,
+        limits: PlacementLimits,
         shards: Iterable[int],
         may_move: bool,
     ) -> Plan:
         self._known |= {node.name: node for node in nodes}
         here = {node.name for node in nodes}
-        former = [node for name, node in self._known.items() if name not in here]
+        former_nodes = [node for name, node in self._known.items() if name not in here]
         measured = {shard: load for shard, load in loads.items() if load > 0}
-        plan = placement.place(table, measured, nodes, limits, shards, may_move, former)
+        plan = placement.place(table, measured, nodes, limits, shards, may_move, former_nodes)
         named = {name for names in plan.table.values() for name in names} | here
         self._known = {name: node for name, node in self._known.items() if name in named}
         return plan
@@ -59,17 +60,17 @@
         return tuple(self._known[name] for name in sorted(self._known))
 
 
-class RememberingIsolation:
+class StatefulIsolation:
     """isolation_policy.decide, with its counts kept from call to call."""
 
     def __init__(self) -> None:
-        self._quiet = isolation_policy.QuietCounts()
+        self._low_load_streaks = isolation_policy.LowLoadStreaks()
 
     def __call__(
         self, loads: Mapping[int, float], sharding: Sharding, mean: float
     ) -> tuple[tuple[int, ...], tuple[int, ...]]:
-        change = isolation_policy.decide(loads, sharding, mean, self._quiet)
-        self._quiet = change.quiet
+        change = isolation_policy.decide(loads, sharding, mean, self._low_load_streaks)
+        self._low_load_streaks = change.low_load_streaks
         return change.isolate, change.merge
 
 
@@ -78,28 +79,28 @@
 
     def __init__(self, now: int, settings: AssignmentSettings, text: str | None = None) -> None:
         """text: a snapshot to start from. AssignmentError if it can't be taken."""
-        kept = snapshot.decode(text, settings.fingerprint()) if text is not None else None
+        restored = snapshot.decode(text, settings.fingerprint()) if text is not None else None
         self._settings = settings
-        self._placement = RememberingPlacement(kept.nodes if kept else ())
+        self._placement = StatefulPlacement(restored.nodes if restored else ())
         self.coordinator = Coordinator(
             now,
             CoordinatorSettings(
                 settings.lease_us,
                 settings.delay_us,
                 settings.restart_us,
-                limits=Limits(BOUND, settings.replica_load),
+                limits=PlacementLimits(LOAD_BOUND, settings.replica_load),
             ),
             self._placement,
-            Sharding(settings.shards, kept.isolated if kept else None),
-            RememberingIsolation(),
-            CoordinatorState(kept.table, kept.isolated, kept.generation) if kept else None,
+            Sharding(settings.shards, restored.isolated if restored else None),
+            StatefulIsolation(),
+            CoordinatorState(restored.table, restored.isolated, restored.generation) if restored else None,
         )
 
     def snapshot(self) -> str:
         """The table as text, for the next service."""
         state = self.coordinator.state()
-        kept = snapshot.TableState(state.table, state.isolated, state.generation, self._placement.nodes())
-        return snapshot.encode(kept, self._settings.fingerprint())
+        saved = snapshot.TableState(state.table, state.isolated, state.generation, self._placement.nodes())
+        return snapshot.encode(saved, self._settings.fingerprint())
 
 
 def assemble(now: int, settings: AssignmentSettings, text: str | None) -> tuple[Assembly, str]:
--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -26,11 +26,12 @@
 from scalefall.assignment.coverage import Coverage
 from scalefall.assignment.ledger import ShardLedger
 from scalefall.assignment.load_means import LoadMeans
-from scalefall.assignment.membership import Fleet, node_of
-from scalefall.assignment.model import WHOLE, AssignmentError, Node, ShardGrant
+from scalefall.assignment.membership import NodeMembership, node_of
+from scalefall.assignment.model import FULL_QUOTA, Node, ShardGrant
 from scalefall.assignment.shard_record import NEVER
+from scalefall.errors import AssignmentError
 
-MEASURED_US = 120_000_000  # four reports on all senders: near enough to move shards by
+BALANCE_AFTER_US = 120_000_000  # four reports on all senders: near enough to move shards by
 SETTLE_US = 1_000_000  # a zone's streams end within a heartbeat interval of each other: one decision for all of them
 
 Table = Mapping[int, tuple[str, ...]]  # shard -> names of the nodes that hold it
@@ -92,15 +93,15 @@
         isolation: Isolation | None = None,
         state: CoordinatorState | None = None,
     ) -> None:
-        self._settings, self._ask_place, self._ask_isolation = settings, place, isolation
+        self._settings, self._placement, self._isolation_policy = settings, place, isolation
         self._sharding = sharding
         self._ledger = ShardLedger(now, settings.lease_us, settings.delay_us)
-        self._fleet = Fleet(settings.restart_us)
+        self._membership = NodeMembership(settings.restart_us)
         self._loads = LoadMeans()
         self._coverage = Coverage(self._ledger.users)
         self._table: dict[int, tuple[str, ...]] = {}
         self._generation = 0
-        self._hold_until = now  # nothing is placed before
+        self._placement_paused_until = now  # nothing is placed before
         self._place_at = NEVER
         self._rebalance_at = now + settings.rebalance_us
         self._is_first = state is None  # no table from before
@@ -119,7 +120,7 @@
         self._table = dict(state.table)
         for shard, row in self._table.items():
             self._coverage.place(shard, (), row)
-        self._hold_until = self._place_at = max(self._ledger.quiet_until, now + self._settings.restart_us)
+        self._placement_paused_until = self._place_at = max(self._ledger.grace_until, now + self._settings.restart_us)
 
     # -- service
 
@@ -142,9 +143,9 @@
         """Numbers go on above the highest that an earlier service may have given."""
         self._ledger.resume(number)
 
-    def stand_by(self) -> None:
+    def step_down(self) -> None:
         """Another service grants from now on. To go on after it, a new coordinator starts from its state."""
-        self._ledger.stand_by()
+        self._ledger.step_down()
 
     def state(self) -> CoordinatorState:
         """What another coordinator can start from."""
@@ -152,60 +153,60 @@
 
     # -- what is told
 
-    def joined(self, holder: str, node: Node, now: int) -> None:
+    def holder_joined(self, holder: str, node: Node, now: int) -> None:
         """A process can be heard, for the first time or again."""
-        is_news = self._fleet.joined(holder, node)
-        self._ledger.join(holder)
-        self._hand_over(node.name)
-        if is_news:
-            self._settle(now, self._fleet.last_gone())
+        is_change = self._membership.holder_joined(holder, node)
+        self._ledger.holder_joined(holder)
+        self._assign_node_shards(node.name)
+        if is_change:
+            self._settle(now, self._membership.last_removal_at())
 
-    def lost(self, holder: str, now: int) -> None:
+    def holder_lost(self, holder: str, now: int) -> None:
         """A process cannot be heard any more; told again, it changes nothing."""
-        if not self._fleet.is_live(holder) and self._ledger.knows(holder):
+        if not self._membership.is_live(holder) and self._ledger.knows(holder):
             return
-        self._fleet.lost(holder, now)
-        self._ledger.lost(holder)
-        if self._fleet.holder(node_of(holder)) != holder:
-            self._hand_over(node_of(holder))
+        self._membership.holder_lost(holder, now)
+        self._ledger.holder_lost(holder)
+        if self._membership.holder(node_of(holder)) != holder:
+            self._assign_node_shards(node_of(holder))
 
-    def loaded(self, loads: Mapping[int, float], now: int) -> None:
+    def loads_reported(self, loads: Mapping[int, float], now: int) -> None:
         """One report on all senders: measured calls a second of each destination with traffic."""
         self._loads.report(loads, now)
 
-    def allow(self, destination: int, amount: int) -> None:
+    def set_allowance(self, destination: int, amount: int) -> None:
         """The destination's allowance now, in thousandths of a call a second, for all senders together."""
-        self._ledger.limit(destination, self._sharding.shard_of(destination), amount)
+        self._ledger.set_limit(destination, self._sharding.shard_of(destination), amount)
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
         """A process has had the grant of this number. False if that says nothing."""
-        if not self._fleet.is_live(holder) and not self._ledger.knows(holder):
+        if not self._membership.is_live(holder) and not self._ledger.knows(holder):
             raise AssignmentError(f"unknown holder {holder}")
         return self._ledger.acknowledged(holder, shard, number, now)
 
     # -- what follows
 
-    def turn(self, now: int) -> list[ShardGrant]:
+    def step(self, now: int) -> list[ShardGrant]:
         """The grants to send now."""
-        if self._ledger.quiet_until == NEVER:
+        if self._ledger.grace_until == NEVER:
             return []
-        if self._fleet.take_gone(now):
+        if self._membership.pop_removed(now):
             self._settle(now)
         if now >= self._next_placement():
             self._place(now)
-        grants = self._ledger.turn(now)
-        for holder, shard in self._ledger.take_released():
+        grants = self._ledger.step(now)
+        for holder, shard in self._ledger.drain_released():
             self._coverage.released(holder, shard)
         return grants
 
-    def next_turn(self, now: int) -> int:
+    def next_deadline(self, now: int) -> int:
         """When turn() is due if no news come before."""
-        if self._ledger.quiet_until == NEVER:
+        if self._ledger.grace_until == NEVER:
             return NEVER
-        times = [self._ledger.next_turn(now), self._next_placement()]
-        gone = self._fleet.next_gone()
-        if gone is not None:
-            times.append(gone)
+        times = [self._ledger.next_deadline(now), self._next_placement()]
+        removal_at = self._membership.next_removal_at()
+        if removal_at is not None:
+            times.append(removal_at)
         return max(now, min(times))
 
     def shards_of(self, node: str) -> frozenset[int]:
@@ -216,47 +217,47 @@
         """Whether the destination's shard is one of the node's shards_of()."""
         return self._coverage.covers(node, self._sharding.shard_of(destination))
 
-    def take_changed(self) -> dict[str, frozenset[int]]:
+    def drain_changes(self) -> dict[str, frozenset[int]]:
         """Node -> shards that came, went, or have other destinations by isolation, since the last call."""
-        return self._coverage.take_changed()
+        return self._coverage.drain_changes()
 
     # -- placement
 
-    def _settle(self, now: int, gone_at: int | None = None) -> None:
+    def _settle(self, now: int, removal_at: int | None = None) -> None:
         """Placement is to be asked soon; gone_at: when a node that may yet come back is gone, if one is awaited."""
         at = now + SETTLE_US
-        if gone_at is not None:
-            at = max(at, min(gone_at, now + self._settings.restart_us))
-        self._place_at = min(self._place_at, max(self._hold_until, at))
+        if removal_at is not None:
+            at = max(at, min(removal_at, now + self._settings.restart_us))
+        self._place_at = min(self._place_at, max(self._placement_paused_until, at))
 
     def _may_balance(self, now: int) -> bool:
         """Whether loads are known well enough to move shards by them; a first table is balanced by number."""
         since = self._loads.since
-        return self._is_first if since is None else now - since >= MEASURED_US
+        return self._is_first if since is None else now - since >= BALANCE_AFTER_US
 
     def _next_placement(self) -> int:
         """A placement that waits to settle goes before the next regular one, which would see half of a loss."""
         if self._place_at != NEVER:
             return self._place_at
-        return max(self._hold_until, self._rebalance_at)
+        return max(self._placement_paused_until, self._rebalance_at)
 
     def _place(self, now: int) -> None:
         self._place_at, self._rebalance_at = NEVER, now + self._settings.rebalance_us
-        nodes = self._fleet.nodes()
+        nodes = self._membership.nodes()
         if not nodes:
             return
         means = self._loads.means(now)
-        isolated = self._isolate(means, len(nodes))
+        isolated = self._adjust_isolation(means, len(nodes))
         loads: dict[int, float] = {}
         for destination, load in means.items():
             shard = self._sharding.shard_of(destination)
             loads[shard] = loads.get(shard, 0.0) + load
         shards, limits = self._sharding.shards(), self._settings.limits
-        plan = self._ask_place(self._table, loads, nodes, limits, shards, self._may_balance(now))
-        if self._take(plan.table) or isolated:
+        plan = self._placement(self._table, loads, nodes, limits, shards, self._may_balance(now))
+        if self._apply_table(plan.table) or isolated:
             self._generation += 1
 
-    def _take(self, table: Table) -> bool:
+    def _apply_table(self, table: Table) -> bool:
         """The table from now on. Whether anything is another."""
         changed = [shard for shard in self._table.keys() | table.keys() if self._table.get(shard) != table.get(shard)]
         for shard in sorted(changed):
@@ -269,36 +270,36 @@
             self._assign(shard)
         return bool(changed)
 
-    def _hand_over(self, node: str) -> None:
+    def _assign_node_shards(self, node: str) -> None:
         """The node's shards go to the process that holds for it now."""
         for shard in sorted(self._coverage.placed(node)):
             self._assign(shard)
 
     def _assign(self, shard: int) -> None:
         row = self._table.get(shard, ())
-        base, rest = divmod(WHOLE, max(1, len(row)))
-        shares = {}
+        base, remainder = divmod(FULL_QUOTA, max(1, len(row)))
+        quotas = {}
         for at, node in enumerate(row):
-            holder = self._fleet.holder(node)
+            holder = self._membership.holder(node)
             if holder is not None and self._ledger.knows(holder):
-                shares[holder] = base + (at < rest)
-        self._ledger.assign(shard, shares)
+                quotas[holder] = base + (at < remainder)
+        self._ledger.assign(shard, quotas)
 
-    def _isolate(self, means: Mapping[int, float], nodes: int) -> bool:
+    def _adjust_isolation(self, means: Mapping[int, float], nodes: int) -> bool:
         """Destinations that get a shard of their own, or lose it. Whether there are any."""
-        if self._ask_isolation is None:
+        if self._isolation_policy is None:
             return False
         before = self._sharding
-        to_isolate, to_merge = self._ask_isolation(means, self._sharding, sum(means.values()) / nodes)
+        to_isolate, to_merge = self._isolation_policy(means, self._sharding, sum(means.values()) / nodes)
         for destination in to_merge:
             if destination in self._sharding.isolated:
-                self._merge(destination)
+                self._merge_destination(destination)
         for destination in to_isolate:
             if self._ledger.isolation(destination) is None:
-                self._give_own(destination)
+                self._isolate_destination(destination)
         return self._sharding is not before
 
-    def _give_own(self, destination: int) -> None:
+    def _isolate_destination(self, destination: int) -> None:
         home, sharding = self._sharding.shard_of(destination), self._sharding.isolate(destination)
         own = sharding.isolated[destination]
         if not self._ledger.is_free(own):
@@ -307,7 +308,7 @@
         self._sharding = sharding
         self._coverage.destinations_changed(home, self._table.get(home, ()))
 
-    def _merge(self, destination: int) -> None:
+    def _merge_destination(self, destination: int) -> None:
         own = self._sharding.isolated[destination]
         self._ledger.merge(destination)
         self._sharding = self._sharding.merge(destination)
--- a/scalefall/assignment/coverage.py
+++ b/scalefall/assignment/coverage.py
@@ -17,7 +17,7 @@
     def __init__(self, users: Callable[[int], Iterable[str]]) -> None:
         self._users = users
         self._placed: dict[str, set[int]] = {}  # by the table
-        self._leaving: dict[str, set[int]] = {}  # no longer by the table, but may be in use
+        self._draining: dict[str, set[int]] = {}  # no longer by the table, but may be in use
         self._changed: dict[str, set[int]] = {}  # since take_changed()
 
     def placed(self, node: str) -> frozenset[int]:
@@ -26,11 +26,11 @@
 
     def shards_of(self, node: str) -> frozenset[int]:
         """All that the node covers."""
-        return frozenset(self._placed.get(node, set()) | self._leaving.get(node, set()))
+        return frozenset(self._placed.get(node, set()) | self._draining.get(node, set()))
 
     def covers(self, node: str, shard: int) -> bool:
         """Whether the node covers one shard."""
-        return shard in self._placed.get(node, ()) or shard in self._leaving.get(node, ())
+        return shard in self._placed.get(node, ()) or shard in self._draining.get(node, ())
 
     def place(self, shard: int, before: Iterable[str], after: Iterable[str]) -> None:
         """The table gives the shard to other nodes."""
@@ -38,19 +38,19 @@
         for node in before - after:
             _remove(self._placed, node, shard)
             if self._in_use(node, shard):
-                self._leaving.setdefault(node, set()).add(shard)
+                self._draining.setdefault(node, set()).add(shard)
             else:
                 self._note(node, shard)
         for node in after - before:
             self._placed.setdefault(node, set()).add(shard)
-            if not _remove(self._leaving, node, shard):
+            if not _remove(self._draining, node, shard):
                 self._note(node, shard)
 
     def released(self, holder: str, shard: int) -> None:
         """A process may use nothing more of a shard."""
         node = node_of(holder)
-        if shard in self._leaving.get(node, ()) and not self._in_use(node, shard):
-            _remove(self._leaving, node, shard)
+        if shard in self._draining.get(node, ()) and not self._in_use(node, shard):
+            _remove(self._draining, node, shard)
             self._note(node, shard)
 
     def destinations_changed(self, shard: int, nodes: Iterable[str]) -> None:
@@ -58,7 +58,7 @@
         for node in nodes:
             self._note(node, shard)
 
-    def take_changed(self) -> dict[str, frozenset[int]]:
+    def drain_changes(self) -> dict[str, frozenset[int]]:
         """Node -> shards that came, went, or have other destinations since the last call."""
         changed, self._changed = self._changed, {}
         return {node: frozenset(shards) for node, shards in changed.items()}
--- a/scalefall/assignment/holder.py
+++ b/scalefall/assignment/holder.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from scalefall.assignment.model import UNLIMITED, WHOLE, ShardGrant
+from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, ShardGrant
 
 
 @dataclass(slots=True)
@@ -27,13 +27,13 @@
 
     number: int = 0
     epoch: int = 0
-    share: int = 0
+    quota: int = 0
     until: int = 0
     destination: int | None = None
     limits: dict[int, int] = field(default_factory=dict)
 
-    def share_at(self, now: int) -> int:
-        return self.share if now < self.until else 0
+    def quota_at(self, now: int) -> int:
+        return self.quota if now < self.until else 0
 
 
 class ShardHolder:
@@ -55,7 +55,7 @@
             tenure = self._tenures[grant.shard] = _Tenure(epoch=grant.epoch, destination=grant.destination)
             if grant.destination is not None:
                 self._isolated[grant.destination] = grant.shard
-        tenure.number, tenure.share = grant.number, grant.share
+        tenure.number, tenure.quota = grant.number, grant.quota
         tenure.until = since + grant.lease_us
         tenure.limits.update(grant.limits)
         return True
@@ -65,34 +65,34 @@
         tenure = self._tenure_of(destination, now)
         if tenure is None:
             return 0
-        return tenure.share_at(now) * tenure.limits.get(destination, UNLIMITED) // WHOLE
+        return tenure.quota_at(now) * tenure.limits.get(destination, UNLIMITED) // FULL_QUOTA
 
     def holds(self, destination: int, now: int) -> bool:
         """Whether the process holds a share of the destination's shard now, whatever its allowance is."""
         tenure = self._tenure_of(destination, now)
-        return tenure is not None and tenure.share_at(now) > 0
+        return tenure is not None and tenure.quota_at(now) > 0
 
-    def shares(self, destinations: Iterable[int], now: int) -> dict[int, int]:
+    def quotas(self, destinations: Iterable[int], now: int) -> dict[int, int]:
         """The share of each of these destinations that is held now, of WHOLE; 0 where none is."""
         found = {}
         for destination in destinations:
             tenure = self._tenure_of(destination, now)
-            found[destination] = tenure.share_at(now) if tenure else 0
+            found[destination] = tenure.quota_at(now) if tenure else 0
         return found
 
-    def share(self, shard: int, now: int) -> int:
+    def quota(self, shard: int, now: int) -> int:
         """The share of a shard that is held now, of WHOLE."""
         tenure = self._tenures.get(shard)
-        return tenure.share_at(now) if tenure else 0
+        return tenure.quota_at(now) if tenure else 0
 
     def epoch(self, shard: int) -> int:
         """The latest epoch that was had for a shard; 0: none."""
         tenure = self._tenures.get(shard)
         return tenure.epoch if tenure else 0
 
-    def held(self, now: int) -> frozenset[int]:
+    def leased_shards(self, now: int) -> frozenset[int]:
         """The shards of which a share is held now."""
-        return frozenset(shard for shard, tenure in self._tenures.items() if tenure.share_at(now))
+        return frozenset(shard for shard, tenure in self._tenures.items() if tenure.quota_at(now))
 
     def acknowledgements(self, now: int | None = None) -> dict[int, int]:
         """Shard -> highest number had, withdrawals included: what a report to the service says. With `now`, without
@@ -101,14 +101,14 @@
 
     def forget(self, before: int) -> None:
         """Drop what was withdrawn and whose lease ran out before a time, at least the service's delay ago."""
-        over = [shard for shard, tenure in self._tenures.items() if not tenure.share and tenure.until < before]
+        over = [shard for shard, tenure in self._tenures.items() if not tenure.quota and tenure.until < before]
         for shard in over:
             self._forget_destination(shard)
             del self._tenures[shard]
 
     def _tenure_of(self, destination: int, now: int) -> _Tenure | None:
         own = self._tenures.get(self._isolated.get(destination, -1))
-        if own is not None and own.share_at(now):
+        if own is not None and own.quota_at(now):
             return own
         return self._tenures.get(self._shard_of(destination))
 
--- a/scalefall/assignment/isolation_policy.py
+++ b/scalefall/assignment/isolation_policy.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from scalefall.assignment.model import AssignmentError
-from scalefall.assignment.sharding import MOST_SHARDS, Sharding
+from scalefall.assignment.sharding import MAX_SHARDS, Sharding
+from scalefall.errors import AssignmentError
 
-ISOLATE = (
+ISOLATION_THRESHOLD = (
     0.25  # of a node's mean load: what placement's bound of 1.25 leaves above the mean, so one more shard still fits
 )
-MERGE = ISOLATE / 2  # well below, so that noise in a load does not isolate and merge in turn
-MERGE_AFTER = 30  # calls in a row below MERGE: five minutes where loads are measured every 10 s
+MERGE_THRESHOLD = ISOLATION_THRESHOLD / 2  # well below, so that noise in a load does not isolate and merge in turn
+MERGE_AFTER_DECISIONS = 30  # calls in a row below MERGE: five minutes where loads are measured every 10 s
 
 
 @dataclass(slots=True, frozen=True)
-class QuietCounts:
+class LowLoadStreaks:
     """For how many calls in a row each isolated destination was below MERGE; handed back in with the next call."""
 
     calls: Mapping[int, int] = field(default_factory=dict)
@@ -33,7 +33,7 @@
 
     isolate: tuple[int, ...]
     merge: tuple[int, ...]
-    quiet: QuietCounts
+    low_load_streaks: LowLoadStreaks
 
     def apply(self, sharding: Sharding) -> Sharding:
         """The sharding after the change. Isolates first: no number changes its destination within one change."""
@@ -44,7 +44,9 @@
         return sharding
 
 
-def decide(loads: Mapping[int, float], sharding: Sharding, node_load: float, quiet: QuietCounts) -> IsolationChange:
+def decide(
+    loads: Mapping[int, float], sharding: Sharding, node_load: float, low_load_streaks: LowLoadStreaks
+) -> IsolationChange:
     """What to isolate and merge, by the loads measured by destination and the mean load of a node (one unit for both).
 
     A destination that is not measured has no load. At most nodes / ISOLATE destinations can be above the limit at once;
@@ -59,17 +61,17 @@
     if not 0 <= node_load < inf:
         raise AssignmentError(f"the mean load of a node is {node_load}: it is a finite number, 0 or more")
     if node_load == 0:
-        return IsolationChange((), (), quiet)
+        return IsolationChange((), (), low_load_streaks)
     isolated = sharding.isolated
-    heavy = [key for key, load in loads.items() if load > ISOLATE * node_load and key not in isolated]
+    heavy = [key for key, load in loads.items() if load > ISOLATION_THRESHOLD * node_load and key not in isolated]
     heavy.sort(key=lambda destination: (-loads[destination], destination))
     calls = {
-        destination: quiet.calls.get(destination, 0) + 1
+        destination: low_load_streaks.calls.get(destination, 0) + 1
         for destination in sorted(isolated)
-        if loads.get(destination, 0) < MERGE * node_load
+        if loads.get(destination, 0) < MERGE_THRESHOLD * node_load
     }
-    merge = tuple(destination for destination, count in calls.items() if count >= MERGE_AFTER)
+    merge = tuple(destination for destination, count in calls.items() if count >= MERGE_AFTER_DECISIONS)
     for destination in merge:
         del calls[destination]
-    room = MOST_SHARDS - sharding.count - len(isolated)
-    return IsolationChange(tuple(heavy[:room]), merge, QuietCounts(calls))
+    free_shards = MAX_SHARDS - sharding.count - len(isolated)
+    return IsolationChange(tuple(heavy[:free_shards]), merge, LowLoadStreaks(calls))
--- a/scalefall/assignment/isolation_transitions.py
+++ b/scalefall/assignment/isolation_transitions.py
@@ -16,8 +16,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from scalefall.assignment.model import UNLIMITED, AssignmentError
+from scalefall.assignment.model import UNLIMITED
 from scalefall.assignment.shard_records import ShardRecords
+from scalefall.errors import AssignmentError
 
 
 class IsolationState(Enum):
@@ -37,7 +38,7 @@
     amount: int = UNLIMITED  # its allowance, kept for the home shard while it moves back
 
 
-class Isolations:
+class IsolationTransitions:
     """All isolated destinations of a ledger."""
 
     def __init__(self, records: ShardRecords) -> None:
@@ -50,7 +51,7 @@
         isolation = self._isolated.get(destination)
         return isolation.state if isolation else None
 
-    def limit(self, destination: int, shard: int, amount: int) -> None:
+    def set_limit(self, destination: int, shard: int, amount: int) -> None:
         """The allowance of a destination, told to the shard that it is of."""
         isolation = self._isolated.get(destination)
         if isolation is None:
@@ -75,7 +76,7 @@
         if home.destination is not None:
             raise AssignmentError(f"shard {home_shard} is another destination's own")
         own = self._records.open(own_shard)
-        amount = home.limits.amount(destination)
+        amount = home.limits.rate(destination)
         self._records.set_limit(destination, home, 0)
         self._records.set_limit(destination, own, amount)
         home.watched, own.blocked, own.destination = True, True, destination
@@ -88,7 +89,7 @@
         if isolation is None or isolation.state is IsolationState.MERGING:
             raise AssignmentError(f"destination {destination} has no shard of its own")
         own = self._records.open(isolation.own)
-        isolation.state, isolation.amount = IsolationState.MERGING, own.limits.amount(destination)
+        isolation.state, isolation.amount = IsolationState.MERGING, own.limits.rate(destination)
         own.draining = own.watched = True
         self._records.retarget(own, {})
         self._moving.add(destination)
@@ -103,12 +104,12 @@
                 self._finish_isolation(destination, isolation, now)
 
     def _finish_isolation(self, destination: int, isolation: _Isolation, now: int) -> None:
-        if self._records.open(isolation.home).lacks(isolation.version, now):
+        if self._records.open(isolation.home).may_lack_version(isolation.version, now):
             return
         isolation.state = IsolationState.OWN
         self._moving.discard(destination)
         self._records.open(isolation.own).blocked = False
-        self._records.touch(isolation.own)
+        self._records.mark_changed(isolation.own)
         self._watch(isolation.home)
 
     def _finish_merge(self, destination: int, isolation: _Isolation, now: int) -> None:
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -38,10 +38,11 @@
 
 from collections.abc import Mapping
 
-from scalefall.assignment.isolation_transitions import Isolations, IsolationState
-from scalefall.assignment.model import UNLIMITED, WHOLE, AssignmentError, ShardGrant
-from scalefall.assignment.shard_record import NEVER, Holding, SentGrant, Shard
+from scalefall.assignment.isolation_transitions import IsolationState, IsolationTransitions
+from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, ShardGrant
+from scalefall.assignment.shard_record import NEVER, HolderLease, SentGrant, ShardRecord
 from scalefall.assignment.shard_records import ShardRecords
+from scalefall.errors import AssignmentError
 from scalefall.net.checks import check
 
 
@@ -51,11 +52,11 @@
     def __init__(self, now: int, lease_us: int, delay_us: int) -> None:
         self._lease, self._delay = lease_us, delay_us
         self._renewal = lease_us // 2
-        self._quiet_until = now + lease_us + delay_us
+        self._grace_until = now + lease_us + delay_us
         self._number = 0
         self._live: set[str] = set()  # holders that can be heard
         self._records = ShardRecords()
-        self._isolations = Isolations(self._records)
+        self._isolations = IsolationTransitions(self._records)
 
     @property
     def number(self) -> int:
@@ -63,66 +64,66 @@
         return self._number
 
     @property
-    def quiet_until(self) -> int:
+    def grace_until(self) -> int:
         """Nothing is granted before; NEVER while another service grants."""
-        return self._quiet_until
+        return self._grace_until
 
     def resume(self, number: int) -> None:
         """Numbers go on above the highest that an earlier service may have given."""
         self._number = max(self._number, number)
 
-    def stand_by(self) -> None:
+    def step_down(self) -> None:
         """Another service grants; nothing goes out from here until begin()."""
-        self._quiet_until = NEVER
+        self._grace_until = NEVER
 
-    def begin(self, now: int) -> None:
+    def start_grace_period(self, now: int) -> None:
         """Another service may have granted until now: nothing goes out until that must have run out."""
-        self._quiet_until = now + self._lease + self._delay
+        self._grace_until = now + self._lease + self._delay
 
     # -- holders
 
-    def join(self, holder: str) -> None:
+    def holder_joined(self, holder: str) -> None:
         """A holder can be heard, for the first time or again."""
         self._live.add(holder)
-        self._records.touch(*self._records.shards_of(holder))
+        self._records.mark_changed(*self._records.shards_of(holder))
 
-    def lost(self, holder: str) -> None:
+    def holder_lost(self, holder: str) -> None:
         """It cannot be heard any more. What it was granted counts on until it has run out."""
         self._live.discard(holder)
-        self._records.touch(*self._records.shards_of(holder))
+        self._records.mark_changed(*self._records.shards_of(holder))
 
     def knows(self, holder: str) -> bool:
         """Whether it can be heard, has a target, or may use something."""
-        return holder in self._live or self._records.has_part(holder)
+        return holder in self._live or self._records.is_involved(holder)
 
     # -- what should be
 
-    def assign(self, shard: int, shares: Mapping[str, int]) -> None:
+    def assign(self, shard: int, quotas: Mapping[str, int]) -> None:
         """Who should hold which share from now on, of WHOLE; holders that are left out, none."""
-        for holder, share in shares.items():
-            if type(share) is not int or share < 0:
+        for holder, quota in quotas.items():
+            if type(quota) is not int or quota < 0:
                 raise AssignmentError(
-                    f"shard {shard}: the share of {holder} is {share!r}, not a whole number from 0 on"
+                    f"shard {shard}: the share of {holder} is {quota!r}, not a whole number from 0 on"
                 )
             if not self.knows(holder):
                 raise AssignmentError(f"shard {shard}: unknown holder {holder}")
-        total = sum(shares.values())
-        if total > WHOLE:
-            raise AssignmentError(f"shard {shard}: the shares add up to {total}, more than {WHOLE}")
+        total = sum(quotas.values())
+        if total > FULL_QUOTA:
+            raise AssignmentError(f"shard {shard}: the shares add up to {total}, more than {FULL_QUOTA}")
         record = self._records.get(shard)
         if record is not None and record.draining:
             raise AssignmentError(f"shard {shard}: its destination is on its way back to its home shard")
-        targets = {holder: share for holder, share in shares.items() if share}
+        targets = {holder: quota for holder, quota in quotas.items() if quota}
         if targets != (record.targets if record else {}):
             self._records.retarget(self._records.open(shard), targets)
 
-    def limit(self, destination: int, shard: int, amount: int) -> None:
+    def set_limit(self, destination: int, shard: int, amount: int) -> None:
         """The destination's allowance now, for all holders of its shard together."""
         if type(amount) is not int or amount < 0:
             raise AssignmentError(
                 f"destination {destination}: an allowance of {amount!r} is not a whole number from 0 on"
             )
-        self._isolations.limit(destination, shard, min(amount, UNLIMITED))
+        self._isolations.set_limit(destination, shard, min(amount, UNLIMITED))
 
     def isolate(self, destination: int, old_shard: int, new_shard: int) -> None:
         """From now on its budget is the new shard's; nothing is granted there until the old one's holders know."""
@@ -146,55 +147,55 @@
         """The holder has had the grant of this number. A number that is unknown here, or out of use, says nothing:
         False."""
         record = self._records.get(shard)
-        holding = record.holdings.get(holder) if record else None
-        if holding is None:
+        lease = record.leases.get(holder) if record else None
+        if lease is None:
             return False
-        before = holding.in_use(now)
-        if not holding.acknowledge(number, now + self._lease):
+        before = lease.in_use(now)
+        if not lease.acknowledge(number, now + self._lease):
             return False
-        if record.watched or holding.in_use(now) < before:
-            self._records.touch(shard)
+        if record.watched or lease.in_use(now) < before:
+            self._records.mark_changed(shard)
         record.forget_limits()
         return True
 
-    def turn(self, now: int) -> list[ShardGrant]:
+    def step(self, now: int) -> list[ShardGrant]:
         """The grants to send now. To be called after news, and at next_turn() if there are none."""
-        if now < self._quiet_until:
+        if now < self._grace_until:
             return []
         self._isolations.finish(now)
         grants: list[ShardGrant] = []
-        for record in self._records.take_due(now):
+        for record in self._records.pop_ready(now):
             self._records.release(record, record.expire(now))
             record.forget_limits()
-            for holder, share in record.decide(now, self._live, self._renewal):
-                grants.append(self._grant(record, holder, share, now))
-            check(record.in_use(now) <= WHOLE, "shares in use add up to no more than the whole")
-            self._records.plan(record, record.next_look(now, self._live, self._renewal))
+            for holder, quota in record.decide_grants(now, self._live, self._renewal):
+                grants.append(self._grant(record, holder, quota, now))
+            check(record.in_use(now) <= FULL_QUOTA, "shares in use add up to no more than the whole")
+            self._records.schedule(record, record.next_evaluation(now, self._live, self._renewal))
         return grants
 
-    def next_turn(self, now: int) -> int:
+    def next_deadline(self, now: int) -> int:
         """When turn() is due if no news come before."""
-        if now < self._quiet_until:
-            return self._quiet_until
-        return min(self._records.next_look(now), now + self._lease)
+        if now < self._grace_until:
+            return self._grace_until
+        return min(self._records.next_evaluation(now), now + self._lease)
 
-    def _grant(self, record: Shard, holder: str, share: int, now: int) -> ShardGrant:
+    def _grant(self, record: ShardRecord, holder: str, quota: int, now: int) -> ShardGrant:
         self._number += 1
-        holding = record.holdings.get(holder)
-        if holding is None:
-            holding = record.holdings[holder] = Holding()
-        if not holding.epoch:
-            holding.epoch, holding.known = self._number, 0
-        epoch, version = holding.epoch, record.limits.version
-        check(epoch <= self._number and holding.known <= version, "a tenure is of the past")
+        lease = record.leases.get(holder)
+        if lease is None:
+            lease = record.leases[holder] = HolderLease()
+        if not lease.epoch:
+            lease.epoch, lease.acknowledged_version = self._number, 0
+        epoch, version = lease.epoch, record.limits.version
+        check(epoch <= self._number and lease.acknowledged_version <= version, "a tenure is of the past")
         check(not record.blocked, "nothing is granted on a blocked shard")
         until = now + self._delay + self._lease
-        holding.sent.append(SentGrant(self._number, epoch, share, version, until))
-        holding.renewed = now
-        if not share:
-            holding.epoch = 0
-        limits = record.limits.since(holding.known)
-        return ShardGrant(holder, record.number, epoch, self._number, share, self._lease, limits, record.destination)
+        lease.sent.append(SentGrant(self._number, epoch, quota, version, until))
+        lease.renewed_at = now
+        if not quota:
+            lease.epoch = 0
+        limits = record.limits.changed_since(lease.acknowledged_version)
+        return ShardGrant(holder, record.number, epoch, self._number, quota, self._lease, limits, record.destination)
 
     # -- what may be in use
 
@@ -206,8 +207,8 @@
     def users(self, shard: int) -> tuple[str, ...]:
         """The holders that may use something of a shard, as of the last turn."""
         record = self._records.get(shard)
-        return tuple(record.holdings) if record else ()
+        return tuple(record.leases) if record else ()
 
-    def take_released(self) -> list[tuple[str, int]]:
+    def drain_released(self) -> list[tuple[str, int]]:
         """The holders that may use nothing more of a shard, with that shard, since the last call."""
-        return self._records.take_released()
+        return self._records.drain_released()
--- a/scalefall/assignment/limit_log.py
+++ b/scalefall/assignment/limit_log.py
@@ -15,58 +15,58 @@
 class LimitLog:
     """Allowances in thousandths of a call a second, by destination."""
 
-    __slots__ = ("version", "urgent", "_rows", "_lifted")
+    __slots__ = ("_rows", "_unlimited", "urgent_version", "version")
 
     def __init__(self) -> None:
         self.version = 0  # of the latest change
-        self.urgent = 0  # of the latest change that is told at once: a fall, or a raise that is not small
+        self.urgent_version = 0  # of the latest change that is told at once: a fall, or a raise that is not small
         self._rows: dict[int, tuple[int, int]] = {}  # destination -> (version, amount), in the order of versions
-        self._lifted: dict[int, int] = {}  # destinations that are UNLIMITED again -> version
+        self._unlimited: dict[int, int] = {}  # destinations that are UNLIMITED again -> version
 
     def __len__(self) -> int:
         return len(self._rows)
 
-    def amount(self, destination: int) -> int:
+    def rate(self, destination: int) -> int:
         """The allowance now."""
         row = self._rows.get(destination)
         return row[1] if row else UNLIMITED
 
-    def set(self, destination: int, amount: int) -> bool:
+    def set(self, destination: int, rate: int) -> bool:
         """Take on a new allowance. Whether it is to be told at once."""
-        before = self.amount(destination)
-        if amount == before:
+        before = self.rate(destination)
+        if rate == before:
             return False
         self.version += 1
         self._rows.pop(destination, None)
-        self._rows[destination] = (self.version, amount)
-        if amount >= UNLIMITED:
-            self._lifted[destination] = self.version
+        self._rows[destination] = (self.version, rate)
+        if rate >= UNLIMITED:
+            self._unlimited[destination] = self.version
         else:
-            self._lifted.pop(destination, None)
-        if before < amount <= before * SMALL_RAISE:
+            self._unlimited.pop(destination, None)
+        if before < rate <= before * SMALL_RAISE:
             return False
-        self.urgent = self.version
+        self.urgent_version = self.version
         return True
 
-    def since(self, version: int) -> tuple[tuple[int, int], ...]:
+    def changed_since(self, version: int) -> tuple[tuple[int, int], ...]:
         """Every destination whose allowance changed after a version, with its allowance now."""
         if version >= self.version:
             return ()
         found = []
-        for destination, (changed, amount) in reversed(self._rows.items()):
+        for destination, (changed, rate) in reversed(self._rows.items()):
             if changed <= version:
                 break
-            found.append((destination, amount))
+            found.append((destination, rate))
         return tuple(found)
 
     def forget(self, version: int) -> None:
         """Every holder knows the log up to this version: rows that only say UNLIMITED are needed no more."""
-        known = [destination for destination, changed in self._lifted.items() if changed <= version]
+        known = [destination for destination, changed in self._unlimited.items() if changed <= version]
         for destination in known:
-            del self._lifted[destination]
+            del self._unlimited[destination]
             del self._rows[destination]
 
     @property
-    def has_lifted(self) -> bool:
+    def has_unlimited_rows(self) -> bool:
         """Whether there is something that forget() might drop."""
-        return bool(self._lifted)
+        return bool(self._unlimited)
--- a/scalefall/assignment/load_means.py
+++ b/scalefall/assignment/load_means.py
@@ -11,12 +11,12 @@
 from collections.abc import Mapping
 from math import exp, isfinite
 
-from scalefall.assignment.model import AssignmentError
+from scalefall.errors import AssignmentError
 
-AVERAGED_US = 300_000_000  # ten placements at their usual interval: bursts of half a minute move next to nothing
-LEAST_CALLS = 0.001  # calls a second: a mean below it is idle, and forgotten
-MOST_DESTINATIONS = 1_000_000  # more than twice those of the size aimed at; more are not recorded until some are idle
-RESCALE = 1e-100  # the factor is folded into the values before it runs out of a float's range
+AVERAGING_US = 300_000_000  # ten placements at their usual interval: bursts of half a minute move next to nothing
+IDLE_BELOW = 0.001  # calls a second: a mean below it is idle, and forgotten
+MAX_DESTINATIONS = 1_000_000  # more than twice those of the size aimed at; more are not recorded until some are idle
+RESCALE_BELOW = 1e-100  # the factor is folded into the values before it runs out of a float's range
 
 
 def _is_load(load: object) -> bool:
@@ -34,40 +34,40 @@
         self._factor = 1.0
         self._at: int | None = None  # of the last report
         self.since: int | None = None  # of the first report
-        self.left_out = 0  # destinations not recorded, as there were too many
+        self.unrecorded = 0  # destinations not recorded, as there were too many
 
     def report(self, loads: Mapping[int, float], now: int) -> None:
         """Take on a report on all destinations with traffic."""
         for destination, load in loads.items():
             if not _is_load(load):
                 raise AssignmentError(f"destination {destination}: a load of {load!r} calls a second")
-        kept = 0.0 if self._at is None else exp(-max(0, now - self._at) / AVERAGED_US)
+        decay = 0.0 if self._at is None else exp(-max(0, now - self._at) / AVERAGING_US)
         self._at = now
         self.since = now if self.since is None else self.since
-        self._decay(kept)
-        weight = (1 - kept) / self._factor
+        self._apply_decay(decay)
+        weight = (1 - decay) / self._factor
         for destination, load in loads.items():
             if destination in self._values:
                 self._values[destination] += load * weight
-            elif len(self._values) < MOST_DESTINATIONS:
+            elif len(self._values) < MAX_DESTINATIONS:
                 self._values[destination] = load * weight
             else:
-                self.left_out += 1
+                self.unrecorded += 1
 
     def means(self, now: int) -> dict[int, float]:
         """The mean of each destination that is not idle; idle ones are forgotten."""
         factor = self._factor
         if self._at is not None:
-            factor *= exp(-max(0, now - self._at) / AVERAGED_US)
-        least = LEAST_CALLS / factor if factor else 0.0
+            factor *= exp(-max(0, now - self._at) / AVERAGING_US)
+        least = IDLE_BELOW / factor if factor else 0.0
         self._values = {destination: value for destination, value in self._values.items() if value >= least}
         return {destination: value * factor for destination, value in self._values.items()}
 
     def __len__(self) -> int:
         return len(self._values)
 
-    def _decay(self, kept: float) -> None:
-        self._factor *= kept
-        if self._factor < RESCALE:
+    def _apply_decay(self, decay: float) -> None:
+        self._factor *= decay
+        if self._factor < RESCALE_BELOW:
             self._values = {destination: value * self._factor for destination, value in self._values.items()}
             self._factor = 1.0
--- a/scalefall/assignment/membership.py
+++ b/scalefall/assignment/membership.py
@@ -8,7 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from scalefall.assignment.model import AssignmentError, Node
+from scalefall.assignment.model import Node
+from scalefall.errors import AssignmentError
 
 
 def node_of(holder: str) -> str:
@@ -21,10 +22,10 @@
     node: Node
     live: list[str] = field(default_factory=list)  # processes that can be heard, in the order in which they joined
     holder: str = ""  # the process that holds, or the last one that did
-    gone_at: int | None = None  # it counts as there until then, though none of its processes can be heard
+    removal_at: int | None = None  # it counts as there until then, though none of its processes can be heard
 
 
-class Fleet:
+class NodeMembership:
     """The nodes that count as there."""
 
     def __init__(self, restart_us: int) -> None:
@@ -32,22 +33,22 @@
         self._members: dict[str, _Member] = {}
         self._waiting: dict[str, int] = {}  # nodes without a process that can be heard, soonest gone first
 
-    def joined(self, holder: str, node: Node) -> bool:
+    def holder_joined(self, holder: str, node: Node) -> bool:
         """A process can be heard. Whether its node is new, or in another place than before."""
         if not node.name or node_of(holder) != node.name or holder == f"{node.name}/":
             raise AssignmentError(f"holder {holder!r} is no process of node {node.name!r}")
         member = self._members.get(node.name)
-        is_news = member is None or member.node != node
+        is_change = member is None or member.node != node
         if member is None:
             member = self._members[node.name] = _Member(node)
-        member.node, member.gone_at, member.holder = node, None, holder
+        member.node, member.removal_at, member.holder = node, None, holder
         self._waiting.pop(node.name, None)
         if holder in member.live:
             member.live.remove(holder)
         member.live.append(holder)
-        return is_news
+        return is_change
 
-    def lost(self, holder: str, now: int) -> None:
+    def holder_lost(self, holder: str, now: int) -> None:
         """A process cannot be heard any more."""
         member = self._members.get(node_of(holder))
         if member is None or holder not in member.live:
@@ -56,25 +57,25 @@
         if member.live:
             member.holder = member.live[-1]
         else:
-            member.gone_at = now + self._restart_us
-            self._waiting[member.node.name] = member.gone_at
+            member.removal_at = now + self._restart_us
+            self._waiting[member.node.name] = member.removal_at
 
-    def take_gone(self, now: int) -> list[str]:
+    def pop_removed(self, now: int) -> list[str]:
         """The nodes that count as there no more, as none of their processes came back in time."""
-        gone = []
+        removed = []
         for name, at in self._waiting.items():
             if at > now:
                 break
-            gone.append(name)
-        for name in gone:
+            removed.append(name)
+        for name in removed:
             del self._waiting[name], self._members[name]
-        return gone
+        return removed
 
-    def next_gone(self) -> int | None:
+    def next_removal_at(self) -> int | None:
         """When take_gone() has something if nothing joins before."""
         return next(iter(self._waiting.values()), None)
 
-    def last_gone(self) -> int | None:
+    def last_removal_at(self) -> int | None:
         """When the last of the nodes that may yet come back is gone; None if none is awaited."""
         return max(self._waiting.values(), default=None)
 
--- a/scalefall/assignment/model.py
+++ b/scalefall/assignment/model.py
@@ -4,14 +4,10 @@
 
 from dataclasses import dataclass
 
-WHOLE = 1_000_000  # all of a shard's budgets; a share is a part of it
+FULL_QUOTA = 1_000_000  # all of a shard's budgets; a share is a part of it
 UNLIMITED = 10**12  # same value as scalefall.control.allocator.UNLIMITED: the allocator sets no pace
 
 
-class AssignmentError(ValueError):
-    """Input that cannot be taken; the text is one plain line, and nothing has changed."""
-
-
 @dataclass(slots=True, frozen=True)
 class Node:
     """A sender's place in the fleet (a node id), not one process of it."""
@@ -29,7 +25,7 @@
     shard: int
     epoch: int  # of the holder's tenure of this shard; a newer tenure has a higher one
     number: int  # grows with every grant of the service, also over restarts
-    share: int  # of WHOLE: the holder's part of each destination's allowance in the shard
+    quota: int  # of WHOLE: the holder's part of each destination's allowance in the shard
     lease_us: int  # from when it arrives (or from the holder's report that it answers)
     # (destination, allowance in thousandths of a call a second) that differ from what the holder has acknowledged;
     # a destination never named is UNLIMITED
--- a/scalefall/assignment/node_loads.py
+++ b/scalefall/assignment/node_loads.py
@@ -10,7 +10,8 @@
 from collections.abc import Container, Sequence
 from heapq import heapify, heappop, heappush
 
-from scalefall.assignment.model import AssignmentError, Node
+from scalefall.assignment.model import Node
+from scalefall.errors import AssignmentError
 
 
 class NodeLoads:
@@ -57,25 +58,25 @@
     def regions(self) -> list[str]:
         return list(self._zones)
 
-    def least(self, zone: int, excluded: Container[int] = ()) -> int | None:
+    def least_loaded(self, zone: int, excluded: Container[int] = ()) -> int | None:
         """The least loaded node of a zone, by name among equals; None if all are excluded."""
         heap, load = self._heaps[zone], self.load
-        aside = []
+        set_aside = []
         found = None
         while heap:
             entry = heap[0]
             if entry[0] != load[entry[1]]:
                 heappop(heap)
             elif entry[1] in excluded:
-                aside.append(heappop(heap))
+                set_aside.append(heappop(heap))
             else:
                 found = entry[1]
                 break
-        for entry in set(aside):
+        for entry in set(set_aside):
             heappush(heap, entry)
         return found
 
-    def least_of_each(self, zones: Sequence[int], excluded: Container[int] = ()) -> list[int]:
+    def least_loaded_of_each(self, zones: Sequence[int], excluded: Container[int] = ()) -> list[int]:
         """The least loaded node of each zone that has one left."""
-        found = (self.least(zone, excluded) for zone in zones)
+        found = (self.least_loaded(zone, excluded) for zone in zones)
         return [node for node in found if node is not None]
--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -25,20 +25,21 @@
 from dataclasses import dataclass
 from math import ceil, fsum, inf
 
-from scalefall.assignment.model import AssignmentError, Node
+from scalefall.assignment.model import Node
 from scalefall.assignment.node_loads import NodeLoads
 from scalefall.assignment.rebalance import rebalance
 from scalefall.assignment.working_table import WorkingTable
+from scalefall.errors import AssignmentError
 
 Table = dict[int, tuple[str, ...]]  # shard -> node names that hold it, in order
 
-UNIT = 2**40  # the heaviest shard's load as a whole number: sums are exact, and the smallest differences count
-IDLE_PART = 1 / 16  # of the mean shard's load: what an unmeasured shard counts; sixteen of them weigh as one
-SHRINK_AT = 0.75  # holders are taken back when this part of them would do: loads measured twice differ by less
+WEIGHT_UNIT = 2**40  # the heaviest shard's load as a whole number: sums are exact, and the smallest differences count
+IDLE_FRACTION = 1 / 16  # of the mean shard's load: what an unmeasured shard counts; sixteen of them weigh as one
+SHRINK_FRACTION = 0.75  # holders are taken back when this part of them would do: loads measured twice differ by less
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class PlacementLimits:
     """bound: most load of a node over the mean. replica_load: a shard above it gets ceil(load / replica_load) nodes;
     0: never more than one."""
 
@@ -68,10 +69,10 @@
     table: Table,
     loads: Mapping[int, float],
     nodes: Sequence[Node],
-    limits: Limits,
+    limits: PlacementLimits,
     shards: Iterable[int],
     may_move: bool = True,
-    former: Iterable[Node] = (),
+    former_nodes: Iterable[Node] = (),
 ) -> Plan:
     """The next table for these shards on these nodes.
 
@@ -83,21 +84,25 @@
     _check_loads(loads)
     node_loads = NodeLoads(nodes)
     if not nodes:
-        gone = frozenset(shard for shard, names in table.items() if names)
-        return Plan({}, gone, gone)
+        removed = frozenset(shard for shard, names in table.items() if names)
+        return Plan({}, removed, removed)
     wanted = sorted(set(shards))
     weights = _weights(loads, wanted)
     mean = sum(weights.values()) / len(nodes)
     working = WorkingTable(node_loads, cap=int(mean * limits.bound), floor=ceil(mean / limits.bound))
-    counts = {shard: _count(loads.get(shard), len(table.get(shard, ())), limits, len(nodes)) for shard in wanted}
+    holder_counts = {
+        shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, len(nodes)) for shard in wanted
+    }
     if not may_move:
-        counts = {shard: max(count, _living(table, shard, node_loads)) for shard, count in counts.items()}
-    lacking = _keep(working, table, weights, counts)
+        holder_counts = {
+            shard: max(count, _surviving_holders(table, shard, node_loads)) for shard, count in holder_counts.items()
+        }
+    lacking = _retain_holders(working, table, weights, holder_counts)
     node_loads.start()
-    _place_lacking(working, table, lacking, counts, {node.name: node.region for node in former})
+    _place_lacking(working, table, lacking, holder_counts, {node.name: node.region for node in former_nodes})
     if may_move:
         rebalance(working)
-    return _plan(working, table, counts, mean)
+    return _plan(working, table, holder_counts, mean)
 
 
 def _check_loads(loads: Mapping[int, float]) -> None:
@@ -110,48 +115,50 @@
     """Each shard's load as a whole number, the heaviest about UNIT."""
     measured = [load for shard in shards if (load := loads.get(shard)) is not None]
     if not measured:
-        return dict.fromkeys(shards, UNIT)
+        return dict.fromkeys(shards, WEIGHT_UNIT)
     scale = max(measured)
-    idle = max(1, int(fsum(load / scale for load in measured) / len(shards) * IDLE_PART * UNIT))
+    idle = max(1, int(fsum(load / scale for load in measured) / len(shards) * IDLE_FRACTION * WEIGHT_UNIT))
     weights = {}
     for shard in shards:
         load = loads.get(shard)
-        weights[shard] = idle if load is None else max(1, int(load / scale * UNIT))
+        weights[shard] = idle if load is None else max(1, int(load / scale * WEIGHT_UNIT))
     return weights
 
 
-def _count(load: float | None, present: int, limits: Limits, nodes: int) -> int:
+def _holder_count(load: float | None, present: int, limits: PlacementLimits, nodes: int) -> int:
     """How many nodes a shard should have."""
     if limits.replica_load == 0:
         return 1
     if load is None:
         return min(max(present, 1), nodes)  # a missing measurement takes no holder away
     needed = max(1, ceil(min(load / limits.replica_load, nodes)))
-    if present > needed > present * SHRINK_AT:
+    if present > needed > present * SHRINK_FRACTION:
         return min(present, nodes)
     return needed
 
 
-def _living(table: Table, shard: int, loads: NodeLoads) -> int:
+def _surviving_holders(table: Table, shard: int, loads: NodeLoads) -> int:
     return len({name for name in table.get(shard, ()) if name in loads.number})
 
 
-def _keep(working: WorkingTable, table: Table, weights: dict[int, int], counts: dict[int, int]) -> list[int]:
+def _retain_holders(
+    working: WorkingTable, table: Table, weights: dict[int, int], holder_counts: dict[int, int]
+) -> list[int]:
     """Enter what stays; the shards that lack holders."""
     numbers = working.loads.number
     lacking = []
     for shard, weight in weights.items():
-        count = counts[shard]
-        living = [numbers[name] for name in dict.fromkeys(table.get(shard, ())) if name in numbers]
-        if len(living) > count:
-            living = _shrunk(working.loads, living, count)
-        working.keep(shard, max(1, weight // count), living)
-        if len(living) < count:
+        count = holder_counts[shard]
+        surviving = [numbers[name] for name in dict.fromkeys(table.get(shard, ())) if name in numbers]
+        if len(surviving) > count:
+            surviving = _reduce_holders(working.loads, surviving, count)
+        working.add_existing(shard, max(1, weight // count), surviving)
+        if len(surviving) < count:
             lacking.append(shard)
     return lacking
 
 
-def _shrunk(loads: NodeLoads, holders: list[int], count: int) -> list[int]:
+def _reduce_holders(loads: NodeLoads, holders: list[int], count: int) -> list[int]:
     """The holders that stay when there are too many: from the zone that has the most, the last goes first."""
     left = list(holders)
     zones = Counter(loads.zone[node] for node in left)
@@ -162,36 +169,40 @@
 
 
 def _place_lacking(
-    working: WorkingTable, table: Table, lacking: list[int], counts: dict[int, int], former: Mapping[str, str]
+    working: WorkingTable,
+    table: Table,
+    lacking: list[int],
+    holder_counts: dict[int, int],
+    former_nodes: Mapping[str, str],
 ) -> None:
-    lacking.sort(key=lambda shard: (-working.part[shard], shard))
+    lacking.sort(key=lambda shard: (-working.holder_load[shard], shard))
     for shard in lacking:
         region = working.region_of(shard)
         if region is None:
-            region = next((former[name] for name in table.get(shard, ()) if name in former), None)
+            region = next((former_nodes[name] for name in table.get(shard, ()) if name in former_nodes), None)
         tiers = working.loads.tiers(region)
         zones = working.by_zone(shard)
-        while len(working.holders[shard]) < counts[shard]:
+        while len(working.holders[shard]) < holder_counts[shard]:
             node = _choose(working, shard, tiers, zones)
-            working.give(shard, node)
+            working.add_holder(shard, node)
             zones[working.loads.zone[node]] += 1
 
 
 def _choose(working: WorkingTable, shard: int, tiers: list[list[int]], zones: Mapping[int, int]) -> int:
     """The node for one more holder: in the first tier with one left, with room, in the zone with the fewest holders."""
-    loads, room = working.loads, working.cap - working.part[shard]
+    loads, max_present_load = working.loads, working.cap - working.holder_load[shard]
     holders = set(working.holders[shard])
     for tier in tiers:
-        found = loads.least_of_each(tier, holders)
-        with_room = [node for node in found if loads.load[node] <= room]
-        if with_room:
-            return min(with_room, key=lambda node: (zones[loads.zone[node]], loads.load[node], node))
+        found = loads.least_loaded_of_each(tier, holders)
+        with_capacity = [node for node in found if loads.load[node] <= max_present_load]
+        if with_capacity:
+            return min(with_capacity, key=lambda node: (zones[loads.zone[node]], loads.load[node], node))
         if found:
             return min(found, key=lambda node: (loads.load[node], node))
     raise AssertionError("a shard has never more holders than there are nodes")
 
 
-def _plan(working: WorkingTable, before: Table, counts: dict[int, int], mean: float) -> Plan:
+def _plan(working: WorkingTable, before: Table, holder_counts: dict[int, int], mean: float) -> Plan:
     names = working.loads.names
     after = {shard: tuple([names[node] for node in holders]) for shard, holders in working.holders.items()}
     moved, forced = set(), set()
@@ -200,8 +211,8 @@
         if old == holders or set(old) == set(holders):
             continue
         moved.add(shard)
-        if len(old) != counts[shard] or any(name not in working.loads.number for name in old):
+        if len(old) != holder_counts[shard] or any(name not in working.loads.number for name in old):
             forced.add(shard)
-    gone = {shard for shard, holders in before.items() if holders and shard not in after}
+    removed = {shard for shard, holders in before.items() if holders and shard not in after}
     ratio = max(working.loads.load) / mean if mean else 0.0
-    return Plan(after, frozenset(moved | gone), frozenset(forced | gone), ratio)
+    return Plan(after, frozenset(moved | removed), frozenset(forced | removed), ratio)
--- a/scalefall/assignment/rebalance.py
+++ b/scalefall/assignment/rebalance.py
@@ -25,7 +25,7 @@
 def rebalance(table: WorkingTable) -> None:
     """Bring nodes within floor and cap as far as moves of whole shards can."""
     several = sorted(shard for shard, holders in table.holders.items() if len(holders) > 1)
-    while _spread(table, several) + _shed(table) + _fill(table):
+    while _spread(table, several) + _offload(table) + _fill(table):
         pass
 
 
@@ -44,8 +44,8 @@
     if not crowded:
         return False
     empty = [zone for zone in loads.tiers(table.region_of(shard))[0] if not counts[zone]]
-    room = table.cap - table.part[shard]
-    targets = [node for node in loads.least_of_each(empty) if loads.load[node] <= room]
+    max_present_load = table.cap - table.holder_load[shard]
+    targets = [node for node in loads.least_loaded_of_each(empty) if loads.load[node] <= max_present_load]
     if not targets:
         return False
     source = max(crowded, key=lambda node: (counts[loads.zone[node]], loads.load[node], node))
@@ -53,7 +53,7 @@
     return True
 
 
-def _shed(table: WorkingTable) -> int:
+def _offload(table: WorkingTable) -> int:
     load = table.loads.load
     over = [(-load[node], node) for node in range(len(load)) if load[node] > table.cap]
     heapify(over)
@@ -63,7 +63,7 @@
         if -before != load[source]:
             continue  # it took a shard since; there is an entry of its new load
         while load[source] > table.cap:
-            target = _shed_one(table, source)
+            target = _offload_one(table, source)
             if target is None:
                 break
             moves += 1
@@ -72,17 +72,17 @@
     return moves
 
 
-def _shed_one(table: WorkingTable, source: int) -> int | None:
+def _offload_one(table: WorkingTable, source: int) -> int | None:
     """Move one shard off an overloaded node; the node that took it."""
     load, excess = table.loads.load, table.loads.load[source] - table.cap
     targets = list(_targets(table, source))
     for target in targets:
-        shard = table.pick(source, target, excess, table.cap - load[target])
+        shard = table.pick_shard(source, target, excess, table.cap - load[target])
         if shard is not None:
             table.move(shard, source, target)
             return target
     for target in targets:
-        shard = table.pick(source, target, excess, load[source] - load[target] - 1)
+        shard = table.pick_shard(source, target, excess, load[source] - load[target] - 1)
         if shard is not None:
             table.move(shard, source, target)
             return target
@@ -93,10 +93,10 @@
     """The least loaded node of each zone, least loaded first, those of the source's region before the others."""
     loads = table.loads
     for zones in loads.tiers(loads.region[source]):
-        yield from sorted(loads.least_of_each(zones, (source,)), key=lambda node: (loads.load[node], node))
+        yield from sorted(loads.least_loaded_of_each(zones, (source,)), key=lambda node: (loads.load[node], node))
 
 
-class _Givers:
+class _Donors:
     """The most loaded nodes of each region."""
 
     def __init__(self, table: WorkingTable) -> None:
@@ -107,27 +107,27 @@
         for heap in self._heaps.values():
             heapify(heap)
 
-    def take(self, target: int) -> bool:
+    def fill(self, target: int) -> bool:
         """Move one shard to the target from the most loaded node that can give one, of its own region first."""
         loads = self._table.loads
         own = loads.region[target]
         regions = [own, *(region for region in self._heaps if region != own)]
-        return any(self._take_in(self._heaps[region], target) for region in regions)
+        return any(self._fill_from(self._heaps[region], target) for region in regions)
 
-    def _take_in(self, heap: list[tuple[int, int]], target: int) -> bool:
+    def _fill_from(self, heap: list[tuple[int, int]], target: int) -> bool:
         table, load = self._table, self._table.loads.load
-        aside = []
+        set_aside = []
         found = False
         while heap and not found:
             before, source = heappop(heap)
             if -before != load[source]:
                 heappush(heap, (-load[source], source))
                 continue
-            aside.append(source)
+            set_aside.append(source)
             if load[source] <= max(table.floor, load[target]):
                 break
             found = _fill_one(table, source, target)
-        for source in aside:
+        for source in set_aside:
             heappush(heap, (-load[source], source))
         return found
 
@@ -139,11 +139,11 @@
     if not under:
         return 0
     heapify(under)
-    givers = _Givers(table)
+    donors = _Donors(table)
     moves = 0
     while under:
         _, target = under[0]
-        if not givers.take(target):
+        if not donors.fill(target):
             break
         moves += 1
         heappop(under)
@@ -154,8 +154,8 @@
 
 def _fill_one(table: WorkingTable, source: int, target: int) -> bool:
     load = table.loads.load
-    most = min(load[source] - table.floor, table.cap - load[target], load[source] - load[target] - 1)
-    shard = table.pick(source, target, table.floor - load[target], most)
+    max_load = min(load[source] - table.floor, table.cap - load[target], load[source] - load[target] - 1)
+    shard = table.pick_shard(source, target, table.floor - load[target], max_load)
     if shard is None:
         return False
     table.move(shard, source, target)
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -31,8 +31,8 @@
 from scalefall.control.service import Builder, Out, Service
 from scalefall.net.config import Fleet
 
-LOADS_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
-MOST_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
+LOAD_INTERVAL_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
+MAX_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,19 +51,19 @@
         self._limited: dict[int, int] = {}  # allowances that are not UNLIMITED
         self.delay = delay_us
 
-    def use(self, coordinator: Coordinator) -> None:
+    def switch_to(self, coordinator: Coordinator) -> None:
         """Another one from now on, which is told all allowances that are not UNLIMITED."""
         coordinator.resume(self._coordinator.number)
         self._coordinator = coordinator
         for destination, amount in self._limited.items():
-            coordinator.allow(destination, amount)
+            coordinator.set_allowance(destination, amount)
 
     @property
     def number(self) -> int:
         return self._coordinator.number
 
     def stand_by(self) -> None:
-        self._coordinator.stand_by()
+        self._coordinator.step_down()
 
     def begin(self, now: int) -> None:
         """A coordinator begins by its making: see ShardedService.begin_granting."""
@@ -78,7 +78,7 @@
             del self._limited[destination]
         else:
             self._limited[destination] = amount
-        self._coordinator.allow(destination, amount)
+        self._coordinator.set_allowance(destination, amount)
         return True
 
     def join(self, holder: str) -> None:
@@ -88,10 +88,10 @@
         """See ShardedService."""
 
     def turn(self, now: int) -> list[ShardGrant]:
-        return self._coordinator.turn(now)
+        return self._coordinator.step(now)
 
     def next_turn(self, now: int) -> int:
-        return self._coordinator.next_turn(now)
+        return self._coordinator.next_deadline(now)
 
 
 class ShardView:
@@ -105,11 +105,11 @@
         self._shards: dict[int, int] = {}  # of each destination
         self._nodes: dict[int, set[str]] = {}  # of each shard
 
-    def use(self, coordinator: Coordinator) -> None:
+    def switch_to(self, coordinator: Coordinator) -> None:
         """Another one from now on."""
         self._coordinator = coordinator
         self._nodes.clear()
-        self.follow_sharding()
+        self.sync_sharding()
 
     def covers(self, node: str, destination: int) -> bool:
         return self._coordinator.serves(node, destination)
@@ -118,7 +118,7 @@
         """The nodes that may have it."""
         return self._nodes.get(self._shards.get(destination, -1), ())
 
-    def follow(self, node: str, shards: Iterable[int]) -> None:
+    def update_node(self, node: str, shards: Iterable[int]) -> None:
         """These shards have come to a node or gone from it."""
         theirs = self._coordinator.shards_of(node)
         for shard in shards:
@@ -127,7 +127,7 @@
             else:
                 self._nodes.get(shard, set()).discard(node)
 
-    def follow_sharding(self) -> None:
+    def sync_sharding(self) -> None:
         """Destinations that have got a shard of their own, or lost it, are of another shard."""
         if self._coordinator.sharding is self._sharding:
             return
@@ -140,12 +140,12 @@
         for destination in moved:
             if destination in self._shards:
                 self._remove(destination)
-                self._put(destination)
+                self._add(destination)
 
     def destinations(self, node: str) -> Iterable[int]:
         return chain.from_iterable(self._by_shard.get(shard, ()) for shard in self._coordinator.shards_of(node))
 
-    def of_shard(self, shard: int) -> Iterable[int]:
+    def destinations_of(self, shard: int) -> Iterable[int]:
         """The destinations of one shard."""
         return self._by_shard.get(shard, ())
 
@@ -155,9 +155,9 @@
         for destination in self._shards.keys() - wanted:
             self._remove(destination)
         for destination in wanted - self._shards.keys():
-            self._put(destination)
+            self._add(destination)
 
-    def _put(self, destination: int) -> None:
+    def _add(self, destination: int) -> None:
         shard = self._shards[destination] = self._coordinator.sharding.shard_of(destination)
         self._by_shard.setdefault(shard, set()).add(destination)
 
@@ -200,14 +200,14 @@
         return self._assembly.coordinator
 
     def begin_granting(self, now: int, number: int, snapshot: str | None = None) -> None:
-        self._assembly, refused = assemble(now, self._assignment, snapshot)
-        if refused:
-            self._tell("assignment not taken", error=refused)
-        self._leases.use(self.coordinator)
+        self._assembly, rejection = assemble(now, self._assignment, snapshot)
+        if rejection:
+            self._tell("assignment not taken", error=rejection)
+        self._leases.switch_to(self.coordinator)
         self._leases.resume(number)
-        self._view.use(self.coordinator)
+        self._view.switch_to(self.coordinator)
         for holder, node in self._nodes.items():
-            self.coordinator.joined(holder, node, now)
+            self.coordinator.holder_joined(holder, node, now)
 
     def generation(self) -> int:
         return self.coordinator.generation
@@ -246,7 +246,7 @@
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._nodes[answer.holder] = Node(node, region, zone)
-            self._unacknowledged[stream] = deque(maxlen=MOST_UNACKNOWLEDGED)
+            self._unacknowledged[stream] = deque(maxlen=MAX_UNACKNOWLEDGED)
             self._enter(answer.holder, now)
             self._news(now)
             self._tell("proxy joined", holder=answer.holder, came_back=answer.came_back, twin=answer.twin)
@@ -276,47 +276,50 @@
         self._news(now)
 
     def _enter(self, holder: str, now: int) -> None:
-        self.coordinator.joined(holder, self._nodes[holder], now)
+        self.coordinator.holder_joined(holder, self._nodes[holder], now)
 
     def _lost(self, change: Change, now: int) -> None:
         super()._lost(change, now)
         if change.state is State.GONE:
             self._nodes.pop(change.holder, None)
         else:
-            self.coordinator.lost(change.holder, now)
+            self.coordinator.holder_lost(change.holder, now)
 
     # -- loads
 
-    def counted(self, calls: Mapping[int, int]) -> None:
+    def calls_counted(self, calls: Mapping[int, int]) -> None:
         """Calls that were made since the last report, by destination."""
         for destination, count in calls.items():
             if count > 0:
                 self._calls[destination] += count
 
-    def _weigh(self, now: int) -> None:
+    def _report_loads(self, now: int) -> None:
         """Calls a second of each destination with traffic, to the coordinator."""
         elapsed = now - self._counted_from
-        if elapsed >= LOADS_US:
+        if elapsed >= LOAD_INTERVAL_US:
             loads = {destination: count * 1_000_000 / elapsed for destination, count in self._calls.items()}
             self._calls.clear()
             self._counted_from = now
-            self.coordinator.loaded(loads, now)
+            self.coordinator.loads_reported(loads, now)
 
     # -- time
 
     def turn(self, now: int) -> list[Out]:
-        self._weigh(now)
+        self._report_loads(now)
         out = super().turn(now)
-        return self._follow() + out
+        return self._follow_changes() + out
 
-    def _follow(self) -> list[Out]:
+    def _follow_changes(self) -> list[Out]:
         """What came to a node's shards or went from them, to its streams of resources."""
-        self._view.follow_sharding()
+        self._view.sync_sharding()
         out: list[Out] = []
-        for node, shards in self.coordinator.take_changed().items():
-            self._view.follow(node, shards)
+        for node, shards in self.coordinator.drain_changes().items():
+            self._view.update_node(node, shards)
             keys = [
-                key for shard in shards for number in self._view.of_shard(shard) for key in self.catalog.keys_of(number)
+                key
+                for shard in shards
+                for number in self._view.destinations_of(shard)
+                for key in self.catalog.keys_of(number)
             ]
             for stream in self._node_streams.get(node, ()):
                 out += [(stream, action) for action in self._streams[stream].changed(keys)]
@@ -341,7 +344,7 @@
             shard=grant.shard,
             epoch=grant.epoch,
             number=grant.number,
-            share=grant.share,
+            share=grant.quota,
             lease_ms=grant.lease_us // 1000,
             delay_ms=self.ledger.delay // 1000,
         )
--- a/scalefall/assignment/sharding.py
+++ b/scalefall/assignment/sharding.py
@@ -11,18 +11,18 @@
 from collections.abc import Iterable, Mapping
 from types import MappingProxyType
 
-from scalefall.assignment.model import AssignmentError
+from scalefall.errors import AssignmentError
 
-MOST_SHARDS = 1_048_576  # 2**20, shared and isolated: about 100 bytes each keeps control's table near 100 MB
-MOST_DESTINATION = 10**9  # destinations are numbered 0 to this
-WORD = 2**64 - 1
+MAX_SHARDS = 1_048_576  # 2**20, shared and isolated: about 100 bytes each keeps control's table near 100 MB
+MAX_DESTINATION = 10**9  # destinations are numbered 0 to this
+UINT64_MASK = 2**64 - 1
 
 
 def mix(value: int) -> int:
     """The finaliser of splitmix64: a 64-bit integer in, a well mixed one out."""
-    value = (value + 0x9E3779B97F4A7C15) & WORD
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & WORD
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & WORD
+    value = (value + 0x9E3779B97F4A7C15) & UINT64_MASK
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & UINT64_MASK
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & UINT64_MASK
     return value ^ (value >> 31)
 
 
@@ -36,8 +36,8 @@
         own = dict(isolated or {})
         if count < 1:
             raise AssignmentError(f"a sharding needs at least one shard, not {count}")
-        if count + len(own) > MOST_SHARDS:
-            raise AssignmentError(f"more shards than the budget: {count + len(own)}, of at most {MOST_SHARDS}")
+        if count + len(own) > MAX_SHARDS:
+            raise AssignmentError(f"more shards than the budget: {count + len(own)}, of at most {MAX_SHARDS}")
         _check_isolated(count, own)
         self.count = count
         self._isolated = own
@@ -58,9 +58,9 @@
         """The same with a shard for this destination alone: the lowest free number from `count` up."""
         if destination in self._isolated:
             raise AssignmentError(f"destination {destination} already has a shard of its own")
-        taken = set(self._isolated.values())
+        used_numbers = set(self._isolated.values())
         number = self.count
-        while number in taken:
+        while number in used_numbers:
             number += 1
         return Sharding(self.count, {**self._isolated, destination: number})
 
@@ -85,10 +85,10 @@
 def _check_isolated(count: int, isolated: Mapping[int, int]) -> None:
     owner: dict[int, int] = {}
     for destination, shard in isolated.items():
-        if not 0 <= destination <= MOST_DESTINATION:
-            raise AssignmentError(f"destination {destination} is outside 0 to {MOST_DESTINATION}")
-        if not count <= shard < MOST_SHARDS:
-            raise AssignmentError(f"shard {shard} of destination {destination} is outside {count} to {MOST_SHARDS - 1}")
+        if not 0 <= destination <= MAX_DESTINATION:
+            raise AssignmentError(f"destination {destination} is outside 0 to {MAX_DESTINATION}")
+        if not count <= shard < MAX_SHARDS:
+            raise AssignmentError(f"shard {shard} of destination {destination} is outside {count} to {MAX_SHARDS - 1}")
         if shard in owner:
             raise AssignmentError(f"shard {shard} is given to destinations {owner[shard]} and {destination}")
         owner[shard] = destination
--- a/scalefall/assignment/snapshot.py
+++ b/scalefall/assignment/snapshot.py
@@ -19,7 +19,8 @@
 from hashlib import blake2b
 from typing import Any
 
-from scalefall.assignment.model import AssignmentError, Node
+from scalefall.assignment.model import Node
+from scalefall.errors import AssignmentError
 
 FORM = "scalefall-assignment"
 VERSION = "1"
@@ -122,7 +123,7 @@
     return lambda value: rows(value) and least <= len(value) <= most
 
 
-FIELDS: dict[str, tuple[Callable[[object], bool], str]] = {
+FIELD_CHECKS: dict[str, tuple[Callable[[object], bool], str]] = {
     "fingerprint": (_is_text, "a string"),
     "generation": (_is_number, "a number of 0 or more"),
     "isolated": (_is_list_of(_is_row(_is_number, 2, 2)), "a list of [destination, shard]"),
@@ -133,13 +134,13 @@
 
 
 def _check_fields(fields: dict[str, Any]) -> None:
-    for name, (is_right, wanted) in FIELDS.items():
+    for name, (is_right, wanted) in FIELD_CHECKS.items():
         if name not in fields:
             raise AssignmentError(f"snapshot: the field {name} is missing")
         if not is_right(fields[name]):
             raise AssignmentError(f"snapshot: the field {name} is not {wanted}")
     for name in fields:
-        if name not in FIELDS:
+        if name not in FIELD_CHECKS:
             raise AssignmentError(f"snapshot: unknown field {name!r:.80}")
 
 
--- a/scalefall/assignment/working_table.py
+++ b/scalefall/assignment/working_table.py
@@ -15,45 +15,45 @@
         """cap and floor: the most and the least that a node should carry."""
         self.loads, self.cap, self.floor = loads, cap, floor
         self.holders: dict[int, list[int]] = {}
-        self.part: dict[int, int] = {}
-        self._held: list[list[tuple[int, int]]] = [[] for _ in loads.names]  # (part, shard) of each node
+        self.holder_load: dict[int, int] = {}
+        self._shards_on: list[list[tuple[int, int]]] = [[] for _ in loads.names]  # (part, shard) of each node
         self._is_sorted = [False] * len(loads.names)
 
-    def keep(self, shard: int, part: int, holders: list[int]) -> None:
+    def add_existing(self, shard: int, holder_load: int, holders: list[int]) -> None:
         """What stays where it is: to be told before `loads.start()`."""
-        self.holders[shard], self.part[shard] = holders, part
+        self.holders[shard], self.holder_load[shard] = holders, holder_load
         for node in holders:
-            self.loads.load[node] += part
-            self._held[node].append((part, shard))
+            self.loads.load[node] += holder_load
+            self._shards_on[node].append((holder_load, shard))
 
-    def give(self, shard: int, node: int) -> None:
+    def add_holder(self, shard: int, node: int) -> None:
         """One more holder."""
-        part = self.part[shard]
+        holder_load = self.holder_load[shard]
         self.holders[shard].append(node)
-        self._enter(node, part, shard)
+        self._enter(node, holder_load, shard)
 
     def move(self, shard: int, source: int, target: int) -> None:
         """Another holder in the place of one."""
-        holders, part = self.holders[shard], self.part[shard]
+        holders, holder_load = self.holders[shard], self.holder_load[shard]
         holders[holders.index(source)] = target
-        held = self.held(source)
-        del held[bisect_left(held, (part, shard))]
-        self.loads.change(source, -part)
-        self._enter(target, part, shard)
+        shards_on = self.shards_on(source)
+        del shards_on[bisect_left(shards_on, (holder_load, shard))]
+        self.loads.change(source, -holder_load)
+        self._enter(target, holder_load, shard)
 
-    def _enter(self, node: int, part: int, shard: int) -> None:
+    def _enter(self, node: int, holder_load: int, shard: int) -> None:
         if self._is_sorted[node]:
-            insort(self._held[node], (part, shard))
+            insort(self._shards_on[node], (holder_load, shard))
         else:
-            self._held[node].append((part, shard))
-        self.loads.change(node, part)
+            self._shards_on[node].append((holder_load, shard))
+        self.loads.change(node, holder_load)
 
-    def held(self, node: int) -> list[tuple[int, int]]:
+    def shards_on(self, node: int) -> list[tuple[int, int]]:
         """(part, shard) of what a node holds, ascending."""
         if not self._is_sorted[node]:
-            self._held[node].sort()
+            self._shards_on[node].sort()
             self._is_sorted[node] = True
-        return self._held[node]
+        return self._shards_on[node]
 
     def by_zone(self, shard: int) -> Counter[int]:
         """How many of a shard's holders are in each zone."""
@@ -74,16 +74,16 @@
         zone, counts = self.loads.zone, self.by_zone(shard)
         return zone[source] == zone[target] or counts[zone[target]] <= counts[zone[source]] - 1
 
-    def pick(self, source: int, target: int, wanted: int, most: int) -> int | None:
+    def pick_shard(self, source: int, target: int, wanted: int, max_load: int) -> int | None:
         """The shard to move for `wanted` load: the smallest that is enough, else the largest; none above `most`."""
-        if most < 1:
+        if max_load < 1:
             return None
-        held = self.held(source)
-        enough, end = bisect_left(held, (wanted, -1)), bisect_left(held, (most + 1, -1))
-        for _, shard in held[enough:end]:
+        shards_on = self.shards_on(source)
+        enough, end = bisect_left(shards_on, (wanted, -1)), bisect_left(shards_on, (max_load + 1, -1))
+        for _, shard in shards_on[enough:end]:
             if self.may_move(shard, source, target):
                 return shard
-        for _, shard in reversed(held[: min(enough, end)]):
+        for _, shard in reversed(shards_on[: min(enough, end)]):
             if self.may_move(shard, source, target):
                 return shard
         return None
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -8,7 +8,7 @@
 
 import click
 
-from scalefall.assignment.sharding import MOST_SHARDS
+from scalefall.assignment.sharding import MAX_SHARDS
 from scalefall.cli import logs, output
 from scalefall.cli.output import option
 from scalefall.cli.run import configuration
@@ -96,7 +96,7 @@
 )
 @option(
     "--shards",
-    type=click.IntRange(0, MOST_SHARDS),
+    type=click.IntRange(0, MAX_SHARDS),
     default=0,
     show_default=True,
     help="Divide destinations among senders, in so many shards; 0: every client gets everything.",
--- a/scalefall/control/edge/server.py
+++ b/scalefall/control/edge/server.py
@@ -456,7 +456,7 @@
                 self._put(peer, answer.SerializeToString())
             now = _now()
             if self._options.sharding is not None:
-                self.service.counted(self._index.loads(message.cluster_stats))
+                self.service.calls_counted(self._index.loads(message.cluster_stats))
             calls = list(self._index.events(message.cluster_stats, now))
             if calls:
                 self.service.reported(calls, now)
--- a/scalefall/control/edge/wire.py
+++ b/scalefall/control/edge/wire.py
@@ -15,7 +15,7 @@
 from envoy.type.v3 import ratelimit_strategy_pb2, token_bucket_pb2
 from google.protobuf import wrappers_pb2
 
-from scalefall.assignment.model import WHOLE, ShardGrant
+from scalefall.assignment.model import FULL_QUOTA, ShardGrant
 from scalefall.control.catalog import Resource
 from scalefall.control.edge.resources import duration
 from scalefall.control.grants import CALLS, Grant
@@ -143,11 +143,11 @@
         bucket = {SHARD: f"{given.shard}", EPOCH: f"{given.epoch}", GRANT: f"{given.number}"}
         if given.destination is not None:
             bucket[ROUTE] = f"{given.destination}"
-        if 0 < given.share < WHOLE:
-            bucket[SHARE] = f"{given.share}"
+        if 0 < given.quota < FULL_QUOTA:
+            bucket[SHARE] = f"{given.quota}"
         if heard is not None and not response.bucket_action:
             bucket[HEARD] = f"{heard}"
-        _assign(response, bucket, given.lease_us, UNLIMITED if given.share else 0)
+        _assign(response, bucket, given.lease_us, UNLIMITED if given.quota else 0)
         for destination, amount in given.limits:
             _assign(response, {SHARD: f"{given.shard}", ROUTE: f"{destination}"}, given.lease_us, amount)
     return response
@@ -168,10 +168,10 @@
             grants[-1] = replace(last, limits=(*last.limits, (int(keys[ROUTE]), amount)))
             continue
         heard = int(keys[HEARD]) if HEARD in keys else heard
-        share = int(keys.get(SHARE, f"{WHOLE}")) if amount else 0
+        quota = int(keys.get(SHARE, f"{FULL_QUOTA}")) if amount else 0
         lease = given.assignment_time_to_live.ToMicroseconds()
         own = int(keys[ROUTE]) if ROUTE in keys else None
-        grants.append(ShardGrant(holder, shard, int(keys[EPOCH]), int(keys[GRANT]), share, lease, (), own))
+        grants.append(ShardGrant(holder, shard, int(keys[EPOCH]), int(keys[GRANT]), quota, lease, (), own))
     return grants, heard
 
 
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -217,7 +217,7 @@
             peer.send(Kind.LOADS, answer.SerializeToString())
         now = self._clock.now
         if self._options.divided:
-            self.service.counted(self._index.loads(message.cluster_stats))
+            self.service.calls_counted(self._index.loads(message.cluster_stats))
         calls = list(self._index.events(message.cluster_stats, now))
         if calls:
             self.service.reported(calls, now)
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -8,7 +8,7 @@
 
 from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
-from scalefall.assignment.model import WHOLE
+from scalefall.assignment.model import FULL_QUOTA
 from scalefall.assignment.service import ShardedService
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.edge import resources, wire
@@ -134,8 +134,8 @@
         """The calls since the last report."""
         now, span = self._clock.now, self._clock.now - self._loads_at
         self._loads_at = now
-        shares = self.contract.holder.shares(self.addresses, now)
-        held = {route: share / WHOLE for route, share in shares.items() if share}
+        quotas = self.contract.holder.quotas(self.addresses, now)
+        held = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
         served, failed = messages.Call(i.Outcome.OK, now), messages.Call(i.Outcome.CONNECT_FAILED, now)
         return {
             (route, self.addresses[route]): [failed if self._is_down(route) else served] * count
--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -7,10 +7,11 @@
 
 import pytest
 
-from scalefall.assignment.coordinator import MEASURED_US, SETTLE_US, Coordinator, CoordinatorSettings
+from scalefall.assignment.coordinator import BALANCE_AFTER_US, SETTLE_US, Coordinator, CoordinatorSettings
 from scalefall.assignment.holder import ShardHolder
-from scalefall.assignment.load_means import AVERAGED_US
-from scalefall.assignment.model import UNLIMITED, WHOLE, AssignmentError, Node, ShardGrant
+from scalefall.assignment.load_means import AVERAGING_US
+from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, Node, ShardGrant
+from scalefall.errors import AssignmentError
 
 S = 1_000_000
 LEASE, DELAY = 2 * S, 3 * S
@@ -74,37 +75,37 @@
         for process in processes:
             self.holders.setdefault(process, ShardHolder(lambda destination: destination % COUNT))
             self.live.add(process)
-            self.coordinator.joined(process, Node(process.partition("/")[0], "north", zone), self.now)
+            self.coordinator.holder_joined(process, Node(process.partition("/")[0], "north", zone), self.now)
 
     def loses(self, *processes):
         for process in processes:
             self.live.discard(process)
-            self.coordinator.lost(process, self.now)
+            self.coordinator.holder_lost(process, self.now)
 
     def until(self, end):
         while True:
-            for grant in self.coordinator.turn(self.now):
+            for grant in self.coordinator.step(self.now):
                 assert grant.holder in self.live
                 self.sent[grant.holder] += 1
                 assert self.holders[grant.holder].granted(grant, self.now)
                 assert self.coordinator.acknowledged(grant.holder, grant.shard, grant.number, self.now)
             for shard in range(COUNT + 3):
-                assert sum(holder.share(shard, self.now) for holder in self.holders.values()) <= WHOLE
-            at = max(self.now + 1, self.coordinator.next_turn(self.now))
+                assert sum(holder.quota(shard, self.now) for holder in self.holders.values()) <= FULL_QUOTA
+            at = max(self.now + 1, self.coordinator.next_deadline(self.now))
             if at > end:
                 break
             self.now = at
         self.now = end
 
     def held(self, process):
-        return self.holders[process].held(self.now)
+        return self.holders[process].leased_shards(self.now)
 
 
 def running(*processes, **more):
     site = Site(**more)
     site.joins(*processes)
     site.until(QUIET + S)
-    site.coordinator.take_changed()
+    site.coordinator.drain_changes()
     return site
 
 
@@ -131,7 +132,7 @@
     site.until(site.now + LEASE)
     assert site.held("a/2") == mine and not site.held("a/1")
     assert site.coordinator.state().table == table and len(site.place.asked) == asked
-    assert site.coordinator.take_changed() == {}
+    assert site.coordinator.drain_changes() == {}
     with pytest.raises(AssignmentError, match="unknown holder a/1"):
         site.coordinator.acknowledged("a/1", 0, 1, site.now)
 
@@ -140,7 +141,7 @@
     site = running("a/1", "b/1")
     epochs = {shard: site.holders["a/1"].epoch(shard) for shard in site.held("a/1")}
     site.loses("a/1")
-    site.coordinator.lost("a/1", site.now)  # told again
+    site.coordinator.holder_lost("a/1", site.now)  # told again
     site.until(site.now + LEASE * 3 // 5)  # past its renewal, and within its lease
     site.joins("a/1")
     site.until(site.now + LEASE)
@@ -162,23 +163,23 @@
     site.until(first + SETTINGS.restart_us + SETTLE_US)
     assert [names for _, names in site.place.asked[asked:]] == [["c", "d"]]
     assert site.held("c/1") | site.held("d/1") == set(range(COUNT))
-    assert not site.coordinator.shards_of("a") and len(site.coordinator.take_changed()) == 4
+    assert not site.coordinator.shards_of("a") and len(site.coordinator.drain_changes()) == 4
 
 
 def test_a_newcomer_gets_a_shard_when_its_holder_has_acknowledged_and_both_cover_it_meanwhile():
     site = running("a/1")
     site.joins("b/1")
     moved = {shard: ("b",) if shard < 6 else ("a",) for shard in range(COUNT)}
-    site.coordinator._ask_place = lambda *_: SimpleNamespace(table=moved, moved=frozenset(range(6)))
+    site.coordinator._placement = lambda *_: SimpleNamespace(table=moved, moved=frozenset(range(6)))
     coordinator, now = site.coordinator, site.now + SETTLE_US
-    withdrawals = [grant for grant in coordinator.turn(now) if not grant.share]
+    withdrawals = [grant for grant in coordinator.step(now) if not grant.quota]
     assert {grant.shard for grant in withdrawals} == set(range(6))
     assert coordinator.serves("a", 3) and coordinator.serves("b", 3) and not coordinator.serves("b", 7)
-    assert coordinator.take_changed() == {"b": frozenset(range(6))}
+    assert coordinator.drain_changes() == {"b": frozenset(range(6))}
     for grant in withdrawals:
         coordinator.acknowledged(grant.holder, grant.shard, grant.number, now)
-    assert {(grant.holder, grant.shard) for grant in coordinator.turn(now)} == {("b/1", shard) for shard in range(6)}
-    assert not coordinator.serves("a", 3) and coordinator.take_changed() == {"a": frozenset(range(6))}
+    assert {(grant.holder, grant.shard) for grant in coordinator.step(now)} == {("b/1", shard) for shard in range(6)}
+    assert not coordinator.serves("a", 3) and coordinator.drain_changes() == {"a": frozenset(range(6))}
 
 
 def test_a_replacement_that_comes_while_a_lost_node_may_come_back_is_placed_with_its_loss():
@@ -197,11 +198,11 @@
     site = running("a/1", "b/1")
     assert site.place.may_move  # a first table, balanced by number
     begun, seen = site.now, []
-    while site.now <= begun + MEASURED_US + SETTINGS.rebalance_us:
-        site.coordinator.loaded({1: 5.0}, site.now)
+    while site.now <= begun + BALANCE_AFTER_US + SETTINGS.rebalance_us:
+        site.coordinator.loads_reported({1: 5.0}, site.now)
         site.until(site.now + SETTINGS.rebalance_us)
         seen.append(site.place.may_move)
-    assert seen[0] is False and seen[-1] is True and seen.index(True) * SETTINGS.rebalance_us >= MEASURED_US - S
+    assert seen[0] is False and seen[-1] is True and seen.index(True) * SETTINGS.rebalance_us >= BALANCE_AFTER_US - S
     after = Site(state=site.coordinator.state(), now=site.now, number=site.coordinator.number)
     after.joins("a/2", "b/2")
     after.until(after.now + QUIET + SETTINGS.restart_us)
@@ -236,7 +237,7 @@
 
 def test_a_grant_of_the_service_before_is_dropped_by_a_holder_that_has_one_of_the_next():
     first = running("a/1")
-    late = ShardGrant("a/1", 0, first.holders["a/1"].epoch(0), 10**9, WHOLE, LEASE, ())  # whatever its number
+    late = ShardGrant("a/1", 0, first.holders["a/1"].epoch(0), 10**9, FULL_QUOTA, LEASE, ())  # whatever its number
     state, number = first.coordinator.state(), first.coordinator.number
     second = Site(state=state, holders=first.holders, now=first.now, number=number)
     second.joins("a/1", "b/1")
@@ -258,9 +259,9 @@
 
 def test_a_shard_on_several_nodes_is_split_whole():
     site = running("a/1", "b/1", "c/1", settings=CoordinatorSettings(LEASE, DELAY, limits=3))
-    shares = [site.holders[process].share(0, site.now) for process in ("a/1", "b/1", "c/1")]
-    assert sum(shares) == WHOLE and max(shares) - min(shares) == 1
-    site.coordinator.allow(12, 3000)
+    quotas = [site.holders[process].quota(0, site.now) for process in ("a/1", "b/1", "c/1")]
+    assert sum(quotas) == FULL_QUOTA and max(quotas) - min(quotas) == 1
+    site.coordinator.set_allowance(12, 3000)
     site.until(site.now + 1)
     assert sum(holder.budget(12, site.now) for holder in site.holders.values()) == 2998  # each rounds down
 
@@ -274,8 +275,8 @@
         return wanted["isolate"], wanted["merge"]
 
     site = running("a/1", "b/1", isolation=isolation)
-    site.coordinator.allow(5, 700)
-    site.coordinator.loaded({5: 30.0, 17: 2.0}, site.now)
+    site.coordinator.set_allowance(5, 700)
+    site.coordinator.loads_reported({5: 30.0, 17: 2.0}, site.now)
     wanted["isolate"] = [5]
     site.until(32 * S)
     assert seen[-1][1] == pytest.approx(sum(seen[-1][0].values()) / 2)
@@ -284,7 +285,7 @@
     assert site.holders[own].budget(5, site.now) == 700
     assert sum(holder.budget(5, site.now) for holder in site.holders.values()) == 700
     home = next(node for node in "ab" if 5 in site.coordinator.shards_of(node))
-    assert 5 in site.coordinator.take_changed()[home]  # its destinations are others
+    assert 5 in site.coordinator.drain_changes()[home]  # its destinations are others
     assert site.coordinator.serves(own[0], 5) and site.coordinator.state().isolated == {5: COUNT}
     wanted.update(isolate=[17], merge=[5])  # 17 is to have the number that 5 had, which is in use yet
     site.until(63 * S)
@@ -299,26 +300,26 @@
     loads = site.coordinator._loads
     for _ in range(30):
         site.now += 10 * S
-        site.coordinator.loaded({1: 50.0, 2: 8.0}, site.now)
+        site.coordinator.loads_reported({1: 50.0, 2: 8.0}, site.now)
     assert loads.means(site.now) == pytest.approx({1: 50.0, 2: 8.0})
-    site.coordinator.loaded({1: 50.0}, site.now + AVERAGED_US)
-    assert loads.means(site.now + AVERAGED_US) == pytest.approx({1: 50.0, 2: 8.0 / 2.718281828})
-    assert loads.means(site.now + 8 * AVERAGED_US).keys() == {1, 2}
-    assert len(loads.means(site.now + 30 * AVERAGED_US)) == 0 == len(loads)
+    site.coordinator.loads_reported({1: 50.0}, site.now + AVERAGING_US)
+    assert loads.means(site.now + AVERAGING_US) == pytest.approx({1: 50.0, 2: 8.0 / 2.718281828})
+    assert loads.means(site.now + 8 * AVERAGING_US).keys() == {1, 2}
+    assert len(loads.means(site.now + 30 * AVERAGING_US)) == 0 == len(loads)
 
 
 @pytest.mark.parametrize(
     "wrong, text",
     [
-        (lambda coordinator: coordinator.joined("a", Node("a"), S), "holder 'a' is no process of node 'a'"),
-        (lambda coordinator: coordinator.joined("b/1", Node("a"), S), "holder 'b/1' is no process of node 'a'"),
-        (lambda coordinator: coordinator.lost("b/1", S), "unknown holder b/1"),
+        (lambda coordinator: coordinator.holder_joined("a", Node("a"), S), "holder 'a' is no process of node 'a'"),
+        (lambda coordinator: coordinator.holder_joined("b/1", Node("a"), S), "holder 'b/1' is no process of node 'a'"),
+        (lambda coordinator: coordinator.holder_lost("b/1", S), "unknown holder b/1"),
         (lambda coordinator: coordinator.acknowledged("b/1", 0, 1, S), "unknown holder b/1"),
-        (lambda coordinator: coordinator.allow(3, -1), "destination 3: an allowance of -1"),
-        (lambda coordinator: coordinator.loaded({2: 1.0, 3: float("nan")}, S), "destination 3: a load of nan"),
-        (lambda coordinator: coordinator.loaded({2: 1.0, 3: float("inf")}, S), "destination 3: a load of inf"),
-        (lambda coordinator: coordinator.loaded({2: 1.0, 3: -0.1}, S), "destination 3: a load of -0.1"),
-        (lambda coordinator: coordinator.loaded({2: 1.0, 3: 10**400}, S), "destination 3: a load of 1000"),
+        (lambda coordinator: coordinator.set_allowance(3, -1), "destination 3: an allowance of -1"),
+        (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: float("nan")}, S), "destination 3: a load of nan"),
+        (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: float("inf")}, S), "destination 3: a load of inf"),
+        (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: -0.1}, S), "destination 3: a load of -0.1"),
+        (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: 10**400}, S), "destination 3: a load of 1000"),
     ],
 )
 def test_input_that_cannot_be_taken_changes_nothing(wrong, text):
@@ -342,5 +343,5 @@
 
 def test_who_stands_by_says_nothing():
     site = running("a/1")
-    site.coordinator.stand_by()
-    assert site.coordinator.turn(site.now + 40 * S) == []
+    site.coordinator.step_down()
+    assert site.coordinator.step(site.now + 40 * S) == []
--- a/tests/assignment/test_isolation.py
+++ b/tests/assignment/test_isolation.py
@@ -4,46 +4,46 @@
 
 import pytest
 
-from scalefall.assignment.isolation_policy import MERGE_AFTER, QuietCounts, decide
-from scalefall.assignment.model import AssignmentError
-from scalefall.assignment.sharding import MOST_SHARDS, Sharding
+from scalefall.assignment.isolation_policy import MERGE_AFTER_DECISIONS, LowLoadStreaks, decide
+from scalefall.assignment.sharding import MAX_SHARDS, Sharding
+from scalefall.errors import AssignmentError
 
 
 def test_heavy_destinations_are_isolated_the_heaviest_first():
-    change = decide({1: 25.0, 2: 25.1, 3: 9_000.0, 4: 26.0}, Sharding(8).isolate(4), 100.0, QuietCounts())
+    change = decide({1: 25.0, 2: 25.1, 3: 9_000.0, 4: 26.0}, Sharding(8).isolate(4), 100.0, LowLoadStreaks())
     assert change.isolate == (3, 2) and change.merge == ()
     assert dict(change.apply(Sharding(8).isolate(4)).isolated) == {4: 8, 3: 9, 2: 10}
 
 
 def test_one_is_merged_after_it_was_quiet_for_a_while_without_a_break():
-    sharding, quiet = Sharding(8).isolate(4).isolate(5), QuietCounts()
-    for _ in range(MERGE_AFTER - 1):
-        change = decide({5: 13.0}, sharding, 100.0, quiet)  # 5 is above half of the limit, 4 is not measured
-        quiet = change.quiet
+    sharding, low_load_streaks = Sharding(8).isolate(4).isolate(5), LowLoadStreaks()
+    for _ in range(MERGE_AFTER_DECISIONS - 1):
+        change = decide({5: 13.0}, sharding, 100.0, low_load_streaks)  # 5 is above half of the limit, 4 is not measured
+        low_load_streaks = change.low_load_streaks
         assert change.merge == ()
-    assert decide({4: 12.6}, sharding, 100.0, quiet).quiet.calls == {5: 1}
-    change = decide({4: 12.4, 5: 13.0}, sharding, 100.0, quiet)
-    assert change.merge == (4,) and change.quiet.calls == {}
+    assert decide({4: 12.6}, sharding, 100.0, low_load_streaks).low_load_streaks.calls == {5: 1}
+    change = decide({4: 12.4, 5: 13.0}, sharding, 100.0, low_load_streaks)
+    assert change.merge == (4,) and change.low_load_streaks.calls == {}
     assert dict(change.apply(sharding).isolated) == {5: 9}
 
 
 def test_a_number_does_not_change_its_destination_within_one_change():
     sharding = Sharding(8).isolate(4)
-    change = decide({6: 50.0}, sharding, 100.0, QuietCounts({4: MERGE_AFTER}))
+    change = decide({6: 50.0}, sharding, 100.0, LowLoadStreaks({4: MERGE_AFTER_DECISIONS}))
     assert dict(change.apply(sharding).isolated) == {6: 9}
 
 
 def test_the_budget_of_shards_is_kept_and_no_traffic_decides_nothing():
-    sharding = Sharding(MOST_SHARDS - 1)
-    assert decide({1: 50.0, 2: 60.0}, sharding, 100.0, QuietCounts()).isolate == (2,)
-    quiet = QuietCounts({4: MERGE_AFTER})
-    change = decide({}, Sharding(8).isolate(4), 0, quiet)
-    assert (change.isolate, change.merge, change.quiet) == ((), (), quiet)
+    sharding = Sharding(MAX_SHARDS - 1)
+    assert decide({1: 50.0, 2: 60.0}, sharding, 100.0, LowLoadStreaks()).isolate == (2,)
+    low_load_streaks = LowLoadStreaks({4: MERGE_AFTER_DECISIONS})
+    change = decide({}, Sharding(8).isolate(4), 0, low_load_streaks)
+    assert (change.isolate, change.merge, change.low_load_streaks) == ((), (), low_load_streaks)
 
 
 @pytest.mark.parametrize("load", [nan, inf, -1.0])
 def test_loads_that_are_refused(load):
     with pytest.raises(AssignmentError, match="^destination 7 has a load of"):
-        decide({7: load}, Sharding(8), 100.0, QuietCounts())
+        decide({7: load}, Sharding(8), 100.0, LowLoadStreaks())
     with pytest.raises(AssignmentError, match="^the mean load of a node is"):
-        decide({}, Sharding(8), load, QuietCounts())
+        decide({}, Sharding(8), load, LowLoadStreaks())
--- a/tests/assignment/test_placement.py
+++ b/tests/assignment/test_placement.py
@@ -9,8 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scalefall.assignment.model import AssignmentError, Node
-from scalefall.assignment.placement import IDLE_PART, Limits, place
+from scalefall.assignment.model import Node
+from scalefall.assignment.placement import IDLE_FRACTION, PlacementLimits, place
+from scalefall.errors import AssignmentError
 
 FLEET = [Node(f"n{k:02}", f"r{k % 2}", f"z{k // 2 % 4}") for k in range(40)]  # five nodes in each of 2 x 4 zones
 SMALL = [Node(f"n{k:02}", f"r{k % 2}", f"z{k // 2 % 2}") for k in range(16)]  # few zones: replicas crowd them
@@ -23,7 +24,7 @@
 
 
 def weights(shards, loads):
-    idle = sum(loads.values()) / len(shards) * IDLE_PART if loads else 1.0
+    idle = sum(loads.values()) / len(shards) * IDLE_FRACTION if loads else 1.0
     return {shard: loads.get(shard, idle) for shard in shards}
 
 
@@ -61,7 +62,7 @@
 @st.composite
 def histories(draw):
     """Fleets and loads of a few steps: (node numbers, loads by shard), and limits."""
-    limits = Limits(draw(st.sampled_from([1.0, 1.1, 1.25, 2.0])), draw(st.sampled_from([0, 0.5, 3.0])))
+    limits = PlacementLimits(draw(st.sampled_from([1.0, 1.1, 1.25, 2.0])), draw(st.sampled_from([0, 0.5, 3.0])))
     shards = range(draw(st.integers(1, 60)))
     load = st.sampled_from([1e-9, 0.2, 1.0, 1.1, 1.5, 2.0, 40.0])
     step = st.tuples(st.sets(st.sampled_from(range(16)), max_size=12), st.dictionaries(st.sampled_from(shards), load))
@@ -75,34 +76,34 @@
     table = {}
     for numbers, loads in steps:
         nodes = [SMALL[number] for number in sorted(numbers)]
-        plan = place(table, loads, nodes, limits, shards, former=SMALL)
+        plan = place(table, loads, nodes, limits, shards, former_nodes=SMALL)
         if nodes:
             check(plan, loads, nodes, limits, shards)
         changed = {s for s in {*table, *plan.table} if set(table.get(s, ())) != set(plan.table.get(s, ()))}
         assert plan.moved == changed and plan.forced <= changed
-        assert place(plan.table, loads, nodes, limits, shards, former=SMALL).moved == frozenset()
+        assert place(plan.table, loads, nodes, limits, shards, former_nodes=SMALL).moved == frozenset()
         shuffle.shuffle(nodes)
-        assert place(table, loads, nodes, limits, shards, former=SMALL).table == plan.table
+        assert place(table, loads, nodes, limits, shards, former_nodes=SMALL).table == plan.table
         table = plan.table
 
 
 def test_what_is_within_the_bound_stays():
     loads = drawn_loads(640, 1)
-    first = place({}, loads, FLEET, Limits(), range(640))
+    first = place({}, loads, FLEET, PlacementLimits(), range(640))
     draw = random.Random(2)
     noisy = {shard: load * draw.uniform(0.9, 1.1) for shard, load in loads.items()}
     found = node_loads(first.table, noisy, FLEET).values()
     mean = sum(found) / 40
     assert mean / 1.25 < min(found) and max(found) < mean * 1.25
-    assert place(first.table, noisy, FLEET, Limits(), range(640)).table == first.table
+    assert place(first.table, noisy, FLEET, PlacementLimits(), range(640)).table == first.table
 
 
 def test_a_lost_zone_is_spread_over_its_region_and_nothing_else_moves():
     loads = drawn_loads(1_200, 3)
-    before = place({}, loads, FLEET, Limits(), range(1_200)).table
+    before = place({}, loads, FLEET, PlacementLimits(), range(1_200)).table
     left = [node for node in FLEET if (node.region, node.zone) != ("r1", "z2")]
     alive = {node.name for node in left}
-    plan = place(before, loads, left, Limits(), range(1_200), former=FLEET)
+    plan = place(before, loads, left, PlacementLimits(), range(1_200), former_nodes=FLEET)
     lost = {shard for shard, (name,) in before.items() if name not in alive}
     assert plan.moved == plan.forced == lost
     receivers = [plan.table[shard][0] for shard in lost]
@@ -115,20 +116,20 @@
 
 def test_another_region_is_used_only_when_none_is_left():
     loads = drawn_loads(400, 4)
-    before = place({}, loads, FLEET, Limits(), range(400)).table
+    before = place({}, loads, FLEET, PlacementLimits(), range(400)).table
     only = [node for node in FLEET if node.region == "r0"]
     one = [*only, FLEET[1]]  # one node of r1: what r1 lost goes there first, and balance alone takes it further
     there = {shard for shard, (name,) in before.items() if int(name[1:]) % 2}
-    kept = place(before, loads, one, Limits(), range(400), may_move=False, former=FLEET).table
+    kept = place(before, loads, one, PlacementLimits(), range(400), may_move=False, former_nodes=FLEET).table
     assert {shard for shard, holders in kept.items() if holders == ("n01",)} == there
-    none = place(before, loads, only, Limits(), range(400), former=FLEET)
+    none = place(before, loads, only, PlacementLimits(), range(400), former_nodes=FLEET)
     assert none.moved == there and none.load_ratio < 1.05
 
 
 def test_a_new_node_takes_from_the_most_loaded_no_more_than_the_bound_asks():
     loads = drawn_loads(1_200, 5)
-    before = place({}, loads, FLEET[:-1], Limits(), range(1_200)).table
-    plan = place(before, loads, FLEET, Limits(), range(1_200))
+    before = place({}, loads, FLEET[:-1], PlacementLimits(), range(1_200)).table
+    plan = place(before, loads, FLEET, PlacementLimits(), range(1_200))
     found = node_loads(plan.table, loads, FLEET)
     mean = sum(loads.values()) / 40
     assert {plan.table[shard] for shard in plan.moved} == {("n39",)}
@@ -139,7 +140,7 @@
 
 def test_a_heavy_shard_has_replicas_in_all_zones_and_gives_them_back_late():
     loads = {**drawn_loads(400, 6), 400: 100.0}
-    limits = Limits(1.25, 6.0)
+    limits = PlacementLimits(1.25, 6.0)
 
     def holders(table, load):
         return place(table, {**loads, 400: load}, FLEET, limits, range(401)).table
@@ -157,7 +158,7 @@
 @pytest.mark.parametrize("present", [(), ("n1",), ("n1", "n2")])
 def test_replicas_are_in_different_zones_from_the_start_or_brought_there(present):
     nodes = [Node("n1", "r", "b"), Node("n2", "r", "b"), Node("n3", "r", "b"), Node("n4", "r", "a")]
-    loads, limits = {shard: 1.0 for shard in range(1, 13)} | {0: 2.0}, Limits(1.25, 1.0)
+    loads, limits = {shard: 1.0 for shard in range(1, 13)} | {0: 2.0}, PlacementLimits(1.25, 1.0)
     before = {0: present}
     plan = place(before, loads, nodes, limits, range(13), may_move=len(present) > 1)
     assert plan.table[0][0] == "n1" and plan.table[0][1:] == ("n4",)
@@ -167,13 +168,15 @@
     nodes = [Node("n1", "r", "a"), Node("n2", "r", "a"), Node("n3", "r", "b")]
     table = {0: ("n1", "n3"), 1: ("n3",), 2: ("n3",), 3: ("n1",), 4: ("n2",)}
     loads = {0: 3.0, 1: 1.9, 2: 1.95, 3: 1.5, 4: 1.9}
-    plan = place(table, loads, nodes, Limits(1.2, 2.0), range(5))  # shard 0's part is the smallest that is enough
+    plan = place(
+        table, loads, nodes, PlacementLimits(1.2, 2.0), range(5)
+    )  # shard 0's part is the smallest that is enough
     assert plan.moved == {1} and plan.table[1] == ("n2",)
 
 
 def moved(before, loads, nodes, bound):
     table = {shard: (name,) for shard, name in enumerate(before)}
-    plan = place(table, dict(enumerate(loads)), nodes, Limits(bound), range(len(before)))
+    plan = place(table, dict(enumerate(loads)), nodes, PlacementLimits(bound), range(len(before)))
     return {shard: plan.table[shard][0] for shard in plan.moved}
 
 
@@ -196,41 +199,41 @@
 
 def test_idle_shards_are_spread_by_number():
     loads = {0: 1000.0}
-    plan = place({}, loads, FLEET[:4], Limits(), range(101))
+    plan = place({}, loads, FLEET[:4], PlacementLimits(), range(101))
     counts = [sum(holders == (node.name,) for holders in plan.table.values()) for node in FLEET[:4]]
     assert sorted(counts) == [1, 33, 33, 34]
 
 
 def test_nothing_is_taken_from_a_node_when_told_not_to():
     loads = drawn_loads(100, 7)
-    before = place({}, loads, FLEET[:2], Limits(), range(90)).table
-    plan = place(before, loads, FLEET, Limits(), range(100), may_move=False)
+    before = place({}, loads, FLEET[:2], PlacementLimits(), range(90)).table
+    plan = place(before, loads, FLEET, PlacementLimits(), range(100), may_move=False)
     assert plan.moved == set(range(90, 100)) and all(plan.table[shard] == before[shard] for shard in range(90))
 
 
 def test_no_nodes_is_no_error():
-    plan = place({1: ("n00",)}, {1: 2.0}, [], Limits(), range(3))
+    plan = place({1: ("n00",)}, {1: 2.0}, [], PlacementLimits(), range(3))
     assert plan.table == {} and plan.moved == {1}
 
 
 @pytest.mark.parametrize("load", [nan, inf, -inf, 0, -1.0])
 def test_a_load_that_is_no_weight_is_refused(load):
     with pytest.raises(AssignmentError, match="^shard 7 has a load of .*: a load is a finite number above 0$"):
-        place({}, {1: 1.0, 7: load}, FLEET, Limits(), range(9))
+        place({}, {1: 1.0, 7: load}, FLEET, PlacementLimits(), range(9))
 
 
 @pytest.mark.parametrize("load", [5e-324, 1e-300, 1e300, 1.7e308])
 def test_any_finite_weight_is_taken(load):
-    plan = place({}, {0: load, 1: load, 2: 1.0}, FLEET[:2], Limits(1.25, 1e-5), range(4))
+    plan = place({}, {0: load, 1: load, 2: 1.0}, FLEET[:2], PlacementLimits(1.25, 1e-5), range(4))
     assert sorted(plan.table) == [0, 1, 2, 3]
 
 
 def test_nodes_and_limits_that_are_refused():
     with pytest.raises(AssignmentError, match="^node n03 is named twice$"):
-        place({}, {}, [*FLEET, Node("n03", "elsewhere")], Limits(), range(9))
+        place({}, {}, [*FLEET, Node("n03", "elsewhere")], PlacementLimits(), range(9))
     for bound in (0.9, nan, inf):
         with pytest.raises(AssignmentError, match="bound"):
-            Limits(bound)
+            PlacementLimits(bound)
     for replica_load in (-1, nan, inf):
         with pytest.raises(AssignmentError, match="replica"):
-            Limits(1.25, replica_load)
+            PlacementLimits(1.25, replica_load)
--- a/tests/assignment/test_shard_holder.py
+++ b/tests/assignment/test_shard_holder.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from scalefall.assignment.holder import ShardHolder
-from scalefall.assignment.model import UNLIMITED, WHOLE, ShardGrant
+from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, ShardGrant
 
 S = 1_000_000
 LEASE = 4 * S
 
 
-def grant(number, share=WHOLE, limits=(), epoch=1, shard=3, destination=None):
-    return ShardGrant("node/one", shard, epoch, number, share, LEASE, limits, destination)
+def grant(number, quota=FULL_QUOTA, limits=(), epoch=1, shard=3, destination=None):
+    return ShardGrant("node/one", shard, epoch, number, quota, LEASE, limits, destination)
 
 
 def holder():
@@ -19,11 +19,11 @@
 
 def test_a_budget_is_share_times_limit_until_the_lease_runs_out():
     sender = holder()
-    assert sender.granted(grant(1, WHOLE // 4, ((13, 4000),)), since=S)
+    assert sender.granted(grant(1, FULL_QUOTA // 4, ((13, 4000),)), since=S)
     assert sender.budget(13, S) == 1000 and sender.budget(23, S) == UNLIMITED // 4
     assert sender.budget(14, S) == 0 and not sender.holds(14, S)
-    assert sender.holds(13, S + LEASE - 1) and sender.held(S + LEASE - 1) == {3}
-    assert sender.budget(13, S + LEASE) == 0 and not sender.holds(13, S + LEASE) and not sender.held(S + LEASE)
+    assert sender.holds(13, S + LEASE - 1) and sender.leased_shards(S + LEASE - 1) == {3}
+    assert sender.budget(13, S + LEASE) == 0 and not sender.holds(13, S + LEASE) and not sender.leased_shards(S + LEASE)
 
 
 def test_what_comes_late_is_dropped():
@@ -37,7 +37,7 @@
     sender = holder()
     assert sender.granted(grant(10, 0, epoch=9), since=0)
     assert not sender.granted(grant(11, epoch=8), since=0)
-    assert sender.share(3, 0) == 0 and sender.epoch(3) == 9
+    assert sender.quota(3, 0) == 0 and sender.epoch(3) == 9
 
 
 def test_limits_add_up_in_a_tenure_and_end_with_it():
@@ -53,7 +53,7 @@
     sender = holder()
     sender.granted(grant(1, limits=((13, 0),)), since=0)
     assert sender.budget(13, 0) == 0
-    sender.granted(grant(2, WHOLE // 2, ((13, 800),), epoch=2, shard=12, destination=13), since=0)
+    sender.granted(grant(2, FULL_QUOTA // 2, ((13, 800),), epoch=2, shard=12, destination=13), since=0)
     assert sender.budget(13, 0) == 400 and sender.budget(23, 0) == UNLIMITED
     sender.granted(grant(3, 0, epoch=2, shard=12, destination=13), since=1)
     sender.granted(grant(4, limits=((13, 900),)), since=1)
--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -12,8 +12,9 @@
 from scalefall.assignment.holder import ShardHolder
 from scalefall.assignment.isolation_transitions import IsolationState
 from scalefall.assignment.ledger import ShardLedger
-from scalefall.assignment.model import UNLIMITED, WHOLE, AssignmentError
+from scalefall.assignment.model import FULL_QUOTA, UNLIMITED
 from scalefall.control import allocator
+from scalefall.errors import AssignmentError
 
 S = 1_000_000
 LEASE, DELAY = 4 * S, 5 * S
@@ -48,14 +49,14 @@
     def own_shard(self, destination):
         return OWN[destination] if destination in self.isolated else shard_of(destination)
 
-    def turn(self, delays):
-        for grant in self.ledger.turn(self.now):
+    def step(self, delays):
+        for grant in self.ledger.step(self.now):
             delay = delays.pop() if delays else 0
             if delay is not None:
                 self.wire.append((self.now + delay, "grant", grant, self.generation))
 
     def goes_on(self, span, delays):
-        self.turn(delays)
+        self.step(delays)
         self.time_goes_on(span, delays)
 
     @rule(span=st.integers(1, LEASE + DELAY), delays=delays)
@@ -63,14 +64,14 @@
         end = self.now + span
         while True:
             due = [row for row in self.wire if row[0] <= end]
-            at = min([max(self.now + 1, self.ledger.next_turn(self.now)), *(row[0] for row in due)])
+            at = min([max(self.now + 1, self.ledger.next_deadline(self.now)), *(row[0] for row in due)])
             if at > end:
                 break
             self.now = at
             for row in [row for row in due if row[0] <= at]:
                 self.wire.remove(row)
                 self.arrived(row, delays)
-            self.turn(delays)
+            self.step(delays)
             self.rules_hold()
         self.now = end
 
@@ -91,12 +92,12 @@
     def joins(self, name):
         self.holders.setdefault(name, ShardHolder(shard_of))
         self.live.add(name)
-        self.ledger.join(name)
+        self.ledger.holder_joined(name)
 
     @rule(name=names, span=spans, delays=delays)
     def is_cut_off(self, name, span, delays):
         self.live.discard(name)
-        self.ledger.lost(name)
+        self.ledger.holder_lost(name)
         self.time_goes_on(span, delays)
 
     @rule(name=names)
@@ -109,12 +110,12 @@
         """Of a shard that may be split, a third to the other; of one that may not, all to one."""
         if shard >= SHARDS and shard not in [OWN[destination] for destination in self.isolated]:
             return
-        shares = {name: WHOLE}
+        quotas = {name: FULL_QUOTA}
         if other not in (None, name) and shard >= SPLIT:
-            shares = {name: 2 * WHOLE // 3, other: WHOLE // 3}
-        if all(self.ledger.knows(holder) for holder in shares):
-            self.targets[shard] = shares
-            self.ledger.assign(shard, shares)
+            quotas = {name: 2 * FULL_QUOTA // 3, other: FULL_QUOTA // 3}
+        if all(self.ledger.knows(holder) for holder in quotas):
+            self.targets[shard] = quotas
+            self.ledger.assign(shard, quotas)
             self.goes_on(span, list(delays))
 
     @rule(
@@ -125,7 +126,7 @@
     )
     def is_allowed(self, destination, amount, span, delays):
         self.allowances[destination].append((self.now, amount))
-        self.ledger.limit(destination, self.own_shard(destination), amount)
+        self.ledger.set_limit(destination, self.own_shard(destination), amount)
         self.goes_on(span, delays)
 
     @rule(destination=st.sampled_from(sorted(OWN)), name=names, span=spans, delays=delays)
@@ -154,28 +155,28 @@
         self.ledger = ShardLedger(self.now, LEASE, DELAY)
         self.ledger.resume(max(sent + had, default=0))
         for name in self.live:
-            self.ledger.join(name)
+            self.ledger.holder_joined(name)
         if not keeps:
             names = sorted(self.live)
             self.isolated = set()
-            self.targets = {shard: {names[-1 - shard % len(names)]: WHOLE} for shard in range(SHARDS) if names}
+            self.targets = {shard: {names[-1 - shard % len(names)]: FULL_QUOTA} for shard in range(SHARDS) if names}
         for destination in self.isolated:
             self.ledger.isolate(destination, shard_of(destination), OWN[destination])
         for destination, row in self.allowances.items():
-            self.ledger.limit(destination, self.own_shard(destination), row[-1][1])
-        for shard, shares in list(self.targets.items()):
-            known = {name: share for name, share in shares.items() if name in self.live}
+            self.ledger.set_limit(destination, self.own_shard(destination), row[-1][1])
+        for shard, quotas in list(self.targets.items()):
+            known = {name: quota for name, quota in quotas.items() if name in self.live}
             self.targets[shard] = known
             self.ledger.assign(shard, known)
 
     @invariant()
     def rules_hold(self):
         for shard in range(SHARDS + len(OWN)):
-            shares = [holder.share(shard, self.now) for holder in self.holders.values()]
-            assert sum(shares) <= WHOLE
-            assert shard >= SPLIT or sum(map(bool, shares)) <= 1, "two epochs of a shard that is not split"
+            quotas = [holder.quota(shard, self.now) for holder in self.holders.values()]
+            assert sum(quotas) <= FULL_QUOTA
+            assert shard >= SPLIT or sum(map(bool, quotas)) <= 1, "two epochs of a shard that is not split"
             if not self.generation:
-                assert sum(shares) <= self.ledger.in_use(shard, self.now)
+                assert sum(quotas) <= self.ledger.in_use(shard, self.now)
         for destination, row in self.allowances.items():
             while len(row) > 1 and row[1][0] <= self.now - LEASE - DELAY:
                 row.popleft()
@@ -188,12 +189,12 @@
             return
         for _ in range(4 * (LEASE + DELAY) // S):
             self.time_goes_on(S, [])
-        for shard, shares in self.targets.items():
-            for name in shares.keys() & self.live:
-                assert self.holders[name].share(shard, self.now) == shares[name]
+        for shard, quotas in self.targets.items():
+            for name in quotas.keys() & self.live:
+                assert self.holders[name].quota(shard, self.now) == quotas[name]
                 for destination in DESTINATIONS:
                     if self.own_shard(destination) == shard:
-                        budget = shares[name] * self.allowances[destination][-1][1] // WHOLE
+                        budget = quotas[name] * self.allowances[destination][-1][1] // FULL_QUOTA
                         assert self.holders[name].budget(destination, self.now) == budget
 
 
@@ -205,7 +206,7 @@
     """A ledger that may grant from 0 on, with these holders live."""
     ledger = ShardLedger(-LEASE - DELAY, LEASE, DELAY)
     for holder in holders:
-        ledger.join(holder)
+        ledger.holder_joined(holder)
     return ledger
 
 
@@ -214,8 +215,8 @@
         assert ledger.acknowledged(grant.holder, grant.shard, grant.number, now)
 
 
-def shares(grants):
-    return {(grant.holder, grant.shard): grant.share for grant in grants}
+def quotas(grants):
+    return {(grant.holder, grant.shard): grant.quota for grant in grants}
 
 
 def test_unlimited_is_the_allocators():
@@ -224,166 +225,166 @@
 
 def test_a_moved_shard_waits_for_the_acknowledgement_of_its_withdrawal():
     ledger = started("a", "b")
-    ledger.assign(1, {"a": WHOLE})
-    first = ledger.turn(0)
+    ledger.assign(1, {"a": FULL_QUOTA})
+    first = ledger.step(0)
     acknowledge(ledger, first, 0)
-    ledger.assign(1, {"b": WHOLE})
-    withdrawal = ledger.turn(S)
-    assert shares(withdrawal) == {("a", 1): 0} and withdrawal[0].epoch == first[0].epoch
+    ledger.assign(1, {"b": FULL_QUOTA})
+    withdrawal = ledger.step(S)
+    assert quotas(withdrawal) == {("a", 1): 0} and withdrawal[0].epoch == first[0].epoch
     acknowledge(ledger, withdrawal, S + 7)
-    (granted,) = ledger.turn(S + 7)
-    assert shares([granted]) == {("b", 1): WHOLE} and granted.epoch > first[0].epoch
-    assert ledger.take_released() == [("a", 1)]
+    (granted,) = ledger.step(S + 7)
+    assert quotas([granted]) == {("b", 1): FULL_QUOTA} and granted.epoch > first[0].epoch
+    assert ledger.drain_released() == [("a", 1)]
 
 
 @pytest.mark.parametrize("heard, free_at", [(True, S + LEASE), (False, LEASE + DELAY)])
 def test_a_shard_of_a_lost_holder_waits_for_its_lease(heard, free_at):
     ledger = started("a", "b")
-    ledger.assign(1, {"a": WHOLE})
-    first = ledger.turn(0)
+    ledger.assign(1, {"a": FULL_QUOTA})
+    first = ledger.step(0)
     if heard:
         acknowledge(ledger, first, S)
-    ledger.lost("a")
-    ledger.assign(1, {"b": WHOLE})
-    assert ledger.turn(free_at - 1) == [] and ledger.next_turn(free_at - 1) == free_at
-    assert shares(ledger.turn(free_at)) == {("b", 1): WHOLE}
+    ledger.holder_lost("a")
+    ledger.assign(1, {"b": FULL_QUOTA})
+    assert ledger.step(free_at - 1) == [] and ledger.next_deadline(free_at - 1) == free_at
+    assert quotas(ledger.step(free_at)) == {("b", 1): FULL_QUOTA}
     assert not ledger.knows("a")
 
 
 def test_room_that_is_free_is_given_once():
     ledger = started("a", "b", "c")
-    ledger.assign(1, {"a": WHOLE // 2})
-    ledger.turn(0)
-    ledger.lost("a")
-    ledger.assign(1, {"b": WHOLE // 2, "c": WHOLE // 2})
-    assert shares(ledger.turn(S)) == {("b", 1): WHOLE // 2} and ledger.in_use(1, S) == WHOLE
-    assert shares(ledger.turn(LEASE + DELAY))[("c", 1)] == WHOLE // 2
+    ledger.assign(1, {"a": FULL_QUOTA // 2})
+    ledger.step(0)
+    ledger.holder_lost("a")
+    ledger.assign(1, {"b": FULL_QUOTA // 2, "c": FULL_QUOTA // 2})
+    assert quotas(ledger.step(S)) == {("b", 1): FULL_QUOTA // 2} and ledger.in_use(1, S) == FULL_QUOTA
+    assert quotas(ledger.step(LEASE + DELAY))[("c", 1)] == FULL_QUOTA // 2
 
 
 @pytest.mark.parametrize("heard", [True, False])
 def test_a_new_tenure_is_told_every_limit_whatever_was_acknowledged_in_the_one_before(heard):
     ledger = started("a")
-    ledger.limit(7, 1, 1000)
-    ledger.assign(1, {"a": WHOLE})
-    first = ledger.turn(0)
+    ledger.set_limit(7, 1, 1000)
+    ledger.assign(1, {"a": FULL_QUOTA})
+    first = ledger.step(0)
     if heard:
         acknowledge(ledger, first, 1)
     ledger.assign(1, {})
-    withdrawal = ledger.turn(1)
-    ledger.assign(1, {"a": WHOLE})
-    (second,) = ledger.turn(2)
+    withdrawal = ledger.step(1)
+    ledger.assign(1, {"a": FULL_QUOTA})
+    (second,) = ledger.step(2)
     acknowledge(ledger, withdrawal, 3)  # late, and of the tenure before
-    (renewal,) = ledger.turn(2 + LEASE // 2)
+    (renewal,) = ledger.step(2 + LEASE // 2)
     assert first[0].limits == second.limits == renewal.limits == ((7, 1000),)
     assert first[0].epoch < second.epoch == renewal.epoch
 
 
 def test_a_fall_is_told_at_once_and_a_small_raise_with_the_renewal():
     ledger = started("a")
-    ledger.assign(1, {"a": WHOLE})
-    acknowledge(ledger, ledger.turn(0), 0)
-    ledger.limit(7, 1, 1000)
-    ledger.limit(8, 1, 2000)
-    (fall,) = ledger.turn(S)
+    ledger.assign(1, {"a": FULL_QUOTA})
+    acknowledge(ledger, ledger.step(0), 0)
+    ledger.set_limit(7, 1, 1000)
+    ledger.set_limit(8, 1, 2000)
+    (fall,) = ledger.step(S)
     assert dict(fall.limits) == {7: 1000, 8: 2000}
     acknowledge(ledger, [fall], S)
-    ledger.limit(7, 1, 1100)
-    assert ledger.turn(S) == ledger.turn(S + LEASE // 2 - 1) == []
-    (renewal,) = ledger.turn(S + LEASE // 2)
+    ledger.set_limit(7, 1, 1100)
+    assert ledger.step(S) == ledger.step(S + LEASE // 2 - 1) == []
+    (renewal,) = ledger.step(S + LEASE // 2)
     assert renewal.limits == ((7, 1100),)
-    ledger.limit(8, 1, UNLIMITED)
-    (raised,) = ledger.turn(S + LEASE // 2)
+    ledger.set_limit(8, 1, UNLIMITED)
+    (raised,) = ledger.step(S + LEASE // 2)
     assert dict(raised.limits) == {7: 1100, 8: UNLIMITED}  # not acknowledged yet, so told again
     acknowledge(ledger, [raised], 2 * S)
-    ledger.limit(7, 1, UNLIMITED)
-    assert ledger.turn(4 * S)[0].limits == ((7, UNLIMITED),)
+    ledger.set_limit(7, 1, UNLIMITED)
+    assert ledger.step(4 * S)[0].limits == ((7, UNLIMITED),)
 
 
 def test_an_isolated_destination_waits_for_every_holder_of_its_home_shard():
     ledger = started("a", "b", "c")
-    ledger.assign(1, {"a": WHOLE // 2, "b": WHOLE // 2})
-    ledger.limit(7, 1, 1000)
-    acknowledge(ledger, ledger.turn(0), 0)
+    ledger.assign(1, {"a": FULL_QUOTA // 2, "b": FULL_QUOTA // 2})
+    ledger.set_limit(7, 1, 1000)
+    acknowledge(ledger, ledger.step(0), 0)
     ledger.isolate(7, 1, 9)
-    ledger.assign(9, {"c": WHOLE})
-    told = ledger.turn(1)
+    ledger.assign(9, {"c": FULL_QUOTA})
+    told = ledger.step(1)
     assert {grant.limits for grant in told} == {((7, 0),)}
     acknowledge(ledger, told[:1], 2)
-    assert ledger.turn(2) == [] and ledger.isolation(7) is IsolationState.PREPARING
+    assert ledger.step(2) == [] and ledger.isolation(7) is IsolationState.PREPARING
     acknowledge(ledger, told[1:], 3)
-    (own,) = ledger.turn(3)
+    (own,) = ledger.step(3)
     assert (own.holder, own.shard, own.destination, own.limits) == ("c", 9, 7, ((7, 1000),))
     acknowledge(ledger, [own], 3)
     ledger.merge(7)
-    (withdrawal,) = ledger.turn(4)
-    assert shares([withdrawal]) == {("c", 9): 0}
+    (withdrawal,) = ledger.step(4)
+    assert quotas([withdrawal]) == {("c", 9): 0}
     acknowledge(ledger, [withdrawal], 5)
-    assert {grant.limits for grant in ledger.turn(5)} == {((7, 1000),)}
+    assert {grant.limits for grant in ledger.step(5)} == {((7, 1000),)}
     assert ledger.isolation(7) is None and ledger.is_free(9)
 
 
 def test_nothing_is_granted_until_what_an_earlier_service_granted_has_run_out():
     ledger = ShardLedger(0, LEASE, DELAY)
     ledger.resume(50)
-    ledger.join("a")
-    ledger.assign(1, {"a": WHOLE})
-    assert ledger.turn(LEASE + DELAY - 1) == [] and ledger.next_turn(0) == LEASE + DELAY
-    (first,) = ledger.turn(LEASE + DELAY)
+    ledger.holder_joined("a")
+    ledger.assign(1, {"a": FULL_QUOTA})
+    assert ledger.step(LEASE + DELAY - 1) == [] and ledger.next_deadline(0) == LEASE + DELAY
+    (first,) = ledger.step(LEASE + DELAY)
     assert first.number == first.epoch == 51
-    ledger.stand_by()
-    assert ledger.turn(10 * LEASE) == []
+    ledger.step_down()
+    assert ledger.step(10 * LEASE) == []
     ledger.resume(99)
-    ledger.begin(10 * LEASE)
-    assert ledger.turn(11 * LEASE + DELAY - 1) == []
-    (again,) = ledger.turn(11 * LEASE + DELAY)
+    ledger.start_grace_period(10 * LEASE)
+    assert ledger.step(11 * LEASE + DELAY - 1) == []
+    (again,) = ledger.step(11 * LEASE + DELAY)
     assert again.number == again.epoch == 100  # a tenure of its own: the other service's were between
 
 
 def test_shards_that_stay_as_they_are_cost_one_renewal_in_half_a_lease():
     ledger, sent, looks = started("a"), defaultdict(int), 0
-    ledger.assign(1, {"a": WHOLE})
-    ledger.assign(2, {"a": WHOLE})
+    ledger.assign(1, {"a": FULL_QUOTA})
+    ledger.assign(2, {"a": FULL_QUOTA})
     now = 0
     while now < 20 * LEASE:
-        grants = ledger.turn(now)
+        grants = ledger.step(now)
         acknowledge(ledger, grants, now)
         looks += 1
         for grant in grants:
             sent[grant.shard] += 1
-        now = max(now + 1, ledger.next_turn(now))
+        now = max(now + 1, ledger.next_deadline(now))
     assert sent == {1: 40, 2: 40} and looks <= 41
 
 
 @pytest.mark.parametrize(
     "wrong, text",
     [
-        (lambda ledger: ledger.assign(1, {"a": WHOLE, "b": 1}), "shard 1: the shares add up to 1000001"),
+        (lambda ledger: ledger.assign(1, {"a": FULL_QUOTA, "b": 1}), "shard 1: the shares add up to 1000001"),
         (lambda ledger: ledger.assign(1, {"a": -1}), "the share of a is -1"),
         (lambda ledger: ledger.assign(1, {"a": 0.5}), "the share of a is 0.5"),
         (lambda ledger: ledger.assign(1, {"stranger": 1}), "shard 1: unknown holder stranger"),
-        (lambda ledger: ledger.limit(7, 1, -1), "destination 7: an allowance of -1"),
+        (lambda ledger: ledger.set_limit(7, 1, -1), "destination 7: an allowance of -1"),
         (lambda ledger: ledger.isolate(8, 0, 1), "shard 1 is in use"),
         (lambda ledger: ledger.isolate(7, 0, 9), "destination 7 has a shard of its own"),
         (lambda ledger: ledger.isolate(8, 5, 9), "shard 5 is another destination's own"),
-        (lambda ledger: ledger.limit(7, 0, 10), "destination 7 is not in shard 0"),
+        (lambda ledger: ledger.set_limit(7, 0, 10), "destination 7 is not in shard 0"),
         (lambda ledger: ledger.merge(8), "destination 8 has no shard of its own"),
     ],
 )
 def test_input_that_cannot_be_taken_changes_nothing(wrong, text):
     ledger = started("a", "b")
-    ledger.assign(1, {"a": WHOLE})
+    ledger.assign(1, {"a": FULL_QUOTA})
     ledger.isolate(7, 0, 5)
-    acknowledge(ledger, ledger.turn(0), 0)
+    acknowledge(ledger, ledger.step(0), 0)
     with pytest.raises(AssignmentError, match=text):
         wrong(ledger)
-    assert ledger.turn(1) == [] and ledger.in_use(1, 1) == WHOLE
-    assert shares(ledger.turn(LEASE // 2)) == {("a", 1): WHOLE}
+    assert ledger.step(1) == [] and ledger.in_use(1, 1) == FULL_QUOTA
+    assert quotas(ledger.step(LEASE // 2)) == {("a", 1): FULL_QUOTA}
 
 
 def test_an_acknowledgement_of_a_number_that_is_unknown_or_out_of_use_says_nothing():
     ledger = started("a")
-    ledger.assign(1, {"a": WHOLE})
-    first, second = ledger.turn(0), ledger.turn(LEASE // 2)
+    ledger.assign(1, {"a": FULL_QUOTA})
+    first, second = ledger.step(0), ledger.step(LEASE // 2)
     acknowledge(ledger, second, LEASE // 2)
     for holder, shard, number in [("a", 1, first[0].number), ("a", 1, 99), ("b", 1, 1), ("a", 2, 1)]:
         assert not ledger.acknowledged(holder, shard, number, LEASE // 2)
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from scalefall.assignment.model import AssignmentError
-from scalefall.assignment.sharding import MOST_SHARDS, Sharding, mix
+from scalefall.assignment.sharding import MAX_SHARDS, Sharding, mix
+from scalefall.errors import AssignmentError
 
 
 def test_the_hash_is_fixed_and_does_not_depend_on_the_process():
@@ -44,8 +44,8 @@
     ("make", "said"),
     [
         (lambda: Sharding(0), "a sharding needs at least one shard, not 0"),
-        (lambda: Sharding(MOST_SHARDS + 1), "more shards than the budget"),
-        (lambda: Sharding(MOST_SHARDS).isolate(1), "more shards than the budget"),
+        (lambda: Sharding(MAX_SHARDS + 1), "more shards than the budget"),
+        (lambda: Sharding(MAX_SHARDS).isolate(1), "more shards than the budget"),
         (lambda: Sharding(8).isolate(5).isolate(5), "destination 5 already has a shard of its own"),
         (lambda: Sharding(8).merge(5), "destination 5 has no shard of its own"),
         (lambda: Sharding(8, {5: 7}), "shard 7 of destination 5 is outside 8"),
--- a/tests/assignment/test_snapshot.py
+++ b/tests/assignment/test_snapshot.py
@@ -7,8 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scalefall.assignment.model import AssignmentError, Node
+from scalefall.assignment.model import Node
 from scalefall.assignment.snapshot import TableState, decode, encode
+from scalefall.errors import AssignmentError
 
 STATE = TableState({0: ("n1", "é\n"), 3: ("n1",), 9: ()}, {7: 9}, 12, (Node("n1", "r", "z"), Node("n2")))
 TEXT = encode(STATE, "settings 1")
--- a/tests/edge/test_sharded.py
+++ b/tests/edge/test_sharded.py
@@ -60,7 +60,7 @@
         assert heard is None or heard <= self._said
         for grant in grants:
             assert grant.number > self.shards.get(grant.shard, (0, 0))[0]
-            self.shards[grant.shard] = (grant.number, grant.share)
+            self.shards[grant.shard] = (grant.number, grant.quota)
             self.had = max(self.had, grant.number)
         self._news.put(True)
 
