--- a/scalefall/assignment/assembly.py
+++ b/scalefall/assignment/assembly.py
@@ -1,13 +1,18 @@
-"""A coordinator put together from its parts: placement that remembers where lost nodes stood, isolation that remembers
-for how long a destination was quiet, and a snapshot to start from. No I/O, no clock."""
+"""A coordinator put together from its parts, and the snapshot that it starts from or leaves. No I/O, no clock.
+
+The parts remember what the pure decisions do not: placement where lost nodes stood, isolation for how long a
+destination had little load.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from scalefall.assignment import isolation_policy, placement, snapshot
 from scalefall.assignment.coordinator import Coordinator, CoordinatorSettings, CoordinatorState
+from scalefall.assignment.isolation_policy import IsolationChange, LowLoadStreaks
 from scalefall.assignment.model import Node
 from scalefall.assignment.placement import PlacementLimits, Plan, Table
 from scalefall.assignment.sharding import Sharding
@@ -18,23 +23,24 @@
 
 @dataclass(slots=True, frozen=True)
 class AssignmentSettings:
-    """How destinations are divided among senders. Times in microseconds, loads in calls a second."""
+    """How destinations are divided among senders. Times in microseconds, loads in calls per second."""
 
-    shards: int
+    shards: int  # shared ones; each isolated destination has one more
     lease_us: int
-    delay_us: int
+    delay_us: int  # no message arrives later after it was sent
     restart_us: int  # a process that comes back within it finds its node's shards
-    replica_load: float = 0.0  # a shard above it is held by several senders; 0: always by one
+    replica_load: float = 0.0  # a shard above it has several holders; 0: always one
 
     def fingerprint(self) -> str:
-        """Of what a snapshot's shard numbers depend on."""
+        """Return the fingerprint of the settings on which the meaning of a snapshot's shard numbers depends."""
         return f"shards {self.shards}"
 
 
 class StatefulPlacement:
-    """placement.place, told where nodes that are gone stood, so that their shards stay in their region."""
+    """placement.place with a memory of where removed nodes stood, so that their shards stay in their region."""
 
     def __init__(self, nodes: Iterable[Node] = ()) -> None:
+        """Start with the nodes of a snapshot."""
         self._known = {node.name: node for node in nodes}
 
     def __call__(
@@ -46,39 +52,53 @@
         shards: Iterable[int],
         may_move: bool,
     ) -> Plan:
+        """Return the next table; see coordinator.Placement."""
         self._known |= {node.name: node for node in nodes}
-        here = {node.name for node in nodes}
-        former_nodes = [node for name, node in self._known.items() if name not in here]
+        present = {node.name for node in nodes}
+        former_nodes = [node for name, node in self._known.items() if name not in present]
         measured = {shard: load for shard, load in loads.items() if load > 0}
         plan = placement.place(table, measured, nodes, limits, shards, may_move, former_nodes)
-        named = {name for names in plan.table.values() for name in names} | here
+        named = {name for names in plan.table.values() for name in names} | present
         self._known = {name: node for name, node in self._known.items() if name in named}
         return plan
 
     def nodes(self) -> tuple[Node, ...]:
-        """Those of the last table."""
+        """Return the nodes of the last table."""
         return tuple(self._known[name] for name in sorted(self._known))
 
 
 class StatefulIsolation:
-    """isolation_policy.decide, with its counts kept from call to call."""
+    """isolation_policy.decide with a memory of its streaks."""
 
     def __init__(self) -> None:
-        self._low_load_streaks = isolation_policy.LowLoadStreaks()
+        """Start without streaks."""
+        self._low_load_streaks = LowLoadStreaks()
 
-    def __call__(
-        self, loads: Mapping[int, float], sharding: Sharding, mean: float
-    ) -> tuple[tuple[int, ...], tuple[int, ...]]:
-        change = isolation_policy.decide(loads, sharding, mean, self._low_load_streaks)
+    def __call__(self, loads: Mapping[int, float], sharding: Sharding, node_load: float) -> IsolationChange:
+        """Return what to isolate and merge; see coordinator.IsolationPolicy."""
+        change = isolation_policy.decide(loads, sharding, node_load, self._low_load_streaks)
         self._low_load_streaks = change.low_load_streaks
-        return change.isolate, change.merge
+        return change
 
 
 class Assembly:
-    """One coordinator and what is kept beside it."""
+    """One coordinator with its decisions and its snapshots.
+
+    Attributes:
+        coordinator: Who has which shard.
+    """
 
     def __init__(self, now: int, settings: AssignmentSettings, text: str | None = None) -> None:
-        """text: a snapshot to start from. AssignmentError if it can't be taken."""
+        """Start from a snapshot, or from nothing.
+
+        Args:
+            now: The time, in microseconds.
+            settings: How destinations are divided.
+            text: The snapshot.
+
+        Raises:
+            AssignmentError: The snapshot cannot be used.
+        """
         restored = snapshot.decode(text, settings.fingerprint()) if text is not None else None
         self._settings = settings
         self._placement = StatefulPlacement(restored.nodes if restored else ())
@@ -97,16 +117,25 @@
         )
 
     def snapshot(self) -> str:
-        """The table as text, for the next service."""
+        """Return the table as text, for the next service."""
         state = self.coordinator.state()
         saved = snapshot.TableState(state.table, state.isolated, state.generation, self._placement.nodes())
         return snapshot.encode(saved, self._settings.fingerprint())
 
 
-def assemble(now: int, settings: AssignmentSettings, text: str | None) -> tuple[Assembly, str]:
-    """An assembly from a snapshot if it can be taken, else from nothing; and why not, if not. Starting from nothing
-    costs movement, not safety: nothing is granted before earlier leases have run out."""
+class Assembled(NamedTuple):
+    """An assembly, and why it did not start from the snapshot; empty if it did, or if there was none."""
+
+    assembly: Assembly
+    rejection: str
+
+
+def assemble(now: int, settings: AssignmentSettings, text: str | None) -> Assembled:
+    """Return an assembly from a snapshot if that can be used, else from nothing.
+
+    Starting from nothing costs movement, not safety: nothing is granted before earlier leases have run out.
+    """
     try:
-        return Assembly(now, settings, text), ""
+        return Assembled(Assembly(now, settings, text), "")
     except AssignmentError as error:
-        return Assembly(now, settings), str(error)
+        return Assembled(Assembly(now, settings), str(error))
--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -1,17 +1,17 @@
-"""Joins, losses, loads and the clock in; placement asked; the ledger told; grants out. No I/O, no clock.
+"""Joins, losses, loads and the clock in; placement consulted; the ledger updated; grants out. No I/O, no clock.
 
 Theory of operation. Placement is by node (a sender's place in the fleet), leases are by process ("node/instance").
 
   1. A node whose process is lost keeps its shards for `restart_us`: a new process of it gets them once the leases of
-     the old one have run out, and nothing is placed anew. After that the node is gone and its shards are placed.
-  2. Placement is asked SETTLE_US after a node came or was gone, so that a zone's loss is one decision, and each
+     the old one have run out, and nothing is placed anew. After that the node is removed and its shards are placed.
+  2. Placement is consulted SETTLE_US after a node came or was removed, so that a zone's loss is one decision, and each
      `rebalance_us`; never on a report of loads. While no node is there the table stays as it is. A node that comes
-     while another may be gone waits for that, `restart_us` at most: a replacement gets the shards of the one before.
+     while another may be removed waits for that, `restart_us` at most: a replacement gets the shards of the one before.
   3. Started from a table, nothing is placed until nothing granted by the service before may be in use: by then the
-     nodes of the table have come back, or are gone. Those that come back keep their shards. Nor does anything move for
-     balance until loads have been measured for MEASURED_US: the first reports are of a part of the senders.
-  4. Allowances are not part of a table: whoever starts a coordinator tells it all that are not UNLIMITED before the
-     first grants.
+     nodes of the table have come back, or are removed. Those that come back keep their shards. Nor does anything move
+     for balance until loads have been measured for BALANCE_AFTER_US: the first reports are of some of the senders only.
+  4. Allowances are not part of a table: whoever starts a coordinator sets all that are not UNLIMITED before the first
+     grants.
 
 References: Slicer (Adya and others, OSDI 2016) for a table of leased shards held by control; Shard Manager (Lee and
 others, SOSP 2021) for planned moves and for restarts that move nothing.
@@ -19,46 +19,45 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping, Sequence
-from dataclasses import dataclass
-from typing import Any, Protocol
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Protocol
 
 from scalefall.assignment.coverage import Coverage
+from scalefall.assignment.isolation_policy import IsolationChange
 from scalefall.assignment.ledger import ShardLedger
 from scalefall.assignment.load_means import LoadMeans
 from scalefall.assignment.membership import NodeMembership, node_of
 from scalefall.assignment.model import FULL_QUOTA, Node, ShardGrant
+from scalefall.assignment.placement import PlacementLimits, Plan, Table
+from scalefall.assignment.placement_schedule import PlacementSchedule
 from scalefall.assignment.shard_record import NEVER
+from scalefall.assignment.sharding import Sharding
 from scalefall.errors import AssignmentError
 
 BALANCE_AFTER_US = 120_000_000  # four reports on all senders: near enough to move shards by
-SETTLE_US = 1_000_000  # a zone's streams end within a heartbeat interval of each other: one decision for all of them
 
-Table = Mapping[int, tuple[str, ...]]  # shard -> names of the nodes that hold it
 
+class Placement(Protocol):
+    """Decides which nodes hold which shard (placement.place)."""
 
-class Plan(Protocol):
-    """What placement answers."""
-
-    table: Table
-    moved: frozenset[int]
-
-
-class Sharding(Protocol):
-    """Which shard a destination is of; a value, so that isolate() and merge() give another one."""
-
-    isolated: Mapping[int, int]
+    def __call__(
+        self,
+        table: Table,
+        loads: Mapping[int, float],
+        nodes: Sequence[Node],
+        limits: PlacementLimits,
+        shards: Iterable[int],
+        may_move: bool,
+    ) -> Plan:
+        """Return the next table; loads are calls per second by shard."""
 
-    def shard_of(self, destination: int) -> int: ...
-    def shards(self) -> Iterable[int]: ...
-    def isolate(self, destination: int) -> Sharding: ...
-    def merge(self, destination: int) -> Sharding: ...
 
+class IsolationPolicy(Protocol):
+    """Decides which destinations have a shard of their own (isolation_policy.decide)."""
 
-# table, calls a second by shard, nodes, limits of the placement's own, shards, whether it may move for balance
-Place = Callable[[Table, Mapping[int, float], Sequence[Node], Any, Iterable[int], bool], Plan]
-# calls a second by destination, sharding, mean load of a node -> destinations to isolate, destinations to merge
-Isolation = Callable[[Mapping[int, float], Sharding, float], tuple[Iterable[int], Iterable[int]]]
+    def __call__(self, loads: Mapping[int, float], sharding: Sharding, node_load: float) -> IsolationChange:
+        """Return what to isolate and merge; loads are calls per second, by destination and of the mean node."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,13 +67,13 @@
     lease_us: int
     delay_us: int  # no message arrives later after it was sent
     restart_us: int = 3_000_000  # a process that starts anew within it finds its node's shards
-    rebalance_us: int = 30_000_000
-    limits: Any = None  # handed to placement
+    rebalance_us: int = 30_000_000  # between placements when no node comes or goes
+    limits: PlacementLimits = field(default_factory=PlacementLimits)
 
 
 @dataclass(slots=True, frozen=True)
 class CoordinatorState:
-    """What a snapshot keeps."""
+    """What a snapshot stores."""
 
     table: dict[int, tuple[str, ...]]
     isolated: dict[int, int]  # destination -> its own shard
@@ -82,51 +81,61 @@
 
 
 class Coordinator:
-    """The assignment of one control service. `turn` gives the grants to be sent, after news and at next_turn()."""
+    """The assignment of one control service.
+
+    `step` returns the grants to be sent; it is to be called after changes, and at next_deadline() if there are none.
+    """
 
     def __init__(
         self,
         now: int,
         settings: CoordinatorSettings,
-        place: Place,
+        placement: Placement,
         sharding: Sharding,
-        isolation: Isolation | None = None,
+        isolation_policy: IsolationPolicy | None = None,
         state: CoordinatorState | None = None,
     ) -> None:
-        self._settings, self._placement, self._isolation_policy = settings, place, isolation
+        """Start in a grace period.
+
+        Args:
+            now: The time, in microseconds as all others.
+            settings: Times and limits.
+            placement: Decides which nodes hold which shard.
+            sharding: Which shard a destination is of.
+            isolation_policy: Decides which destinations have a shard of their own; without one it stays as it is.
+            state: Of the coordinator before, if there was one.
+
+        Raises:
+            AssignmentError: The state does not fit the sharding.
+        """
+        self._settings, self._placement, self._isolation_policy = settings, placement, isolation_policy
         self._sharding = sharding
         self._ledger = ShardLedger(now, settings.lease_us, settings.delay_us)
         self._membership = NodeMembership(settings.restart_us)
         self._loads = LoadMeans()
         self._coverage = Coverage(self._ledger.users)
-        self._table: dict[int, tuple[str, ...]] = {}
+        self._table: Table = {}
         self._generation = 0
-        self._placement_paused_until = now  # nothing is placed before
-        self._place_at = NEVER
-        self._rebalance_at = now + settings.rebalance_us
+        self._schedule = PlacementSchedule(now, settings.restart_us, settings.rebalance_us)
         self._is_first = state is None  # no table from before
         for destination, own in sharding.isolated.items():
             self._ledger.isolate(destination, sharding.merge(destination).shard_of(destination), own)
         if state is not None:
-            self._start_from(state, now)
-
-    def _start_from(self, state: CoordinatorState, now: int) -> None:
-        if dict(state.isolated) != dict(self._sharding.isolated):
-            raise AssignmentError("the sharding's isolated destinations are not those of the state")
-        unknown = state.table.keys() - set(self._sharding.shards())
-        if unknown:
-            raise AssignmentError(f"the table has shard {min(unknown)}, which the sharding has not")
+            self._restore(state, now)
+
+    def _restore(self, state: CoordinatorState, now: int) -> None:
+        _check_state(state, self._sharding)
         self._generation = state.generation
         self._table = dict(state.table)
-        for shard, row in self._table.items():
-            self._coverage.place(shard, (), row)
-        self._placement_paused_until = self._place_at = max(self._ledger.grace_until, now + self._settings.restart_us)
+        for shard, nodes in self._table.items():
+            self._coverage.place(shard, (), nodes)
+        self._schedule.pause_until(max(self._ledger.grace_until, now + self._settings.restart_us))
 
-    # -- service
+    # -- leadership and state
 
     @property
     def number(self) -> int:
-        """The highest number of a grant that was given."""
+        """The highest number of a grant that was made."""
         return self._ledger.number
 
     @property
@@ -140,29 +149,37 @@
         return self._sharding
 
     def resume(self, number: int) -> None:
-        """Numbers go on above the highest that an earlier service may have given."""
+        """Number grants above the highest that an earlier service may have made."""
         self._ledger.resume(number)
 
     def step_down(self) -> None:
-        """Another service grants from now on. To go on after it, a new coordinator starts from its state."""
+        """Grant nothing from now on, as another service does. To go on after it, a new coordinator has to be made."""
         self._ledger.step_down()
 
     def state(self) -> CoordinatorState:
-        """What another coordinator can start from."""
+        """Return what another coordinator can start from."""
         return CoordinatorState(dict(self._table), dict(self._sharding.isolated), self._generation)
 
-    # -- what is told
+    # -- events
 
     def holder_joined(self, holder: str, node: Node, now: int) -> None:
-        """A process can be heard, for the first time or again."""
+        """Record that a process can be heard, for the first time or again.
+
+        Raises:
+            AssignmentError: The process's name is not one of this node.
+        """
         is_change = self._membership.holder_joined(holder, node)
         self._ledger.holder_joined(holder)
         self._assign_node_shards(node.name)
         if is_change:
-            self._settle(now, self._membership.last_removal_at())
+            self._schedule.membership_changed(now, self._membership.last_removal_at())
 
     def holder_lost(self, holder: str, now: int) -> None:
-        """A process cannot be heard any more; told again, it changes nothing."""
+        """Record that a process cannot be heard any more; repeated, it changes nothing.
+
+        Raises:
+            AssignmentError: The process is unknown.
+        """
         if not self._membership.is_live(holder) and self._ledger.knows(holder):
             return
         self._membership.holder_lost(holder, now)
@@ -171,28 +188,43 @@
             self._assign_node_shards(node_of(holder))
 
     def loads_reported(self, loads: Mapping[int, float], now: int) -> None:
-        """One report on all senders: measured calls a second of each destination with traffic."""
+        """Record one report on all senders: measured calls per second of each destination with traffic.
+
+        Raises:
+            AssignmentError: A load is not a finite number of 0 or more.
+        """
         self._loads.report(loads, now)
 
     def set_allowance(self, destination: int, amount: int) -> None:
-        """The destination's allowance now, in thousandths of a call a second, for all senders together."""
+        """Set the destination's allowance, in milli-calls per second, for all senders together.
+
+        Raises:
+            AssignmentError: The amount is not a whole number of 0 or more.
+        """
         self._ledger.set_limit(destination, self._sharding.shard_of(destination), amount)
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
-        """A process has had the grant of this number. False if that says nothing."""
+        """Record that a process has received the grant of this number.
+
+        Returns:
+            False if nothing follows: the number is unknown here, or out of use.
+
+        Raises:
+            AssignmentError: The process is unknown.
+        """
         if not self._membership.is_live(holder) and not self._ledger.knows(holder):
             raise AssignmentError(f"unknown holder {holder}")
         return self._ledger.acknowledged(holder, shard, number, now)
 
-    # -- what follows
+    # -- results
 
     def step(self, now: int) -> list[ShardGrant]:
-        """The grants to send now."""
+        """Return the grants to send now."""
         if self._ledger.grace_until == NEVER:
             return []
         if self._membership.pop_removed(now):
-            self._settle(now)
-        if now >= self._next_placement():
+            self._schedule.membership_changed(now)
+        if now >= self._schedule.next_at():
             self._place(now)
         grants = self._ledger.step(now)
         for holder, shard in self._ledger.drain_released():
@@ -200,65 +232,49 @@
         return grants
 
     def next_deadline(self, now: int) -> int:
-        """When turn() is due if no news come before."""
+        """Return when step() is to be called if nothing changes before."""
         if self._ledger.grace_until == NEVER:
             return NEVER
-        times = [self._ledger.next_deadline(now), self._next_placement()]
+        times = [self._ledger.next_deadline(now), self._schedule.next_at()]
         removal_at = self._membership.next_removal_at()
         if removal_at is not None:
             times.append(removal_at)
         return max(now, min(times))
 
     def shards_of(self, node: str) -> frozenset[int]:
-        """The shards that the node may use now, or is to get as soon as they are free."""
+        """Return the shards that the node may use now, or is to get as soon as they are free."""
         return self._coverage.shards_of(node)
 
     def serves(self, node: str, destination: int) -> bool:
-        """Whether the destination's shard is one of the node's shards_of()."""
+        """Return whether the destination's shard is one of the node's shards_of()."""
         return self._coverage.covers(node, self._sharding.shard_of(destination))
 
     def drain_changes(self) -> dict[str, frozenset[int]]:
-        """Node -> shards that came, went, or have other destinations by isolation, since the last call."""
+        """Return, by node, the shards that came, went, or have other destinations since the last call."""
         return self._coverage.drain_changes()
 
     # -- placement
 
-    def _settle(self, now: int, removal_at: int | None = None) -> None:
-        """Placement is to be asked soon; gone_at: when a node that may yet come back is gone, if one is awaited."""
-        at = now + SETTLE_US
-        if removal_at is not None:
-            at = max(at, min(removal_at, now + self._settings.restart_us))
-        self._place_at = min(self._place_at, max(self._placement_paused_until, at))
-
     def _may_balance(self, now: int) -> bool:
         """Whether loads are known well enough to move shards by them; a first table is balanced by number."""
         since = self._loads.since
         return self._is_first if since is None else now - since >= BALANCE_AFTER_US
 
-    def _next_placement(self) -> int:
-        """A placement that waits to settle goes before the next regular one, which would see half of a loss."""
-        if self._place_at != NEVER:
-            return self._place_at
-        return max(self._placement_paused_until, self._rebalance_at)
-
     def _place(self, now: int) -> None:
-        self._place_at, self._rebalance_at = NEVER, now + self._settings.rebalance_us
+        self._schedule.placed(now)
         nodes = self._membership.nodes()
         if not nodes:
             return
         means = self._loads.means(now)
-        isolated = self._adjust_isolation(means, len(nodes))
-        loads: dict[int, float] = {}
-        for destination, load in means.items():
-            shard = self._sharding.shard_of(destination)
-            loads[shard] = loads.get(shard, 0.0) + load
+        has_isolation_changed = self._adjust_isolation(means, len(nodes))
+        loads = _loads_by_shard(means, self._sharding)
         shards, limits = self._sharding.shards(), self._settings.limits
         plan = self._placement(self._table, loads, nodes, limits, shards, self._may_balance(now))
-        if self._apply_table(plan.table) or isolated:
+        if self._apply_table(plan.table) or has_isolation_changed:
             self._generation += 1
 
     def _apply_table(self, table: Table) -> bool:
-        """The table from now on. Whether anything is another."""
+        """Replace the table; whether anything is different."""
         changed = [shard for shard in self._table.keys() | table.keys() if self._table.get(shard) != table.get(shard)]
         for shard in sorted(changed):
             before, after = self._table.get(shard, ()), tuple(table.get(shard, ()))
@@ -271,30 +287,33 @@
         return bool(changed)
 
     def _assign_node_shards(self, node: str) -> None:
-        """The node's shards go to the process that holds for it now."""
+        """Assign the node's shards to the process that holds for it now."""
         for shard in sorted(self._coverage.placed(node)):
             self._assign(shard)
 
     def _assign(self, shard: int) -> None:
-        row = self._table.get(shard, ())
-        base, remainder = divmod(FULL_QUOTA, max(1, len(row)))
+        """Divide a shard evenly among the processes of the nodes that hold it."""
+        nodes = self._table.get(shard, ())
+        base, remainder = divmod(FULL_QUOTA, max(1, len(nodes)))
         quotas = {}
-        for at, node in enumerate(row):
+        for position, node in enumerate(nodes):
             holder = self._membership.holder(node)
             if holder is not None and self._ledger.knows(holder):
-                quotas[holder] = base + (at < remainder)
+                quotas[holder] = base + (position < remainder)
         self._ledger.assign(shard, quotas)
 
-    def _adjust_isolation(self, means: Mapping[int, float], nodes: int) -> bool:
-        """Destinations that get a shard of their own, or lose it. Whether there are any."""
+    # -- isolation
+
+    def _adjust_isolation(self, means: Mapping[int, float], node_count: int) -> bool:
+        """Isolate and merge destinations by their loads; whether any was."""
         if self._isolation_policy is None:
             return False
         before = self._sharding
-        to_isolate, to_merge = self._isolation_policy(means, self._sharding, sum(means.values()) / nodes)
-        for destination in to_merge:
+        change = self._isolation_policy(means, self._sharding, sum(means.values()) / node_count)
+        for destination in change.merge:
             if destination in self._sharding.isolated:
                 self._merge_destination(destination)
-        for destination in to_isolate:
+        for destination in change.isolate:
             if self._ledger.isolation(destination) is None:
                 self._isolate_destination(destination)
         return self._sharding is not before
@@ -303,7 +322,7 @@
         home, sharding = self._sharding.shard_of(destination), self._sharding.isolate(destination)
         own = sharding.isolated[destination]
         if not self._ledger.is_free(own):
-            return  # what was granted on it before is not out of use yet; asked again at the next placement
+            return  # what was granted on it before is not out of use yet; decided again at the next placement
         self._ledger.isolate(destination, home, own)
         self._sharding = sharding
         self._coverage.destinations_changed(home, self._table.get(home, ()))
@@ -315,3 +334,19 @@
         self._coverage.place(own, self._table.pop(own, ()), ())
         home = self._sharding.shard_of(destination)
         self._coverage.destinations_changed(home, self._table.get(home, ()))
+
+
+def _check_state(state: CoordinatorState, sharding: Sharding) -> None:
+    if dict(state.isolated) != dict(sharding.isolated):
+        raise AssignmentError("the sharding's isolated destinations are not those of the state")
+    unknown = state.table.keys() - set(sharding.shards())
+    if unknown:
+        raise AssignmentError(f"the table has shard {min(unknown)}, which the sharding has not")
+
+
+def _loads_by_shard(means: Mapping[int, float], sharding: Sharding) -> dict[int, float]:
+    loads: dict[int, float] = {}
+    for destination, load in means.items():
+        shard = sharding.shard_of(destination)
+        loads[shard] = loads.get(shard, 0.0) + load
+    return loads
--- a/scalefall/assignment/holder.py
+++ b/scalefall/assignment/holder.py
@@ -1,16 +1,16 @@
-"""What a sender process keeps of its grants: which destinations it may call now, and how often. No I/O, no clock.
+"""What a sender process remembers of its grants: which destinations it may call now, and how often.
 
-Times are microseconds of the process's own clock; only how long a lease lasts comes from elsewhere.
+No I/O, no clock. Times are microseconds of the process's own clock; only how long a lease lasts comes from elsewhere.
 
   1. Of a shard the grant of the highest number counts, for its lease from `since`. A lower number that comes late, or
-     an epoch below one that was had for the shard, is dropped: a service that no longer grants cannot bring back a
+     an epoch below one that was received for the shard, is dropped: a service that no longer grants cannot bring back a
      tenure that is over.
   2. A grant of a newer epoch begins with no limits; any other adds its limits to what is known. A destination never
      named is UNLIMITED.
-  3. A shard of one isolated destination goes before the hash while it is held.
+  3. A shard of one isolated destination goes before the hash while it is leased.
   4. Whoever hands grants in has thrown away messages older than the service's `delay`. A tenure that was withdrawn more
-     than `delay` ago may therefore be forgotten: nothing of it can come any more. One that has only run out is kept, as
-     the service may go on with it, and counts on the limits that were acknowledged.
+     than `delay` ago may therefore be forgotten: nothing of it can come any more. One that has only run out is
+     remembered, as the service may go on with it, and counts on the limits that were acknowledged.
 """
 
 from __future__ import annotations
@@ -28,25 +28,33 @@
     number: int = 0
     epoch: int = 0
     quota: int = 0
-    until: int = 0
-    destination: int | None = None
-    limits: dict[int, int] = field(default_factory=dict)
+    until: int = 0  # the end of its lease
+    destination: int | None = None  # whose own shard it is
+    limits: dict[int, int] = field(default_factory=dict)  # destination -> milli-calls per second
 
     def quota_at(self, now: int) -> int:
         return self.quota if now < self.until else 0
 
 
 class ShardHolder:
-    """The grants of one process. shard_of gives a destination's shard by the hash (as Sharding.shard_of does)."""
+    """The grants of one process."""
 
     def __init__(self, shard_of: Callable[[int], int]) -> None:
+        """Start without grants; `shard_of` returns a destination's shard by the hash (as Sharding.shard_of does)."""
         self._shard_of = shard_of
         self._tenures: dict[int, _Tenure] = {}
         self._isolated: dict[int, int] = {}  # destination -> its own shard, by the grants
 
     def granted(self, grant: ShardGrant, since: int) -> bool:
-        """Take on a grant whose lease counts from `since`: when it arrived, or when the process sent the report that it
-        answers. False: its number or epoch is behind what was had, and it is dropped."""
+        """Record a grant.
+
+        Args:
+            grant: The grant.
+            since: When its lease begins: when it arrived, or when the process sent the report that it answers.
+
+        Returns:
+            False if it was dropped, as its number or epoch is behind what was received before.
+        """
         tenure = self._tenures.get(grant.shard)
         if tenure is not None and (grant.number <= tenure.number or grant.epoch < tenure.epoch):
             return False
@@ -61,19 +69,19 @@
         return True
 
     def budget(self, destination: int, now: int) -> int:
-        """Thousandths of a call a second that this process may make to a destination; 0: it is not held now."""
+        """Return how often this process may call a destination, in milli-calls per second; 0 if it is not leased."""
         tenure = self._tenure_of(destination, now)
         if tenure is None:
             return 0
         return tenure.quota_at(now) * tenure.limits.get(destination, UNLIMITED) // FULL_QUOTA
 
     def holds(self, destination: int, now: int) -> bool:
-        """Whether the process holds a share of the destination's shard now, whatever its allowance is."""
+        """Return whether the process has a quota of the destination's shard now, whatever the limit is."""
         tenure = self._tenure_of(destination, now)
         return tenure is not None and tenure.quota_at(now) > 0
 
     def quotas(self, destinations: Iterable[int], now: int) -> dict[int, int]:
-        """The share of each of these destinations that is held now, of WHOLE; 0 where none is."""
+        """Return the present quota of each of these destinations, in millionths; 0 where none is leased."""
         found = {}
         for destination in destinations:
             tenure = self._tenure_of(destination, now)
@@ -81,28 +89,35 @@
         return found
 
     def quota(self, shard: int, now: int) -> int:
-        """The share of a shard that is held now, of WHOLE."""
+        """Return the present quota of a shard, in millionths."""
         tenure = self._tenures.get(shard)
         return tenure.quota_at(now) if tenure else 0
 
     def epoch(self, shard: int) -> int:
-        """The latest epoch that was had for a shard; 0: none."""
+        """Return the latest epoch that was received for a shard, 0 if there was none."""
         tenure = self._tenures.get(shard)
         return tenure.epoch if tenure else 0
 
     def leased_shards(self, now: int) -> frozenset[int]:
-        """The shards of which a share is held now."""
+        """Return the shards of which there is a quota now."""
         return frozenset(shard for shard, tenure in self._tenures.items() if tenure.quota_at(now))
 
     def acknowledgements(self, now: int | None = None) -> dict[int, int]:
-        """Shard -> highest number had, withdrawals included: what a report to the service says. With `now`, without
-        those whose lease has run out, of which the service learns nothing."""
+        """Return the highest number received of each shard, withdrawals included: what a report acknowledges.
+
+        Args:
+            now: If given, shards whose lease has run out are left out, as the service learns nothing of them.
+        """
         return {shard: tenure.number for shard, tenure in self._tenures.items() if now is None or now < tenure.until}
 
     def forget(self, before: int) -> None:
-        """Drop what was withdrawn and whose lease ran out before a time, at least the service's delay ago."""
-        over = [shard for shard, tenure in self._tenures.items() if not tenure.quota and tenure.until < before]
-        for shard in over:
+        """Drop the tenures that were withdrawn and whose lease ran out before a time.
+
+        Args:
+            before: At least the service's delay ago.
+        """
+        withdrawn = [shard for shard, tenure in self._tenures.items() if not tenure.quota and tenure.until < before]
+        for shard in withdrawn:
             self._forget_destination(shard)
             del self._tenures[shard]
 
@@ -114,5 +129,7 @@
 
     def _forget_destination(self, shard: int) -> None:
         tenure = self._tenures.get(shard)
-        if tenure is not None and self._isolated.get(tenure.destination) == shard:
+        if tenure is None or tenure.destination is None:
+            return
+        if self._isolated.get(tenure.destination) == shard:
             del self._isolated[tenure.destination]
--- a/scalefall/assignment/isolation_transitions.py
+++ b/scalefall/assignment/isolation_transitions.py
@@ -1,4 +1,4 @@
-"""Destinations with a shard of their own: the way there and back without its budget being given twice.
+"""Destinations with a shard of their own: the way there and back without a budget that is granted twice.
 
     state      isolate     merge     home shard's limit in force    own shard's grants out of use
     (none)     PREPARING   error     -                              -
@@ -6,9 +6,9 @@
     OWN        error       MERGING   -                              -
     MERGING    error       error     -                              (none)
 
-In PREPARING the home shard says 0 for the destination and nothing is granted on its own; "in force" is when every grant
-of the home shard that may be in use has that 0. In MERGING the own shard is withdrawn; the home shard says 0 until
-nothing of the own one may be in use. So a destination has a budget in one shard at most.
+In PREPARING the home shard's limit of the destination is 0 and nothing is granted on its own; "in force" is when every
+grant of the home shard that may be in use has that 0. In MERGING the own shard is withdrawn; the home shard's limit is
+0 until nothing of the own one may be in use. So a destination has a budget in one shard at most.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 
 
 class IsolationState(Enum):
+    """How far a destination is on its way to a shard of its own, or back."""
+
     PREPARING = "preparing"
     OWN = "own"
     MERGING = "merging"
@@ -31,43 +33,52 @@
 class _Isolation:
     """A destination that has, is to have, or has had a shard of its own."""
 
-    home: int
+    home: int  # its shard by the hash
     own: int
-    version: int  # of the home shard's limits that says 0 for it
+    version: int  # of the home shard's limits in which the destination's is 0
     state: IsolationState = IsolationState.PREPARING
-    amount: int = UNLIMITED  # its allowance, kept for the home shard while it moves back
+    rate: int = UNLIMITED  # its limit, for the home shard, while it moves back
 
 
 class IsolationTransitions:
     """All isolated destinations of a ledger."""
 
     def __init__(self, records: ShardRecords) -> None:
+        """Start without isolated destinations."""
         self._records = records
         self._isolated: dict[int, _Isolation] = {}
         self._moving: set[int] = set()  # destinations whose move waits for grants to be out of use
 
     def state(self, destination: int) -> IsolationState | None:
-        """None: it has no shard of its own, and nothing of one may be in use."""
+        """Return the destination's state; None if it has no shard of its own and nothing of one may be in use."""
         isolation = self._isolated.get(destination)
         return isolation.state if isolation else None
 
-    def set_limit(self, destination: int, shard: int, amount: int) -> None:
-        """The allowance of a destination, told to the shard that it is of."""
+    def set_limit(self, destination: int, shard: int, rate: int) -> None:
+        """Set the limit of a destination in the shard that it is of.
+
+        Raises:
+            AssignmentError: It is of another shard.
+        """
         isolation = self._isolated.get(destination)
         if isolation is None:
-            if amount < UNLIMITED or self._records.get(shard) is not None:
-                self._records.set_limit(destination, self._records.open(shard), amount)
+            if rate < UNLIMITED or self._records.get(shard) is not None:
+                self._records.set_limit(destination, self._records.open(shard), rate)
             return
-        merging = isolation.state is IsolationState.MERGING
-        if shard != (isolation.home if merging else isolation.own):
+        is_merging = isolation.state is IsolationState.MERGING
+        if shard != (isolation.home if is_merging else isolation.own):
             raise AssignmentError(f"destination {destination} is not in shard {shard}")
-        if merging:
-            isolation.amount = amount
+        if is_merging:
+            isolation.rate = rate
         else:
-            self._records.set_limit(destination, self._records.open(shard), amount)
+            self._records.set_limit(destination, self._records.open(shard), rate)
 
     def isolate(self, destination: int, home_shard: int, own_shard: int) -> None:
-        """The destination's budget is to be its own shard's."""
+        """Begin to move the destination's budget to its own shard.
+
+        Raises:
+            AssignmentError: The destination is isolated already, or one of the shards is of another use.
+        """
         if destination in self._isolated:
             raise AssignmentError(f"destination {destination} has a shard of its own, or is on its way back from one")
         if own_shard == home_shard or not self._records.is_free(own_shard):
@@ -76,26 +87,30 @@
         if home.destination is not None:
             raise AssignmentError(f"shard {home_shard} is another destination's own")
         own = self._records.open(own_shard)
-        amount = home.limits.rate(destination)
+        rate = home.limits.rate(destination)
         self._records.set_limit(destination, home, 0)
-        self._records.set_limit(destination, own, amount)
+        self._records.set_limit(destination, own, rate)
         home.watched, own.blocked, own.destination = True, True, destination
         self._isolated[destination] = _Isolation(home_shard, own_shard, home.limits.version)
         self._moving.add(destination)
 
     def merge(self, destination: int) -> None:
-        """The destination's budget is to be its home shard's again."""
+        """Begin to move the destination's budget back to its home shard.
+
+        Raises:
+            AssignmentError: It has no shard of its own, or is on its way back already.
+        """
         isolation = self._isolated.get(destination)
         if isolation is None or isolation.state is IsolationState.MERGING:
             raise AssignmentError(f"destination {destination} has no shard of its own")
         own = self._records.open(isolation.own)
-        isolation.state, isolation.amount = IsolationState.MERGING, own.limits.rate(destination)
+        isolation.state, isolation.rate = IsolationState.MERGING, own.limits.rate(destination)
         own.draining = own.watched = True
         self._records.retarget(own, {})
         self._moving.add(destination)
 
     def finish(self, now: int) -> None:
-        """Go on with each move whose grants are out of use by now. Costs by the moves under way."""
+        """Complete each move whose grants are out of use by now. Costs by the moves under way."""
         for destination in sorted(self._moving):
             isolation = self._isolated[destination]
             if isolation.state is IsolationState.MERGING:
@@ -110,7 +125,7 @@
         self._moving.discard(destination)
         self._records.open(isolation.own).blocked = False
         self._records.mark_changed(isolation.own)
-        self._watch(isolation.home)
+        self._update_watch(isolation.home)
 
     def _finish_merge(self, destination: int, isolation: _Isolation, now: int) -> None:
         own = self._records.open(isolation.own)
@@ -120,10 +135,10 @@
         del self._isolated[destination]
         self._records.drop(own)
         home = self._records.open(isolation.home)
-        self._records.set_limit(destination, home, isolation.amount)
-        self._watch(isolation.home)
+        self._records.set_limit(destination, home, isolation.rate)
+        self._update_watch(isolation.home)
 
-    def _watch(self, home: int) -> None:
-        """Whether a move still waits for the grants of a home shard."""
-        waiting = (self._isolated[moving] for moving in self._moving)
-        self._records.open(home).watched = any(isolation.home == home for isolation in waiting)
+    def _update_watch(self, home: int) -> None:
+        """Watch a home shard for as long as a move waits for its grants."""
+        moving = (self._isolated[destination] for destination in self._moving)
+        self._records.open(home).watched = any(isolation.home == home for isolation in moving)
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -1,34 +1,35 @@
-"""Leases on shards: who may use which share of which shard, and until when. No I/O, no clock.
+"""Leases on shards: who may use which quota of which shard, and until when. No I/O, no clock.
 
-Theory of operation. Times are microseconds of the control service's clock; a share is a part of WHOLE; allowances are
-thousandths of a call a second.
+Theory of operation. Times are microseconds of the control service's clock; a quota is in millionths of FULL_QUOTA;
+limits are in milli-calls per second.
 
-A grant goes to one holder (one process of a sender) for one shard, with a number that only grows. A holder keeps one
-grant a shard, the one of the highest number that it has got, for the lease from when it got it. What the service can
-know of a grant is bounded by two facts: no message arrives later than `delay` after it was sent (holders throw away
-what is older), and an acknowledgement says that the holder had it by now. Hence a grant not acknowledged may be in use
-until sent + delay + lease; one acknowledged at a until a + lease, and every lower number of that holder is out of use.
-What a holder may use is the largest of its grants that may still be in use.
+A grant goes to one holder (one process of a sender) for one shard, with a number that only grows. A holder has one
+grant a shard, the one of the highest number that it has received, for the lease from when it received it. What the
+service can know of a grant is bounded by two facts: no message arrives later than `delay` after it was sent (holders
+throw away what is older), and an acknowledgement means that the holder had received it by now. Hence a grant not
+acknowledged may be in use until sent + delay + lease; one acknowledged at a until a + lease, and every lower number of
+that holder is out of use. What a holder may use is the largest of its grants that may still be in use.
 
 Rules that hold (asserted here; model-checked from the holders' side in tests/assignment/test_shard_ledger.py):
 
-  1. The shares of a shard that may be in use add up to at most WHOLE at every moment, lost holders included. A raise
-     takes free room only, so a new holder begins when the one before it has acknowledged a smaller grant or has run
-     out of its lease.
+  1. The quotas of a shard that may be in use add up to at most FULL_QUOTA at every moment, lost holders included. A
+     raise uses free quota only, so a new holder begins when the one before it has acknowledged a smaller grant or has
+     run out of its lease.
   2. A holder's tenure of a shard has an epoch: the number of the tenure's first grant, so that a newer tenure's is
      higher, also over restarts. It ends by withdrawal, or when all its grants have run out. With one holder a shard,
-     two epochs are never in use at once. A holder drops a grant with an epoch below one that it has had.
+     two epochs are never in use at once. A holder drops a grant with an epoch below one that it has received.
   3. Every grant carries all limits that changed since the holder's last acknowledgement in this tenure; a tenure begins
-     with none. So whoever has a grant knows each allowance as it was when that grant was sent or later, and the sum of
-     the holders' budgets for a destination (share x limit as each knows it) is never above the largest allowance of the
-     last delay + lease. Falls go out at once, small raises with the renewal, at half of the lease.
+     with none. So whoever has a grant knows each limit as it was when that grant was sent or later, and the sum of the
+     holders' budgets for a destination (quota x limit as each knows it) is never above the largest limit of the last
+     delay + lease. Falls go out at once, small raises with the renewal, at half of the lease.
   4. A destination is of one shard at a time. Where it moves to a shard of its own (isolate) the home shard's holders
-     are told limit 0, and nothing is granted on the new shard while a grant of the home shard without that limit may be
+     are sent limit 0, and nothing is granted on the new shard while a grant of the home shard without that limit may be
      in use. Where it moves back (merge) the home shard's limit stays 0 until nothing of the other may be in use.
-  5. After a start nothing is granted for delay + lease, as an earlier service may have granted all of it.
-  6. Every live holder with a target has its share in the end.
+  5. After a start there is a grace period of delay + lease in which nothing is granted, as an earlier service may have
+     granted all of it.
+  6. Every live holder with a target has its quota in the end.
 
-Work is done for shards with news, or whose renewal or end is due (a heap); limits cost by their changes.
+Work is done for shards that changed, or whose renewal or end has come (a heap); limits cost by their changes.
 
 Reference: Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache consistency"
 (SOSP 1989).
@@ -41,15 +42,22 @@
 from scalefall.assignment.isolation_transitions import IsolationState, IsolationTransitions
 from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, ShardGrant
 from scalefall.assignment.shard_record import NEVER, HolderLease, SentGrant, ShardRecord
-from scalefall.assignment.shard_records import ShardRecords
+from scalefall.assignment.shard_records import ReleasedShard, ShardRecords
 from scalefall.errors import AssignmentError
 from scalefall.net.checks import check
 
 
 class ShardLedger:
-    """All grants of one control service. `turn` gives the grants to be sent; nothing else makes any."""
+    """All grants of one control service. `step` returns the grants to be sent; nothing else makes any."""
 
     def __init__(self, now: int, lease_us: int, delay_us: int) -> None:
+        """Start without shards, in a grace period.
+
+        Args:
+            now: The time, in microseconds as all others.
+            lease_us: How long a grant may be used after it arrived.
+            delay_us: The longest that a message may be under way.
+        """
         self._lease, self._delay = lease_us, delay_us
         self._renewal = lease_us // 2
         self._grace_until = now + lease_us + delay_us
@@ -60,7 +68,7 @@
 
     @property
     def number(self) -> int:
-        """The highest number that was given."""
+        """The highest number of a grant that was made."""
         return self._number
 
     @property
@@ -69,85 +77,102 @@
         return self._grace_until
 
     def resume(self, number: int) -> None:
-        """Numbers go on above the highest that an earlier service may have given."""
+        """Number grants above the highest that an earlier service may have made."""
         self._number = max(self._number, number)
 
     def step_down(self) -> None:
-        """Another service grants; nothing goes out from here until begin()."""
+        """Grant nothing until start_grace_period(), as another service grants."""
         self._grace_until = NEVER
 
     def start_grace_period(self, now: int) -> None:
-        """Another service may have granted until now: nothing goes out until that must have run out."""
+        """Grant nothing until what another service may have granted before now has run out."""
         self._grace_until = now + self._lease + self._delay
 
     # -- holders
 
     def holder_joined(self, holder: str) -> None:
-        """A holder can be heard, for the first time or again."""
+        """Record that a holder can be heard, for the first time or again."""
         self._live.add(holder)
         self._records.mark_changed(*self._records.shards_of(holder))
 
     def holder_lost(self, holder: str) -> None:
-        """It cannot be heard any more. What it was granted counts on until it has run out."""
+        """Record that a holder cannot be heard any more. What it was granted counts on until it has run out."""
         self._live.discard(holder)
         self._records.mark_changed(*self._records.shards_of(holder))
 
     def knows(self, holder: str) -> bool:
-        """Whether it can be heard, has a target, or may use something."""
+        """Return whether a holder can be heard, has a target, or may use something."""
         return holder in self._live or self._records.is_involved(holder)
 
-    # -- what should be
+    # -- targets
 
     def assign(self, shard: int, quotas: Mapping[str, int]) -> None:
-        """Who should hold which share from now on, of WHOLE; holders that are left out, none."""
+        """Set which quota each holder of a shard should have; holders that are left out, none.
+
+        Raises:
+            AssignmentError: A quota is out of range, a holder is unknown, or the shard's destination is moving back to
+                its home shard.
+        """
+        self._check_quotas(shard, quotas)
+        record = self._records.get(shard)
+        if record is not None and record.draining:
+            raise AssignmentError(f"shard {shard}: its destination is on its way back to its home shard")
+        targets = {holder: quota for holder, quota in quotas.items() if quota}
+        if targets != (record.targets if record else {}):
+            self._records.retarget(self._records.open(shard), targets)
+
+    def _check_quotas(self, shard: int, quotas: Mapping[str, int]) -> None:
         for holder, quota in quotas.items():
             if type(quota) is not int or quota < 0:
                 raise AssignmentError(
-                    f"shard {shard}: the share of {holder} is {quota!r}, not a whole number from 0 on"
+                    f"shard {shard}: the quota of {holder} is {quota!r}, not a whole number from 0 on"
                 )
             if not self.knows(holder):
                 raise AssignmentError(f"shard {shard}: unknown holder {holder}")
         total = sum(quotas.values())
         if total > FULL_QUOTA:
-            raise AssignmentError(f"shard {shard}: the shares add up to {total}, more than {FULL_QUOTA}")
-        record = self._records.get(shard)
-        if record is not None and record.draining:
-            raise AssignmentError(f"shard {shard}: its destination is on its way back to its home shard")
-        targets = {holder: quota for holder, quota in quotas.items() if quota}
-        if targets != (record.targets if record else {}):
-            self._records.retarget(self._records.open(shard), targets)
+            raise AssignmentError(f"shard {shard}: the quotas add up to {total}, more than {FULL_QUOTA}")
 
-    def set_limit(self, destination: int, shard: int, amount: int) -> None:
-        """The destination's allowance now, for all holders of its shard together."""
-        if type(amount) is not int or amount < 0:
+    def set_limit(self, destination: int, shard: int, rate: int) -> None:
+        """Set a destination's limit, for all holders of its shard together.
+
+        Raises:
+            AssignmentError: The rate is not a whole number of 0 or more, or the destination is of another shard.
+        """
+        if type(rate) is not int or rate < 0:
             raise AssignmentError(
-                f"destination {destination}: an allowance of {amount!r} is not a whole number from 0 on"
+                f"destination {destination}: an allowance of {rate!r} is not a whole number from 0 on"
             )
-        self._isolations.set_limit(destination, shard, min(amount, UNLIMITED))
+        self._isolations.set_limit(destination, shard, min(rate, UNLIMITED))
 
-    def isolate(self, destination: int, old_shard: int, new_shard: int) -> None:
-        """From now on its budget is the new shard's; nothing is granted there until the old one's holders know."""
-        self._isolations.isolate(destination, old_shard, new_shard)
+    def isolate(self, destination: int, home_shard: int, own_shard: int) -> None:
+        """Begin to move a destination to a shard of its own; see IsolationTransitions.isolate."""
+        self._isolations.isolate(destination, home_shard, own_shard)
 
     def merge(self, destination: int) -> None:
-        """Its own shard is withdrawn; its budget is the home shard's again when nothing of it may be in use."""
+        """Begin to move a destination back to its home shard; see IsolationTransitions.merge."""
         self._isolations.merge(destination)
 
     def isolation(self, destination: int) -> IsolationState | None:
-        """How far the destination is on its way to a shard of its own, or back."""
+        """Return how far the destination is on its way to a shard of its own, or back."""
         return self._isolations.state(destination)
 
     def is_free(self, shard: int) -> bool:
-        """Whether nothing is known of a shard, so that a destination may be isolated to it."""
+        """Return whether nothing is known of a shard, so that a destination may be isolated to it."""
         return self._records.is_free(shard)
 
-    # -- what follows
+    # -- grants
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
-        """The holder has had the grant of this number. A number that is unknown here, or out of use, says nothing:
-        False."""
+        """Record that a holder has received the grant of this number.
+
+        Returns:
+            False if nothing follows: the number is unknown here, or out of use.
+        """
         record = self._records.get(shard)
-        lease = record.leases.get(holder) if record else None
+        if record is None:
+            return False
+        lease = record.leases.get(holder)
         if lease is None:
             return False
         before = lease.in_use(now)
@@ -159,7 +184,7 @@
         return True
 
     def step(self, now: int) -> list[ShardGrant]:
-        """The grants to send now. To be called after news, and at next_turn() if there are none."""
+        """Return the grants to send now; to be called after changes, and at next_deadline() if there are none."""
         if now < self._grace_until:
             return []
         self._isolations.finish(now)
@@ -169,12 +194,12 @@
             record.forget_limits()
             for holder, quota in record.decide_grants(now, self._live, self._renewal):
                 grants.append(self._grant(record, holder, quota, now))
-            check(record.in_use(now) <= FULL_QUOTA, "shares in use add up to no more than the whole")
+            check(record.in_use(now) <= FULL_QUOTA, "quotas in use add up to no more than the full quota")
             self._records.schedule(record, record.next_evaluation(now, self._live, self._renewal))
         return grants
 
     def next_deadline(self, now: int) -> int:
-        """When turn() is due if no news come before."""
+        """Return when step() is to be called if nothing changes before."""
         if now < self._grace_until:
             return self._grace_until
         return min(self._records.next_evaluation(now), now + self._lease)
@@ -200,15 +225,15 @@
     # -- what may be in use
 
     def in_use(self, shard: int, now: int) -> int:
-        """The share that all holders together may use at the most, by what the service knows."""
+        """Return the quota that all holders together may use at the most, by what the service knows."""
         record = self._records.get(shard)
         return record.in_use(now) if record else 0
 
     def users(self, shard: int) -> tuple[str, ...]:
-        """The holders that may use something of a shard, as of the last turn."""
+        """Return the holders that may use something of a shard, as of the last step."""
         record = self._records.get(shard)
         return tuple(record.leases) if record else ()
 
-    def drain_released(self) -> list[tuple[str, int]]:
-        """The holders that may use nothing more of a shard, with that shard, since the last call."""
+    def drain_released(self) -> list[ReleasedShard]:
+        """Return which holders may use nothing more of which shard, since the last call."""
         return self._records.drain_released()
--- a/scalefall/assignment/limit_log.py
+++ b/scalefall/assignment/limit_log.py
@@ -1,44 +1,51 @@
-"""The limits of one shard's destinations, as a log: what a holder is told is all that changed since it acknowledged.
+"""The rate limits of one shard's destinations, as a log of changes.
 
-Only destinations whose allowance is not UNLIMITED have a row, and one that has become UNLIMITED keeps its row until
-every holder knows. Each change has the next version; rows are in the order of their versions, so the changes since a
-version are read from the end and cost no more than their count.
+A grant carries every limit that changed since its holder last acknowledged one. Only destinations whose limit is not
+UNLIMITED have a row, and one that has become UNLIMITED keeps its row until every holder knows. Each change has the next
+version; rows are in the order of their versions, so the changes since a version are read from the end and cost no more
+than their count. Rates are in milli-calls per second.
 """
 
 from __future__ import annotations
 
-from scalefall.assignment.model import UNLIMITED
+from scalefall.assignment.model import UNLIMITED, DestinationLimit
 
 SMALL_RAISE = 1.1  # a raise up to this factor is worth no message of its own and waits for the renewal
 
 
 class LimitLog:
-    """Allowances in thousandths of a call a second, by destination."""
+    """The limits of one shard's destinations, each with the version of its last change."""
 
     __slots__ = ("_rows", "_unlimited", "urgent_version", "version")
 
     def __init__(self) -> None:
+        """Start with every destination UNLIMITED, at version 0."""
         self.version = 0  # of the latest change
-        self.urgent_version = 0  # of the latest change that is told at once: a fall, or a raise that is not small
-        self._rows: dict[int, tuple[int, int]] = {}  # destination -> (version, amount), in the order of versions
+        self.urgent_version = 0  # of the latest change that is sent at once: a fall, or a raise that is not small
+        self._rows: dict[int, tuple[int, DestinationLimit]] = {}  # by destination, with the version, in its order
         self._unlimited: dict[int, int] = {}  # destinations that are UNLIMITED again -> version
 
     def __len__(self) -> int:
+        """Return the number of destinations that have a row."""
         return len(self._rows)
 
     def rate(self, destination: int) -> int:
-        """The allowance now."""
+        """Return the destination's present limit."""
         row = self._rows.get(destination)
-        return row[1] if row else UNLIMITED
+        return row[1].rate if row else UNLIMITED
 
     def set(self, destination: int, rate: int) -> bool:
-        """Take on a new allowance. Whether it is to be told at once."""
+        """Record a destination's new limit.
+
+        Returns:
+            Whether holders are to be sent it at once.
+        """
         before = self.rate(destination)
         if rate == before:
             return False
         self.version += 1
-        self._rows.pop(destination, None)
-        self._rows[destination] = (self.version, rate)
+        self._rows.pop(destination, None)  # a changed row goes to the end, which keeps the order of versions
+        self._rows[destination] = (self.version, DestinationLimit(destination, rate))
         if rate >= UNLIMITED:
             self._unlimited[destination] = self.version
         else:
@@ -48,19 +55,19 @@
         self.urgent_version = self.version
         return True
 
-    def changed_since(self, version: int) -> tuple[tuple[int, int], ...]:
-        """Every destination whose allowance changed after a version, with its allowance now."""
+    def changed_since(self, version: int) -> tuple[DestinationLimit, ...]:
+        """Return the present limit of each destination that changed after a version, the latest change first."""
         if version >= self.version:
             return ()
         found = []
-        for destination, (changed, rate) in reversed(self._rows.items()):
+        for changed, limit in reversed(self._rows.values()):
             if changed <= version:
                 break
-            found.append((destination, rate))
+            found.append(limit)
         return tuple(found)
 
     def forget(self, version: int) -> None:
-        """Every holder knows the log up to this version: rows that only say UNLIMITED are needed no more."""
+        """Drop rows that only say UNLIMITED, once every holder has acknowledged the log up to this version."""
         known = [destination for destination, changed in self._unlimited.items() if changed <= version]
         for destination in known:
             del self._unlimited[destination]
--- a/scalefall/assignment/load_means.py
+++ b/scalefall/assignment/load_means.py
@@ -1,9 +1,9 @@
 """Measured load by destination as a decaying mean; memory goes with the destinations that have traffic.
 
-A report says calls a second for each destination with traffic; one that it leaves out had none. The mean at a time is
-the average of the reports, each weighed by its span of time and by exp(-age / AVERAGED_US). All decay alike, so one
+A report says calls per second for each destination with traffic; one that it leaves out had none. The mean at a time is
+the average of the reports, each weighed by its span of time and by exp(-age / AVERAGING_US). All decay alike, so one
 common factor stands for the decay and a report costs its own rows only ("forward decay": Cormode, Shkapenyuk,
-Srivastava and Xu, ICDE 2009).
+Srivastava and Xu, ICDE 2009). Times are microseconds.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from scalefall.errors import AssignmentError
 
 AVERAGING_US = 300_000_000  # ten placements at their usual interval: bursts of half a minute move next to nothing
-IDLE_BELOW = 0.001  # calls a second: a mean below it is idle, and forgotten
+IDLE_BELOW = 0.001  # calls per second: a destination with a lower mean is idle, and forgotten
 MAX_DESTINATIONS = 1_000_000  # more than twice those of the size aimed at; more are not recorded until some are idle
 RESCALE_BELOW = 1e-100  # the factor is folded into the values before it runs out of a float's range
 
 
-def _is_load(load: object) -> bool:
+def _is_load(load: float) -> bool:
     try:
         return isinstance(load, int | float) and isfinite(load) and load >= 0
     except OverflowError:  # an int beyond any float
@@ -27,22 +27,35 @@
 
 
 class LoadMeans:
-    """Calls a second by destination, averaged over about AVERAGED_US."""
+    """Calls per second by destination, averaged over about AVERAGING_US."""
 
     def __init__(self) -> None:
+        """Start without any report."""
         self._values: dict[int, float] = {}  # mean / factor
         self._factor = 1.0
-        self._at: int | None = None  # of the last report
-        self.since: int | None = None  # of the first report
-        self.unrecorded = 0  # destinations not recorded, as there were too many
+        self._reported_at: int | None = None  # the last report
+        self.since: int | None = None  # the time of the first report
+        self.unrecorded = 0  # loads of destinations not recorded, as there were too many
+
+    def __len__(self) -> int:
+        """Return the number of destinations that are remembered."""
+        return len(self._values)
 
     def report(self, loads: Mapping[int, float], now: int) -> None:
-        """Take on a report on all destinations with traffic."""
+        """Record one report on all destinations with traffic.
+
+        Args:
+            loads: Calls per second by destination.
+            now: When the report was made, in microseconds.
+
+        Raises:
+            AssignmentError: A load is not a finite number of 0 or more; nothing of the report is recorded.
+        """
         for destination, load in loads.items():
             if not _is_load(load):
                 raise AssignmentError(f"destination {destination}: a load of {load!r} calls a second")
-        decay = 0.0 if self._at is None else exp(-max(0, now - self._at) / AVERAGING_US)
-        self._at = now
+        decay = 0.0 if self._reported_at is None else exp(-max(0, now - self._reported_at) / AVERAGING_US)
+        self._reported_at = now
         self.since = now if self.since is None else self.since
         self._apply_decay(decay)
         weight = (1 - decay) / self._factor
@@ -55,17 +68,14 @@
                 self.unrecorded += 1
 
     def means(self, now: int) -> dict[int, float]:
-        """The mean of each destination that is not idle; idle ones are forgotten."""
+        """Return the mean in calls per second of each destination that is not idle; idle ones are forgotten."""
         factor = self._factor
-        if self._at is not None:
-            factor *= exp(-max(0, now - self._at) / AVERAGING_US)
+        if self._reported_at is not None:
+            factor *= exp(-max(0, now - self._reported_at) / AVERAGING_US)
         least = IDLE_BELOW / factor if factor else 0.0
         self._values = {destination: value for destination, value in self._values.items() if value >= least}
         return {destination: value * factor for destination, value in self._values.items()}
 
-    def __len__(self) -> int:
-        return len(self._values)
-
     def _apply_decay(self, decay: float) -> None:
         self._factor *= decay
         if self._factor < RESCALE_BELOW:
--- a/scalefall/assignment/node_loads.py
+++ b/scalefall/assignment/node_loads.py
@@ -2,64 +2,82 @@
 
 Nodes and zones are numbers here: nodes by ascending name, so that a placement does not depend on the order in which its
 caller lists them. Loads are whole numbers, so that sums are exact whatever their order. Each zone has a heap; an entry
-that no longer tells its node's load is stale, and is dropped when it comes up.
+that no longer says its node's load is stale, and is dropped when it comes up.
 """
 
 from __future__ import annotations
 
 from collections.abc import Container, Sequence
 from heapq import heapify, heappop, heappush
+from itertools import pairwise
 
 from scalefall.assignment.model import Node
 from scalefall.errors import AssignmentError
 
 
 class NodeLoads:
-    """Nodes by number, their zones, and their loads."""
+    """Nodes by number, their zones, and their loads.
+
+    Attributes:
+        names: Each node's name, by its number.
+        numbers: Each node's number, by its name.
+        load: Each node's load, by its number. Before `build_heaps` it is added to directly, afterwards by `add_load`.
+        region: Each node's region, by its number.
+        zone: The number of each node's zone, by the node's number.
+    """
 
     def __init__(self, nodes: Sequence[Node]) -> None:
+        """Number the nodes; none has a load yet.
+
+        Raises:
+            AssignmentError: Two nodes have one name.
+        """
         ordered = sorted(nodes, key=lambda node: node.name)
         self.names = [node.name for node in ordered]
-        for one, other in zip(self.names, self.names[1:]):
-            if one == other:
-                raise AssignmentError(f"node {one} is named twice")
-        self.number = {name: number for number, name in enumerate(self.names)}
+        for name, following in pairwise(self.names):
+            if name == following:
+                raise AssignmentError(f"node {name} is named twice")
+        self.numbers = {name: number for number, name in enumerate(self.names)}
         self.load = [0] * len(ordered)
         self.region = [node.region for node in ordered]
         places = sorted({(node.region, node.zone) for node in ordered})
         zone_numbers = {place: zone for zone, place in enumerate(places)}
         self.zone = [zone_numbers[node.region, node.zone] for node in ordered]
-        self._zones: dict[str, list[int]] = {}
+        self._zones: dict[str, list[int]] = {}  # of each region
         for (region, _), zone in zone_numbers.items():
             self._zones.setdefault(region, []).append(zone)
         self._all_zones = list(zone_numbers.values())
-        self._heaps: list[list[tuple[int, int]]] = [[] for _ in places]
+        self._heaps: list[list[tuple[int, int]]] = [[] for _ in places]  # (load, node), by zone
 
-    def start(self) -> None:
+    def build_heaps(self) -> None:
         """Build the heaps, after the loads of what stays have been added up."""
         for number, zone in enumerate(self.zone):
             self._heaps[zone].append((self.load[number], number))
         for heap in self._heaps:
             heapify(heap)
 
-    def change(self, node: int, by: int) -> None:
-        """Add to a node's load (after start)."""
-        load = self.load[node] + by
+    def add_load(self, node: int, change: int) -> None:
+        """Add to a node's load, or subtract from it; only after `build_heaps`."""
+        load = self.load[node] + change
         self.load[node] = load
         heappush(self._heaps[self.zone[node]], (load, node))
 
     def tiers(self, region: str | None) -> list[list[int]]:
-        """The zones to look in, first those of the region, then all others; all at once without a known region."""
+        """Return the zones to search, in order of preference.
+
+        Those of the region come first, then all others; without a known region all are of one tier.
+        """
         own = self._zones.get(region) if region is not None else None
         if own is None:
             return [self._all_zones]
         return [own, [zone for zone in self._all_zones if zone not in own]]
 
     def regions(self) -> list[str]:
+        """Return the regions in which there is a node."""
         return list(self._zones)
 
     def least_loaded(self, zone: int, excluded: Container[int] = ()) -> int | None:
-        """The least loaded node of a zone, by name among equals; None if all are excluded."""
+        """Return the least loaded node of a zone, the first by name among equals; None if all are excluded."""
         heap, load = self._heaps[zone], self.load
         set_aside = []
         found = None
@@ -77,6 +95,6 @@
         return found
 
     def least_loaded_of_each(self, zones: Sequence[int], excluded: Container[int] = ()) -> list[int]:
-        """The least loaded node of each zone that has one left."""
+        """Return the least loaded node of each zone that has one left."""
         found = (self.least_loaded(zone, excluded) for zone in zones)
         return [node for node in found if node is not None]
--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -5,12 +5,13 @@
 Pure: the present table, the measured loads and the nodes in, the next table out; the same input gives the same table,
 in whatever order the nodes are listed, and the next table placed again gives itself.
 
-1. A holder that is still a node stays. A shard above `Limits.replica_load` gets that many more holders, at once; it
-   gives holders back only when three quarters of them would do, so that noise in a load does not move it to and fro.
-2. What lacks a holder is placed, the heaviest first, on the least loaded node with room: of the region of the shard's
-   other holders, or of the lost one; of another region only where that one has no node left (or too few). Holders of
-   one shard are on different nodes, and in different zones where a node with room allows.
-3. Nodes above `bound` times the mean give shards away; nodes below the mean over `bound` (new ones) take some
+1. A holder that is still a node stays. A shard above `PlacementLimits.replica_load` gets that many more holders, at
+   once; it gives holders back only when three quarters of them would do, so that noise in a load does not move it to
+   and fro.
+2. What lacks a holder is placed, the heaviest first, on the least loaded node with spare capacity: of the region of the
+   shard's other holders, or of the lost one; of another region only where that one has no node left (or too few).
+   Holders of one shard are on different nodes, and in different zones where a node with spare capacity allows.
+3. Nodes above `bound` times the mean give shards away; nodes below the mean over `bound` (new ones) get some
    (`rebalance`). Nothing else moves. Balance comes before region: a region that lost so much that all its nodes are
    above the bound passes the excess to the other.
 
@@ -31,7 +32,7 @@
 from scalefall.assignment.working_table import WorkingTable
 from scalefall.errors import AssignmentError
 
-Table = dict[int, tuple[str, ...]]  # shard -> node names that hold it, in order
+Table = dict[int, tuple[str, ...]]  # shard -> names of the nodes that hold it, in order
 
 WEIGHT_UNIT = 2**40  # the heaviest shard's load as a whole number: sums are exact, and the smallest differences count
 IDLE_FRACTION = 1 / 16  # of the mean shard's load: what an unmeasured shard counts; sixteen of them weigh as one
@@ -40,13 +41,22 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementLimits:
-    """bound: most load of a node over the mean. replica_load: a shard above it gets ceil(load / replica_load) nodes;
-    0: never more than one."""
+    """How uneven a placement may be.
+
+    Attributes:
+        bound: The most that a node may carry, as a multiple of the mean; 1 or more.
+        replica_load: A shard above this load has ceil(load / replica_load) holders, in the unit of the measured loads;
+            0: every shard has one.
+
+    Raises:
+        AssignmentError: A limit is outside its range.
+    """
 
     bound: float = 1.25
     replica_load: float = 0
 
     def __post_init__(self) -> None:
+        """Check the ranges."""
         if not 1 <= self.bound < inf:
             raise AssignmentError(f"the bound of a node's load over the mean has to be at least 1, not {self.bound}")
         if not 0 <= self.replica_load < inf:
@@ -55,9 +65,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """The next table. moved: shards whose set of nodes changed, those that are gone (not in the table) among them.
-    forced: those of them that could not stay: new, gone, a holder lost, or another number of holders.
-    load_ratio: the most loaded node over the mean, 0 without nodes."""
+    """The next table, and how it differs from the present one.
+
+    Attributes:
+        table: The nodes that hold each shard.
+        moved: Shards whose set of nodes changed, those that were removed (not in the table) among them.
+        forced: Those of them that could not stay: new, removed, a holder lost, or another number of holders.
+        load_ratio: The most loaded node over the mean, 0 without nodes.
+    """
 
     table: Table
     moved: frozenset[int]
@@ -74,12 +89,19 @@
     may_move: bool = True,
     former_nodes: Iterable[Node] = (),
 ) -> Plan:
-    """The next table for these shards on these nodes.
-
-    loads are measured, in any one unit, and above 0; a shard that had none is left out. A holder in the table that is
-    not among the nodes counts as lost; `former` tells where such nodes stood (one told nowhere has no region, and its
-    shards go to any). may_move=False only places what lacks a holder. Raises AssignmentError for a node named twice or
-    a load that is no number above 0.
+    """Return the next table for these shards on these nodes.
+
+    Args:
+        table: The present table. A holder that is not among the nodes counts as lost.
+        loads: Measured loads by shard in any one unit, above 0; a shard that had none is left out.
+        nodes: The nodes that may hold shards.
+        limits: How uneven the placement may be.
+        shards: All shards of the next table.
+        may_move: Whether shards that have their holders may move for balance.
+        former_nodes: Where nodes stood that are lost; the shards of one not among them go to any region.
+
+    Raises:
+        AssignmentError: A node is named twice, or a load is not a finite number above 0.
     """
     _check_loads(loads)
     node_loads = NodeLoads(nodes)
@@ -98,7 +120,7 @@
             shard: max(count, _surviving_holders(table, shard, node_loads)) for shard, count in holder_counts.items()
         }
     lacking = _retain_holders(working, table, weights, holder_counts)
-    node_loads.start()
+    node_loads.build_heaps()
     _place_lacking(working, table, lacking, holder_counts, {node.name: node.region for node in former_nodes})
     if may_move:
         rebalance(working)
@@ -112,7 +134,7 @@
 
 
 def _weights(loads: Mapping[int, float], shards: Sequence[int]) -> dict[int, int]:
-    """Each shard's load as a whole number, the heaviest about UNIT."""
+    """Each shard's load as a whole number, the heaviest about WEIGHT_UNIT."""
     measured = [load for shard in shards if (load := loads.get(shard)) is not None]
     if not measured:
         return dict.fromkeys(shards, WEIGHT_UNIT)
@@ -138,14 +160,15 @@
 
 
 def _surviving_holders(table: Table, shard: int, loads: NodeLoads) -> int:
-    return len({name for name in table.get(shard, ()) if name in loads.number})
+    """How many of a shard's holders are still nodes."""
+    return len({name for name in table.get(shard, ()) if name in loads.numbers})
 
 
 def _retain_holders(
     working: WorkingTable, table: Table, weights: dict[int, int], holder_counts: dict[int, int]
 ) -> list[int]:
-    """Enter what stays; the shards that lack holders."""
-    numbers = working.loads.number
+    """Enter the holders that stay into the working table; the shards that lack holders."""
+    numbers = working.loads.numbers
     lacking = []
     for shard, weight in weights.items():
         count = holder_counts[shard]
@@ -160,12 +183,12 @@
 
 def _reduce_holders(loads: NodeLoads, holders: list[int], count: int) -> list[int]:
     """The holders that stay when there are too many: from the zone that has the most, the last goes first."""
-    left = list(holders)
-    zones = Counter(loads.zone[node] for node in left)
-    while len(left) > count:
-        last = max(range(len(left)), key=lambda position: (zones[loads.zone[left[position]]], position))
-        zones[loads.zone[left.pop(last)]] -= 1
-    return left
+    remaining = list(holders)
+    zones = Counter(loads.zone[node] for node in remaining)
+    while len(remaining) > count:
+        last = max(range(len(remaining)), key=lambda position: (zones[loads.zone[remaining[position]]], position))
+        zones[loads.zone[remaining.pop(last)]] -= 1
+    return remaining
 
 
 def _place_lacking(
@@ -173,15 +196,16 @@
     table: Table,
     lacking: list[int],
     holder_counts: dict[int, int],
-    former_nodes: Mapping[str, str],
+    former_regions: Mapping[str, str],
 ) -> None:
+    """Give each shard that lacks holders as many as it should have, the heaviest first."""
     lacking.sort(key=lambda shard: (-working.holder_load[shard], shard))
     for shard in lacking:
         region = working.region_of(shard)
         if region is None:
-            region = next((former_nodes[name] for name in table.get(shard, ()) if name in former_nodes), None)
+            region = next((former_regions[name] for name in table.get(shard, ()) if name in former_regions), None)
         tiers = working.loads.tiers(region)
-        zones = working.by_zone(shard)
+        zones = working.holders_by_zone(shard)
         while len(working.holders[shard]) < holder_counts[shard]:
             node = _choose(working, shard, tiers, zones)
             working.add_holder(shard, node)
@@ -189,7 +213,11 @@
 
 
 def _choose(working: WorkingTable, shard: int, tiers: list[list[int]], zones: Mapping[int, int]) -> int:
-    """The node for one more holder: in the first tier with one left, with room, in the zone with the fewest holders."""
+    """The node for one more holder.
+
+    It is of the first tier with a node left; there with spare capacity if any has it, in the zone with the fewest
+    holders of the shard.
+    """
     loads, max_present_load = working.loads, working.cap - working.holder_load[shard]
     holders = set(working.holders[shard])
     for tier in tiers:
@@ -203,6 +231,7 @@
 
 
 def _plan(working: WorkingTable, before: Table, holder_counts: dict[int, int], mean: float) -> Plan:
+    """The working table by names, compared with the one before."""
     names = working.loads.names
     after = {shard: tuple([names[node] for node in holders]) for shard, holders in working.holders.items()}
     moved, forced = set(), set()
@@ -211,7 +240,7 @@
         if old == holders or set(old) == set(holders):
             continue
         moved.add(shard)
-        if len(old) != holder_counts[shard] or any(name not in working.loads.number for name in old):
+        if len(old) != holder_counts[shard] or any(name not in working.loads.numbers for name in old):
             forced.add(shard)
     removed = {shard for shard, holders in before.items() if holders and shard not in after}
     ratio = max(working.loads.load) / mean if mean else 0.0
--- a/scalefall/assignment/rebalance.py
+++ b/scalefall/assignment/rebalance.py
@@ -4,14 +4,15 @@
 -------------------
 Three steps are repeated until none of them finds a move, so a second run on the same input finds none either:
 
-spread  a shard with two holders in one zone, while a zone of the region has none, has one of the two moved there;
-shed    a node above the cap gives shards away, to the least loaded node of its region that stays within the cap, else
-        of another region, else to any node that ends up below where the giver was;
-fill    a node below the floor (a new one) takes shards from the most loaded nodes of its region, else of another; the
-        giver stays above the floor, the taker below the cap.
-
-Each move either spreads the holders of a shard over more zones, or keeps that spread and makes the larger of the two
-nodes' loads smaller; so the steps end. A shard is chosen by size: the smallest one that is enough, else the largest.
+spread   a shard with two holders in one zone, while a zone of the region has none, has one of the two moved there;
+offload  a node above the cap gives shards away, to the least loaded node of its region that stays within the cap, else
+         of another region, else to any node that ends up below where the donor was;
+fill     a node below the floor (a new one) gets shards from the most loaded nodes of its region, else of another; the
+         donor stays above the floor, the receiver below the cap.
+
+Each move either spreads the holders of a shard over more zones, or leaves that spread as it is and makes the larger of
+the two nodes' loads smaller; so the steps end. A shard is chosen by size: the smallest one that is enough, else the
+largest.
 """
 
 from __future__ import annotations
@@ -24,12 +25,13 @@
 
 def rebalance(table: WorkingTable) -> None:
     """Bring nodes within floor and cap as far as moves of whole shards can."""
-    several = sorted(shard for shard, holders in table.holders.items() if len(holders) > 1)
-    while _spread(table, several) + _offload(table) + _fill(table):
+    replicated = sorted(shard for shard, holders in table.holders.items() if len(holders) > 1)
+    while _spread(table, replicated) + _offload(table) + _fill(table):
         pass
 
 
 def _spread(table: WorkingTable, shards: list[int]) -> int:
+    """Spread these shards over zones; the number of moves."""
     moves = 0
     for shard in shards:
         while _spread_one(table, shard):
@@ -38,14 +40,14 @@
 
 
 def _spread_one(table: WorkingTable, shard: int) -> bool:
-    """Move one holder out of a zone with several, into one of its region that has none and a node with room."""
-    loads, counts = table.loads, table.by_zone(shard)
+    """Move one holder from a zone with several into one of its region without any, to a node with spare capacity."""
+    loads, counts = table.loads, table.holders_by_zone(shard)
     crowded = [node for node in table.holders[shard] if counts[loads.zone[node]] > 1]
     if not crowded:
         return False
-    empty = [zone for zone in loads.tiers(table.region_of(shard))[0] if not counts[zone]]
+    empty_zones = [zone for zone in loads.tiers(table.region_of(shard))[0] if not counts[zone]]
     max_present_load = table.cap - table.holder_load[shard]
-    targets = [node for node in loads.least_loaded_of_each(empty) if loads.load[node] <= max_present_load]
+    targets = [node for node in loads.least_loaded_of_each(empty_zones) if loads.load[node] <= max_present_load]
     if not targets:
         return False
     source = max(crowded, key=lambda node: (counts[loads.zone[node]], loads.load[node], node))
@@ -54,26 +56,27 @@
 
 
 def _offload(table: WorkingTable) -> int:
+    """Move shards off the nodes above the cap, the most loaded first; the number of moves."""
     load = table.loads.load
-    over = [(-load[node], node) for node in range(len(load)) if load[node] > table.cap]
-    heapify(over)
+    overloaded = [(-load[node], node) for node in range(len(load)) if load[node] > table.cap]
+    heapify(overloaded)
     moves = 0
-    while over:
-        before, source = heappop(over)
-        if -before != load[source]:
-            continue  # it took a shard since; there is an entry of its new load
+    while overloaded:
+        negative_load, source = heappop(overloaded)
+        if -negative_load != load[source]:
+            continue  # it got a shard since; there is an entry of its new load
         while load[source] > table.cap:
             target = _offload_one(table, source)
             if target is None:
                 break
             moves += 1
             if load[target] > table.cap:
-                heappush(over, (-load[target], target))
+                heappush(overloaded, (-load[target], target))
     return moves
 
 
 def _offload_one(table: WorkingTable, source: int) -> int | None:
-    """Move one shard off an overloaded node; the node that took it."""
+    """Move one shard off an overloaded node; the node that got it."""
     load, excess = table.loads.load, table.loads.load[source] - table.cap
     targets = list(_targets(table, source))
     for target in targets:
@@ -97,7 +100,7 @@
 
 
 class _Donors:
-    """The most loaded nodes of each region."""
+    """The most loaded nodes of each region, from which others are filled."""
 
     def __init__(self, table: WorkingTable) -> None:
         self._table = table
@@ -107,21 +110,21 @@
         for heap in self._heaps.values():
             heapify(heap)
 
-    def fill(self, target: int) -> bool:
+    def give_one(self, target: int) -> bool:
         """Move one shard to the target from the most loaded node that can give one, of its own region first."""
         loads = self._table.loads
         own = loads.region[target]
         regions = [own, *(region for region in self._heaps if region != own)]
-        return any(self._fill_from(self._heaps[region], target) for region in regions)
+        return any(self._give_one_from(self._heaps[region], target) for region in regions)
 
-    def _fill_from(self, heap: list[tuple[int, int]], target: int) -> bool:
+    def _give_one_from(self, heap: list[tuple[int, int]], target: int) -> bool:
         table, load = self._table, self._table.loads.load
         set_aside = []
         found = False
         while heap and not found:
-            before, source = heappop(heap)
-            if -before != load[source]:
-                heappush(heap, (-load[source], source))
+            negative_load, source = heappop(heap)
+            if -negative_load != load[source]:
+                heappush(heap, (-load[source], source))  # the entry was stale: its node comes up again by its load
                 continue
             set_aside.append(source)
             if load[source] <= max(table.floor, load[target]):
@@ -135,24 +138,25 @@
 def _fill(table: WorkingTable) -> int:
     """Shards for the nodes below the floor, the emptiest first; ends with the first for which there is no shard."""
     load = table.loads.load
-    under = [(load[node], node) for node in range(len(load)) if load[node] < table.floor]
-    if not under:
+    underloaded = [(load[node], node) for node in range(len(load)) if load[node] < table.floor]
+    if not underloaded:
         return 0
-    heapify(under)
+    heapify(underloaded)
     donors = _Donors(table)
     moves = 0
-    while under:
-        _, target = under[0]
-        if not donors.fill(target):
+    while underloaded:
+        _, target = underloaded[0]
+        if not donors.give_one(target):
             break
         moves += 1
-        heappop(under)
+        heappop(underloaded)
         if load[target] < table.floor:
-            heappush(under, (load[target], target))
+            heappush(underloaded, (load[target], target))
     return moves
 
 
 def _fill_one(table: WorkingTable, source: int, target: int) -> bool:
+    """Move one shard from the source to the target, if that leaves both within the bounds."""
     load = table.loads.load
     max_load = min(load[source] - table.floor, table.cap - load[target], load[source] - load[target] - 1)
     shard = table.pick_shard(source, target, table.floor - load[target], max_load)
--- a/scalefall/assignment/sharding.py
+++ b/scalefall/assignment/sharding.py
@@ -15,11 +15,14 @@
 
 MAX_SHARDS = 1_048_576  # 2**20, shared and isolated: about 100 bytes each keeps control's table near 100 MB
 MAX_DESTINATION = 10**9  # destinations are numbered 0 to this
-UINT64_MASK = 2**64 - 1
+UINT64_MASK = 2**64 - 1  # the hash is defined on unsigned 64-bit integers
 
 
 def mix(value: int) -> int:
-    """The finaliser of splitmix64: a 64-bit integer in, a well mixed one out."""
+    """Return the finaliser of splitmix64 of a 64-bit integer, which is a well mixed one.
+
+    Source: Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (OOPSLA 2014).
+    """
     value = (value + 0x9E3779B97F4A7C15) & UINT64_MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & UINT64_MASK
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & UINT64_MASK
@@ -27,12 +30,20 @@
 
 
 class Sharding:
-    """How many shared shards there are, and which destinations have one of their own."""
+    """How many shared shards there are, and which destinations have one of their own.
+
+    Attributes:
+        count: The number of shared shards.
+    """
 
-    __slots__ = ("count", "_isolated")
+    __slots__ = ("_isolated", "count")
 
     def __init__(self, count: int, isolated: Mapping[int, int] | None = None) -> None:
-        """count is the number of shared shards; isolated maps a destination to its own shard's number."""
+        """Make a sharding of shared shards, and of isolated destinations with the numbers of their own shards.
+
+        Raises:
+            AssignmentError: A number is out of range, or a shard is given twice.
+        """
         own = dict(isolated or {})
         if count < 1:
             raise AssignmentError(f"a sharding needs at least one shard, not {count}")
@@ -43,7 +54,7 @@
         self._isolated = own
 
     def shard_of(self, destination: int) -> int:
-        """The destination's shard; below `count` unless the destination is isolated."""
+        """Return the destination's shard; below `count` unless the destination is isolated."""
         own = self._isolated.get(destination)
         if own is not None:
             return own
@@ -55,7 +66,11 @@
         return MappingProxyType(self._isolated)
 
     def isolate(self, destination: int) -> Sharding:
-        """The same with a shard for this destination alone: the lowest free number from `count` up."""
+        """Return a sharding with a shard for this destination alone, of the lowest free number from `count` up.
+
+        Raises:
+            AssignmentError: The destination has one already, or there are MAX_SHARDS.
+        """
         if destination in self._isolated:
             raise AssignmentError(f"destination {destination} already has a shard of its own")
         used_numbers = set(self._isolated.values())
@@ -65,21 +80,26 @@
         return Sharding(self.count, {**self._isolated, destination: number})
 
     def merge(self, destination: int) -> Sharding:
-        """The same with this destination back in its shared shard."""
+        """Return a sharding with this destination back in its shared shard.
+
+        Raises:
+            AssignmentError: The destination has no shard of its own.
+        """
         if destination not in self._isolated:
             raise AssignmentError(f"destination {destination} has no shard of its own to merge")
         return Sharding(self.count, {key: own for key, own in self._isolated.items() if key != destination})
 
     def shards(self) -> Iterable[int]:
-        """All shard numbers, ascending."""
+        """Return all shard numbers, ascending."""
         return [*range(self.count), *sorted(self._isolated.values())]
 
     def __eq__(self, other: object) -> bool:
+        """Compare by value."""
         if not isinstance(other, Sharding):
             return NotImplemented
         return self.count == other.count and self._isolated == other._isolated
 
-    __hash__ = None  # type: ignore[assignment]
+    __hash__ = None  # type: ignore[assignment]  # equality compares dicts, and no set of shardings is needed
 
 
 def _check_isolated(count: int, isolated: Mapping[int, int]) -> None:
--- a/scalefall/assignment/snapshot.py
+++ b/scalefall/assignment/snapshot.py
@@ -6,9 +6,9 @@
     {"fingerprint": ..., "generation": ..., "isolated": [[destination, shard], ...], "names": [name, ...],
      "nodes": [[name, region, zone], ...], "table": [[shard, index of a name, ...], ...]}
 
-The second line is JSON without spaces. A text that is not whole, was changed, or belongs to other settings is refused;
-the error is one line that names what is wrong. The checksum guards against damage, not against a forger: a text with a
-right checksum is checked field by field all the same.
+The second line is JSON without spaces. A text that is incomplete, was changed, or belongs to other settings is
+rejected; the error is one line that names what is wrong. The checksum guards against damage, not against a forger: a
+text with a right checksum is checked field by field all the same.
 """
 
 from __future__ import annotations
@@ -17,19 +17,40 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from hashlib import blake2b
-from typing import Any
+from typing import NamedTuple, TypeAlias, TypedDict, cast
 
 from scalefall.assignment.model import Node
 from scalefall.errors import AssignmentError
 
 FORM = "scalefall-assignment"
-VERSION = "1"
+VERSION = "1"  # of the form; another one is rejected
 DIGEST_BYTES = 16  # enough that no damage goes unseen
 
+Json: TypeAlias = None | bool | int | float | str | list["Json"] | dict[str, "Json"]
+Predicate = Callable[[Json], bool]
+
+
+class _Fields(TypedDict):
+    """The second line, checked."""
+
+    fingerprint: str
+    generation: int
+    isolated: list[list[int]]
+    names: list[str]
+    nodes: list[list[str]]
+    table: list[list[int]]
+
 
 @dataclass(slots=True, frozen=True)
 class TableState:
-    """What control keeps of the assignment. nodes tells where the table's nodes stand, for placement's `former`."""
+    """What outlives a control service.
+
+    Attributes:
+        table: The names of the nodes that hold each shard.
+        isolated: Each isolated destination's own shard.
+        generation: Grows with each change of the table or of the isolated destinations.
+        nodes: Where the table's nodes stand, for placement's `former_nodes`.
+    """
 
     table: dict[int, tuple[str, ...]]
     isolated: dict[int, int]
@@ -38,7 +59,12 @@
 
 
 def encode(state: TableState, fingerprint: str) -> str:
-    """The state as text; fingerprint is that of the settings under which its shards mean what they mean."""
+    """Return the state as text.
+
+    Args:
+        state: The state.
+        fingerprint: That of the settings on which the meaning of the shards' numbers depends.
+    """
     names = sorted({name for holders in state.table.values() for name in holders})
     index = {name: number for number, name in enumerate(names)}
     fields = {
@@ -54,17 +80,22 @@
 
 
 def decode(text: str, fingerprint: str) -> TableState:
-    """The state of a text that encode made under the same fingerprint; AssignmentError for any other text."""
-    body = _body(text)
-    fields = _parse(body)
-    _check_fields(fields)
+    """Return the state of a text that encode made under the same fingerprint.
+
+    Raises:
+        AssignmentError: It is any other text.
+    """
+    fields = _checked(_parse(_body(text)))
     if fields["fingerprint"] != fingerprint:
         raise AssignmentError(f"snapshot: of other settings ({fields['fingerprint']!r:.80}, not {fingerprint!r:.80})")
     nodes = tuple(Node(*row) for row in fields["nodes"])
     if len({node.name for node in nodes}) < len(nodes):
         raise AssignmentError("snapshot: nodes: a node is there twice")
     return TableState(
-        _table(fields["table"], fields["names"]), _isolated(fields["isolated"]), fields["generation"], nodes
+        table=_table(fields["table"], fields["names"]),
+        isolated=_isolated(fields["isolated"]),
+        generation=fields["generation"],
+        nodes=nodes,
     )
 
 
@@ -87,14 +118,16 @@
     return lines[1]
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique(pairs: list[tuple[str, Json]]) -> dict[str, Json]:
+    """Make an object of JSON of which no field is there twice."""
     found = dict(pairs)
     if len(found) < len(pairs):
         raise AssignmentError("snapshot: a field is there twice")
     return found
 
 
-def _parse(body: str) -> dict[str, Any]:
+def _parse(body: str) -> dict[str, Json]:
+    """The fields of the second line, unchecked."""
     try:
         fields = json.loads(body, object_pairs_hook=_unique)
     except AssignmentError:
@@ -106,42 +139,52 @@
     return fields
 
 
-def _is_number(value: object) -> bool:
+def _is_number(value: Json) -> bool:
     return type(value) is int and value >= 0
 
 
-def _is_text(value: object) -> bool:
+def _is_text(value: Json) -> bool:
     return isinstance(value, str)
 
 
-def _is_list_of(check: Callable[[object], bool]) -> Callable[[object], bool]:
-    return lambda value: isinstance(value, list) and all(check(entry) for entry in value)
+def _is_list_of(is_entry: Predicate) -> Predicate:
+    return lambda value: isinstance(value, list) and all(is_entry(entry) for entry in value)
+
+
+def _is_row(is_entry: Predicate, min_length: int, max_length: float) -> Predicate:
+    return lambda value: (
+        isinstance(value, list) and all(is_entry(entry) for entry in value) and min_length <= len(value) <= max_length
+    )
+
 
+class FieldCheck(NamedTuple):
+    """What a field of the second line has to be."""
 
-def _is_row(check: Callable[[object], bool], least: int, most: float) -> Callable[[object], bool]:
-    rows = _is_list_of(check)
-    return lambda value: rows(value) and least <= len(value) <= most
+    is_valid: Predicate
+    expected: str  # for the error, after "is not"
 
 
-FIELD_CHECKS: dict[str, tuple[Callable[[object], bool], str]] = {
-    "fingerprint": (_is_text, "a string"),
-    "generation": (_is_number, "a number of 0 or more"),
-    "isolated": (_is_list_of(_is_row(_is_number, 2, 2)), "a list of [destination, shard]"),
-    "names": (_is_list_of(_is_text), "a list of strings"),
-    "nodes": (_is_list_of(_is_row(_is_text, 3, 3)), "a list of [name, region, zone]"),
-    "table": (_is_list_of(_is_row(_is_number, 1, float("inf"))), "a list of [shard, index of a name, ...]"),
+FIELD_CHECKS: dict[str, FieldCheck] = {
+    "fingerprint": FieldCheck(_is_text, "a string"),
+    "generation": FieldCheck(_is_number, "a number of 0 or more"),
+    "isolated": FieldCheck(_is_list_of(_is_row(_is_number, 2, 2)), "a list of [destination, shard]"),
+    "names": FieldCheck(_is_list_of(_is_text), "a list of strings"),
+    "nodes": FieldCheck(_is_list_of(_is_row(_is_text, 3, 3)), "a list of [name, region, zone]"),
+    "table": FieldCheck(_is_list_of(_is_row(_is_number, 1, float("inf"))), "a list of [shard, index of a name, ...]"),
 }
 
 
-def _check_fields(fields: dict[str, Any]) -> None:
-    for name, (is_right, wanted) in FIELD_CHECKS.items():
+def _checked(fields: dict[str, Json]) -> _Fields:
+    """The same fields, once each has been found to be what it has to be, and none is there besides."""
+    for name, field_check in FIELD_CHECKS.items():
         if name not in fields:
             raise AssignmentError(f"snapshot: the field {name} is missing")
-        if not is_right(fields[name]):
-            raise AssignmentError(f"snapshot: the field {name} is not {wanted}")
+        if not field_check.is_valid(fields[name]):
+            raise AssignmentError(f"snapshot: the field {name} is not {field_check.expected}")
     for name in fields:
         if name not in FIELD_CHECKS:
             raise AssignmentError(f"snapshot: unknown field {name!r:.80}")
+    return cast(_Fields, fields)
 
 
 def _table(rows: list[list[int]], names: list[str]) -> dict[int, tuple[str, ...]]:
--- a/scalefall/control/edge/wire.py
+++ b/scalefall/control/edge/wire.py
@@ -15,7 +15,7 @@
 from envoy.type.v3 import ratelimit_strategy_pb2, token_bucket_pb2
 from google.protobuf import wrappers_pb2
 
-from scalefall.assignment.model import FULL_QUOTA, ShardGrant
+from scalefall.assignment.model import FULL_QUOTA, DestinationLimit, ShardGrant
 from scalefall.control.catalog import Resource
 from scalefall.control.edge.resources import duration
 from scalefall.control.grants import CALLS, Grant
@@ -165,7 +165,7 @@
             last = grants[-1] if grants else None
             if last is None or last.shard != shard:
                 raise ValueError(f"an allowance of shard {shard} follows no grant of it")
-            grants[-1] = replace(last, limits=(*last.limits, (int(keys[ROUTE]), amount)))
+            grants[-1] = replace(last, limits=(*last.limits, DestinationLimit(int(keys[ROUTE]), amount)))
             continue
         heard = int(keys[HEARD]) if HEARD in keys else heard
         quota = int(keys.get(SHARE, f"{FULL_QUOTA}")) if amount else 0
--- a/tests/assignment/test_isolation.py
+++ b/tests/assignment/test_isolation.py
@@ -10,30 +10,36 @@
 
 
 def test_heavy_destinations_are_isolated_the_heaviest_first():
+    """Above the threshold, not at it; one that is isolated already is not named again."""
     change = decide({1: 25.0, 2: 25.1, 3: 9_000.0, 4: 26.0}, Sharding(8).isolate(4), 100.0, LowLoadStreaks())
-    assert change.isolate == (3, 2) and change.merge == ()
+    assert change.isolate == (3, 2)
+    assert change.merge == ()
     assert dict(change.apply(Sharding(8).isolate(4)).isolated) == {4: 8, 3: 9, 2: 10}
 
 
-def test_one_is_merged_after_it_was_quiet_for_a_while_without_a_break():
+def test_a_destination_is_merged_after_an_unbroken_streak_of_low_load():
+    """One decision at or above the threshold begins the count anew."""
     sharding, low_load_streaks = Sharding(8).isolate(4).isolate(5), LowLoadStreaks()
     for _ in range(MERGE_AFTER_DECISIONS - 1):
         change = decide({5: 13.0}, sharding, 100.0, low_load_streaks)  # 5 is above half of the limit, 4 is not measured
         low_load_streaks = change.low_load_streaks
         assert change.merge == ()
-    assert decide({4: 12.6}, sharding, 100.0, low_load_streaks).low_load_streaks.calls == {5: 1}
+    assert decide({4: 12.6}, sharding, 100.0, low_load_streaks).low_load_streaks.decisions == {5: 1}
     change = decide({4: 12.4, 5: 13.0}, sharding, 100.0, low_load_streaks)
-    assert change.merge == (4,) and change.low_load_streaks.calls == {}
+    assert change.merge == (4,)
+    assert change.low_load_streaks.decisions == {}
     assert dict(change.apply(sharding).isolated) == {5: 9}
 
 
 def test_a_number_does_not_change_its_destination_within_one_change():
+    """Isolating comes before merging, so the number that becomes free is not used at once."""
     sharding = Sharding(8).isolate(4)
     change = decide({6: 50.0}, sharding, 100.0, LowLoadStreaks({4: MERGE_AFTER_DECISIONS}))
     assert dict(change.apply(sharding).isolated) == {6: 9}
 
 
-def test_the_budget_of_shards_is_kept_and_no_traffic_decides_nothing():
+def test_shards_stay_within_their_maximum_and_no_traffic_decides_nothing():
+    """The heaviest destination gets the last free shard; without traffic the streaks stay as they are."""
     sharding = Sharding(MAX_SHARDS - 1)
     assert decide({1: 50.0, 2: 60.0}, sharding, 100.0, LowLoadStreaks()).isolate == (2,)
     low_load_streaks = LowLoadStreaks({4: MERGE_AFTER_DECISIONS})
@@ -42,7 +48,8 @@
 
 
 @pytest.mark.parametrize("load", [nan, inf, -1.0])
-def test_loads_that_are_refused(load):
+def test_loads_that_are_no_finite_number_from_0_on_are_rejected(load):
+    """Both those of destinations and the mean of a node."""
     with pytest.raises(AssignmentError, match="^destination 7 has a load of"):
         decide({7: load}, Sharding(8), 100.0, LowLoadStreaks())
     with pytest.raises(AssignmentError, match="^the mean load of a node is"):
--- a/tests/assignment/test_placement.py
+++ b/tests/assignment/test_placement.py
@@ -45,7 +45,8 @@
     assert plan.load_ratio == pytest.approx(max(found.values()) / cap * limits.bound, rel=1e-3)
     for shard, holders in plan.table.items():
         part = weights(shards, loads)[shard] / len(holders)
-        assert 1 <= len(holders) == len(set(holders)) and set(holders) <= set(at)
+        assert 1 <= len(holders) == len(set(holders))
+        assert set(holders) <= set(at)
         assert (
             not limits.replica_load
             or loads.get(shard, 0) / len(holders) <= limits.replica_load
@@ -71,7 +72,8 @@
 
 @given(histories())
 @settings(max_examples=300, derandomize=True, deadline=None)
-def test_any_history_keeps_the_rules_and_settles_at_once(history):
+def test_any_history_follows_the_rules_and_settles_at_once(history):
+    """Placing twice gives the same table, in whatever order the nodes come."""
     limits, shards, steps, shuffle = history
     table = {}
     for numbers, loads in steps:
@@ -80,7 +82,8 @@
         if nodes:
             check(plan, loads, nodes, limits, shards)
         changed = {s for s in {*table, *plan.table} if set(table.get(s, ())) != set(plan.table.get(s, ()))}
-        assert plan.moved == changed and plan.forced <= changed
+        assert plan.moved == changed
+        assert plan.forced <= changed
         assert place(plan.table, loads, nodes, limits, shards, former_nodes=SMALL).moved == frozenset()
         shuffle.shuffle(nodes)
         assert place(table, loads, nodes, limits, shards, former_nodes=SMALL).table == plan.table
@@ -88,17 +91,20 @@
 
 
 def test_what_is_within_the_bound_stays():
+    """Noise of a tenth in the loads moves nothing."""
     loads = drawn_loads(640, 1)
     first = place({}, loads, FLEET, PlacementLimits(), range(640))
     draw = random.Random(2)
     noisy = {shard: load * draw.uniform(0.9, 1.1) for shard, load in loads.items()}
     found = node_loads(first.table, noisy, FLEET).values()
     mean = sum(found) / 40
-    assert mean / 1.25 < min(found) and max(found) < mean * 1.25
+    assert mean / 1.25 < min(found)
+    assert max(found) < mean * 1.25
     assert place(first.table, noisy, FLEET, PlacementLimits(), range(640)).table == first.table
 
 
 def test_a_lost_zone_is_spread_over_its_region_and_nothing_else_moves():
+    """All of the region's nodes get some of it, in even parts."""
     loads = drawn_loads(1_200, 3)
     before = place({}, loads, FLEET, PlacementLimits(), range(1_200)).table
     left = [node for node in FLEET if (node.region, node.zone) != ("r1", "z2")]
@@ -115,6 +121,7 @@
 
 
 def test_another_region_is_used_only_when_none_is_left():
+    """One node of the region is enough to place there; without any the other region is used evenly."""
     loads = drawn_loads(400, 4)
     before = place({}, loads, FLEET, PlacementLimits(), range(400)).table
     only = [node for node in FLEET if node.region == "r0"]
@@ -123,10 +130,12 @@
     kept = place(before, loads, one, PlacementLimits(), range(400), may_move=False, former_nodes=FLEET).table
     assert {shard for shard, holders in kept.items() if holders == ("n01",)} == there
     none = place(before, loads, only, PlacementLimits(), range(400), former_nodes=FLEET)
-    assert none.moved == there and none.load_ratio < 1.05
+    assert none.moved == there
+    assert none.load_ratio < 1.05
 
 
-def test_a_new_node_takes_from_the_most_loaded_no_more_than_the_bound_asks():
+def test_a_new_node_is_filled_from_its_region_no_more_than_the_bound_demands():
+    """It ends up at the lower bound, and nobody below it."""
     loads = drawn_loads(1_200, 5)
     before = place({}, loads, FLEET[:-1], PlacementLimits(), range(1_200)).table
     plan = place(before, loads, FLEET, PlacementLimits(), range(1_200))
@@ -138,7 +147,8 @@
     assert min(found.values()) >= mean / 1.25 * (1 - NEAR)
 
 
-def test_a_heavy_shard_has_replicas_in_all_zones_and_gives_them_back_late():
+def test_a_heavy_shard_has_replicas_in_all_zones_and_loses_them_late():
+    """Holders are added at once, and removed only when three quarters of them would do."""
     loads = {**drawn_loads(400, 6), 400: 100.0}
     limits = PlacementLimits(1.25, 6.0)
 
@@ -156,22 +166,26 @@
 
 
 @pytest.mark.parametrize("present", [(), ("n1",), ("n1", "n2")])
-def test_replicas_are_in_different_zones_from_the_start_or_brought_there(present):
+def test_replicas_are_placed_in_different_zones_or_moved_there(present):
+    """From no, one or two holders in one zone."""
     nodes = [Node("n1", "r", "b"), Node("n2", "r", "b"), Node("n3", "r", "b"), Node("n4", "r", "a")]
     loads, limits = {shard: 1.0 for shard in range(1, 13)} | {0: 2.0}, PlacementLimits(1.25, 1.0)
     before = {0: present}
     plan = place(before, loads, nodes, limits, range(13), may_move=len(present) > 1)
-    assert plan.table[0][0] == "n1" and plan.table[0][1:] == ("n4",)
+    assert plan.table[0][0] == "n1"
+    assert plan.table[0][1:] == ("n4",)
 
 
 def test_balance_does_not_bring_replicas_into_one_zone():
+    """Another shard moves although the replicated one would be the smallest that is enough."""
     nodes = [Node("n1", "r", "a"), Node("n2", "r", "a"), Node("n3", "r", "b")]
     table = {0: ("n1", "n3"), 1: ("n3",), 2: ("n3",), 3: ("n1",), 4: ("n2",)}
     loads = {0: 3.0, 1: 1.9, 2: 1.95, 3: 1.5, 4: 1.9}
     plan = place(
         table, loads, nodes, PlacementLimits(1.2, 2.0), range(5)
     )  # shard 0's part is the smallest that is enough
-    assert plan.moved == {1} and plan.table[1] == ("n2",)
+    assert plan.moved == {1}
+    assert plan.table[1] == ("n2",)
 
 
 def moved(before, loads, nodes, bound):
@@ -180,55 +194,66 @@
     return {shard: plan.table[shard][0] for shard in plan.moved}
 
 
-def test_an_overloaded_node_gives_the_smallest_shard_that_is_enough_within_its_region():
+def test_an_overloaded_node_offloads_the_smallest_shard_that_is_enough_within_its_region():
+    """The other region is used only where its own has no spare capacity."""
     nodes = [Node("n1", "r0"), Node("n2", "r0"), Node("n3", "r1")]
     before = ["n1", "n1", "n1", "n2", "n3"]
     assert moved(before, [1.0, 2.0, 3.0, 4.0, 3.9], nodes, 1.2) == {0: "n2"}  # n3 is emptier, in the other region
     assert moved(before, [1.2, 2.0, 3.0, 5.0, 3.9], nodes, 1.2) == {0: "n3"}  # n2 has no room
 
 
-def test_shards_too_heavy_for_the_bound_are_still_parted():
+def test_shards_too_heavy_for_the_bound_are_still_separated():
+    """A move that does not reach the bound is made if it lowers the larger load."""
     nodes = [Node(f"n{number}") for number in range(4)]
     assert moved(["n0", "n0", "n1", "n2", "n3"], [10.0, 11.0, 1.0, 1.0, 1.0], nodes, 1.25) == {1: "n1", 2: "n2"}
 
 
 def test_a_node_is_not_filled_at_the_cost_of_another():
+    """No shard moves if its node would be below the lower bound without it."""
     nodes = [Node("n1"), Node("n2"), Node("n3")]
     assert moved(["n1", "n1", "n2", "n3", "n3"], [0.9, 0.9, 0.5, 0.9, 0.9], nodes, 1.4) == {}
 
 
 def test_idle_shards_are_spread_by_number():
+    """Shards without a load count a little, so that they do not all go to one node."""
     loads = {0: 1000.0}
     plan = place({}, loads, FLEET[:4], PlacementLimits(), range(101))
     counts = [sum(holders == (node.name,) for holders in plan.table.values()) for node in FLEET[:4]]
     assert sorted(counts) == [1, 33, 33, 34]
 
 
-def test_nothing_is_taken_from_a_node_when_told_not_to():
+def test_without_leave_to_move_only_what_lacks_a_holder_is_placed():
+    """New shards are placed, all others stay."""
     loads = drawn_loads(100, 7)
     before = place({}, loads, FLEET[:2], PlacementLimits(), range(90)).table
     plan = place(before, loads, FLEET, PlacementLimits(), range(100), may_move=False)
-    assert plan.moved == set(range(90, 100)) and all(plan.table[shard] == before[shard] for shard in range(90))
+    assert plan.moved == set(range(90, 100))
+    assert all(plan.table[shard] == before[shard] for shard in range(90))
 
 
-def test_no_nodes_is_no_error():
+def test_without_nodes_the_table_is_empty():
+    """The shards that had a holder count as moved."""
     plan = place({1: ("n00",)}, {1: 2.0}, [], PlacementLimits(), range(3))
-    assert plan.table == {} and plan.moved == {1}
+    assert plan.table == {}
+    assert plan.moved == {1}
 
 
 @pytest.mark.parametrize("load", [nan, inf, -inf, 0, -1.0])
-def test_a_load_that_is_no_weight_is_refused(load):
+def test_a_load_that_is_no_finite_number_above_0_is_rejected(load):
+    """The error names the shard."""
     with pytest.raises(AssignmentError, match="^shard 7 has a load of .*: a load is a finite number above 0$"):
         place({}, {1: 1.0, 7: load}, FLEET, PlacementLimits(), range(9))
 
 
 @pytest.mark.parametrize("load", [5e-324, 1e-300, 1e300, 1.7e308])
-def test_any_finite_weight_is_taken(load):
+def test_any_finite_load_above_0_is_accepted(load):
+    """Neither the smallest nor the largest float breaks the arithmetic."""
     plan = place({}, {0: load, 1: load, 2: 1.0}, FLEET[:2], PlacementLimits(1.25, 1e-5), range(4))
     assert sorted(plan.table) == [0, 1, 2, 3]
 
 
-def test_nodes_and_limits_that_are_refused():
+def test_nodes_named_twice_and_limits_out_of_range_are_rejected():
+    """Not a number and infinity are out of every range."""
     with pytest.raises(AssignmentError, match="^node n03 is named twice$"):
         place({}, {}, [*FLEET, Node("n03", "elsewhere")], PlacementLimits(), range(9))
     for bound in (0.9, nan, inf):
--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -220,25 +220,30 @@
 
 
 def test_unlimited_is_the_allocators():
+    """The two constants mean the same, so that no conversion is needed."""
     assert UNLIMITED == allocator.UNLIMITED
 
 
 def test_a_moved_shard_waits_for_the_acknowledgement_of_its_withdrawal():
+    """The next holder's epoch is higher, and the one before is released."""
     ledger = started("a", "b")
     ledger.assign(1, {"a": FULL_QUOTA})
     first = ledger.step(0)
     acknowledge(ledger, first, 0)
     ledger.assign(1, {"b": FULL_QUOTA})
     withdrawal = ledger.step(S)
-    assert quotas(withdrawal) == {("a", 1): 0} and withdrawal[0].epoch == first[0].epoch
+    assert quotas(withdrawal) == {("a", 1): 0}
+    assert withdrawal[0].epoch == first[0].epoch
     acknowledge(ledger, withdrawal, S + 7)
     (granted,) = ledger.step(S + 7)
-    assert quotas([granted]) == {("b", 1): FULL_QUOTA} and granted.epoch > first[0].epoch
+    assert quotas([granted]) == {("b", 1): FULL_QUOTA}
+    assert granted.epoch > first[0].epoch
     assert ledger.drain_released() == [("a", 1)]
 
 
-@pytest.mark.parametrize("heard, free_at", [(True, S + LEASE), (False, LEASE + DELAY)])
+@pytest.mark.parametrize(("heard", "free_at"), [(True, S + LEASE), (False, LEASE + DELAY)])
 def test_a_shard_of_a_lost_holder_waits_for_its_lease(heard, free_at):
+    """From its acknowledgement, or from the latest time at which it can have arrived."""
     ledger = started("a", "b")
     ledger.assign(1, {"a": FULL_QUOTA})
     first = ledger.step(0)
@@ -246,23 +251,27 @@
         acknowledge(ledger, first, S)
     ledger.holder_lost("a")
     ledger.assign(1, {"b": FULL_QUOTA})
-    assert ledger.step(free_at - 1) == [] and ledger.next_deadline(free_at - 1) == free_at
+    assert ledger.step(free_at - 1) == []
+    assert ledger.next_deadline(free_at - 1) == free_at
     assert quotas(ledger.step(free_at)) == {("b", 1): FULL_QUOTA}
     assert not ledger.knows("a")
 
 
-def test_room_that_is_free_is_given_once():
+def test_free_quota_is_granted_once():
+    """The second holder waits until the lost one's lease has run out."""
     ledger = started("a", "b", "c")
     ledger.assign(1, {"a": FULL_QUOTA // 2})
     ledger.step(0)
     ledger.holder_lost("a")
     ledger.assign(1, {"b": FULL_QUOTA // 2, "c": FULL_QUOTA // 2})
-    assert quotas(ledger.step(S)) == {("b", 1): FULL_QUOTA // 2} and ledger.in_use(1, S) == FULL_QUOTA
+    assert quotas(ledger.step(S)) == {("b", 1): FULL_QUOTA // 2}
+    assert ledger.in_use(1, S) == FULL_QUOTA
     assert quotas(ledger.step(LEASE + DELAY))[("c", 1)] == FULL_QUOTA // 2
 
 
 @pytest.mark.parametrize("heard", [True, False])
-def test_a_new_tenure_is_told_every_limit_whatever_was_acknowledged_in_the_one_before(heard):
+def test_a_new_tenure_is_sent_every_limit_whatever_was_acknowledged_in_the_one_before(heard):
+    """A late acknowledgement of the tenure before does not count."""
     ledger = started("a")
     ledger.set_limit(7, 1, 1000)
     ledger.assign(1, {"a": FULL_QUOTA})
@@ -279,7 +288,8 @@
     assert first[0].epoch < second.epoch == renewal.epoch
 
 
-def test_a_fall_is_told_at_once_and_a_small_raise_with_the_renewal():
+def test_a_fall_is_sent_at_once_and_a_small_raise_with_the_renewal():
+    """Limits are repeated until they are acknowledged."""
     ledger = started("a")
     ledger.assign(1, {"a": FULL_QUOTA})
     acknowledge(ledger, ledger.step(0), 0)
@@ -301,6 +311,7 @@
 
 
 def test_an_isolated_destination_waits_for_every_holder_of_its_home_shard():
+    """Its own shard is granted when all have the limit 0; on the way back, when the own one is withdrawn."""
     ledger = started("a", "b", "c")
     ledger.assign(1, {"a": FULL_QUOTA // 2, "b": FULL_QUOTA // 2})
     ledger.set_limit(7, 1, 1000)
@@ -310,7 +321,8 @@
     told = ledger.step(1)
     assert {grant.limits for grant in told} == {((7, 0),)}
     acknowledge(ledger, told[:1], 2)
-    assert ledger.step(2) == [] and ledger.isolation(7) is IsolationState.PREPARING
+    assert ledger.step(2) == []
+    assert ledger.isolation(7) is IsolationState.PREPARING
     acknowledge(ledger, told[1:], 3)
     (own,) = ledger.step(3)
     assert (own.holder, own.shard, own.destination, own.limits) == ("c", 9, 7, ((7, 1000),))
@@ -320,15 +332,18 @@
     assert quotas([withdrawal]) == {("c", 9): 0}
     acknowledge(ledger, [withdrawal], 5)
     assert {grant.limits for grant in ledger.step(5)} == {((7, 1000),)}
-    assert ledger.isolation(7) is None and ledger.is_free(9)
+    assert ledger.isolation(7) is None
+    assert ledger.is_free(9)
 
 
 def test_nothing_is_granted_until_what_an_earlier_service_granted_has_run_out():
+    """After a start, and after another service led; numbers go on above the highest."""
     ledger = ShardLedger(0, LEASE, DELAY)
     ledger.resume(50)
     ledger.holder_joined("a")
     ledger.assign(1, {"a": FULL_QUOTA})
-    assert ledger.step(LEASE + DELAY - 1) == [] and ledger.next_deadline(0) == LEASE + DELAY
+    assert ledger.step(LEASE + DELAY - 1) == []
+    assert ledger.next_deadline(0) == LEASE + DELAY
     (first,) = ledger.step(LEASE + DELAY)
     assert first.number == first.epoch == 51
     ledger.step_down()
@@ -341,6 +356,7 @@
 
 
 def test_shards_that_stay_as_they_are_cost_one_renewal_in_half_a_lease():
+    """And no step in between."""
     ledger, sent, looks = started("a"), defaultdict(int), 0
     ledger.assign(1, {"a": FULL_QUOTA})
     ledger.assign(2, {"a": FULL_QUOTA})
@@ -352,15 +368,16 @@
         for grant in grants:
             sent[grant.shard] += 1
         now = max(now + 1, ledger.next_deadline(now))
-    assert sent == {1: 40, 2: 40} and looks <= 41
+    assert sent == {1: 40, 2: 40}
+    assert looks <= 41
 
 
 @pytest.mark.parametrize(
-    "wrong, text",
+    ("wrong", "text"),
     [
-        (lambda ledger: ledger.assign(1, {"a": FULL_QUOTA, "b": 1}), "shard 1: the shares add up to 1000001"),
-        (lambda ledger: ledger.assign(1, {"a": -1}), "the share of a is -1"),
-        (lambda ledger: ledger.assign(1, {"a": 0.5}), "the share of a is 0.5"),
+        (lambda ledger: ledger.assign(1, {"a": FULL_QUOTA, "b": 1}), "shard 1: the quotas add up to 1000001"),
+        (lambda ledger: ledger.assign(1, {"a": -1}), "the quota of a is -1"),
+        (lambda ledger: ledger.assign(1, {"a": 0.5}), "the quota of a is 0.5"),
         (lambda ledger: ledger.assign(1, {"stranger": 1}), "shard 1: unknown holder stranger"),
         (lambda ledger: ledger.set_limit(7, 1, -1), "destination 7: an allowance of -1"),
         (lambda ledger: ledger.isolate(8, 0, 1), "shard 1 is in use"),
@@ -370,18 +387,21 @@
         (lambda ledger: ledger.merge(8), "destination 8 has no shard of its own"),
     ],
 )
-def test_input_that_cannot_be_taken_changes_nothing(wrong, text):
+def test_rejected_input_changes_nothing(wrong, text):
+    """Each error names what is wrong; grants go on as before."""
     ledger = started("a", "b")
     ledger.assign(1, {"a": FULL_QUOTA})
     ledger.isolate(7, 0, 5)
     acknowledge(ledger, ledger.step(0), 0)
     with pytest.raises(AssignmentError, match=text):
         wrong(ledger)
-    assert ledger.step(1) == [] and ledger.in_use(1, 1) == FULL_QUOTA
+    assert ledger.step(1) == []
+    assert ledger.in_use(1, 1) == FULL_QUOTA
     assert quotas(ledger.step(LEASE // 2)) == {("a", 1): FULL_QUOTA}
 
 
-def test_an_acknowledgement_of_a_number_that_is_unknown_or_out_of_use_says_nothing():
+def test_an_acknowledgement_of_a_number_that_is_unknown_or_out_of_use_is_ignored():
+    """A repeated one does not make the lease longer."""
     ledger = started("a")
     ledger.assign(1, {"a": FULL_QUOTA})
     first, second = ledger.step(0), ledger.step(LEASE // 2)
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -143,21 +143,26 @@
 
 
 def test_each_destination_is_served_by_one_sender_which_alone_has_its_list(world):
+    """Lists of endpoints and grants go to the same sender."""
     served = world.served()
     assert all(len(nodes) == 1 for nodes in served.values())
     for sender in world.senders:
         theirs = {number for number, nodes in served.items() if nodes == [sender.node]}
-        assert theirs and sender.lists == theirs
+        assert theirs
+        assert sender.lists == theirs
 
 
 def test_a_message_at_a_sender_that_does_not_hold_its_destination_is_never_sent_from_there(world):
+    """It goes to the sender's own ingress, once."""
     for sender in world.senders:
         found = sender.try_all()
         others = [found[number] for number in DESTINATIONS if number not in sender.lists]
-        assert others and all(isinstance(each, Fall) for each in others)  # to the sender's own front, once
+        assert others
+        assert all(isinstance(each, Fall) for each in others)
 
 
 def test_a_lost_sender_s_shards_go_on_after_its_lease_and_a_restart_moves_nothing(world):
+    """A new process gets the node's shards; a node that stays away loses only its own."""
     before = world.served()
     lost = world.senders[0]
     lost.reachable = False
@@ -166,7 +171,8 @@
         world.service.left(stream, world.now)
     again = world.add("a", "2")
     world.run(4)
-    assert world.served() == before and again.lists
+    assert world.served() == before
+    assert again.lists
     again.reachable = False
     world.run(12)  # its silence is seen, it does not come back, and the others have its shards
     after = world.served()
@@ -174,7 +180,8 @@
     assert all(after[number] == nodes for number, nodes in before.items() if nodes != ["a"])
 
 
-def test_a_shard_that_moves_is_taken_away_and_goes_on_once_its_holder_has_said_that_it_let_go(world):
+def test_a_shard_that_moves_goes_on_once_its_withdrawal_is_acknowledged(world):
+    """The gap is shorter than a lease, and nothing else moves."""
     before, added = world.served(), world.add("d")
     gaps = Counter()
     for _ in range(60):
@@ -182,12 +189,15 @@
         gaps.update(number for number, nodes in world.served().items() if not nodes)
     after = world.served()
     moved = {number for number in DESTINATIONS if after[number] != before[number]}
-    assert moved and all(after[number] == ["d"] for number in moved) and added.lists == moved
+    assert moved
+    assert all(after[number] == ["d"] for number in moved)
+    assert added.lists == moved
     assert not any(sender.lists & moved for sender in world.senders if sender is not added)
     assert max(gaps.values()) * 50 * MS < LEASE  # an acknowledgement, not the lease's end
 
 
 def test_a_lost_sender_s_shards_stay_in_its_region():
+    """All of its destinations are served by senders of that region."""
     world = World()
     for node, region in zip("abcdevwx", "eeeeewww", strict=True):
         world.add(node, region=region)
@@ -196,22 +206,24 @@
     world.senders[0].reachable = False
     world.run(12)
     after = {node for number, [node] in world.served().items() if before[number] == ["a"]}
-    assert after and after <= set("bcde")
+    assert after
+    assert after <= set("bcde")
 
 
 def test_an_allowance_reaches_the_holder_and_binds_it(world):
+    """An overloaded endpoint stops its destination at once; later it gets a small rate."""
     number, [node] = next(iter(world.served().items()))
     world.service.reported([i.Reported(f"e{number}", world.now, i.Outcome.FULL, 2 * S)], world.now)
     world.run(0.2)
     [holder] = [sender for sender in world.senders if sender.node == node]
-    assert holder.contract.holder.budget(number, world.now) == 0 and isinstance(
-        holder.contract.choose(number, world.now), Refuse
-    )
+    assert holder.contract.holder.budget(number, world.now) == 0
+    assert isinstance(holder.contract.choose(number, world.now), Refuse)
     world.run(20)
     assert 0 < holder.contract.holder.budget(number, world.now) < 10 * CALLS
 
 
-def test_a_service_that_takes_over_leaves_every_shard_where_it_was(world):
+def test_the_next_service_leaves_every_shard_where_it_was(world):
+    """It starts from the snapshot of the one before."""
     before, text = world.served(), world.service.snapshot()
     old, world.service = world.service, World().service
     world.service.begin_granting(world.now, old.ledger.number, text)
@@ -224,13 +236,15 @@
 
 
 @pytest.mark.parametrize("text", ["", "scalefall-assignment 1 00\n{}\n", None])
-def test_a_snapshot_that_cannot_be_taken_is_one_line_and_all_is_placed_anew(text):
+def test_an_unusable_snapshot_is_logged_in_one_line_and_all_is_placed_anew(text):
+    """An empty, a damaged, and one of other settings."""
     world = World()
     if text is None:
         text = world.service.snapshot().replace("shards 64", "shards 65")
     world.service.begin_granting(world.now, 0, text)
     refused = [row for row in world.service.told if row.event == "assignment not taken"]
-    assert len(refused) == 1 and "\n" not in refused[0].fields["error"]
+    assert len(refused) == 1
+    assert "\n" not in refused[0].fields["error"]
     world.add("a")
     world.run(8)
     assert all(nodes == ["a"] for nodes in world.served().values())
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -10,9 +10,9 @@
 
 
 def test_the_hash_is_fixed_and_does_not_depend_on_the_process():
-    assert (
-        mix(0) == 0xE220A8397B1DCDAF and mix(0x9E3779B97F4A7C15) == 0x6E789E6AA1B965F4
-    )  # splitmix64's published start
+    """A change of the hash would move every destination of a running fleet."""
+    assert mix(0) == 0xE220A8397B1DCDAF
+    assert mix(0x9E3779B97F4A7C15) == 0x6E789E6AA1B965F4
     here = [Sharding(14_400).shard_of(number) for number in (0, 1, 2, 419_999, 10**9)]
     assert here == [12719, 8158, 8513, 12471, 4654]  # a change of the hash moves every destination of a running fleet
     program = "from scalefall.assignment.sharding import Sharding; print(Sharding(14_400).shard_of(419_999))"
@@ -23,20 +23,26 @@
 
 @pytest.mark.parametrize("count", [1, 1_000, 1_024])
 def test_destinations_spread_evenly(count):
+    """Within five standard deviations of an even random spread."""
     sharding, counts = Sharding(count), [0] * count
     for destination in range(100 * count):
         counts[sharding.shard_of(destination)] += 1
-    assert 50 <= min(counts) and max(counts) <= 150  # five standard deviations of an even random spread
+    assert min(counts) >= 50
+    assert max(counts) <= 150
 
 
-def test_isolation_takes_the_lowest_free_number_and_merging_undoes_it():
+def test_isolation_uses_the_lowest_free_number_and_merging_undoes_it():
+    """A sharding is a value: none of it changes the one before."""
     before = Sharding(8)
     both = before.isolate(5).isolate(7)
     assert (both.shard_of(5), both.shard_of(7)) == (8, 9)
-    assert list(both.shards()) == list(range(10)) and dict(both.isolated) == {5: 8, 7: 9}
+    assert list(both.shards()) == list(range(10))
+    assert dict(both.isolated) == {5: 8, 7: 9}
     again = both.merge(5)
-    assert again.shard_of(5) == before.shard_of(5) and list(again.shards()) == [*range(8), 9]
-    assert again.isolate(6).shard_of(6) == 8 and again.merge(7) == before
+    assert again.shard_of(5) == before.shard_of(5)
+    assert list(again.shards()) == [*range(8), 9]
+    assert again.isolate(6).shard_of(6) == 8
+    assert again.merge(7) == before
     assert dict(before.isolated) == {}  # a value: nothing above changed it
 
 
@@ -53,7 +59,8 @@
         (lambda: Sharding(8).isolate(-1), "destination -1 is outside"),
     ],
 )
-def test_what_is_refused(make, said):
+def test_shardings_out_of_range_are_rejected(make, said):
+    """The error is one line."""
     with pytest.raises(AssignmentError, match=said) as caught:
         make()
     assert "\n" not in str(caught.value)
--- a/tests/assignment/test_snapshot.py
+++ b/tests/assignment/test_snapshot.py
@@ -18,7 +18,8 @@
 def refusal(text, fingerprint="settings 1"):
     with pytest.raises(AssignmentError) as caught:
         decode(text, fingerprint)
-    assert "\n" not in str(caught.value) and str(caught.value).startswith("snapshot: ")
+    assert "\n" not in str(caught.value)
+    assert str(caught.value).startswith("snapshot: ")
     return str(caught.value)
 
 
@@ -36,19 +37,22 @@
 
 @given(tables, st.sets(st.integers(0, 10**9)), st.integers(0, 2**70), names)
 @settings(max_examples=100, derandomize=True, deadline=None)
-def test_what_is_written_is_read(table, isolated, generation, fingerprint):
+def test_a_decoded_snapshot_equals_the_encoded_state(table, isolated, generation, fingerprint):
+    """Whatever the names, numbers and the fingerprint are."""
     state = TableState(table, {destination: number for number, destination in enumerate(isolated)}, generation)
     assert decode(encode(state, fingerprint), fingerprint) == state
     assert decode(TEXT, "settings 1") == STATE
 
 
 def test_the_fleet_s_table_is_under_a_megabyte():
+    """At 14,400 shards, 900 senders and 300 isolated destinations."""
     table = {shard: (f"sender-eu-west-1a-{shard % 900:04}",) for shard in range(14_400)}
     table |= {14_400 + k: tuple(f"sender-eu-west-1a-{n:04}" for n in range(900 // (k + 1))) for k in range(300)}
     assert len(encode(TableState(table, {k: 14_400 + k for k in range(300)}, 10**9), "f")) < 1_000_000
 
 
-def test_a_text_torn_or_changed_at_any_byte_is_refused():
+def test_a_text_torn_or_changed_at_any_byte_is_rejected():
+    """Cut off, one bit different, or a byte less."""
     for end in range(len(TEXT)):
         refusal(TEXT[:end])
         refusal(TEXT[:end] + chr(ord(TEXT[end]) ^ 1) + TEXT[end + 1 :])
@@ -88,5 +92,6 @@
         (changed(fingerprint="settings 2"), "of other settings"),
     ],
 )
-def test_each_refusal_names_what_is_wrong(text, said):
+def test_each_rejection_names_what_is_wrong(text, said):
+    """Also where the checksum fits."""
     assert said in refusal(text)
