--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -11,7 +11,7 @@
 from scalefall import interface as i
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.catalog import EDS, Catalog
-from scalefall.control.edge import resources, wire
+from scalefall.control.transport import resources, wire
 from scalefall.control.grants import CALLS, LEAST, Ledger
 from scalefall.control.streams import Request, Response, Stream
 from scalefall.lab.hollow import configuration
--- a/benchmarks/scaling/reckoning.py
+++ b/benchmarks/scaling/reckoning.py
@@ -12,7 +12,7 @@
 from benchmarks.scaling import target
 from benchmarks.scaling.checks import Budget, key
 from benchmarks.scaling.figures import Figure, Quantity
-from scalefall.control.edge.server import DEAR, SPEAK
+from scalefall.control.transport.server import DEAR, SPEAK
 from scalefall.control.service import WATCHED
 from scalefall.control.streams import MOST_NAMES
 from scalefall.lab.proxy.contract import ASK_US, SECOND
--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -24,7 +24,8 @@
 
 ROLE = Role.SENDER_CONTROL
 LISTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
-# A report of use of more than 490 destinations costs more than its stream may say (SPEAK in control/edge/server.py).
+# A report of use of more than 490 destinations costs more than its stream may say (SPEAK in
+# control/transport/server.py).
 GRANTED = {"quick": (100, 200, 400), "full": (120, 240, 480)}
 CHANGES = {"quick": (4, 8, 16), "full": (8, 16, 32)}
 STEADY_US, WINDOW_US = 4 * SECOND, 7 * SECOND
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -157,8 +157,8 @@
     if plain_text and not ipaddress.ip_address(listen.rpartition(":")[0].strip("[]")).is_loopback:
         raise click.UsageError(f"--plain-text is for loopback only, not for {listen}")
     try:
-        from scalefall.control.edge import keys, run, server
-        from scalefall.control.edge.state import Folder, Unusable
+        from scalefall.control.transport import run, server, tls
+        from scalefall.control.transport.state import Folder, Unusable
     except ModuleNotFoundError as error:
         if error.name.startswith("scalefall"):
             raise
@@ -173,9 +173,9 @@
     spans = (int(each * 1_000_000) for each in (lease, delay, endpoint_lease, report_every))
     options = server.Options(listen, *spans, sharding)
     try:
-        held = None if plain_text else keys.Keys(keys.Paths(certificate, key, clients), tell)
+        held = None if plain_text else tls.Keys(tls.Paths(certificate, key, clients), tell)
         run.run(start.config, options, Folder(state), held, read_again)
-    except (keys.Unusable, Unusable, OSError) as error:
+    except (tls.Unusable, Unusable, OSError) as error:
         output.cannot_run(str(error))
 
 
--- a/scalefall/control/__init__.py
+++ b/scalefall/control/__init__.py
@@ -1,2 +1,1 @@
-"""Control: the module's decisions handed to other proxies. Decisions here are pure; the transport stands at the
-edge."""
+"""Control: the module's decisions handed to other proxies. Decisions here are pure; `transport` does the I/O."""
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -210,7 +210,7 @@
         self.recalled(calls, now)
 
     def recalled(self, events: Iterable[i.Event], now: int) -> None:
-        """What the service before this one knew, as events (memory.py)."""
+        """What the service before this one knew, as events (snapshot.py)."""
         self._events += events
         self._news(now)
 
--- a/scalefall/control/edge/lasting.py
+++ b/scalefall/control/transport/leadership.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from scalefall.control import memory
-from scalefall.control.edge import state
+from scalefall.control import snapshot
+from scalefall.control.transport import state
 from scalefall.control.service import Service
 from scalefall.net.checks import log
 
@@ -38,7 +38,7 @@
     def _recalled(self, now: int, wall: int) -> list:
         try:
             kept = self._folder.kept()
-            return memory.recall(kept, now, wall) if kept is not None else []
+            return snapshot.recall(kept, now, wall) if kept is not None else []
         except ValueError as error:
             log.warning("figures of the one before: cannot be read (%s)", error)
             return []
@@ -55,7 +55,7 @@
         if not self.granting:
             return
         service = self._service
-        kept = memory.keep(service.allocator.doubtful(), service.module.known(), now, wall)
+        kept = snapshot.keep(service.allocator.doubtful(), service.module.known(), now, wall)
         try:
             if kept | {"wall": 0} != self._kept or kept["doubts"] or kept["waits"]:
                 self._folder.keep(kept)
--- a/scalefall/control/edge/quotas.py
+++ b/scalefall/control/transport/quotas.py
@@ -9,7 +9,7 @@
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2
 
 from scalefall.assignment.service import ShardedService, ShardGrants
-from scalefall.control.edge import wire
+from scalefall.control.transport import wire
 from scalefall.control.grants import Grant
 from scalefall.control.service import Service
 
--- a/scalefall/control/edge/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -17,7 +17,7 @@
 from envoy.config.endpoint.v3 import load_report_pb2
 
 from scalefall import interface as i
-from scalefall.control.edge import resources
+from scalefall.control.transport import resources
 from scalefall.net.endpoint_list import Entry
 
 PREFIX = "scalefall."
--- a/scalefall/control/edge/run.py
+++ b/scalefall/control/transport/run.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 
 from scalefall.control.catalog import Inconsistent
-from scalefall.control.edge.keys import Keys
-from scalefall.control.edge.server import Control, Options
-from scalefall.control.edge.state import Folder
+from scalefall.control.transport.tls import Keys
+from scalefall.control.transport.server import Control, Options
+from scalefall.control.transport.state import Folder
 from scalefall.net.checks import log, report
 from scalefall.net.config import Config, ConfigError
 
--- a/scalefall/control/edge/server.py
+++ b/scalefall/control/transport/server.py
@@ -1,8 +1,8 @@
 """The control service on the network: grpc.aio, ADS in both forms, load reports, quotas. It moves messages and decides
 nothing; what a message means is service.py's and its parts'.
 
-Each stream is one task that reads and one that writes. Reading is paced (bounds.py), and a client that reads slowly
-holds up its own writer alone: what it may have waiting is bounded by its streams' windows, or it is cut off.
+Each stream is one task that reads and one that writes. Reading is paced (rate_limits.py), and a client that reads
+slowly holds up its own writer alone: what it may have waiting is bounded by its streams' windows, or it is cut off.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
 from scalefall.assignment.service import ShardedService, ShardGrants
-from scalefall.control.bounds import Bucket, Openings
-from scalefall.control.edge import keys, reports, resources, state, wire
-from scalefall.control.edge.lasting import Lasting
-from scalefall.control.edge.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
+from scalefall.control.rate_limits import Bucket, Openings
+from scalefall.control.transport import reports, resources, state, tls, wire
+from scalefall.control.transport.leadership import Lasting
+from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
 from scalefall.control.grants import Grant
 from scalefall.control.members import Refused
 from scalefall.control.service import Builder, Out, Rows, Service
@@ -110,7 +110,7 @@
 
 
 class Control:
-    def __init__(self, config: Config, options: Options, folder: state.Folder, held: keys.Keys | None) -> None:
+    def __init__(self, config: Config, options: Options, folder: state.Folder, held: tls.Keys | None) -> None:
         self._options, self._keys = options, held
         self._settings, self._seed = config.settings, config.seed
         self._numbers = itertools.count(1)
@@ -383,7 +383,7 @@
         if self._keys is not None:
             auth = context.auth_context()
             certificate = next(iter(auth.get("x509_pem_cert", ())), b"")
-            names, ends = keys.identity(certificate)
+            names, ends = tls.identity(certificate)
             if not names:
                 return Ended(Code.UNAUTHENTICATED, "the certificate names no node")
         peer = Peer(next(self._numbers), context, asyncio.current_task(), names, certificate, ends)
--- a/scalefall/control/edge/wire.py
+++ b/scalefall/control/transport/wire.py
@@ -17,7 +17,7 @@
 
 from scalefall.assignment.model import WHOLE, ShardGrant
 from scalefall.control.catalog import Resource
-from scalefall.control.edge.resources import duration
+from scalefall.control.transport.resources import duration
 from scalefall.control.grants import CALLS, Grant
 from scalefall.control.allocator import MOST, UNLIMITED
 from scalefall.control.streams import Request, Response
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -1,8 +1,8 @@
-"""A control instance in the model: `control.service.Service` and the builders of `control/edge`, without gRPC.
+"""A control instance in the model: `control.service.Service` and the builders of `control/transport`, without gRPC.
 
-It does what control/edge/server.py does between its sockets and the service: messages are parsed from bytes and made
-into bytes, a stream is read no faster than its bucket allows, and turns come when the service asks for them. What it
-leaves out: certificates, the durable folder, and the limits of streams and waiting messages.
+It does what control/transport/server.py does between its sockets and the service: messages are parsed from bytes and
+made into bytes, a stream is read no faster than its bucket allows, and turns come when the service asks for them. What
+it leaves out: certificates, the durable folder, and the limits of streams and waiting messages.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from enum import Enum
 
 from scalefall import interface as i
-from scalefall.control.bounds import Bucket
+from scalefall.control.rate_limits import Bucket
 from scalefall.assignment.service import ShardGrants
-from scalefall.control.edge import reports, resources, wire
-from scalefall.control.edge.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
-from scalefall.control.edge.server import CHEAP, DEAR, SPEAK
+from scalefall.control.transport import reports, resources, wire
+from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
+from scalefall.control.transport.server import CHEAP, DEAR, SPEAK
 from scalefall.control.grants import Grant
 from scalefall.control.members import Refused
 from scalefall.control.service import Builder, Out, Rows, Service
--- a/scalefall/lab/hollow/link.py
+++ b/scalefall/lab/hollow/link.py
@@ -15,7 +15,7 @@
 from scalefall.lab.hollow.clock import Timer, VirtualClock
 from scalefall.lab.proxy.meter import Direction, Kind, Meter
 
-KEEPALIVE_US = 15_000_000  # keepalive time and timeout of control/edge/server.py and lab/proxy/__main__.py
+KEEPALIVE_US = 15_000_000  # keepalive time and timeout of control/transport/server.py and lab/proxy/__main__.py
 LEAST_DELAY_US, MOST_DELAY_US = 200, 3_000  # of one message, as in lab/world.py
 
 Deliver = Callable[[bytes], None]
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from scalefall import interface as i
-from scalefall.control.edge import resources
+from scalefall.control.transport import resources
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, Opening, StreamKind
 from scalefall.lab.hollow.grants import DestinationGrants
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -11,7 +11,7 @@
 from scalefall.assignment.model import WHOLE
 from scalefall.assignment.service import ShardedService
 from scalefall.assignment.sharding import Sharding
-from scalefall.control.edge import resources, wire
+from scalefall.control.transport import resources, wire
 from scalefall.control.service import Builder
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, ControlOptions, Opening, StreamKind
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -25,7 +25,7 @@
 from google.protobuf.message import Message
 
 from scalefall import interface as i
-from scalefall.control.edge import resources
+from scalefall.control.transport import resources
 from scalefall.lab.classes import add_classes, classes_of
 from scalefall.lab.proxy import messages
 from scalefall.lab.proxy.contract import ASK_US, SECOND, Contract, Fall, Refuse, Send, given_up, may_repeat
--- a/scalefall/lab/proxy/messages.py
+++ b/scalefall/lab/proxy/messages.py
@@ -15,7 +15,7 @@
 
 from scalefall import interface as i
 from scalefall.control.catalog import EDS
-from scalefall.control.edge import reports, resources, wire
+from scalefall.control.transport import reports, resources, wire
 
 USAGE_SPAN_S = 1000  # a rate is told as so many thousandths of calls over this span, as calls are whole numbers
 STATES = {health: word for word, health in resources.HEALTH.items()}
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from scalefall import interface as i
-from scalefall.control import memory
+from scalefall.control import snapshot
 from scalefall.control.catalog import EDS, Resource
 from scalefall.control.grants import Grant
 from scalefall.control.allocator import states
@@ -196,7 +196,7 @@
         self.streams: dict[int, tuple[_Proxy, int]] = {}  # by stream: whose, and its link's generation
         self.configure()
         if kept is not None:
-            self.service.recalled(memory.recall(kept, world.now, world.now), world.now)
+            self.service.recalled(snapshot.recall(kept, world.now, world.now), world.now)
         self.plan()
 
     def _endpoints(self, number: int, rows: list[Entry], allowed: list[i.Allowed], now: int) -> Resource:
@@ -215,7 +215,7 @@
         self.plan()
 
     def keep(self) -> tuple[int, dict]:
-        return self.service.ledger.number, memory.keep(
+        return self.service.ledger.number, snapshot.keep(
             self.service.allocator.doubtful(), self.service.module.known(), self._world.now, self._world.now
         )
 
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -10,7 +10,7 @@
 from scalefall.assignment.service import ShardedService, ShardGrants
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.edge import resources, wire
+from scalefall.control.transport import resources, wire
 from scalefall.control.grants import CALLS
 from scalefall.control.service import Builder
 from scalefall.control.streams import Request, Response
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -28,7 +28,7 @@
 EXTRAS = {
     "lang": {"lark", "netaddr"},
     "cli": {"click", "structlog"},  # by package; the sender takes none of them
-    "edge": {"grpc", "google", "envoy", "xds", "cryptography"},
+    "transport": {"grpc", "google", "envoy", "xds", "cryptography"},
     "proxy": {"grpc", "google", "envoy"},
 }
 
@@ -41,11 +41,11 @@
 
 
 def test_imports_point_down_only():
-    floors = ["cli", "lab", "edge", "assignment", "control", "lang", "net"]
-    names = {"edge": "scalefall.control.edge"}
+    floors = ["cli", "lab", "transport", "assignment", "control", "lang", "net"]
+    names = {"transport": "scalefall.control.transport"}
     for path in sorted((ROOT / "scalefall").rglob("*.py")):
         inside = [part for part in path.relative_to(ROOT / "scalefall").parts if part in floors]
-        if inside:  # control/edge is of the floor edge, lab/proxy of lab
+        if inside:  # control/transport is of the floor transport, lab/proxy of lab
             above = tuple(names.get(up, f"scalefall.{up}") for up in floors[: floors.index(inside[-1])])
             assert [name for name in imports(path) if name.startswith(above)] == [], path
 
--- a/tests/edge/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -7,12 +7,12 @@
 
 import grpc
 import pytest
-from edgehelp import Raw, Started, control, status
+from transporthelp import Raw, Started, control, status
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2, rlqs_pb2_grpc
 
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.catalog import EDS
-from scalefall.control.edge import resources, wire
+from scalefall.control.transport import resources, wire
 
 SHARDS, ROUTES = 8, range(1, 21)
 FLAGS = ("--plain-text", "--shards", str(SHARDS), "--lease", "0.6", "--delay", "0.2", "--move-after", "1")
--- a/tests/edge/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from edgehelp import CLASSES, Logged, control, site
+from transporthelp import CLASSES, Logged, control, site
 from test_program import LONG, ROOT
 
 from scalefall.control import audit
--- a/tests/edge/test_edge.py
+++ b/tests/transport/test_transport.py
@@ -9,7 +9,7 @@
 
 import grpc
 import pytest
-from edgehelp import Authority, Raw, Started, Stock, backends, control, site, status, unwrapped
+from transporthelp import Authority, Raw, Started, Stock, backends, control, site, status, unwrapped
 from envoy.config.endpoint.v3 import endpoint_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
@@ -18,7 +18,7 @@
 from test_program import LONG, ROOT
 
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
-from scalefall.control.edge import wire
+from scalefall.control.transport import wire
 
 
 @pytest.fixture
@@ -352,7 +352,7 @@
 def test_the_senders_program_loads_nothing_of_it():
     code = (
         "import sys, scalefall.net.host, scalefall.cli.main; print([m for m in sys.modules if 'grpc' in m or "
-        "'google' in m or 'cryptography' in m or 'control.edge' in m])"
+        "'google' in m or 'cryptography' in m or 'control.transport' in m])"
     )
     assert subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).strip() == "[]"
 
