--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -12,11 +12,11 @@
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.catalog import EDS, Catalog
 from scalefall.control.transport import resources, wire
-from scalefall.control.grants import CALLS, LEAST, Ledger
-from scalefall.control.streams import Request, Response, Stream
+from scalefall.control.grants import UNITS_PER_CALL, MIN_GRANT, Ledger
+from scalefall.control.streams import Request, Response, XdsStream
 from scalefall.lab.hollow import configuration
 from scalefall.lab.hollow.clock import SECOND
-from scalefall.control.service import Builder
+from scalefall.control.service import ResourceBuilder
 from scalefall.lab.hollow.control import ControlOptions, make_service
 from scalefall.net.config import Fleet
 from scalefall.policy import Sender
@@ -43,7 +43,7 @@
     series = Series(ROLE, "allocator's turn", Quantity.TIME, "steps a destination", "destinations")
     for count in DESTINATIONS[mode]:
         made, clock = _allocator(count), iter(range(QUIET_US + SECOND, 1 << 40, SECOND))
-        series.add(count, steps_of(_turn, made, clock))
+        series.add(count, steps_of(_step, made, clock))
     return [series]
 
 
@@ -90,11 +90,11 @@
     size = Series(ROLE, "heartbeat on the wire", Quantity.BYTES, "bytes a name", "names of one stream")
     catalog = _catalog(max(NAMES[mode]), fixed=False)
     for count in STREAMS[mode]:
-        made, responses = [_stream(catalog, STREAM_NAMES) for _ in range(count)], wire.Responses()
+        made, responses = [_stream(catalog, STREAM_NAMES) for _ in range(count)], wire.ResponseEncoder()
         beats.add(count, steps_of(_beating(made, responses, [])))
         changes.add(count, steps_of(_telling(catalog, made, responses)))
     for count in NAMES[mode]:
-        made, responses, sent = [_stream(catalog, count)], wire.Responses(), []
+        made, responses, sent = [_stream(catalog, count)], wire.ResponseEncoder(), []
         names.add(count, steps_of(_beating(made, responses, sent)))
         size.add(count, len(sent[0]))
     return [beats, changes, names, size]
@@ -133,11 +133,11 @@
     return [series]
 
 
-def _builder() -> Builder:
+def _builder() -> ResourceBuilder:
     settings = configuration.settings()
-    return Builder(
-        lambda rows, routes: resources.fixed(rows, routes, settings),
-        lambda number, rows, allowed, now: resources.endpoints(number, rows, allowed, now, TTL_US),
+    return ResourceBuilder(
+        lambda rows, routes: resources.static_resources(rows, routes, settings),
+        lambda number, rows, allowed, now: resources.endpoint_resource(number, rows, allowed, now, TTL_US),
     )
 
 
@@ -159,9 +159,9 @@
         if configuration.is_down(number)
         for at in (1, 2)
     ]
-    made.turn(0, [i.Listed(i.ListKind.WHOLE, endpoints)])
-    made.turn(SECOND // 2, failed)
-    made.turn(QUIET_US, [])
+    made.step(0, [i.Listed(i.ListKind.WHOLE, endpoints)])
+    made.step(SECOND // 2, failed)
+    made.step(QUIET_US, [])
     return made
 
 
@@ -172,7 +172,7 @@
     for destination in range(destinations):
         ledger.allow(destination, UNLIMITED)
         for number in range(holders):
-            ledger.want(f"n{number}/i", destination, max(LEAST, CALLS))
+            ledger.set_demand(f"n{number}/i", destination, max(MIN_GRANT, UNITS_PER_CALL))
     return ledger
 
 
@@ -180,7 +180,7 @@
     """A turn at the next of the times, and its messages."""
     into[:] = [
         wire.grant(grant, {wire.ROUTE: f"{grant.destination}"}, 1).SerializeToString()
-        for grant in ledger.turn(next(times))
+        for grant in ledger.step(next(times))
     ]
 
 
@@ -190,18 +190,18 @@
     return ledger
 
 
-def _turn(made: Allocator, clock: Iterator[int]) -> None:
-    made.turn(next(clock), [])
+def _step(made: Allocator, clock: Iterator[int]) -> None:
+    made.step(next(clock), [])
 
 
-def _streams(catalog_: Catalog, count: int) -> list[Stream]:
+def _streams(catalog_: Catalog, count: int) -> list[XdsStream]:
     return [_stream(catalog_, STREAM_NAMES) for _ in range(count)]
 
 
 def _catalog(count: int, fixed: bool = True) -> Catalog:
     fleet: Fleet = configuration.configuration(count)
     rows = {entry.endpoint.destination: [entry] for entry in fleet.entries}
-    made = resources.fixed(rows, fleet.routes, configuration.settings()) if fixed else []
+    made = resources.static_resources(rows, fleet.routes, configuration.settings()) if fixed else []
     made += [_endpoints(number) for number in fleet.routes]
     catalog_ = Catalog()
     catalog_.replace(made)
@@ -209,12 +209,12 @@
 
 
 def _endpoints(number: int, status: i.Status = i.Status.READY) -> object:
-    return resources.endpoints(number, [configuration.entry(number, status)], [], 0, TTL_US)
+    return resources.endpoint_resource(number, [configuration.entry(number, status)], [], 0, TTL_US)
 
 
 def _updating(made: Catalog) -> Callable[[], object]:
     """Changes one set of endpoints to and fro."""
-    full, empty = _endpoints(0), resources.endpoints(0, [], [], 0, TTL_US)
+    full, empty = _endpoints(0), resources.endpoint_resource(0, [], [], 0, TTL_US)
 
     def change() -> None:
         other = empty if made.get(full.key) == full else full
@@ -223,15 +223,15 @@
     return change
 
 
-def _stream(catalog_: Catalog, names: int) -> Stream:
+def _stream(catalog_: Catalog, names: int) -> XdsStream:
     """One that has what it asked for and has acknowledged it."""
-    stream = Stream(catalog_, "n", True)
+    stream = XdsStream(catalog_, "n", True)
     (response,) = stream.request(Request(EDS, names=tuple(resources.name(number) for number in range(names))))
     stream.request(Request(EDS, response.nonce))
     return stream
 
 
-def _telling(catalog_: Catalog, made: list[Stream], responses: wire.Responses) -> Callable[[], object]:
+def _telling(catalog_: Catalog, made: list[XdsStream], responses: wire.ResponseEncoder) -> Callable[[], object]:
     """Tells all streams that one set of endpoints has changed. The catalog's own part is _updating's."""
     change = _updating(catalog_)
 
@@ -239,22 +239,22 @@
         change()
         for stream in made:
             (action,) = stream.changed({(EDS, resources.name(0))})
-            responses.bytes(action, True, True)
+            responses.encode(action, True, True)
             stream.request(Request(EDS, action.nonce))
 
     return tell
 
 
-def _beating(made: list[Stream], responses: wire.Responses, sent: list[bytes]) -> Callable[[], object]:
+def _beating(made: list[XdsStream], responses: wire.ResponseEncoder, sent: list[bytes]) -> Callable[[], object]:
     clock = iter(range(SECOND, 1 << 40, SECOND))
 
     def beat() -> None:
         now = next(clock)
         sent.clear()
         for stream in made:
-            (action,) = stream.beat(now)
-            assert isinstance(action, Response) and action.beat
-            sent.append(responses.bytes(action, True, True))
+            (action,) = stream.heartbeats(now)
+            assert isinstance(action, Response) and action.is_heartbeat
+            sent.append(responses.encode(action, True, True))
             stream.request(Request(EDS, action.nonce))
 
     return beat
--- a/benchmarks/scaling/reckoning.py
+++ b/benchmarks/scaling/reckoning.py
@@ -12,13 +12,13 @@
 from benchmarks.scaling import target
 from benchmarks.scaling.checks import Budget, key
 from benchmarks.scaling.figures import Figure, Quantity
-from scalefall.control.transport.server import DEAR, SPEAK
-from scalefall.control.service import WATCHED
-from scalefall.control.streams import MOST_NAMES
+from scalefall.control.transport.server import BYTES_PER_REQUEST, REQUEST_RATE
+from scalefall.control.service import UNSETTLED_STEP_US
+from scalefall.control.streams import MAX_NAMES
 from scalefall.lab.proxy.contract import ASK_US, SECOND
 
 NS = 1e9
-TURN_S = WATCHED / 1e6  # between turns while something is down, as something always is at this size
+TURN_S = UNSETTLED_STEP_US / 1e6  # between turns while something is down, as something always is at this size
 EVENTS = Quantity.BYTES  # counts come out as exactly as bytes
 
 
@@ -102,8 +102,14 @@
     return [
         *rows,
         Row("sender, heartbeats if all are leased by name", Quantity.BYTES, whole, "bytes/s"),
-        Row("sender, names of the whole list on one stream", EVENTS, target.DESTINATIONS, "names", MOST_NAMES),
-        Row("sender, its reports as control reads them", EVENTS, _report_cost(wire["reports of use"]), "/s", SPEAK[1]),
+        Row("sender, names of the whole list on one stream", EVENTS, target.DESTINATIONS, "names", MAX_NAMES),
+        Row(
+            "sender, its reports as control reads them",
+            EVENTS,
+            _report_cost(wire["reports of use"]),
+            "/s",
+            REQUEST_RATE[1],
+        ),
         Row("sender, link", Quantity.BYTES, sum(wire.values()), "bytes/s", target.WIRE),
         Row("sender, memory", Quantity.MEMORY, memory, "bytes", target.MEMORY),
         Row("sender, processor", Quantity.TIME, steps * step_ns / NS, "cores", target.CORE),
@@ -113,7 +119,7 @@
 def _report_cost(size: float) -> float:
     """What reports of so many bytes a second count as, in requests a second that one stream may make."""
     reports = SECOND / ASK_US
-    return reports * (1 + size / reports // DEAR)
+    return reports * (1 + size / reports // BYTES_PER_REQUEST)
 
 
 def _control(slopes: Slopes, step_ns: float, touched: int) -> list[Row]:
--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -24,7 +24,7 @@
 
 ROLE = Role.SENDER_CONTROL
 LISTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
-# A report of use of more than 490 destinations costs more than its stream may say (SPEAK in
+# A report of use of more than 490 destinations costs more than its stream may say (REQUEST_RATE in
 # control/transport/server.py).
 GRANTED = {"quick": (100, 200, 400), "full": (120, 240, 480)}
 CHANGES = {"quick": (4, 8, 16), "full": (8, 16, 32)}
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -26,9 +26,9 @@
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.coordinator import Coordinator
 from scalefall.assignment.model import UNLIMITED, Node, ShardGrant
-from scalefall.control.catalog import Key
-from scalefall.control.members import Change, Joined, Refused, State
-from scalefall.control.service import Builder, Out, Service
+from scalefall.control.catalog import ResourceKey
+from scalefall.control.members import MembershipChange, Joined, JoinRejected, MemberState
+from scalefall.control.service import ResourceBuilder, Outgoing, ControlService
 from scalefall.net.config import Fleet
 
 LOADS_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
@@ -49,7 +49,7 @@
     def __init__(self, coordinator: Coordinator, delay_us: int) -> None:
         self._coordinator = coordinator
         self._limited: dict[int, int] = {}  # allowances that are not UNLIMITED
-        self.delay = delay_us
+        self.delay_us = delay_us
 
     def use(self, coordinator: Coordinator) -> None:
         """Another one from now on, which is told all allowances that are not UNLIMITED."""
@@ -62,11 +62,11 @@
     def number(self) -> int:
         return self._coordinator.number
 
-    def stand_by(self) -> None:
+    def step_down(self) -> None:
         self._coordinator.stand_by()
 
-    def begin(self, now: int) -> None:
-        """A coordinator begins by its making: see ShardedService.begin_granting."""
+    def become_leader(self, now: int) -> None:
+        """A coordinator begins by its making: see ShardedService.become_leader."""
 
     def resume(self, number: int) -> None:
         self._coordinator.resume(number)
@@ -84,13 +84,13 @@
     def join(self, holder: str) -> None:
         """See ShardedService."""
 
-    def lost(self, holder: str) -> None:
+    def disconnected(self, holder: str) -> None:
         """See ShardedService."""
 
-    def turn(self, now: int) -> list[ShardGrant]:
+    def step(self, now: int) -> list[ShardGrant]:
         return self._coordinator.turn(now)
 
-    def next_turn(self, now: int) -> int:
+    def next_deadline(self, now: int) -> int:
         return self._coordinator.next_turn(now)
 
 
@@ -168,7 +168,7 @@
             del self._by_shard[shard]
 
 
-class ShardedService(Service):
+class ShardedService(ControlService):
     """Streams of resources are told of by their node, quota streams by their process."""
 
     def __init__(
@@ -176,7 +176,7 @@
         now: int,
         settings: i.Settings,
         seed: int,
-        builder: Builder,
+        builder: ResourceBuilder,
         lease_us: int,
         delay_us: int,
         silence_us: int,
@@ -199,10 +199,10 @@
         """Who has which shard."""
         return self._assembly.coordinator
 
-    def begin_granting(self, now: int, number: int, snapshot: str | None = None) -> None:
+    def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:
         self._assembly, refused = assemble(now, self._assignment, snapshot)
         if refused:
-            self._tell("assignment not taken", error=refused)
+            self._emit("assignment not taken", error=refused)
         self._leases.use(self.coordinator)
         self._leases.resume(number)
         self._view.use(self.coordinator)
@@ -217,20 +217,20 @@
 
     # -- the fleet
 
-    def configure(self, fleet: Fleet, now: int) -> list[Out]:
+    def configure(self, fleet: Fleet, now: int) -> list[Outgoing]:
         out = super().configure(fleet, now)
         self._view.replace(fleet.routes)
         return out
 
     # -- streams of resources
 
-    def opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
-        super().opened(stream, holder, incremental, leased)
+    def resource_stream_opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
+        super().resource_stream_opened(stream, holder, incremental, leased)
         self._node_streams.setdefault(holder, set()).add(stream)
         self._stream_nodes[stream] = holder
 
-    def ended(self, stream: int) -> None:
-        super().ended(stream)
+    def resource_stream_closed(self, stream: int) -> None:
+        super().resource_stream_closed(stream)
         node = self._stream_nodes.pop(stream, None)
         if node is not None:
             self._node_streams[node].discard(stream)
@@ -239,48 +239,48 @@
 
     # -- processes and their grants
 
-    def joined(
+    def quota_stream_joined(
         self, stream: int, node: str, instance: str, now: int, region: str = "", zone: str = ""
-    ) -> Joined | Refused:
+    ) -> Joined | JoinRejected:
         """A quota stream has named its process, and where it stands."""
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._nodes[answer.holder] = Node(node, region, zone)
             self._unacknowledged[stream] = deque(maxlen=MOST_UNACKNOWLEDGED)
-            self._enter(answer.holder, now)
-            self._news(now)
-            self._tell("proxy joined", holder=answer.holder, came_back=answer.came_back, twin=answer.twin)
+            self._holder_reachable(answer.holder, now)
+            self._schedule_step(now)
+            self._emit("proxy joined", holder=answer.holder, came_back=answer.is_known, twin=answer.shares_node_id)
         return answer
 
-    def left(self, stream: int, now: int) -> None:
-        super().left(stream, now)
+    def quota_stream_closed(self, stream: int, now: int) -> None:
+        super().quota_stream_closed(stream, now)
         self._unacknowledged.pop(stream, None)
 
-    def used(self, stream: int, route: int, calls: float, had: int, now: int) -> bool:
+    def demand_reported(self, stream: int, route: int, calls: float, had: int, now: int) -> bool:
         """Nothing is granted by route here."""
         return False
 
     def acknowledged(self, stream: int, had: int, now: int) -> None:
         """The stream's process has had all grants sent on it up to this number. A stream keeps their order, so one
         number stands for all before it; what was sent on an earlier stream it does not vouch for."""
-        holder = self.members.holder(stream)
+        holder = self.members.holder_of(stream)
         if holder is None:
             return
-        if self.members.heard(stream, now) is not None:
-            self._enter(holder, now)
-            self._tell("proxy heard again", holder=holder)
+        if self.members.heartbeat_received(stream, now) is not None:
+            self._holder_reachable(holder, now)
+            self._emit("proxy heard again", holder=holder)
         waiting = self._unacknowledged[stream]
         while waiting and waiting[0][0] <= had:
             number, shard = waiting.popleft()
             self.coordinator.acknowledged(holder, shard, number, now)
-        self._news(now)
+        self._schedule_step(now)
 
-    def _enter(self, holder: str, now: int) -> None:
+    def _holder_reachable(self, holder: str, now: int) -> None:
         self.coordinator.joined(holder, self._nodes[holder], now)
 
-    def _lost(self, change: Change, now: int) -> None:
-        super()._lost(change, now)
-        if change.state is State.GONE:
+    def _holder_disconnected(self, change: MembershipChange, now: int) -> None:
+        super()._holder_disconnected(change, now)
+        if change.state is MemberState.FORGOTTEN:
             self._nodes.pop(change.holder, None)
         else:
             self.coordinator.lost(change.holder, now)
@@ -304,15 +304,15 @@
 
     # -- time
 
-    def turn(self, now: int) -> list[Out]:
+    def step(self, now: int) -> list[Outgoing]:
         self._weigh(now)
-        out = super().turn(now)
+        out = super().step(now)
         return self._follow() + out
 
-    def _follow(self) -> list[Out]:
+    def _follow(self) -> list[Outgoing]:
         """What came to a node's shards or went from them, to its streams of resources."""
         self._view.follow_sharding()
-        out: list[Out] = []
+        out: list[Outgoing] = []
         for node, shards in self.coordinator.take_changed().items():
             self._view.follow(node, shards)
             keys = [
@@ -322,18 +322,18 @@
                 out += [(stream, action) for action in self._streams[stream].changed(keys)]
         return out
 
-    def _grants_out(self, grants: list[ShardGrant], now: int) -> list[Out]:
+    def _outgoing_grants(self, grants: list[ShardGrant], now: int) -> list[Outgoing]:
         by_stream: dict[int, list[ShardGrant]] = {}
         for grant in grants:
             stream = self._live_stream(grant.holder)
             if stream is not None and stream in self._unacknowledged:
                 by_stream.setdefault(stream, []).append(grant)
                 self._unacknowledged[stream].append((grant.number, grant.shard))
-                self._tell_granted(grant, now)
+                self._emit_granted(grant, now)
         return [(stream, ShardGrants(tuple(given))) for stream, given in by_stream.items()]
 
-    def _tell_granted(self, grant: ShardGrant, now: int) -> None:
-        self._tell(
+    def _emit_granted(self, grant: ShardGrant, now: int) -> None:
+        self._emit(
             "granted",
             fine=True,
             clock=now,
@@ -343,10 +343,10 @@
             number=grant.number,
             share=grant.share,
             lease_ms=grant.lease_us // 1000,
-            delay_ms=self.ledger.delay // 1000,
+            delay_ms=self.ledger.delay_us // 1000,
         )
 
-    def _receivers(self, keys: set[Key]) -> Iterable[tuple[int, set[Key]]]:
+    def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
         """Only nodes that hold a destination are told of its resources."""
         return [
             (stream, theirs)
@@ -354,9 +354,9 @@
             for stream in self._node_streams.get(node, ())
         ]
 
-    def _by_node(self, keys: Iterable[Key]) -> dict[str, set[Key]]:
+    def _by_node(self, keys: Iterable[ResourceKey]) -> dict[str, set[ResourceKey]]:
         """The keys that each node with a stream is to be told of; what is gone or shared, all of them."""
-        found: dict[str, set[Key]] = {}
+        found: dict[str, set[ResourceKey]] = {}
         for key in keys:
             destination = self.catalog.destination_of(key)
             for node in self._node_streams if destination is None else self._view.nodes_of(destination):
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -158,7 +158,7 @@
         raise click.UsageError(f"--plain-text is for loopback only, not for {listen}")
     try:
         from scalefall.control.transport import run, server, tls
-        from scalefall.control.transport.state import Folder, Unusable
+        from scalefall.control.transport.state import StateDirectory, StateDirectoryError
     except ModuleNotFoundError as error:
         if error.name.startswith("scalefall"):
             raise
@@ -171,11 +171,11 @@
 
     sharding = server.ShardingOptions(shards, int(move_after * 1_000_000), sender_load) if shards else None
     spans = (int(each * 1_000_000) for each in (lease, delay, endpoint_lease, report_every))
-    options = server.Options(listen, *spans, sharding)
+    options = server.ServerOptions(listen, *spans, sharding)
     try:
-        held = None if plain_text else tls.Keys(tls.Paths(certificate, key, clients), tell)
-        run.run(start.config, options, Folder(state), held, read_again)
-    except (tls.Unusable, Unusable, OSError) as error:
+        held = None if plain_text else tls.CertificateStore(tls.CertificatePaths(certificate, key, clients), tell)
+        run.run(start.config, options, StateDirectory(state), held, read_again)
+    except (tls.CertificateError, StateDirectoryError, OSError) as error:
         output.cannot_run(str(error))
 
 
--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -16,15 +16,15 @@
 from math import inf
 
 from scalefall import interface as i
-from scalefall.control.grants import CALLS, Grant, Leases
+from scalefall.control.grants import UNITS_PER_CALL, Grant, Leases
 from scalefall.policy import Sender
 
 UNLIMITED = 10**12  # thousandths of a call a second, where the module sets no pace
 READY, DRAINING, RESTING = "ready", "draining", "resting"  # what a proxy is told of an endpoint
-MOST = 10**8  # the same where it sets one, however high
+MAX_LIMITED = 10**8  # the same where it sets one, however high
 
 
-def states(endpoints: Iterable[i.Endpoint], allowed: list[i.Allowed], now: int) -> tuple[dict[str, str], str]:
+def endpoint_states(endpoints: Iterable[i.Endpoint], allowed: list[i.Allowed], now: int) -> tuple[dict[str, str], str]:
     """Each endpoint of a route that isn't gone, by id, as ready, draining, or resting under its guard; and why nothing
     at all may go out on the route, if nothing may. allowed are the module's rows for it."""
     budgets: dict[str, float] = {}
@@ -52,33 +52,33 @@
     def __init__(self, module: Sender, ledger: Leases) -> None:
         self._module, self._ledger = module, ledger
         self.allowed: list[i.Allowed] = []  # rows of the last turn
-        self.said: list[str] = []  # the module's lines of the last turn
-        self.changed: dict[int, int] = {}  # allowances that the last turn changed
+        self.log_lines: list[str] = []  # the module's lines of the last turn
+        self.changed_allowances: dict[int, int] = {}  # allowances that the last turn changed
         self.unsettled: set[int] = set()  # destinations whose figures differ, or may change by time alone
         self._before: set[int] = set()
         self._touched: set[int] = set()  # destinations with events since the last turn
         self._destinations: dict[str, int] = {}  # of each endpoint
 
-    def turn(self, now: int, events: list[i.Event]) -> list[Grant]:
+    def step(self, now: int, events: list[i.Event]) -> list[Grant]:
         """Reports and lists to the module, its allowances to the ledger; the grants that follow."""
-        self.take(now, events)
+        self.apply(now, events)
         among, self._touched = self._touched | self.unsettled, set()
-        self.allowed = self.look(among)
+        self.allowed = self.allowances(among)
         waver = {row.destination for row in self.allowed if _may_change(row, now)}
         self.unsettled, self._before = waver | self._before, waver
         sums = dict.fromkeys(among, 0)
         for row in self.allowed:
             sums[row.destination] += self._amount(row, now)
-        self.changed = {
+        self.changed_allowances = {
             destination: min(amount, UNLIMITED)
             for destination, amount in sums.items()
             if self._ledger.allow(destination, min(amount, UNLIMITED))
         }
-        return self._ledger.turn(now)
+        return self._ledger.step(now)
 
-    def take(self, now: int, events: list[i.Event]) -> None:
+    def apply(self, now: int, events: list[i.Event]) -> None:
         """Events to the module; what follows from them is told at the next turn."""
-        self.said = [action.line for action in self._module.handle(now, events) if isinstance(action, i.Log)]
+        self.log_lines = [action.line for action in self._module.handle(now, events) if isinstance(action, i.Log)]
         for event in events:
             self._note(event)
 
@@ -99,16 +99,16 @@
         else:
             self._destinations[end.id] = end.destination
 
-    def grants(self, now: int) -> list[Grant]:
+    def step_ledger(self, now: int) -> list[Grant]:
         """What follows from news of holders alone; the module isn't asked."""
-        self.said, self.changed = [], {}
-        return self._ledger.turn(now)
+        self.log_lines, self.changed_allowances = [], {}
+        return self._ledger.step(now)
 
-    def doubtful(self) -> list[i.Allowed]:
+    def unsettled_allowances(self) -> list[i.Allowed]:
         """The rows of destinations in which a wait, a pace or a guard is in force: what a restart must not forget."""
-        return self.look(self.unsettled)
+        return self.allowances(self.unsettled)
 
-    def look(self, among: set[int] | None = None) -> list[i.Allowed]:
+    def allowances(self, among: set[int] | None = None) -> list[i.Allowed]:
         """The module's figures of this moment, of some destinations or of all."""
         return self._module.allowances(among)
 
@@ -118,7 +118,7 @@
             return 0
         own = sum(row.endpoints.values())  # inf as soon as one endpoint is in no doubt
         rate = min(row.rate, own)
-        return UNLIMITED if rate == inf else min(MOST, int(rate * CALLS))
+        return UNLIMITED if rate == inf else min(MAX_LIMITED, int(rate * UNITS_PER_CALL))
 
 
 def by_destination(allowed: Iterable[i.Allowed]) -> dict[int, list[i.Allowed]]:
--- a/scalefall/control/catalog.py
+++ b/scalefall/control/catalog.py
@@ -14,12 +14,12 @@
 RDS = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-TYPES = (CDS, EDS, LDS, RDS)  # in the order in which they are made: what is referred to comes first
+RESOURCE_TYPES = (CDS, EDS, LDS, RDS)  # in the order in which they are made: what is referred to comes first
 SHARED = -1  # the destination of a resource that belongs to none: every client may have it
-Key = tuple[str, str]  # a resource's type and name
+ResourceKey = tuple[str, str]  # a resource's type and name
 
 
-class View(Protocol):
+class DestinationView(Protocol):
     """Which destinations' resources a node may have, where destinations are divided among nodes."""
 
     def covers(self, node: str, destination: int) -> bool:
@@ -35,19 +35,19 @@
     name: str
     version: str
     body: object = field(compare=False, repr=False)
-    needs: frozenset[Key] = frozenset()  # what it refers to: no client is to have it without these
+    needs: frozenset[ResourceKey] = frozenset()  # what it refers to: no client is to have it without these
     ttl_us: int = 0  # a client that has not heard of it for so long drops it; 0: it keeps it
     destination: int = SHARED  # whose it is
 
     @property
-    def key(self) -> Key:
+    def key(self) -> ResourceKey:
         return self.type, self.name
 
 
-class Inconsistent(ValueError):
+class InconsistentResources(ValueError):
     """A set of resources in which one refers to another that is not there; nothing was changed."""
 
-    def __init__(self, missing: list[tuple[Key, Key]]) -> None:
+    def __init__(self, missing: list[tuple[ResourceKey, ResourceKey]]) -> None:
         self.missing = missing
         rows = [f"{name} needs {needed}" for (_, name), (_, needed) in missing[:5]]
         super().__init__("; ".join(rows) + (f"; and {len(missing) - 5} more" if len(missing) > 5 else ""))
@@ -57,25 +57,25 @@
     """One shared set, and for some holders a set of their own that goes before it, name by name. A view, if there is
     one, says which destinations' resources a holder may have; what it may not have is as good as absent."""
 
-    def __init__(self, view: View | None = None) -> None:
+    def __init__(self, view: DestinationView | None = None) -> None:
         self._view = view
-        self._shared: dict[Key, Resource] = {}
-        self._own: dict[str, dict[Key, Resource]] = {}
-        self._names: dict[str, dict[str, None]] = {kind: {} for kind in TYPES}
-        self._by_destination: dict[int, dict[Key, None]] = {}
+        self._shared: dict[ResourceKey, Resource] = {}
+        self._own: dict[str, dict[ResourceKey, Resource]] = {}
+        self._names: dict[str, dict[str, None]] = {kind: {} for kind in RESOURCE_TYPES}
+        self._by_destination: dict[int, dict[ResourceKey, None]] = {}
         self.generation = 0
 
-    def replace(self, resources: Iterable[Resource]) -> set[Key]:
+    def replace(self, resources: Iterable[Resource]) -> set[ResourceKey]:
         """The whole shared set from now on; the keys of what is new, changed or gone. Inconsistent if it is."""
         new = {resource.key: resource for resource in resources}
         _consistent(new, new)
         return self._apply(new, self._shared.keys() - new.keys())
 
-    def update(self, resources: Iterable[Resource], gone: Iterable[Key] = ()) -> set[Key]:
+    def update(self, resources: Iterable[Resource], removed: Iterable[ResourceKey] = ()) -> set[ResourceKey]:
         """A part of the shared set changes and the rest stays; Inconsistent if the whole would be. Where nothing goes,
         the cost is that of what changes, not of the set."""
         changed = {resource.key: resource for resource in resources}
-        lost = {key for key in gone if key in self._shared and key not in changed}
+        lost = {key for key in removed if key in self._shared and key not in changed}
         if lost:
             whole = {key: resource for key, resource in (self._shared | changed).items() if key not in lost}
             _consistent(whole, whole)
@@ -83,25 +83,25 @@
             _consistent(changed, self._shared, changed)
         return self._apply(changed, lost)
 
-    def _apply(self, new: dict[Key, Resource], gone: Iterable[Key]) -> set[Key]:
+    def _apply(self, new: dict[ResourceKey, Resource], removed: Iterable[ResourceKey]) -> set[ResourceKey]:
         """Takes in what is new and takes out what is gone; the keys of both that differ from before."""
         old = self._shared
         changed = {key for key, resource in new.items() if key not in old or old[key].version != resource.version}
-        gone = set(gone)
-        if changed or gone:
+        removed = set(removed)
+        if changed or removed:
             self.generation += 1
-        for key in gone:
+        for key in removed:
             self._forget(key)
         for key, resource in new.items():
             self._put(key, resource)
-        return changed | gone
+        return changed | removed
 
-    def _put(self, key: Key, resource: Resource) -> None:
+    def _put(self, key: ResourceKey, resource: Resource) -> None:
         self._shared[key] = resource
         self._names[key[0]][key[1]] = None
         self._by_destination.setdefault(resource.destination, {})[key] = None
 
-    def _forget(self, key: Key) -> None:
+    def _forget(self, key: ResourceKey) -> None:
         destination = self._shared.pop(key).destination
         del self._names[key[0]][key[1]]
         keys = self._by_destination[destination]
@@ -109,13 +109,13 @@
         if not keys:
             del self._by_destination[destination]
 
-    def own(self, holder: str, resources: Iterable[Resource]) -> set[Key]:
+    def override(self, holder: str, resources: Iterable[Resource]) -> set[ResourceKey]:
         """What one holder has instead of the shared ones of these names; the keys that change for it. An own resource
         has a shared one under its name, so that everybody has something there."""
         new = {resource.key: resource for resource in resources}
         missing = [(key, key) for key in new if key not in self._shared]
         if missing:
-            raise Inconsistent(missing)
+            raise InconsistentResources(missing)
         _consistent(new, self._shared)
         old = self._own.get(holder, {})
         changed = {key for key in old.keys() | new.keys() if old.get(key) != new.get(key)}
@@ -125,7 +125,7 @@
             self._own.pop(holder, None)
         return changed
 
-    def get(self, key: Key, holder: str = "") -> Resource | None:
+    def get(self, key: ResourceKey, holder: str = "") -> Resource | None:
         """The resource as the holder is to have it; None if there is none for it."""
         shared = self._shared.get(key)
         if shared is None or not self._may_have(holder, shared.destination):
@@ -142,17 +142,17 @@
         destinations = (SHARED, *self._view.destinations(holder))
         return [name for number in destinations for of, name in self._by_destination.get(number, ()) if of == kind]
 
-    def destination_of(self, key: Key) -> int | None:
+    def destination_of(self, key: ResourceKey) -> int | None:
         """Whose resource it is; None if it is everyone's, or there is none."""
         resource = self._shared.get(key)
         return None if resource is None or resource.destination == SHARED else resource.destination
 
-    def keys_of(self, destination: int) -> Iterable[Key]:
+    def keys_of(self, destination: int) -> Iterable[ResourceKey]:
         """All resources of one destination."""
         return self._by_destination.get(destination, {}).keys()
 
 
-def _consistent(checked: dict[Key, Resource], *among: dict[Key, Resource]) -> None:
+def _consistent(checked: dict[ResourceKey, Resource], *among: dict[ResourceKey, Resource]) -> None:
     """Inconsistent if one of the checked resources needs what none of the sets has."""
     missing = [
         (key, needed)
@@ -161,4 +161,4 @@
         if not any(needed in resources for resources in among)
     ]
     if missing:
-        raise Inconsistent(sorted(missing))
+        raise InconsistentResources(sorted(missing))
--- a/scalefall/control/grants.py
+++ b/scalefall/control/grants.py
@@ -37,9 +37,9 @@
 
 from scalefall.net.checks import check
 
-LEAST = 200  # a share below this is not split: one call in 5 s is the least that is of use
-CHANGED = 0.1  # a share that differs by less from what is granted waits for the renewal
-CALLS = 1000  # amounts in one call a second
+MIN_GRANT = 200  # a share below this is not split: one call in 5 s is the least that is of use
+MIN_RELATIVE_CHANGE = 0.1  # a share that differs by less from what is granted waits for the renewal
+UNITS_PER_CALL = 1000  # amounts in one call a second
 NEVER = 1 << 62
 
 
@@ -57,16 +57,16 @@
 class Leases(Protocol):
     """What the service and the allocator ask of a ledger of grants, by destination or otherwise divided."""
 
-    delay: int  # us, the longest that a message may be under way
+    delay_us: int  # us, the longest that a message may be under way
 
     @property
     def number(self) -> int:
         """The highest number that was given."""
 
-    def stand_by(self) -> None:
-        """Another service grants; nothing goes out from here until begin()."""
+    def step_down(self) -> None:
+        """Another service grants; nothing goes out from here until become_leader()."""
 
-    def begin(self, now: int) -> None:
+    def become_leader(self, now: int) -> None:
         """Another service may have granted until now."""
 
     def resume(self, number: int) -> None:
@@ -78,13 +78,13 @@
     def join(self, holder: str) -> None:
         """A holder can be heard."""
 
-    def lost(self, holder: str) -> None:
+    def disconnected(self, holder: str) -> None:
         """A holder cannot be heard any more."""
 
-    def turn(self, now: int) -> list:
+    def step(self, now: int) -> list:
         """The grants to send now."""
 
-    def next_turn(self, now: int) -> int:
+    def next_deadline(self, now: int) -> int:
         """When turn() is due if no news come before."""
 
 
@@ -104,7 +104,7 @@
     wanted: int = 0  # its demand, as it last told
     out: list[_Out] = field(default_factory=list)  # that may be in use, by number
     sent: int = -1  # when the last one went out
-    turn: int = 0  # when it last had its turn, where holders take turns
+    last_turn: int = 0  # when it last had its turn, where holders take turns
 
     @property
     def in_use(self) -> int:
@@ -137,7 +137,7 @@
     destinations with news only, so that a thousand that stay as they are cost a renewal each half a lease."""
 
     def __init__(self, now: int, lease_us: int, delay_us: int) -> None:
-        self.lease, self.delay = lease_us, delay_us
+        self.lease_us, self.delay_us = lease_us, delay_us
         self.quiet_until = now + lease_us + delay_us
         self._number = 0
         self._destinations: dict[int, _Destination] = {}
@@ -151,13 +151,13 @@
         """The highest that was given."""
         return self._number
 
-    def stand_by(self) -> None:
-        """Another service grants; nothing goes out from here until begin()."""
+    def step_down(self) -> None:
+        """Another service grants; nothing goes out from here until become_leader()."""
         self.quiet_until = NEVER
 
-    def begin(self, now: int) -> None:
+    def become_leader(self, now: int) -> None:
         """Another service may have granted until now: nothing goes out until that must have run out."""
-        self.quiet_until = now + self.lease + self.delay
+        self.quiet_until = now + self.lease_us + self.delay_us
 
     def resume(self, number: int) -> None:
         """Numbers go on above the highest that an earlier service may have given (its durable epoch)."""
@@ -182,12 +182,12 @@
         self._live.add(holder)
         self._touched |= self._of.get(holder, set())
 
-    def lost(self, holder: str) -> None:
+    def disconnected(self, holder: str) -> None:
         """It cannot be heard any more. What it was granted counts on until it has run out."""
         self._live.discard(holder)
         self._touched |= self._of.get(holder, set())
 
-    def want(self, holder: str, destination: int, amount: int) -> None:
+    def set_demand(self, holder: str, destination: int, amount: int) -> None:
         """What a holder would send there if it might; 0: nothing."""
         place = self._destinations.setdefault(destination, _Destination())
         share = place.shares.setdefault(holder, _Share())
@@ -204,7 +204,7 @@
             return False
         was = [(out.number, out.until) for out in share.out]
         share.out = [out for out in share.out if out.number >= number]
-        share.out[0].until = min(share.out[0].until, now + self.lease)
+        share.out[0].until = min(share.out[0].until, now + self.lease_us)
         if was == [(out.number, out.until) for out in share.out]:
             return False
         self._touched.add(destination)
@@ -212,7 +212,7 @@
 
     # -- what follows
 
-    def turn(self, now: int) -> list[Grant]:
+    def step(self, now: int) -> list[Grant]:
         """The grants to send now. To be called after news, and at next_turn() if there are none."""
         if now < self.quiet_until:
             return []
@@ -228,11 +228,11 @@
                 self._plan(number, place, now)
         return grants
 
-    def next_turn(self, now: int) -> int:
+    def next_deadline(self, now: int) -> int:
         """When turn() is due if no news come before."""
         if now < self.quiet_until or self._touched:
             return max(now, self.quiet_until)
-        return self._wakes[0][0] if self._wakes else now + self.lease
+        return self._wakes[0][0] if self._wakes else now + self.lease_us
 
     def destinations(self) -> Iterable[int]:
         return self._destinations.keys()
@@ -267,7 +267,7 @@
         for holder, share in place.shares.items():
             times += [out.until for out in share.out]
             if share.granted and holder in self._live:
-                times.append(share.sent + self.lease // 2)
+                times.append(share.sent + self.lease_us // 2)
         at = min((at for at in times if at > now), default=None)
         if at is not None:
             heapq.heappush(self._wakes, (at, number))
@@ -280,7 +280,7 @@
         place.falls = [
             (fall, now if at == NEVER else at)
             for fall, at in place.falls
-            if at == NEVER or at > now - self.lease - self.delay
+            if at == NEVER or at > now - self.lease_us - self.delay_us
         ]
         marks = [0, *(fall for fall, _ in place.falls)]
         rooms = {mark: place.allowance - sum(share.since(mark) for share in place.shares.values()) for mark in marks}
@@ -296,13 +296,13 @@
 
         for holder in [holder for holder in place.shares if holder in self._live]:
             share, target = place.shares[holder], targets.get(holder, 0)
-            if target < share.granted * (1 - CHANGED) or target < share.granted and rooms[0] < 0:
+            if target < share.granted * (1 - MIN_RELATIVE_CHANGE) or target < share.granted and rooms[0] < 0:
                 given(holder, share, give(share, target))
         for holder in sorted(targets, key=lambda name: (place.shares[name].in_use - targets[name], name)):
             share = place.shares[holder]
             amount = give(share, targets[holder])
-            more = amount > share.granted * (1 + CHANGED)
-            if not amount or not more and now < share.sent + self.lease // 2:
+            more = amount > share.granted * (1 + MIN_RELATIVE_CHANGE)
+            if not amount or not more and now < share.sent + self.lease_us // 2:
                 continue
             given(holder, share, amount)
         check(place.in_use() <= max(before, place.allowance), "a raise takes free room only")
@@ -310,14 +310,14 @@
 
     def _grant(self, number: int, holder: str, share: _Share, amount: int, now: int) -> Grant:
         self._number += 1
-        share.out.append(_Out(self._number, amount, now + self.delay + self.lease))
+        share.out.append(_Out(self._number, amount, now + self.delay_us + self.lease_us))
         share.sent = now
-        return Grant(holder, number, self._number, amount, self.lease)
+        return Grant(holder, number, self._number, amount, self.lease_us)
 
     def _targets(self, place: _Destination, now: int) -> dict[str, int]:
         """Who should have how much, of live holders that want something; the sum is no more than the allowance."""
         asking = [holder for holder, share in place.shares.items() if holder in self._live and share.wanted]
-        most = max(1, place.allowance // LEAST)
+        most = max(1, place.allowance // MIN_GRANT)
         if len(asking) > most:
             asking = self._in_turn(place, asking, most, now)
         else:
@@ -330,13 +330,13 @@
         going_on = now >= place.turn_until
         if going_on:
             place.turns += 1
-            place.turn_until = now + 2 * (self.lease + self.delay)
-        theirs = [] if going_on else [holder for holder in asking if place.shares[holder].turn == place.turns]
+            place.turn_until = now + 2 * (self.lease_us + self.delay_us)
+        theirs = [] if going_on else [holder for holder in asking if place.shares[holder].last_turn == place.turns]
         theirs += sorted(
-            (holder for holder in asking if holder not in theirs), key=lambda holder: place.shares[holder].turn
+            (holder for holder in asking if holder not in theirs), key=lambda holder: place.shares[holder].last_turn
         )[: max(0, most - len(theirs))]
         for holder in theirs[:most]:
-            place.shares[holder].turn = place.turns
+            place.shares[holder].last_turn = place.turns
         return theirs[:most]
 
 
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -19,36 +19,36 @@
 from math import inf
 
 from scalefall import interface as i
-from scalefall.control.catalog import EDS, Catalog, Key, Resource, View
-from scalefall.control.grants import CALLS, LEAST, Grant, Leases, Ledger
+from scalefall.control.catalog import EDS, Catalog, ResourceKey, Resource, DestinationView
+from scalefall.control.grants import UNITS_PER_CALL, MIN_GRANT, Grant, Leases, Ledger
 from scalefall.control.allocator import Allocator, by_destination
-from scalefall.control.members import Change, Joined, Members, Refused, State
-from scalefall.control.streams import Action, Request, Stream
+from scalefall.control.members import MembershipChange, Joined, Members, JoinRejected, MemberState
+from scalefall.control.streams import StreamAction, Request, XdsStream
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry
 from scalefall.policy import Sender
 
-SETTLE = 10_000  # us from the first news to the turn that answers them
-WATCHED = 100_000  # between turns while a wait, a guard or a pace may end by itself
-RESTS = 1_000_000  # between turns otherwise
-GRID = 25_000  # heartbeats are sent at multiples of it
-HEADROOM = 1.25  # a holder's demand by what it used
+SETTLE_US = 10_000  # us from the first news to the turn that answers them
+UNSETTLED_STEP_US = 100_000  # between turns while a wait, a guard or a pace may end by itself
+SETTLED_STEP_US = 1_000_000  # between turns otherwise
+HEARTBEAT_GRID_US = 25_000  # heartbeats are sent at multiples of it
+DEMAND_HEADROOM = 1.25  # a holder's demand by what it used
 
-Out = tuple[int, Action | Grant]  # to a stream
-Rows = dict[int, list[Entry]]  # the endpoints of each route
+Outgoing = tuple[int, StreamAction | Grant]  # to a stream
+RouteEntries = dict[int, list[Entry]]  # the endpoints of each route
 
 
 @dataclass(slots=True, frozen=True)
-class Builder:
+class ResourceBuilder:
     """fixed: endpoints by route and the routes' rules to resources; endpoints: route, its entries, the module's rows
     and now to one resource."""
 
-    fixed: Callable[[Rows, dict[int, RouteRules]], list[Resource]]
+    fixed: Callable[[RouteEntries, dict[int, RouteRules]], list[Resource]]
     endpoints: Callable[[int, list[Entry], list[i.Allowed], int], Resource]
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class LogEvent:
     """For the log: an event's name, its fields; fine: of interest to the audit, not to a person."""
 
     event: str
@@ -56,18 +56,18 @@
     fine: bool = False
 
 
-class Service:
+class ControlService:
     def __init__(
         self,
         now: int,
         settings: i.Settings,
         seed: int,
-        builder: Builder,
+        builder: ResourceBuilder,
         lease_us: int,
         delay_us: int,
         silence_us: int,
         ledger: Leases | None = None,
-        view: View | None = None,
+        view: DestinationView | None = None,
     ) -> None:
         """ledger: who may use how much, where it is not by destination; view: which node may have which destinations'
         resources, where not all may."""
@@ -77,22 +77,22 @@
         self.allocator = Allocator(self.module, self.ledger)
         self.catalog = Catalog(view)
         self.members = Members(silence_us, lease_us + delay_us)
-        self.told: list[Told] = []
+        self.emitted_events: list[LogEvent] = []
         self._fleet = Fleet([], {})
         self._build = builder
-        self._streams: dict[int, Stream] = {}
+        self._streams: dict[int, XdsStream] = {}
         self._beats: list[tuple[int, int]] = []  # when a stream's next heartbeat may be due
         self._planned: set[int] = set()  # streams that are there
         self._allocate_at = now
-        self._rows: Rows = {}
+        self._rows: RouteEntries = {}
         self._events: list[i.Event] = []
         self._due = now
-        self._has_news = False
+        self._step_scheduled = False
 
-    def begin_granting(self, now: int, number: int, snapshot: str | None = None) -> None:
+    def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:
         """This service grants from now on, with numbers above the highest that an earlier one may have given, and
         nothing before what that one granted has run out. snapshot: what it left of itself."""
-        self.ledger.begin(now)
+        self.ledger.become_leader(now)
         self.ledger.resume(number)
 
     def generation(self) -> int:
@@ -105,28 +105,28 @@
 
     # -- the fleet
 
-    def configure(self, fleet: Fleet, now: int) -> list[Out]:
+    def configure(self, fleet: Fleet, now: int) -> list[Outgoing]:
         """The fleet from now on, whole or (Inconsistent) not at all; what goes out at once. Only the routes that differ
         from before are built anew."""
-        rows: Rows = {number: [] for number in fleet.routes}
+        rows: RouteEntries = {number: [] for number in fleet.routes}
         for entry in fleet.entries:
             rows.setdefault(entry.endpoint.destination, []).append(entry)
         routes = {number for number in fleet.routes if self._differs(number, rows, fleet)}
         made = self._build.fixed({number: rows[number] for number in routes}, {n: fleet.routes[n] for n in routes})
         changes = self._endpoint_changes(fleet)
-        self.allocator.take(now, [i.Listed(i.ListKind.CHANGES, changes)] if changes else [])
-        allowed = by_destination(self.allocator.look(routes))
+        self.allocator.apply(now, [i.Listed(i.ListKind.CHANGES, changes)] if changes else [])
+        allowed = by_destination(self.allocator.allowances(routes))
         made += [self._build.endpoints(number, rows[number], allowed.get(number, []), now) for number in routes]
         gone = [
             key for number in self._fleet.routes.keys() - fleet.routes.keys() for key in self.catalog.keys_of(number)
         ]
         changed = self.catalog.update(made, gone)
         self._fleet, self._rows = fleet, rows
-        self._news(now)
-        self._allocate_at = min(self._allocate_at, now + SETTLE)
+        self._schedule_step(now)
+        self._allocate_at = min(self._allocate_at, now + SETTLE_US)
         return self._changed(changed)
 
-    def _differs(self, number: int, rows: Rows, fleet: Fleet) -> bool:
+    def _differs(self, number: int, rows: RouteEntries, fleet: Fleet) -> bool:
         """Whether a route's endpoints or rules are others than those in force."""
         return rows[number] != self._rows.get(number) or fleet.routes[number] != self._fleet.routes.get(number)
 
@@ -141,7 +141,7 @@
         places = {entry.endpoint.id: entry.address for entry in entries if entry.endpoint.id in moved}
         for end in changes:
             if _status(was.get(end.id)) != _status(end):
-                self._tell(
+                self._emit(
                     "endpoint",
                     endpoint=end.id,
                     address="{}:{}".format(*places[end.id]),
@@ -153,101 +153,101 @@
 
     # -- resource streams
 
-    def opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
+    def resource_stream_opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
         """leased: the client knows times to live."""
-        self._streams[stream] = Stream(self.catalog, holder, incremental, leased)
+        self._streams[stream] = XdsStream(self.catalog, holder, incremental, leased)
 
     def repeats(self, stream: int) -> bool:
         """Whether the last request on it said the same names again, which costs next to nothing."""
         return self._streams[stream].repeats
 
-    def request(self, stream: int, request: Request, now: int) -> list[Out]:
+    def request(self, stream: int, request: Request, now: int) -> list[Outgoing]:
         client = self._streams[stream]
         out = [(stream, action) for action in client.request(request)]
-        self._plan_beat(stream, client.next_beat(now))
+        self._plan_beat(stream, client.next_heartbeat(now))
         return out
 
-    def ended(self, stream: int) -> None:
+    def resource_stream_closed(self, stream: int) -> None:
         """A resource stream is closed."""
         self._streams.pop(stream, None)
 
     # -- grants and reports
 
-    def joined(
+    def quota_stream_joined(
         self, stream: int, node: str, instance: str, now: int, region: str = "", zone: str = ""
-    ) -> Joined | Refused:
+    ) -> Joined | JoinRejected:
         """A quota stream has named its process, and where it stands."""
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
-            self._enter(answer.holder, now)
-            self._news(now)
-            self._tell("proxy joined", holder=answer.holder, came_back=answer.came_back, twin=answer.twin)
+            self._holder_reachable(answer.holder, now)
+            self._schedule_step(now)
+            self._emit("proxy joined", holder=answer.holder, came_back=answer.is_known, twin=answer.shares_node_id)
         return answer
 
-    def left(self, stream: int, now: int) -> None:
-        change = self.members.ended(stream, now)
+    def quota_stream_closed(self, stream: int, now: int) -> None:
+        change = self.members.stream_closed(stream, now)
         if change is not None:
-            self._lost(change, now)
-            self._news(now)
+            self._holder_disconnected(change, now)
+            self._schedule_step(now)
 
-    def used(self, stream: int, route: int, calls: float, had: int, now: int) -> bool:
+    def demand_reported(self, stream: int, route: int, calls: float, had: int, now: int) -> bool:
         """A holder's demand on a route in calls a second, let through or not, and the highest grant that it has had
         (0: it doesn't say). False if there is no such route."""
-        holder = self.members.holder(stream)
+        holder = self.members.holder_of(stream)
         if holder is None or route not in self._rows:
             return False
-        if self.members.heard(stream, now) is not None:
-            self._enter(holder, now)
-            self._tell("proxy heard again", holder=holder)
+        if self.members.heartbeat_received(stream, now) is not None:
+            self._holder_reachable(holder, now)
+            self._emit("proxy heard again", holder=holder)
         if had and self.ledger.acknowledged(holder, route, had, now):
-            self._tell("had", fine=True, clock=now, holder=holder, route=route, number=had)
-        self.ledger.want(holder, route, max(LEAST, _step(calls * HEADROOM * CALLS)))
-        self._news(now)
+            self._emit("had", fine=True, clock=now, holder=holder, route=route, number=had)
+        self.ledger.set_demand(holder, route, max(MIN_GRANT, _step(calls * DEMAND_HEADROOM * UNITS_PER_CALL)))
+        self._schedule_step(now)
         return True
 
-    def reported(self, calls: Iterable[i.Reported], now: int) -> None:
+    def calls_reported(self, calls: Iterable[i.Reported], now: int) -> None:
         """Calls that holders have made."""
-        self.recalled(calls, now)
+        self.restore(calls, now)
 
-    def recalled(self, events: Iterable[i.Event], now: int) -> None:
+    def restore(self, events: Iterable[i.Event], now: int) -> None:
         """What the service before this one knew, as events (snapshot.py)."""
         self._events += events
-        self._news(now)
+        self._schedule_step(now)
 
     # -- time
 
-    def turn(self, now: int) -> list[Out]:
+    def step(self, now: int) -> list[Outgoing]:
         """Everything that is due: reports judged, resources that differ, grants, heartbeats, silent proxies."""
-        for change in self.members.turn(now):
-            self._lost(change, now)
+        for change in self.members.step(now):
+            self._holder_disconnected(change, now)
         out, grants = (
-            self._allocated(now) if self._events or now >= self._allocate_at else ([], self.allocator.grants(now))
+            self._allocated(now) if self._events or now >= self._allocate_at else ([], self.allocator.step_ledger(now))
         )
-        self._has_news, self._due = False, self._allocate_at
-        for route, amount in self.allocator.changed.items():
-            self._tell("allowance", fine=True, clock=now, route=route, amount=amount)
-        out += self._grants_out(grants, now)
+        self._step_scheduled, self._due = False, self._allocate_at
+        for route, amount in self.allocator.changed_allowances.items():
+            self._emit("allowance", fine=True, clock=now, route=route, amount=amount)
+        out += self._outgoing_grants(grants, now)
         out += self._beat(now)
         return out
 
-    def _grants_out(self, grants: list[Grant], now: int) -> list[Out]:
+    def _outgoing_grants(self, grants: list[Grant], now: int) -> list[Outgoing]:
         """To the streams of those holders that can be heard; the others' count all the same, as they may be on their
         way to them."""
-        out: list[Out] = []
+        out: list[Outgoing] = []
         for grant in grants:
             stream = self._live_stream(grant.holder)
             if stream is not None:
                 out.append((stream, grant))
-                self._tell_granted(grant, now)
+                self._emit_granted(grant, now)
         return out
 
     def _live_stream(self, holder: str) -> int | None:
         """The quota stream of a holder that can be heard."""
         member = self.members.get(holder)
-        return member.stream if member is not None and member.state is State.LIVE else None
+        return member.stream if member is not None and member.state is MemberState.LIVE else None
 
-    def _tell_granted(self, grant: Grant, now: int) -> None:
-        self._tell(
+    def _emit_granted(self, grant: Grant, now: int) -> None:
+        self._emit(
             "granted",
             fine=True,
             clock=now,
@@ -256,26 +256,26 @@
             number=grant.number,
             amount=grant.amount,
             lease_ms=grant.lease_us // 1000,
-            delay_ms=self.ledger.delay // 1000,
+            delay_ms=self.ledger.delay_us // 1000,
         )
 
-    def _allocated(self, now: int) -> tuple[list[Out], list[Grant]]:
+    def _allocated(self, now: int) -> tuple[list[Outgoing], list[Grant]]:
         """The module's turn: it comes for reports and by time, not for each demand."""
         events, self._events = self._events, []
-        grants = self.allocator.turn(now, events)
-        for line in self.allocator.said:
-            self._tell("judged", text=line)
+        grants = self.allocator.step(now, events)
+        for line in self.allocator.log_lines:
+            self._emit("judged", text=line)
         allowed = by_destination(self.allocator.allowed)
         made = [
             self._build.endpoints(number, self._rows[number], allowed.get(number, []), now)
             for number in self.allocator.unsettled
             if number in self._rows
         ]
-        self._allocate_at = now + (WATCHED if self.allocator.unsettled else RESTS)
+        self._allocate_at = now + (UNSETTLED_STEP_US if self.allocator.unsettled else SETTLED_STEP_US)
         return self._changed(self.catalog.update(made)) if made else [], grants
 
-    def next_turn(self, now: int) -> int:
-        times = [self._due, self.ledger.next_turn(now), self.members.next_turn(now) or self._due]
+    def next_deadline(self, now: int) -> int:
+        times = [self._due, self.ledger.next_deadline(now), self.members.next_deadline(now) or self._due]
         if self._beats:
             times.append(self._beats[0][0])
         return max(now, min(times))
@@ -284,46 +284,46 @@
         """On a grid, so that the heartbeats of many streams take few turns."""
         if at < inf and stream not in self._planned:
             self._planned.add(stream)
-            heapq.heappush(self._beats, (-(-int(at) // GRID) * GRID, stream))
+            heapq.heappush(self._beats, (-(-int(at) // HEARTBEAT_GRID_US) * HEARTBEAT_GRID_US, stream))
 
-    def _beat(self, now: int) -> list[Out]:
-        out: list[Out] = []
+    def _beat(self, now: int) -> list[Outgoing]:
+        out: list[Outgoing] = []
         while self._beats and self._beats[0][0] <= now:
             _, stream = heapq.heappop(self._beats)
             self._planned.discard(stream)
             client = self._streams.get(stream)
             if client is not None:
-                out += [(stream, action) for action in client.beat(now)]
-                self._plan_beat(stream, client.next_beat(now))
+                out += [(stream, action) for action in client.heartbeats(now)]
+                self._plan_beat(stream, client.next_heartbeat(now))
         return out
 
-    def _changed(self, keys: set[Key]) -> list[Out]:
+    def _changed(self, keys: set[ResourceKey]) -> list[Outgoing]:
         """What each client is sent for it; endpoints first, and to all, as a drain is among them."""
         first = {key for key in keys if key[0] == EDS}
-        out: list[Out] = []
+        out: list[Outgoing] = []
         for part in (first, keys - first):
             for stream, theirs in self._receivers(part):
                 out += [(stream, action) for action in self._streams[stream].changed(theirs)]
         return out
 
-    def _receivers(self, keys: set[Key]) -> Iterable[tuple[int, set[Key]]]:
+    def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
         """The streams that are to be told of some of these keys, and of which."""
         return [(stream, keys) for stream in self._streams] if keys else []
 
-    def _enter(self, holder: str, now: int) -> None:
+    def _holder_reachable(self, holder: str, now: int) -> None:
         """A process can be heard, for the first time or again."""
         self.ledger.join(holder)
 
-    def _lost(self, change: Change, now: int) -> None:
-        self.ledger.lost(change.holder)
-        self._tell("proxy lost", holder=change.holder, state=change.state.value)
+    def _holder_disconnected(self, change: MembershipChange, now: int) -> None:
+        self.ledger.disconnected(change.holder)
+        self._emit("proxy lost", holder=change.holder, state=change.state.value)
 
-    def _news(self, now: int) -> None:
-        if not self._has_news:
-            self._has_news, self._due = True, min(self._due, now + SETTLE)
+    def _schedule_step(self, now: int) -> None:
+        if not self._step_scheduled:
+            self._step_scheduled, self._due = True, min(self._due, now + SETTLE_US)
 
-    def _tell(self, event: str, fine: bool = False, **fields: object) -> None:
-        self.told.append(Told(event, fields, fine))
+    def _emit(self, event: str, fine: bool = False, **fields: object) -> None:
+        self.emitted_events.append(LogEvent(event, fields, fine))
 
 
 def _step(amount: float) -> int:
--- a/scalefall/control/snapshot.py
+++ b/scalefall/control/snapshot.py
@@ -19,7 +19,7 @@
 DOUBT_US = 600_000_000  # a partner in doubt longer ago than this is as one that is met for the first time
 
 
-def keep(allowed: list[i.Allowed], known: list[i.Known], now: int, wall: int) -> dict[str, Any]:
+def capture(allowed: list[i.Allowed], known: list[i.Known], now: int, wall: int) -> dict[str, Any]:
     """The rows to be kept, as plain JSON."""
     doubts, waits = [], {}
     for row in allowed:
@@ -35,7 +35,7 @@
     }
 
 
-def recall(kept: Any, now: int, wall: int) -> list[i.Event]:
+def restore(kept: Any, now: int, wall: int) -> list[i.Event]:
     """Events for a module that has its list of endpoints; ValueError where it can't be read."""
     try:
         if kept["form"] != FORM:
--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -24,10 +24,10 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from scalefall.control.catalog import CDS, LDS, TYPES, Catalog, Key, Resource
+from scalefall.control.catalog import CDS, LDS, RESOURCE_TYPES, Catalog, ResourceKey, Resource
 
 WINDOW = 4  # responses of one type without an answer
-MOST_NAMES = 20_000  # that one client may ask for by name
+MAX_NAMES = 20_000  # that one client may ask for by name
 MOST_LENGTH = 512  # of a name
 MOST_TEXT = 500  # of a rejection's text that is kept for the log
 WILDCARD = "*"
@@ -42,8 +42,8 @@
     type: str
     nonce: str = ""
     names: tuple[str, ...] = ()
-    less: tuple[str, ...] = ()
-    known: tuple[tuple[str, str], ...] = ()
+    unsubscribed: tuple[str, ...] = ()
+    initial_versions: tuple[tuple[str, str], ...] = ()
     error: str | None = None
 
 
@@ -54,11 +54,11 @@
     version: str
     resources: tuple[Resource, ...]
     removed: tuple[str, ...] = ()  # incremental only
-    beat: bool = False  # a heartbeat: names, versions and times to live, without bodies
+    is_heartbeat: bool = False  # a heartbeat: names, versions and times to live, without bodies
 
 
 @dataclass(slots=True, frozen=True)
-class Rejected:
+class ResponseRejected:
     """For the log: the client keeps what it had."""
 
     type: str
@@ -67,13 +67,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
+class CloseStream:
     """The client breaks the protocol or asks for too much; the stream ends with this reason."""
 
     reason: str
 
 
-Action = Response | Rejected | Close
+StreamAction = Response | ResponseRejected | CloseStream
 
 
 @dataclass(slots=True)
@@ -109,7 +109,7 @@
         return self.wildcard or name in self.names
 
 
-class Stream:
+class XdsStream:
     """One client. `holder` names it in the catalog; each call gives what is to be sent, in order."""
 
     def __init__(self, catalog: Catalog, holder: str, incremental: bool, leased: bool = True) -> None:
@@ -122,29 +122,29 @@
 
     # -- what comes
 
-    def request(self, request: Request) -> list[Action]:
+    def request(self, request: Request) -> list[StreamAction]:
         if self.closed:
             return []
-        if request.type not in TYPES:
+        if request.type not in RESOURCE_TYPES:
             return self._close(f"unknown type {request.type[:MOST_LENGTH]!r}")
-        if any(not name or len(name) > MOST_LENGTH for name in (*request.names, *request.less)):
+        if any(not name or len(name) > MOST_LENGTH for name in (*request.names, *request.unsubscribed)):
             return self._close("a name is empty or too long")
         new = request.type not in self._watches
         if new and (request.nonce or request.error is not None):
             return self._close("the first request of a type answers nothing")
         watch = self._watches.setdefault(request.type, Watch(request.type))
-        actions: list[Action] = []
+        actions: list[StreamAction] = []
         if request.nonce:
             answered = self._answered(watch, request)
             if answered is None:
                 return []  # an answer to what was answered before: the client has seen later ones since
             actions += answered
         self._subscribe(watch, request, new)
-        if len(watch.names) > MOST_NAMES:
-            return self._close(f"more than {MOST_NAMES} names")
+        if len(watch.names) > MAX_NAMES:
+            return self._close(f"more than {MAX_NAMES} names")
         return actions + self._flush()
 
-    def changed(self, keys: Iterable[Key]) -> list[Action]:
+    def changed(self, keys: Iterable[ResourceKey]) -> list[StreamAction]:
         """The catalog has changed there."""
         for kind, name in keys:
             watch = self._watches.get(kind)
@@ -152,11 +152,11 @@
                 watch.dirty[name] = None
         return self._flush()
 
-    def beat(self, now: int) -> list[Action]:
+    def heartbeats(self, now: int) -> list[StreamAction]:
         """Heartbeats for what the client would drop otherwise, BEATS in a time to live; next_beat says when. None goes
         out while a response of that type has no answer: so one tells its client that its last answer was heard, and
         a client that counts its lease from when it gave that answer is right whatever the link's delay."""
-        actions: list[Action] = []
+        actions: list[StreamAction] = []
         for watch in self._watches.values() if self._leased else ():
             if watch.ttl and not watch.out and now >= watch.beaten + watch.ttl // BEATS:
                 leased = [resource for resource in watch.sent.values() if resource.ttl_us]
@@ -166,7 +166,7 @@
                     actions.append(self._respond(watch, leased, (), True))
         return actions
 
-    def next_beat(self, now: int) -> float:
+    def next_heartbeat(self, now: int) -> float:
         """inf while nothing has one, or an answer is waited for: then it is to be asked again with that."""
         return (
             min(
@@ -181,19 +181,19 @@
             else inf
         )
 
-    def has(self, key: Key) -> Resource | None:
+    def acknowledged_resource(self, key: ResourceKey) -> Resource | None:
         """What the client is known to have of a resource, as it said itself."""
         watch = self._watches.get(key[0])
         return watch.good.get(key[1]) if watch else None
 
     @property
-    def waiting(self) -> int:
+    def pending_names(self) -> int:
         """Names with news that cannot go out yet."""
         return sum(len(watch.dirty) for watch in self._watches.values())
 
     # -- answers and subscriptions
 
-    def _answered(self, watch: Watch, request: Request) -> list[Action] | None:
+    def _answered(self, watch: Watch, request: Request) -> list[StreamAction] | None:
         """Takes in an acknowledgement or a rejection; None if its nonce is of no response that is out."""
         at = next((at for at, out in enumerate(watch.out) if out.nonce == request.nonce), None)
         if at is None:  # state of the world: a change of names bears the last nonce, which was answered before
@@ -206,7 +206,7 @@
             return []
         if out.beat:
             watch.beaten = inf  # it does not take heartbeats, whatever it said
-            return [Rejected(watch.type, (), request.error[:MOST_TEXT])]
+            return [ResponseRejected(watch.type, (), request.error[:MOST_TEXT])]
         suspects = [name for name, resource in out.resources.items() if watch.good.get(name) != resource]
         for name in suspects:
             if len(suspects) == 1:
@@ -220,7 +220,7 @@
                 del watch.sent[name]
                 if name in watch.good:
                     watch.sent[name] = watch.good[name]
-        return [Rejected(watch.type, tuple(sorted(suspects)), request.error[:MOST_TEXT])]
+        return [ResponseRejected(watch.type, tuple(sorted(suspects)), request.error[:MOST_TEXT])]
 
     def _accept(self, watch: Watch, out: _Out) -> None:
         for name, resource in out.resources.items():
@@ -245,9 +245,9 @@
     def _more_or_less(self, watch: Watch, request: Request, new: bool) -> None:
         """Incremental: a name that is asked for again is sent again, whatever the client has."""
         legacy = new and not request.names and watch.type in (LDS, CDS)
-        wildcard = (watch.wildcard or legacy or WILDCARD in request.names) and WILDCARD not in request.less
-        asked = (watch.names | set(request.names)) - set(request.less) - {WILDCARD}
-        for name, version in request.known if new else ():
+        wildcard = (watch.wildcard or legacy or WILDCARD in request.names) and WILDCARD not in request.unsubscribed
+        asked = (watch.names | set(request.names)) - set(request.unsubscribed) - {WILDCARD}
+        for name, version in request.initial_versions if new else ():
             resource = self._catalog.get((watch.type, name), self._holder)
             if resource is not None and resource.version == version:
                 watch.sent[name] = watch.good[name] = resource
@@ -275,18 +275,18 @@
 
     # -- what goes out
 
-    def _flush(self) -> list[Action]:
+    def _flush(self) -> list[StreamAction]:
         """All that may go now: what is made in the order of types, then what is taken away in the other."""
-        actions: list[Action] = []
-        for watch in [self._watches[kind] for kind in TYPES if kind in self._watches]:
+        actions: list[StreamAction] = []
+        for watch in [self._watches[kind] for kind in RESOURCE_TYPES if kind in self._watches]:
             if len(watch.out) < WINDOW:
                 actions += self._send(watch)
-        for watch in [self._watches[kind] for kind in reversed(TYPES) if kind in self._watches]:
+        for watch in [self._watches[kind] for kind in reversed(RESOURCE_TYPES) if kind in self._watches]:
             if len(watch.out) < WINDOW:
                 actions += self._take_away(watch)
         return actions
 
-    def _send(self, watch: Watch) -> list[Action]:
+    def _send(self, watch: Watch) -> list[StreamAction]:
         ready = []
         for name in list(watch.dirty):
             resource = self._catalog.get((watch.type, name), self._holder)
@@ -316,7 +316,7 @@
             watch.absent.discard(resource.name)
         return [self._respond(watch, ready, ())]
 
-    def _take_away(self, watch: Watch) -> list[Action]:
+    def _take_away(self, watch: Watch) -> list[StreamAction]:
         gone = [name for name in watch.dirty if self._catalog.get((watch.type, name), self._holder) is None]
         if gone and any(name in watch.sent for name in gone):
             needed = self._needed()
@@ -337,11 +337,11 @@
                 watch.absent.add(name)
         return [self._respond(watch, [], tuple(told))] if told else []
 
-    def _with_client(self, key: Key) -> bool:
+    def _with_client(self, key: ResourceKey) -> bool:
         watch = self._watches.get(key[0])
         return watch is None or not watch.wants(key[1]) or key[1] in watch.good
 
-    def _needed(self) -> set[Key]:
+    def _needed(self) -> set[ResourceKey]:
         """What the resources that the client has, or may have, refer to."""
         return set().union(
             *(
@@ -365,7 +365,7 @@
         watch.last = nonce
         return Response(watch.type, nonce, f"{self._catalog.generation}", tuple(resources), removed, beat)
 
-    def _close(self, reason: str) -> list[Action]:
+    def _close(self, reason: str) -> list[StreamAction]:
         self.closed = True
         self._watches.clear()
-        return [Close(reason)]
+        return [CloseStream(reason)]
--- a/scalefall/control/transport/quotas.py
+++ b/scalefall/control/transport/quotas.py
@@ -11,7 +11,7 @@
 from scalefall.assignment.service import ShardedService, ShardGrants
 from scalefall.control.transport import wire
 from scalefall.control.grants import Grant
-from scalefall.control.service import Service
+from scalefall.control.service import ControlService
 
 Usage = rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage
 
@@ -27,28 +27,32 @@
 class Quotas(Protocol):
     """One of the two ways."""
 
-    def used(self, stream: int, session: QuotaSession, usage: Usage, now: int) -> bytes | None:
+    def usage_reported(self, stream: int, session: QuotaSession, usage: Usage, now: int) -> bytes | None:
         """Take in one row of a report; a message that answers it at once, if any."""
 
-    def message(self, session: QuotaSession, action: object) -> bytes | None:
+    def grant_message(self, session: QuotaSession, action: object) -> bytes | None:
         """A grant as a message, if the stream is to have it."""
 
 
 class RouteQuotas:
     """A bucket a route, named by the client; each is granted by itself."""
 
-    def __init__(self, service: Service) -> None:
+    def __init__(self, service: ControlService) -> None:
         self._service = service
 
-    def used(self, stream: int, session: QuotaSession, usage: Usage, now: int) -> bytes | None:
+    def usage_reported(self, stream: int, session: QuotaSession, usage: Usage, now: int) -> bytes | None:
         route, had, number = wire.bucket_of(usage)
-        bucket = {key: value for key, value in usage.bucket_id.bucket.items() if key not in (wire.HAD, wire.SAID)}
-        if route is None or not self._service.used(stream, route, wire.calls_of(usage), had, now):
+        bucket = {
+            key: value
+            for key, value in usage.bucket_id.bucket.items()
+            if key not in (wire.ACKNOWLEDGED_GRANT, wire.REPORT_NUMBER)
+        }
+        if route is None or not self._service.demand_reported(stream, route, wire.calls_of(usage), had, now):
             return wire.abandon(bucket).SerializeToString()
         session.buckets[route] = (bucket, number)
         return None
 
-    def message(self, session: QuotaSession, action: object) -> bytes | None:
+    def grant_message(self, session: QuotaSession, action: object) -> bytes | None:
         bucket = session.buckets.get(action.destination) if isinstance(action, Grant) else None
         return wire.grant(action, *bucket).SerializeToString() if bucket is not None else None
 
@@ -59,7 +63,7 @@
     def __init__(self, service: ShardedService) -> None:
         self._service = service
 
-    def used(self, stream: int, session: QuotaSession, usage: Usage, now: int) -> bytes | None:
+    def usage_reported(self, stream: int, session: QuotaSession, usage: Usage, now: int) -> bytes | None:
         said = wire.session_of(usage)
         if said is None:  # a bucket of a route: none is granted here
             return wire.abandon(dict(usage.bucket_id.bucket)).SerializeToString()
@@ -67,7 +71,7 @@
         self._service.acknowledged(stream, had, now)
         return None
 
-    def message(self, session: QuotaSession, action: object) -> bytes | None:
+    def grant_message(self, session: QuotaSession, action: object) -> bytes | None:
         if not isinstance(action, ShardGrants):
             return None
         return wire.shard_grants(action.grants, session.heard).SerializeToString()
--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -20,24 +20,24 @@
 from scalefall.control.transport import resources
 from scalefall.net.endpoint_list import Entry
 
-PREFIX = "scalefall."
-ENDS = {
+METRIC_PREFIX = "scalefall."
+OUTCOME_METRICS = {
     "full": i.Outcome.FULL,
     "timeout": i.Outcome.TIMEOUT,
     "reset": i.Outcome.RESET,
     "connect_failed": i.Outcome.CONNECT_FAILED,
 }
-FIGURES = ("x0", "x1")
-MOST_REPORTED = 1000  # calls of one endpoint and outcome in one report that the module is told one by one
+NAMED_METRICS = ("x0", "x1")
+MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that the module is told one by one
 MOST_WAIT_MS = 3_600_000
 MOST_INTERVAL_US = 60_000_000
 Place = tuple[int, str, int]  # route, address, port
 
 
-class Index:
+class LoadReportIndex:
     """The endpoints of a fleet as load reports name them."""
 
-    def __init__(self, entries: Iterable[Entry], most_reported: int = MOST_REPORTED) -> None:
+    def __init__(self, entries: Iterable[Entry], most_reported: int = MAX_REPORTED_CALLS) -> None:
         """most_reported: calls of one endpoint and outcome in one report that the module is told one by one."""
         self._most = most_reported
         self._ids: dict[Place, str] = {}
@@ -95,12 +95,12 @@
         count, total = metric.num_requests_finished_with_metric, metric.total_metric_value
         if not 0 <= total < float("inf"):
             continue
-        if name in FIGURES and count:
+        if name in NAMED_METRICS and count:
             report[name] = total / count
-        elif name == PREFIX + "wait_ms":
+        elif name == METRIC_PREFIX + "wait_ms":
             wait = int(min(total, MOST_WAIT_MS) * 1000)
-        elif name.startswith(PREFIX) and name.removeprefix(PREFIX) in ENDS:
-            ends[ENDS[name.removeprefix(PREFIX)]] = count
+        elif name.startswith(METRIC_PREFIX) and name.removeprefix(METRIC_PREFIX) in OUTCOME_METRICS:
+            ends[OUTCOME_METRICS[name.removeprefix(METRIC_PREFIX)]] = count
     ends[i.Outcome.ERROR] = max(0, row.total_error_requests - sum(ends.values()))
     at = 0
     for _ in range(min(most, row.total_successful_requests)):
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -36,13 +36,13 @@
 
 from scalefall import interface as i
 from scalefall.control import allocator
-from scalefall.control.catalog import CDS, EDS, LDS, RDS, Key, Resource
-from scalefall.control.service import Rows
+from scalefall.control.catalog import CDS, EDS, LDS, RDS, ResourceKey, Resource
+from scalefall.control.service import RouteEntries
 from scalefall.net.config import RouteRules
 from scalefall.net.endpoint_list import Entry
 
 KEY_HEADER = "idempotency-key"
-LEASE = "scalefall-lease"  # the resource whose heartbeats stand for those of all lists
+LEASE_NAME = "scalefall-lease"  # the resource whose heartbeats stand for those of all lists
 NOT_SENT = "connect-failure"
 REPEATED = "connect-failure,refused-stream,reset,gateway-error,unavailable"  # the last one is gRPC's word
 WHOLE = 100  # the weight of an endpoint that is in no doubt
@@ -64,7 +64,7 @@
     return int(number) if prefix == "route" and number.isascii() and number.isdigit() and len(number) < 10 else None
 
 
-def fixed(rows: Rows, routes: dict[int, RouteRules], settings: i.Settings) -> list[Resource]:
+def static_resources(rows: RouteEntries, routes: dict[int, RouteRules], settings: i.Settings) -> list[Resource]:
     """Listeners, routes and clusters: what follows from the configuration alone."""
     made = []
     for number, rules in routes.items():
@@ -77,10 +77,10 @@
     return made
 
 
-def endpoints(number: int, rows: list[Entry], allowed: list[i.Allowed], now: int, ttl_us: int) -> Resource:
+def endpoint_resource(number: int, rows: list[Entry], allowed: list[i.Allowed], now: int, ttl_us: int) -> Resource:
     """The endpoints of a route as they are now; allowed are the module's rows for it."""
     title = name(number)
-    found, blocked = allocator.states((entry.endpoint for entry in rows), allowed, now)
+    found, blocked = allocator.endpoint_states((entry.endpoint for entry in rows), allowed, now)
     budgets = {named: budget for row in allowed for named, budget in row.endpoints.items()}
     fair = [row.rate / max(1, len(row.endpoints)) for row in allowed if row.rate < inf]
     places: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
@@ -116,11 +116,11 @@
     return _resource(EDS, number, body, (), ttl_us)
 
 
-def lease(ttl_us: int) -> Resource:
+def lease_resource(ttl_us: int) -> Resource:
     """An empty list of endpoints under a name of its own, with a time to live: its heartbeats tell a client that all
     lists which it has are still those in force, so that the lists themselves need none."""
-    body = _any(endpoint_pb2.ClusterLoadAssignment(cluster_name=LEASE))
-    return Resource(EDS, LEASE, "1", body, frozenset(), ttl_us)
+    body = _any(endpoint_pb2.ClusterLoadAssignment(cluster_name=LEASE_NAME))
+    return Resource(EDS, LEASE_NAME, "1", body, frozenset(), ttl_us)
 
 
 def _weight(budget: float | None, fair: list[float]) -> int:
@@ -220,7 +220,7 @@
     return listener_pb2.Listener(name=title, api_listener=api_listener_pb2.ApiListener(api_listener=_any(manager)))
 
 
-def _resource(kind: str, number: int, message: object, needs: Iterable[Key], ttl_us: int = 0) -> Resource:
+def _resource(kind: str, number: int, message: object, needs: Iterable[ResourceKey], ttl_us: int = 0) -> Resource:
     """A resource of one destination; its version is a hash of its body."""
     body = _any(message)
     version = hashlib.blake2b(body.value, digest_size=8).hexdigest()
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -7,10 +7,10 @@
 import time
 from collections.abc import Callable
 
-from scalefall.control.catalog import Inconsistent
-from scalefall.control.transport.tls import Keys
-from scalefall.control.transport.server import Control, Options
-from scalefall.control.transport.state import Folder
+from scalefall.control.catalog import InconsistentResources
+from scalefall.control.transport.tls import CertificateStore
+from scalefall.control.transport.server import ControlServer, ServerOptions
+from scalefall.control.transport.state import StateDirectory
 from scalefall.net.checks import log, report
 from scalefall.net.config import Config, ConfigError
 
@@ -18,20 +18,30 @@
 MARGIN_MS = 500  # for a report's way through this process, where the audit asks when a wait must have been heard
 
 
-def run(config: Config, options: Options, folder: Folder, held: Keys | None, read_again: Callable[[], Config]) -> None:
-    """Serve until SIGTERM or SIGINT. SIGHUP reads the configuration again. OSError if it can't listen; state.Unusable
-    if the folder can't be used."""
+def run(
+    config: Config,
+    options: ServerOptions,
+    folder: StateDirectory,
+    held: CertificateStore | None,
+    read_again: Callable[[], Config],
+) -> None:
+    """Serve until SIGTERM or SIGINT. SIGHUP reads the configuration again. OSError if it can't listen;
+    state.StateDirectoryError if the folder can't be used."""
     asyncio.run(_serve(config, options, folder, held, read_again))
 
 
 async def _serve(
-    config: Config, options: Options, folder: Folder, held: Keys | None, read_again: Callable[[], Config]
+    config: Config,
+    options: ServerOptions,
+    folder: StateDirectory,
+    held: CertificateStore | None,
+    read_again: Callable[[], Config],
 ) -> None:
     loop, end, again = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end.set)
     loop.add_signal_handler(signal.SIGHUP, again.set)
-    control = Control(config, options, folder, held)
+    control = ControlServer(config, options, folder, held)
     await control.start()
     reloads = asyncio.create_task(_reload(control, again, read_again))
     log.info(
@@ -51,7 +61,7 @@
     report()
 
 
-async def _reload(control: Control, again: asyncio.Event, read_again: Callable[[], Config]) -> None:
+async def _reload(control: ControlServer, again: asyncio.Event, read_again: Callable[[], Config]) -> None:
     while True:
         await again.wait()
         again.clear()
@@ -59,7 +69,7 @@
         try:
             config = await asyncio.get_running_loop().run_in_executor(None, read_again)
             control.configure(config)
-        except (ConfigError, Inconsistent) as error:
+        except (ConfigError, InconsistentResources) as error:
             log.error("configuration not taken, the one in force stays: %s", error)
             continue
         for line in config.left:
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -24,14 +24,14 @@
 from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
 from scalefall.assignment.service import ShardedService, ShardGrants
-from scalefall.control.rate_limits import Bucket, Openings
+from scalefall.control.rate_limits import TokenBucket, ClientRateLimiter
 from scalefall.control.transport import reports, resources, state, tls, wire
-from scalefall.control.transport.leadership import Lasting
+from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
 from scalefall.control.grants import Grant
-from scalefall.control.members import Refused
-from scalefall.control.service import Builder, Out, Rows, Service
-from scalefall.control.streams import Close, Rejected, Response
+from scalefall.control.members import JoinRejected
+from scalefall.control.service import ResourceBuilder, Outgoing, RouteEntries, ControlService
+from scalefall.control.streams import CloseStream, ResponseRejected, Response
 from scalefall.net.checks import log
 from scalefall.net.config import Config, RouteRules
 
@@ -43,8 +43,11 @@
 MOST_NODE = 256
 MOST_PLACE, MOST_INSTANCE = 64, 64  # characters of a region or zone, and of an instance
 ELSEWHERE = "another process grants here"
-SPEAK = (200, 100)  # requests of one stream: at once, and a second
-DEAR, CHEAP = 1_000, 20_000  # bytes that cost as much as a request; where it repeats the last one's names
+REQUEST_RATE = (200, 100)  # requests of one stream: at once, and a second
+BYTES_PER_REQUEST, BYTES_PER_REPEATED_REQUEST = (
+    1_000,
+    20_000,
+)  # bytes that cost as much as a request; where it repeats the last one's names
 OPEN = (50, 10)  # streams of one node likewise
 KEEP_S = 1.0  # between looks at what has to outlast the process
 ENDS_S = 1.0  # for streams to end in at the end of the process
@@ -72,7 +75,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Options:
+class ServerOptions:
     listen: str
     lease_us: int
     delay_us: int
@@ -109,43 +112,45 @@
         self.code, self.text = code, text
 
 
-class Control:
-    def __init__(self, config: Config, options: Options, folder: state.Folder, held: tls.Keys | None) -> None:
+class ControlServer:
+    def __init__(
+        self, config: Config, options: ServerOptions, folder: state.StateDirectory, held: tls.CertificateStore | None
+    ) -> None:
         self._options, self._keys = options, held
         self._settings, self._seed = config.settings, config.seed
         self._numbers = itertools.count(1)
         self._peers: dict[int, Peer] = {}
-        self._opened = Openings(*OPEN, 10_000)
-        self._responses = wire.Responses()
-        self._index = reports.Index(())
+        self._opened = ClientRateLimiter(*OPEN, 10_000)
+        self._responses = wire.ResponseEncoder()
+        self._index = reports.LoadReportIndex(())
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0  # when it comes
         self._beside: list[asyncio.Task] = []
         self.service = self._new_service()
-        self._lasting = Lasting(self.service, folder, options.lease_us + options.delay_us)
+        self._leader_state = LeaderState(self.service, folder, options.lease_us + options.delay_us)
         self.address = ""
         self._server: grpc.aio.Server | None = None
         self.configure(config)
 
-    def _new_service(self) -> Service:
+    def _new_service(self) -> ControlService:
         ttl_us, divided = self._options.endpoint_lease_us, self._options.sharding is not None
 
         def endpoints(number: int, rows: list, allowed: list[i.Allowed], now: int) -> object:
-            return resources.endpoints(number, rows, allowed, now, 0 if divided else ttl_us)
+            return resources.endpoint_resource(number, rows, allowed, now, 0 if divided else ttl_us)
 
-        def fixed(rows: Rows, routes: dict[int, RouteRules]) -> list:
-            made = resources.fixed(rows, routes, self._settings)
-            return [*made, resources.lease(ttl_us)] if divided else made
+        def fixed(rows: RouteEntries, routes: dict[int, RouteRules]) -> list:
+            made = resources.static_resources(rows, routes, self._settings)
+            return [*made, resources.lease_resource(ttl_us)] if divided else made
 
-        service = self._build_service(Builder(fixed, endpoints))
-        service.ledger.stand_by()
+        service = self._build_service(ResourceBuilder(fixed, endpoints))
+        service.ledger.step_down()
         return service
 
-    def _build_service(self, builder: Builder) -> Service:
+    def _build_service(self, builder: ResourceBuilder) -> ControlService:
         options, now = self._options, _now()
         common = (now, self._settings, self._seed, builder, options.lease_us, options.delay_us, options.lease_us)
         if options.sharding is None:
-            service = Service(*common)
+            service = ControlService(*common)
             self._quotas: Quotas = RouteQuotas(service)
             return service
         sharding = options.sharding
@@ -201,16 +206,16 @@
             task.cancel()
         if self._timer is not None:
             self._timer.cancel()
-        self._lasting.remember(_now(), _wall())
+        self._leader_state.save(_now(), _wall())
         await self._server.stop(ENDS_S)
-        self._lasting.release()
+        self._leader_state.release()
 
     def configure(self, config: Config) -> None:
         """A fleet, at the start or read again: its changes are on their way when this returns. Inconsistent, and
         nothing changed, if it can't be."""
         fleet = config.fleet
         out = self.service.configure(fleet, _now())
-        self._index = reports.Index(fleet.entries)
+        self._index = reports.LoadReportIndex(fleet.entries)
         self._send(out)
         log.info(
             "resources in force: generation %d, %d endpoints on %d routes",
@@ -232,10 +237,10 @@
     @property
     def granting(self) -> bool:
         """Whether this process is the one that grants."""
-        return self._lasting.granting
+        return self._leader_state.granting
 
     def _take(self) -> None:
-        if self._lasting.take(_now(), _wall()):
+        if self._leader_state.acquire_leadership(_now(), _wall()):
             self._plan()
 
     async def _take_over(self) -> None:
@@ -245,14 +250,14 @@
             await asyncio.sleep(TAKE_S)
             try:
                 self._take()
-            except state.Unusable as error:
+            except state.StateDirectoryError as error:
                 log.error("cannot grant: %s", error)
                 await asyncio.sleep(5)
 
     async def _keep(self) -> None:
         while True:
             await asyncio.sleep(KEEP_S)
-            self._lasting.remember(_now(), _wall())
+            self._leader_state.save(_now(), _wall())
             wall = time.time()
             for peer in list(self._peers.values()):
                 if peer.ends <= wall:
@@ -266,23 +271,23 @@
         if self._server is None:
             return
         now = _now()
-        at = self.service.next_turn(now)
+        at = self.service.next_deadline(now)
         if self._timer is not None:
             if self._armed <= at:
                 return  # it comes early enough, and plans anew then
             self._timer.cancel()
         self._armed = at
-        self._timer = asyncio.get_running_loop().call_later((at - now) / 1e6, self._turn)
+        self._timer = asyncio.get_running_loop().call_later((at - now) / 1e6, self._step)
 
-    def _turn(self) -> None:
+    def _step(self) -> None:
         self._timer = None
-        self._send(self.service.turn(_now()))
-        self._lasting.reserve()
+        self._send(self.service.step(_now()))
+        self._leader_state.reserve_numbers()
         self._say()
         self._plan()
 
     def _say(self) -> None:
-        told, self.service.told = self.service.told, []
+        told, self.service.emitted_events = self.service.emitted_events, []
         for row in told:
             level = logging.DEBUG if row.fine else logging.INFO
             if log.isEnabledFor(level):
@@ -295,18 +300,18 @@
 
     # -- what goes out
 
-    def _send(self, out: Iterable[Out]) -> None:
+    def _send(self, out: Iterable[Outgoing]) -> None:
         for number, action in out:
             peer = self._peers.get(number)
             if peer is None:
                 continue
             if isinstance(action, Response):
-                self._put(peer, self._responses.bytes(action, peer.incremental, peer.leased))
+                self._put(peer, self._responses.encode(action, peer.incremental, peer.leased))
             elif isinstance(action, (Grant, ShardGrants)):
-                data = self._quotas.message(peer.quota, action)
+                data = self._quotas.grant_message(peer.quota, action)
                 if data is not None and self.granting:
                     self._put(peer, data)
-            elif isinstance(action, Rejected):
+            elif isinstance(action, ResponseRejected):
                 log.warning(
                     "rejected: %s keeps what it had of %s: %s",
                     peer.node,
@@ -314,7 +319,7 @@
                     action.text,
                     extra={"fields": {"node": peer.node, "type": action.type, "names": action.names}},
                 )
-            elif isinstance(action, Close):
+            elif isinstance(action, CloseStream):
                 self._cut(peer, Code.INVALID_ARGUMENT, action.reason)
 
     def _put(self, peer: Peer, data: bytes) -> None:
@@ -359,8 +364,8 @@
             finally:
                 writer.cancel()
                 self._peers.pop(peer.number, None)
-                self.service.ended(peer.number)
-                self.service.left(peer.number, _now())
+                self.service.resource_stream_closed(peer.number)
+                self.service.quota_stream_closed(peer.number, _now())
                 self._say()
                 if self._timer is not None:
                     self._plan()
@@ -397,13 +402,13 @@
             raise Ended(Code.INVALID_ARGUMENT, "a stream is one node's")
         if peer.names is not None and node not in peer.names:
             raise Ended(Code.PERMISSION_DENIED, f"the certificate is not for node {node}")
-        if not peer.node and self._opened.refuse(node, _now()):
+        if not peer.node and self._opened.rejects(node, _now()):
             raise Ended(Code.RESOURCE_EXHAUSTED, "streams are opened too often")
         peer.node = node
 
     async def _messages(self, peer: Peer, kind: type) -> object:
         """The stream's messages, no faster than they may come."""
-        pace = Bucket(_now(), *SPEAK)
+        pace = TokenBucket(_now(), *REQUEST_RATE)
         while True:
             if peer.node:
                 data = await peer.context.read()
@@ -420,7 +425,9 @@
             except DecodeError:
                 raise Ended(Code.INVALID_ARGUMENT, "that is no message of this protocol") from None
             yield message
-            wait = pace.take(_now(), 1 + len(data) // (CHEAP if peer.repeats else DEAR))
+            wait = pace.consume(
+                _now(), 1 + len(data) // (BYTES_PER_REPEATED_REQUEST if peer.repeats else BYTES_PER_REQUEST)
+            )
             if wait:
                 await asyncio.sleep(wait / 1e6)
 
@@ -438,7 +445,7 @@
             if not peer.node:
                 self._identify(peer, message.node.id)
                 peer.leased = wire.TTL_FEATURE in message.node.client_features
-                self.service.opened(peer.number, peer.node, peer.incremental, peer.leased)
+                self.service.resource_stream_opened(peer.number, peer.node, peer.incremental, peer.leased)
             elif message.node.id:
                 self._identify(peer, message.node.id)
             self._send(self.service.request(peer.number, read(message), _now()))
@@ -459,7 +466,7 @@
                 self.service.counted(self._index.loads(message.cluster_stats))
             calls = list(self._index.events(message.cluster_stats, now))
             if calls:
-                self.service.reported(calls, now)
+                self.service.calls_reported(calls, now)
                 self._plan()
 
     async def _quota(self, peer: Peer) -> None:
@@ -474,13 +481,15 @@
                 self._identify(peer, said.get("scalefall-node") or message.domain)
                 place = [said.get(f"scalefall-{word}", "")[:MOST_PLACE] for word in ("region", "zone")]
                 instance = said.get("scalefall-instance", "")[:MOST_INSTANCE]
-                joined = self.service.joined(peer.number, peer.node, instance, now, *place)
-                if isinstance(joined, Refused):
+                joined = self.service.quota_stream_joined(peer.number, peer.node, instance, now, *place)
+                if isinstance(joined, JoinRejected):
                     raise Ended(Code.RESOURCE_EXHAUSTED, f"too many processes are node {peer.node}")
-                if joined.close is not None and joined.close in self._peers:
-                    self._cut(self._peers[joined.close], Code.ABORTED, "the same process has opened another stream")
+                if joined.replaced_stream is not None and joined.replaced_stream in self._peers:
+                    self._cut(
+                        self._peers[joined.replaced_stream], Code.ABORTED, "the same process has opened another stream"
+                    )
             for usage in message.bucket_quota_usages:
-                answer = self._quotas.used(peer.number, peer.quota, usage, now)
+                answer = self._quotas.usage_reported(peer.number, peer.quota, usage, now)
                 if answer is not None:
                     self._put(peer, answer)
             self._plan()
--- a/scalefall/control/transport/state.py
+++ b/scalefall/control/transport/state.py
@@ -16,23 +16,23 @@
 MOST_BYTES = 16_000_000
 
 
-class Unusable(Exception):
+class StateDirectoryError(Exception):
     """The folder can't be used; the text is one plain line."""
 
 
-class Folder:
+class StateDirectory:
     def __init__(self, path: str) -> None:
         self._path = path
         self._lock: int | None = None
         self.reserved = 0  # numbers below this may be given
 
-    def take(self) -> bool:
+    def acquire_lock(self) -> bool:
         """Try to be the one that grants."""
         if self._lock is None:
             try:
                 handle = os.open(self._at("granting"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             except OSError as error:
-                raise Unusable(f"{self._at('granting')}: {error.strerror}") from None
+                raise StateDirectoryError(f"{self._at('granting')}: {error.strerror}") from None
             try:
                 fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
@@ -46,35 +46,35 @@
             os.close(self._lock)
             self._lock = None
 
-    def begin(self) -> int:
+    def open_epoch(self) -> int:
         """The number above which grants may be given now. A file that can't be read is no reason to begin at 0, as
-        proxies may hold higher ones: Unusable."""
+        proxies may hold higher ones: StateDirectoryError."""
         try:
             with open(self._at("epoch"), encoding="ascii") as file:
                 text = file.read(64).strip()
             if not (text.isdigit() and len(text) < 19):
-                raise Unusable(f"{self._at('epoch')} does not hold a number: {text!r}")
+                raise StateDirectoryError(f"{self._at('epoch')} does not hold a number: {text!r}")
             first = int(text)
         except FileNotFoundError:
             first = 0
         except (OSError, UnicodeDecodeError) as error:
-            raise Unusable(f"{self._at('epoch')}: {getattr(error, 'strerror', None) or error}") from None
-        self.reserve(first)
+            raise StateDirectoryError(f"{self._at('epoch')}: {getattr(error, 'strerror', None) or error}") from None
+        self.reserve_numbers(first)
         return first
 
-    def reserve(self, used: int) -> None:
+    def reserve_numbers(self, used: int) -> None:
         """Numbers up to a block above `used` may be given from now on."""
         try:
             self._write("epoch", f"{used + BLOCK}\n", sync=True)
         except OSError as error:
-            raise Unusable(f"{self._at('epoch')}: {error.strerror}") from None
+            raise StateDirectoryError(f"{self._at('epoch')}: {error.strerror}") from None
         self.reserved = used + BLOCK
 
-    def keep(self, kept: dict[str, Any]) -> None:
+    def save_snapshot(self, kept: dict[str, Any]) -> None:
         """OSError if it can't be written; what was kept before stays."""
         self._write("figures", json.dumps(kept), sync=False)
 
-    def kept(self) -> Any:
+    def load_snapshot(self) -> Any:
         """None if there is nothing; ValueError if it can't be read."""
         text = self._read("figures")
         try:
@@ -82,11 +82,11 @@
         except RecursionError as error:
             raise ValueError(str(error)) from None
 
-    def keep_assignment(self, text: str) -> None:
+    def save_assignment(self, text: str) -> None:
         """Which sender has which shard. OSError if it can't be written; what was kept before stays."""
         self._write("assignment", text, sync=True)
 
-    def kept_assignment(self) -> str | None:
+    def load_assignment(self) -> str | None:
         """The same back; None if there is none, ValueError if it can't be read."""
         return self._read("assignment")
 
--- a/scalefall/control/transport/tls.py
+++ b/scalefall/control/transport/tls.py
@@ -22,44 +22,46 @@
 MOST_CHECKED = 10_000  # certificates whose signature is remembered
 
 
-class Unusable(Exception):
+class CertificateError(Exception):
     """The files can't be used; the text is one plain line."""
 
 
 @dataclass(slots=True, frozen=True)
-class Paths:
+class CertificatePaths:
     certificate: str
     key: str
     clients: str  # the authorities that proxies' certificates are signed by
 
 
 @dataclass(slots=True, frozen=True)
-class Pair:
+class CertificatePair:
     certificate: bytes
     key: bytes
     clients: bytes
     ends: datetime.datetime
 
 
-def read(paths: Paths, now: datetime.datetime) -> Pair:
+def read(paths: CertificatePaths, now: datetime.datetime) -> CertificatePair:
     certificate, key, clients = (_bytes(path) for path in (paths.certificate, paths.key, paths.clients))
     chain = _certificates(certificate, paths.certificate)
     _certificates(clients, paths.clients)
     try:
         private = load_pem_private_key(key, None)
     except (ValueError, TypeError) as error:
-        raise Unusable(f"{paths.key} holds no private key that can be read: {str(error).splitlines()[0]}") from None
+        raise CertificateError(
+            f"{paths.key} holds no private key that can be read: {str(error).splitlines()[0]}"
+        ) from None
     if _public(private.public_key()) != _public(chain[0].public_key()):
-        raise Unusable(f"{paths.key} is not the key of {paths.certificate}")
+        raise CertificateError(f"{paths.key} is not the key of {paths.certificate}")
     if chain[0].not_valid_after_utc <= now:
-        raise Unusable(f"{paths.certificate} ended at {chain[0].not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
-    return Pair(certificate, key, clients, chain[0].not_valid_after_utc)
+        raise CertificateError(f"{paths.certificate} ended at {chain[0].not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
+    return CertificatePair(certificate, key, clients, chain[0].not_valid_after_utc)
 
 
-class Keys:
+class CertificateStore:
     """The pair in use. `tell` is called with a line for the log when files change or can't be used."""
 
-    def __init__(self, paths: Paths, tell: Callable[[str, bool], None]) -> None:
+    def __init__(self, paths: CertificatePaths, tell: Callable[[str, bool], None]) -> None:
         self._paths, self._tell = paths, tell
         self._seen = self._marks()
         self.pair = read(paths, _now())
@@ -75,7 +77,7 @@
         self._seen = marks
         try:
             self.pair = read(self._paths, _now())
-        except Unusable as error:
+        except CertificateError as error:
             self._tell(f"certificates stay as they were: {error}", False)
             return None
         self._tell(f"certificates replaced: valid until {self.pair.ends:%Y-%m-%d %H:%M} UTC", True)
@@ -125,7 +127,7 @@
     return False
 
 
-def _configuration(pair: Pair) -> grpc.ServerCertificateConfiguration:
+def _configuration(pair: CertificatePair) -> grpc.ServerCertificateConfiguration:
     return grpc.ssl_server_certificate_configuration([(pair.key, pair.certificate)], pair.clients)
 
 
@@ -133,7 +135,7 @@
     try:
         return x509.load_pem_x509_certificates(data)
     except ValueError:
-        raise Unusable(f"{path} holds no certificate that can be read") from None
+        raise CertificateError(f"{path} holds no certificate that can be read") from None
 
 
 def _public(key: object) -> bytes:
@@ -145,7 +147,7 @@
         with open(path, "rb") as file:
             return file.read(MOST_BYTES)
     except OSError as error:
-        raise Unusable(f"{path}: {error.strerror}") from None
+        raise CertificateError(f"{path}: {error.strerror}") from None
 
 
 def _now() -> datetime.datetime:
--- a/scalefall/control/transport/wire.py
+++ b/scalefall/control/transport/wire.py
@@ -18,8 +18,8 @@
 from scalefall.assignment.model import WHOLE, ShardGrant
 from scalefall.control.catalog import Resource
 from scalefall.control.transport.resources import duration
-from scalefall.control.grants import CALLS, Grant
-from scalefall.control.allocator import MOST, UNLIMITED
+from scalefall.control.grants import UNITS_PER_CALL, Grant
+from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
 from scalefall.control.streams import Request, Response
 
 MOST_PARTS = 256  # serialized sets of resources that are kept for the next client
@@ -47,14 +47,14 @@
     return message.error_detail.message or "no reason given" if message.HasField("error_detail") else None
 
 
-class Responses:
+class ResponseEncoder:
     """Responses as bytes."""
 
     def __init__(self) -> None:
         self._parts: OrderedDict[tuple, bytes] = OrderedDict()
 
-    def bytes(self, response: Response, incremental: bool, leased: bool) -> bytes:
-        key = (incremental, leased, response.beat, response.type, response.resources, response.removed)
+    def encode(self, response: Response, incremental: bool, leased: bool) -> bytes:
+        key = (incremental, leased, response.is_heartbeat, response.type, response.resources, response.removed)
         part = self._parts.get(key)
         if part is None:
             made = _delta(response, leased) if incremental else _whole(response, leased)
@@ -74,7 +74,7 @@
     made.control_plane.identifier = IDENTIFIER
     for resource in response.resources:
         if resource.ttl_us and leased:  # wrapped, as only so it can say how long it holds
-            made.resources.add().Pack(_wrapped(resource, response.beat, leased))
+            made.resources.add().Pack(_wrapped(resource, response.is_heartbeat, leased))
         else:
             made.resources.append(resource.body)
     return made
@@ -83,7 +83,7 @@
 def _delta(response: Response, leased: bool) -> discovery_pb2.DeltaDiscoveryResponse:
     made = discovery_pb2.DeltaDiscoveryResponse(type_url=response.type, removed_resources=response.removed)
     made.control_plane.identifier = IDENTIFIER
-    made.resources.extend(_wrapped(resource, response.beat, leased) for resource in response.resources)
+    made.resources.extend(_wrapped(resource, response.is_heartbeat, leased) for resource in response.resources)
     return made
 
 
@@ -98,14 +98,18 @@
 
 # -- quotas
 
-ROUTE, HAD, SAID, GRANT, HEARD = "route", "had", "said", "grant", "heard"
+ROUTE, ACKNOWLEDGED_GRANT, REPORT_NUMBER, GRANT, LAST_REPORT = "route", "had", "said", "grant", "heard"
 
 
 def bucket_of(usage: rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage) -> tuple[int | None, int, int | None]:
     """The route, the highest grant that the client has had (0: it doesn't number them), and the number of this report
     where the client numbers them. The route is None if the bucket names none."""
     keys = usage.bucket_id.bucket
-    return _whole_number(keys.get(ROUTE)), _whole_number(keys.get(HAD)) or 0, _whole_number(keys.get(SAID))
+    return (
+        _whole_number(keys.get(ROUTE)),
+        _whole_number(keys.get(ACKNOWLEDGED_GRANT)) or 0,
+        _whole_number(keys.get(REPORT_NUMBER)),
+    )
 
 
 def calls_of(usage: rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage) -> float:
@@ -118,7 +122,7 @@
     """An assignment. A client that numbers its reports is told the grant's number, and the last report that was heard
     before: its lease counts from when it sent that one, so no delay of the link makes it longer."""
     if heard is not None:
-        bucket = bucket | {GRANT: f"{given.number}", HEARD: f"{heard}"}
+        bucket = bucket | {GRANT: f"{given.number}", LAST_REPORT: f"{heard}"}
     action = rlqs_pb2.RateLimitQuotaResponse.BucketAction(
         bucket_id=rlqs_pb2.BucketId(bucket=bucket),
         quota_assignment_action=rlqs_pb2.RateLimitQuotaResponse.BucketAction.QuotaAssignmentAction(
@@ -146,7 +150,7 @@
         if 0 < given.share < WHOLE:
             bucket[SHARE] = f"{given.share}"
         if heard is not None and not response.bucket_action:
-            bucket[HEARD] = f"{heard}"
+            bucket[LAST_REPORT] = f"{heard}"
         _assign(response, bucket, given.lease_us, UNLIMITED if given.share else 0)
         for destination, amount in given.limits:
             _assign(response, {SHARD: f"{given.shard}", ROUTE: f"{destination}"}, given.lease_us, amount)
@@ -167,7 +171,7 @@
                 raise ValueError(f"an allowance of shard {shard} follows no grant of it")
             grants[-1] = replace(last, limits=(*last.limits, (int(keys[ROUTE]), amount)))
             continue
-        heard = int(keys[HEARD]) if HEARD in keys else heard
+        heard = int(keys[LAST_REPORT]) if LAST_REPORT in keys else heard
         share = int(keys.get(SHARE, f"{WHOLE}")) if amount else 0
         lease = given.assignment_time_to_live.ToMicroseconds()
         own = int(keys[ROUTE]) if ROUTE in keys else None
@@ -178,7 +182,11 @@
 def session_of(usage: rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage) -> tuple[int, int | None] | None:
     """The highest number had on the stream, and the number of this report; None for a bucket of another kind."""
     keys = usage.bucket_id.bucket
-    return None if ROUTE in keys else (_whole_number(keys.get(HAD)) or 0, _whole_number(keys.get(SAID)))
+    return (
+        None
+        if ROUTE in keys
+        else (_whole_number(keys.get(ACKNOWLEDGED_GRANT)) or 0, _whole_number(keys.get(REPORT_NUMBER)))
+    )
 
 
 def _assign(response: rlqs_pb2.RateLimitQuotaResponse, bucket: dict[str, str], lease_us: int, amount: int) -> None:
@@ -201,10 +209,10 @@
     """Thousandths of a call a second as a bucket that holds one fill, so that nothing is saved up. Rounded down."""
     if amount <= 0:
         return ratelimit_strategy_pb2.RateLimitStrategy(blanket_rule=ratelimit_strategy_pb2.RateLimitStrategy.DENY_ALL)
-    if amount > MOST:
+    if amount > MAX_LIMITED:
         return ratelimit_strategy_pb2.RateLimitStrategy(blanket_rule=ratelimit_strategy_pb2.RateLimitStrategy.ALLOW_ALL)
-    tokens = max(1, amount * FILL_US // (CALLS * 1_000_000))
-    every = -(-tokens * CALLS * 1_000_000 // amount)
+    tokens = max(1, amount * FILL_US // (UNITS_PER_CALL * 1_000_000))
+    every = -(-tokens * UNITS_PER_CALL * 1_000_000 // amount)
     return ratelimit_strategy_pb2.RateLimitStrategy(
         token_bucket=token_bucket_pb2.TokenBucket(
             max_tokens=tokens, tokens_per_fill=wrappers_pb2.UInt32Value(value=tokens), fill_interval=duration(every)
@@ -216,7 +224,9 @@
     """The other way, for clients of our own: thousandths of a call a second."""
     if strategy.HasField("token_bucket"):
         bucket = strategy.token_bucket
-        return bucket.tokens_per_fill.value * CALLS * 1_000_000 // max(1, bucket.fill_interval.ToMicroseconds())
+        return (
+            bucket.tokens_per_fill.value * UNITS_PER_CALL * 1_000_000 // max(1, bucket.fill_interval.ToMicroseconds())
+        )
     return UNLIMITED if strategy.blanket_rule == ratelimit_strategy_pb2.RateLimitStrategy.ALLOW_ALL else 0
 
 
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -12,15 +12,15 @@
 from enum import Enum
 
 from scalefall import interface as i
-from scalefall.control.rate_limits import Bucket
+from scalefall.control.rate_limits import TokenBucket
 from scalefall.assignment.service import ShardGrants
 from scalefall.control.transport import reports, resources, wire
 from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
-from scalefall.control.transport.server import CHEAP, DEAR, SPEAK
+from scalefall.control.transport.server import BYTES_PER_REPEATED_REQUEST, BYTES_PER_REQUEST, REQUEST_RATE
 from scalefall.control.grants import Grant
-from scalefall.control.members import Refused
-from scalefall.control.service import Builder, Out, Rows, Service
-from scalefall.control.streams import Close, Response
+from scalefall.control.members import JoinRejected
+from scalefall.control.service import ResourceBuilder, Outgoing, RouteEntries, ControlService
+from scalefall.control.streams import CloseStream, Response
 from scalefall.lab.hollow.clock import Timer, VirtualClock
 from scalefall.lab.hollow.stopwatch import Stopwatch
 from scalefall.lab.proxy import messages
@@ -42,7 +42,9 @@
     report_us: int = 1_000_000
     divided: bool = False  # destinations among senders: the factory makes a ShardedService
     with_fixed: bool = True  # listeners, routes and clusters are built too
-    most_reported: int = reports.MOST_REPORTED  # calls of one endpoint and report that the module is told one by one
+    most_reported: int = (
+        reports.MAX_REPORTED_CALLS
+    )  # calls of one endpoint and report that the module is told one by one
 
 
 class StreamKind(Enum):
@@ -68,19 +70,19 @@
     opening: Opening
     send: Send
     close: Callable[[], None]
-    pace: Bucket
+    pace: TokenBucket
     ready_at: int = 0  # when its next message may be read
     begun: bool = False
     leased: bool = False
     quota: QuotaSession = field(default_factory=QuotaSession)
 
 
-ServiceFactory = Callable[[int, i.Settings, Builder, ControlOptions], Service]
+ServiceFactory = Callable[[int, i.Settings, ResourceBuilder, ControlOptions], ControlService]
 
 
-def make_service(now: int, settings: i.Settings, builder: Builder, options: ControlOptions) -> Service:
+def make_service(now: int, settings: i.Settings, builder: ResourceBuilder, options: ControlOptions) -> ControlService:
     """A service without an assignment: grants by destination."""
-    return Service(now, settings, 3, builder, options.lease_us, options.delay_us, options.lease_us)
+    return ControlService(now, settings, 3, builder, options.lease_us, options.delay_us, options.lease_us)
 
 
 class Control:
@@ -98,7 +100,7 @@
         """first_grant: grants are numbered above it, as after the durable epoch of an earlier instance. snapshot: the
         assignment that one left."""
         self._clock, self._options, self.stopwatch = clock, options, stopwatch
-        self._responses = wire.Responses()
+        self._responses = wire.ResponseEncoder()
         self._peers: dict[int, _Peer] = {}
         self._count = 0
         self._timer: Timer | None = None
@@ -106,23 +108,25 @@
         self.stopped = False
 
         def endpoints(number: int, rows: list, allowed: list[i.Allowed], now: int) -> object:
-            return resources.endpoints(number, rows, allowed, now, 0 if options.divided else options.endpoint_lease_us)
+            return resources.endpoint_resource(
+                number, rows, allowed, now, 0 if options.divided else options.endpoint_lease_us
+            )
 
-        def fixed(rows: Rows, routes: dict[int, RouteRules]) -> list:
-            made = resources.fixed(rows, routes, settings) if options.with_fixed else []
-            return [*made, resources.lease(options.endpoint_lease_us)] if options.divided else made
+        def fixed(rows: RouteEntries, routes: dict[int, RouteRules]) -> list:
+            made = resources.static_resources(rows, routes, settings) if options.with_fixed else []
+            return [*made, resources.lease_resource(options.endpoint_lease_us)] if options.divided else made
 
-        self.service = factory(clock.now, settings, Builder(fixed, endpoints), options)
+        self.service = factory(clock.now, settings, ResourceBuilder(fixed, endpoints), options)
         self._quotas: Quotas = ShardQuotas(self.service) if options.divided else RouteQuotas(self.service)
         if options.divided:
-            self.service.begin_granting(clock.now, first_grant, snapshot)
+            self.service.become_leader(clock.now, first_grant, snapshot)
         else:
             self.service.ledger.resume(first_grant)
         self.configure(fleet)
 
     def configure(self, fleet: Fleet) -> None:
         self.stopwatch.start()
-        self._index = reports.Index(fleet.entries, self._options.most_reported)
+        self._index = reports.LoadReportIndex(fleet.entries, self._options.most_reported)
         self._send(self.service.configure(fleet, self._clock.now))
         self._plan()
         self.stopwatch.stop()
@@ -141,7 +145,7 @@
     def accept(self, opening: Opening, send: Send, close: Callable[[], None]) -> int:
         """The number of the new stream. close: called if it is ended from here."""
         self._count += 1
-        self._peers[self._count] = _Peer(self._count, opening, send, close, Bucket(self._clock.now, *SPEAK))
+        self._peers[self._count] = _Peer(self._count, opening, send, close, TokenBucket(self._clock.now, *REQUEST_RATE))
         return self._count
 
     def receive(self, number: int, data: bytes) -> None:
@@ -153,15 +157,15 @@
             self._clock.at(peer.ready_at, lambda: self._read(number, data))
         else:
             self._read(number, data)
-        cost = 1 + len(data) // (CHEAP if self._repeats(peer) else DEAR)
-        peer.ready_at = max(peer.ready_at, self._clock.now + peer.pace.take(self._clock.now, cost))
+        cost = 1 + len(data) // (BYTES_PER_REPEATED_REQUEST if self._repeats(peer) else BYTES_PER_REQUEST)
+        peer.ready_at = max(peer.ready_at, self._clock.now + peer.pace.consume(self._clock.now, cost))
 
     def closed(self, number: int) -> None:
         """The sender's end is gone."""
         if self._peers.pop(number, None) is not None:
             self.stopwatch.start()
-            self.service.ended(number)
-            self.service.left(number, self._clock.now)
+            self.service.resource_stream_closed(number)
+            self.service.quota_stream_closed(number, self._clock.now)
             self._plan()
             self.stopwatch.stop()
 
@@ -190,7 +194,7 @@
     def _resources(self, peer: _Peer, message: messages.DeltaRequest) -> None:
         if not peer.begun:
             peer.begun, peer.leased = True, wire.TTL_FEATURE in message.node.client_features
-            self.service.opened(peer.number, message.node.id, True, peer.leased)
+            self.service.resource_stream_opened(peer.number, message.node.id, True, peer.leased)
         self._send(self.service.request(peer.number, wire.delta_request(message), self._clock.now))
 
     def _quota(self, peer: _Peer, message: messages.QuotaReport) -> None:
@@ -198,14 +202,16 @@
         if not peer.begun:
             peer.begun = True
             opening = peer.opening
-            joined = self.service.joined(peer.number, opening.node, opening.instance, now, opening.region, opening.zone)
-            if isinstance(joined, Refused):
+            joined = self.service.quota_stream_joined(
+                peer.number, opening.node, opening.instance, now, opening.region, opening.zone
+            )
+            if isinstance(joined, JoinRejected):
                 self._cut(peer.number)
                 return
-            if joined.close is not None:
-                self._cut(joined.close)
+            if joined.replaced_stream is not None:
+                self._cut(joined.replaced_stream)
         for usage in message.bucket_quota_usages:
-            answer = self._quotas.used(peer.number, peer.quota, usage, now)
+            answer = self._quotas.usage_reported(peer.number, peer.quota, usage, now)
             if answer is not None:
                 peer.send(Kind.GRANTS, answer)
 
@@ -220,46 +226,46 @@
             self.service.counted(self._index.loads(message.cluster_stats))
         calls = list(self._index.events(message.cluster_stats, now))
         if calls:
-            self.service.reported(calls, now)
+            self.service.calls_reported(calls, now)
 
     # -- turns
 
     def _plan(self) -> None:
-        at = self.service.next_turn(self._clock.now)
+        at = self.service.next_deadline(self._clock.now)
         if self._timer is not None:
             if self._armed <= at:
                 return
             self._timer.cancel()
         self._armed = at
-        self._timer = self._clock.at(at + TIMER_LATE_US, self._turn)
+        self._timer = self._clock.at(at + TIMER_LATE_US, self._step)
 
-    def _turn(self) -> None:
+    def _step(self) -> None:
         self._timer = None
         self.stopwatch.start()
-        self._send(self.service.turn(self._clock.now))
-        self.service.told.clear()
+        self._send(self.service.step(self._clock.now))
+        self.service.emitted_events.clear()
         self._plan()
         self.stopwatch.stop()
 
-    def _send(self, out: Iterable[Out]) -> None:
+    def _send(self, out: Iterable[Outgoing]) -> None:
         for number, action in out:
             peer = self._peers.get(number)
             if peer is None:
                 continue
             if isinstance(action, Response):
-                kind = Kind.HEARTBEATS if action.beat else Kind.RESOURCES
-                peer.send(kind, self._responses.bytes(action, True, peer.leased))
+                kind = Kind.HEARTBEATS if action.is_heartbeat else Kind.RESOURCES
+                peer.send(kind, self._responses.encode(action, True, peer.leased))
             elif isinstance(action, (Grant, ShardGrants)):
-                data = self._quotas.message(peer.quota, action)
+                data = self._quotas.grant_message(peer.quota, action)
                 if data is not None:
                     peer.send(Kind.GRANTS, data)
-            elif isinstance(action, Close):
+            elif isinstance(action, CloseStream):
                 self._cut(number)
 
     def _cut(self, number: int) -> None:
         """Ends a stream from here."""
         peer = self._peers.pop(number, None)
         if peer is not None:
-            self.service.ended(number)
-            self.service.left(number, self._clock.now)
+            self.service.resource_stream_closed(number)
+            self.service.quota_stream_closed(number, self._clock.now)
             peer.close()
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -12,7 +12,7 @@
 from scalefall.assignment.service import ShardedService
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.transport import resources, wire
-from scalefall.control.service import Builder
+from scalefall.control.service import ResourceBuilder
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, ControlOptions, Opening, StreamKind
 from scalefall.lab.hollow.fleet import Fleet, FleetPlan
@@ -29,10 +29,12 @@
 Counts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # share of each destination, span in us -> calls
 
 
-def factory(assignment: AssignmentSettings) -> Callable[[int, i.Settings, Builder, ControlOptions], ShardedService]:
+def factory(
+    assignment: AssignmentSettings,
+) -> Callable[[int, i.Settings, ResourceBuilder, ControlOptions], ShardedService]:
     """Makes the service of a hollow control instance."""
 
-    def make(now: int, settings: i.Settings, builder: Builder, options: ControlOptions) -> ShardedService:
+    def make(now: int, settings: i.Settings, builder: ResourceBuilder, options: ControlOptions) -> ShardedService:
         return ShardedService(
             now, settings, 3, builder, options.lease_us, options.delay_us, options.lease_us, assignment
         )
@@ -61,7 +63,9 @@
         """The next report, serialized."""
         said, had = self._contract.report(now)
         message = messages.QuotaReport(domain=self._node)
-        message.bucket_quota_usages.add().bucket_id.bucket.update({wire.SAID: f"{said}", wire.HAD: f"{had}"})
+        message.bucket_quota_usages.add().bucket_id.bucket.update(
+            {wire.REPORT_NUMBER: f"{said}", wire.ACKNOWLEDGED_GRANT: f"{had}"}
+        )
         return message.SerializeToString()
 
     def receive(self, data: bytes, now: int) -> None:
@@ -121,7 +125,7 @@
         listed = messages.endpoint_states(row)
         if listed is None:
             self.contract.beaten()
-        elif row.name == resources.LEASE:
+        elif row.name == resources.LEASE_NAME:
             self.contract.leased(listed.ttl_us, self._first_lease)
             self._first_lease = False
         else:
--- a/scalefall/lab/proxy/messages.py
+++ b/scalefall/lab/proxy/messages.py
@@ -99,7 +99,9 @@
     for route, calls, had, said in rows:
         usage = message.bucket_quota_usages.add(num_requests_allowed=int(calls * USAGE_SPAN_S))
         usage.time_elapsed.FromSeconds(USAGE_SPAN_S)
-        usage.bucket_id.bucket.update({wire.ROUTE: f"{route}", wire.HAD: f"{had}", wire.SAID: f"{said}"})
+        usage.bucket_id.bucket.update(
+            {wire.ROUTE: f"{route}", wire.ACKNOWLEDGED_GRANT: f"{had}", wire.REPORT_NUMBER: f"{said}"}
+        )
     return message
 
 
@@ -111,7 +113,7 @@
                 int(keys[wire.ROUTE]),
                 wire.amount_of(given.rate_limit_strategy),
                 int(keys[wire.GRANT]),
-                int(keys[wire.HEARD]),
+                int(keys[wire.LAST_REPORT]),
                 given.assignment_time_to_live.ToMicroseconds(),
             )
 
@@ -142,14 +144,14 @@
     )
     end.address.socket_address.address, end.address.socket_address.port_value = host, int(port)
     metrics = {
-        reports.PREFIX + word: [1.0] * sum(row.outcome is outcome for row in rows)
-        for word, outcome in reports.ENDS.items()
+        reports.METRIC_PREFIX + word: [1.0] * sum(row.outcome is outcome for row in rows)
+        for word, outcome in reports.OUTCOME_METRICS.items()
     }
-    for word in reports.FIGURES:
+    for word in reports.NAMED_METRICS:
         metrics[word] = [row.figures[word] for row in rows if word in row.figures]
-    metrics[reports.PREFIX + "wait_ms"] = [max(0.0, max((row.wait_until_us - now) / 1000 for row in rows))]
+    metrics[reports.METRIC_PREFIX + "wait_ms"] = [max(0.0, max((row.wait_until_us - now) / 1000 for row in rows))]
     for word, values in metrics.items():
-        if values and (sum(values) or word in reports.FIGURES):
+        if values and (sum(values) or word in reports.NAMED_METRICS):
             end.load_metric_stats.add(
                 metric_name=word, num_requests_finished_with_metric=len(values), total_metric_value=sum(values)
             )
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -19,9 +19,9 @@
 from scalefall.control import snapshot
 from scalefall.control.catalog import EDS, Resource
 from scalefall.control.grants import Grant
-from scalefall.control.allocator import states
+from scalefall.control.allocator import endpoint_states
 from scalefall.control.members import Joined
-from scalefall.control.service import Builder, Service
+from scalefall.control.service import ResourceBuilder, ControlService
 from scalefall.control.streams import Request, Response
 from scalefall.lab.classes import ANY, REPEAT
 from scalefall.lab.partner.model import Partner, Shape
@@ -187,8 +187,8 @@
 class _Control:
     def __init__(self, world: World, number: int, kept: dict | None) -> None:
         self._world, plan = world, world.plan
-        builder = Builder(lambda rows, routes: [], self._endpoints)
-        self.service = Service(
+        builder = ResourceBuilder(lambda rows, routes: [], self._endpoints)
+        self.service = ControlService(
             world.now, settings(plan.classes), 3, builder, plan.lease_us, plan.delay_us, plan.lease_us
         )
         self.service.ledger.resume(number)
@@ -196,11 +196,11 @@
         self.streams: dict[int, tuple[_Proxy, int]] = {}  # by stream: whose, and its link's generation
         self.configure()
         if kept is not None:
-            self.service.recalled(snapshot.recall(kept, world.now, world.now), world.now)
+            self.service.restore(snapshot.restore(kept, world.now, world.now), world.now)
         self.plan()
 
     def _endpoints(self, number: int, rows: list[Entry], allowed: list[i.Allowed], now: int) -> Resource:
-        found, blocked = states((entry.endpoint for entry in rows), allowed, now)
+        found, blocked = endpoint_states((entry.endpoint for entry in rows), allowed, now)
         return Resource(
             EDS, f"route-{number}", f"{found}{blocked}", (found, bool(blocked)), frozenset(), self._world.plan.ttl_us
         )
@@ -215,23 +215,23 @@
         self.plan()
 
     def keep(self) -> tuple[int, dict]:
-        return self.service.ledger.number, snapshot.keep(
-            self.service.allocator.doubtful(), self.service.module.known(), self._world.now, self._world.now
+        return self.service.ledger.number, snapshot.capture(
+            self.service.allocator.unsettled_allowances(), self.service.module.known(), self._world.now, self._world.now
         )
 
     def plan(self) -> None:
         self._say()
         self._planned += 1
         mine = self._planned
-        self._world.at(self.service.next_turn(self._world.now), lambda: self._turn(mine))
+        self._world.at(self.service.next_deadline(self._world.now), lambda: self._step(mine))
 
-    def _turn(self, planned: int) -> None:
+    def _step(self, planned: int) -> None:
         if planned == self._planned and self._world.control is self:
-            self._send(self.service.turn(self._world.now))
+            self._send(self.service.step(self._world.now))
             self.plan()
 
     def _say(self) -> None:
-        told, self.service.told = self.service.told, []
+        told, self.service.emitted_events = self.service.emitted_events, []
         for row in told:
             self._world.log("control", row.event, **row.fields)
 
@@ -250,30 +250,30 @@
             if request.nonce:
                 return
             self.streams[stream] = (proxy, link)
-            self.service.opened(stream, proxy.name, True, True)
+            self.service.resource_stream_opened(stream, proxy.name, True, True)
         self._send(self.service.request(stream, request, self._world.now))
         self.plan()
 
     def used(self, proxy: _Proxy, stream: int, link: int, rows: list) -> None:
         if stream not in self.streams:
             self.streams[stream] = (proxy, link)
-            joined = self.service.joined(stream, proxy.name, "i", self._world.now)
-            if isinstance(joined, Joined) and joined.close is not None:
-                self.streams.pop(joined.close, None)
+            joined = self.service.quota_stream_joined(stream, proxy.name, "i", self._world.now)
+            if isinstance(joined, Joined) and joined.replaced_stream is not None:
+                self.streams.pop(joined.replaced_stream, None)
         for route, calls, had, said in rows:
             proxy.heard[stream, route] = said
-            self.service.used(stream, route, calls, had, self._world.now)
+            self.service.demand_reported(stream, route, calls, had, self._world.now)
         self.plan()
 
     def reported(self, calls: list[i.Reported]) -> None:
-        self.service.reported(calls, self._world.now)
+        self.service.calls_reported(calls, self._world.now)
         self.plan()
 
     def ended(self, link: int, proxy: _Proxy) -> None:
         for stream in [key for key, row in self.streams.items() if row == (proxy, link)]:
             del self.streams[stream]
-            self.service.ended(stream)
-            self.service.left(stream, self._world.now)
+            self.service.resource_stream_closed(stream)
+            self.service.quota_stream_closed(stream, self._world.now)
         self.plan()
 
 
@@ -426,9 +426,9 @@
         elif isinstance(action, Response) and stream == self._ads:
             if "late" in plan.mistakes:
                 self.contract.answered(now)
-            if action.beat:
+            if action.is_heartbeat:
                 self.contract.beaten()
-            for resource in action.resources if not action.beat else ():
+            for resource in action.resources if not action.is_heartbeat else ():
                 ttl = 1 << 40 if "unleased" in plan.mistakes else resource.ttl_us
                 self.contract.listed(ROUTE, resource.body[0], resource.body[1], ttl, self._first)
                 self._first = False
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -11,8 +11,8 @@
 from scalefall.assignment.sharding import Sharding
 from scalefall.control.catalog import EDS, Resource
 from scalefall.control.transport import resources, wire
-from scalefall.control.grants import CALLS
-from scalefall.control.service import Builder
+from scalefall.control.grants import UNITS_PER_CALL
+from scalefall.control.service import ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.lab.proxy.contract import Fall, Refuse, Send
 from scalefall.lab.proxy.sharded import ShardedContract
@@ -32,7 +32,7 @@
 
 
 def built_fixed(rows, routes):
-    return [Resource(EDS, resources.LEASE, "1", None, frozenset(), TTL)]
+    return [Resource(EDS, resources.LEASE_NAME, "1", None, frozenset(), TTL)]
 
 
 class Sender:
@@ -49,9 +49,9 @@
     def start(self):
         world = self.world
         self.contract.opened(world.now)
-        world.service.opened(self.ads, self.node, True, True)
+        world.service.resource_stream_opened(self.ads, self.node, True, True)
         world.carry(world.service.request(self.ads, Request(EDS, names=("*",)), world.now))
-        world.service.joined(self.quota, self.node, self.instance, world.now, self.region, "z")
+        world.service.quota_stream_joined(self.quota, self.node, self.instance, world.now, self.region, "z")
         return self
 
     def received(self, action):
@@ -63,10 +63,10 @@
             self.listed(action)
 
     def listed(self, response):
-        if response.beat:
+        if response.is_heartbeat:
             self.contract.beaten()
-        for resource in () if response.beat else response.resources:
-            if resource.name == resources.LEASE:
+        for resource in () if response.is_heartbeat else response.resources:
+            if resource.name == resources.LEASE_NAME:
                 self.contract.leased(resource.ttl_us, self.first)
                 self.first = False
             else:
@@ -90,9 +90,9 @@
 class World:
     def __init__(self):
         self.now, self.numbers, self.senders = 0, 0, []
-        builder = Builder(built_fixed, built_list)
+        builder = ResourceBuilder(built_fixed, built_list)
         self.service = ShardedService(0, settings(siblings=1), 3, builder, LEASE, DELAY, LEASE, ASSIGNMENT)
-        self.service.begin_granting(0, 0)
+        self.service.become_leader(0, 0)
         entries = [
             Entry(i.Endpoint(f"e{n}", "a", "one", n, i.Status.READY, 0.0), ("127.0.0.1", n)) for n in DESTINATIONS
         ]
@@ -117,7 +117,7 @@
                 for sender in self.senders:
                     if sender.reachable:
                         sender.report()
-            self.carry(self.service.turn(self.now))
+            self.carry(self.service.step(self.now))
             self.check()
 
     def check(self):
@@ -162,8 +162,8 @@
     lost = world.senders[0]
     lost.reachable = False
     for stream in (lost.ads, lost.quota):
-        world.service.ended(stream)
-        world.service.left(stream, world.now)
+        world.service.resource_stream_closed(stream)
+        world.service.quota_stream_closed(stream, world.now)
     again = world.add("a", "2")
     world.run(4)
     assert world.served() == before and again.lists
@@ -201,20 +201,20 @@
 
 def test_an_allowance_reaches_the_holder_and_binds_it(world):
     number, [node] = next(iter(world.served().items()))
-    world.service.reported([i.Reported(f"e{number}", world.now, i.Outcome.FULL, 2 * S)], world.now)
+    world.service.calls_reported([i.Reported(f"e{number}", world.now, i.Outcome.FULL, 2 * S)], world.now)
     world.run(0.2)
     [holder] = [sender for sender in world.senders if sender.node == node]
     assert holder.contract.holder.budget(number, world.now) == 0 and isinstance(
         holder.contract.choose(number, world.now), Refuse
     )
     world.run(20)
-    assert 0 < holder.contract.holder.budget(number, world.now) < 10 * CALLS
+    assert 0 < holder.contract.holder.budget(number, world.now) < 10 * UNITS_PER_CALL
 
 
 def test_a_service_that_takes_over_leaves_every_shard_where_it_was(world):
     before, text = world.served(), world.service.snapshot()
     old, world.service = world.service, World().service
-    world.service.begin_granting(world.now, old.ledger.number, text)
+    world.service.become_leader(world.now, old.ledger.number, text)
     for sender in world.senders:
         sender.contract.quota_opened()
         sender.first = True
@@ -228,8 +228,8 @@
     world = World()
     if text is None:
         text = world.service.snapshot().replace("shards 64", "shards 65")
-    world.service.begin_granting(world.now, 0, text)
-    refused = [row for row in world.service.told if row.event == "assignment not taken"]
+    world.service.become_leader(world.now, 0, text)
+    refused = [row for row in world.service.emitted_events if row.event == "assignment not taken"]
     assert len(refused) == 1 and "\n" not in refused[0].fields["error"]
     world.add("a")
     world.run(8)
--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -6,7 +6,7 @@
 from helpers import settings
 
 from scalefall import interface as i
-from scalefall.control.grants import CALLS, Ledger
+from scalefall.control.grants import UNITS_PER_CALL, Ledger
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.policy import Sender
 
@@ -23,7 +23,7 @@
     allocator = Allocator(Sender(settings(siblings=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
     for holder in holders:
         allocator._ledger.join(holder)
-        allocator._ledger.want(holder, 1, 1000 * CALLS)
+        allocator._ledger.set_demand(holder, 1, 1000 * UNITS_PER_CALL)
     return allocator
 
 
@@ -37,73 +37,73 @@
 
 def test_what_the_module_does_not_pace_is_not_held_back():
     allocator = started("a")
-    assert amounts(allocator.turn(0, [listed("e")])) == {"a": UNLIMITED}
+    assert amounts(allocator.step(0, [listed("e")])) == {"a": UNLIMITED}
 
 
 def test_a_limit_that_answers_tell_is_divided_among_all():
     allocator = started("a", "b")
-    allocator.turn(0, [listed("e")])
-    grants = allocator.turn(S, reports(O.OK, report={"x0": 0.0, "x1": 8.0}))
-    assert sum(amounts(grants).values()) <= 8 * CALLS and allocator.allowed[0].rate <= 8
+    allocator.step(0, [listed("e")])
+    grants = allocator.step(S, reports(O.OK, report={"x0": 0.0, "x1": 8.0}))
+    assert sum(amounts(grants).values()) <= 8 * UNITS_PER_CALL and allocator.allowed[0].rate <= 8
 
 
 def test_a_told_wait_stops_every_proxy_until_it_is_over():
     allocator = started("a", "b")
-    allocator.turn(0, [listed("e")])
-    assert amounts(allocator.turn(S, reports(O.OK, wait=3 * S))) == {"a": 0, "b": 0}  # a good answer may tell one too
+    allocator.step(0, [listed("e")])
+    assert amounts(allocator.step(S, reports(O.OK, wait=3 * S))) == {"a": 0, "b": 0}  # a good answer may tell one too
     assert allocator.allowed[0].silent_until == 4 * S and allocator.allowed[0].rate == inf
-    assert not any(amounts(allocator.turn(4 * S - 1, [])).values())
-    assert any(amounts(allocator.turn(20 * S, [])).values())
+    assert not any(amounts(allocator.step(4 * S - 1, [])).values())
+    assert any(amounts(allocator.step(20 * S, [])).values())
 
 
 def test_after_a_failure_nothing_goes_out_for_a_while_and_then_little():
     allocator = started("a")
-    allocator.turn(0, [listed("e")])
-    allocator.turn(S, reports(O.CONNECT_FAILED, at=S))
+    allocator.step(0, [listed("e")])
+    allocator.step(S, reports(O.CONNECT_FAILED, at=S))
     assert allocator.allowed[0].rate == 0
-    allocator.turn(60 * S, [])
+    allocator.step(60 * S, [])
     assert 0 < allocator.allowed[0].rate < 10
 
 
 def test_a_pace_that_was_cut_grows_with_the_calls_that_are_reported():
     allocator = started("a")
-    allocator.turn(0, [listed("e")])
-    allocator.turn(S, reports(O.OK, 40, S) + reports(O.FULL, at=S))
+    allocator.step(0, [listed("e")])
+    allocator.step(S, reports(O.OK, 40, S) + reports(O.FULL, at=S))
     rates = []
     for tenth in range(11, 18):
-        allocator.turn(tenth * S // 10, reports(O.OK, at=tenth * S // 10))
+        allocator.step(tenth * S // 10, reports(O.OK, at=tenth * S // 10))
         rates.append(allocator.allowed[0].rate)
     assert rates == sorted(rates) and 1.2 * rates[0] < rates[-1] < inf
 
 
 def test_a_draining_endpoint_is_no_state_of_ready_and_the_last_one_leaves_no_allowance():
     allocator = started("a")
-    allocator.turn(0, [listed("e", "f")])
-    allocator.turn(1, [listed("e", status=i.Status.DRAINING)])
+    allocator.step(0, [listed("e", "f")])
+    allocator.step(1, [listed("e", status=i.Status.DRAINING)])
     assert set(allocator.allowed[0].endpoints) == {"f"}
-    assert amounts(allocator.turn(2, [listed("f", status=i.Status.DRAINING)])) == {"a": 0}
+    assert amounts(allocator.step(2, [listed("f", status=i.Status.DRAINING)])) == {"a": 0}
 
 
 def test_an_endpoint_in_doubt_beside_one_that_serves_has_a_budget_of_its_own():
     allocator = started("a")
-    allocator.turn(0, [listed("e", "f")])
+    allocator.step(0, [listed("e", "f")])
     for second in range(1, 8):
-        allocator.turn(
+        allocator.step(
             second * S,
             reports(O.OK, 5, second * S, endpoint="f") + reports(O.CONNECT_FAILED, 2, second * S - 1, endpoint="e"),
         )
     [row] = allocator.allowed
     assert row.endpoints["f"] == inf and row.endpoints["e"] < 5 and row.rate == inf
-    allocator.turn(9 * S, [listed("f", status=i.Status.DRAINING)])  # now that one's budget is all there is
-    assert allocator.allowed[0].rate == inf and allocator._ledger._destinations[1].allowance < 5 * CALLS
+    allocator.step(9 * S, [listed("f", status=i.Status.DRAINING)])  # now that one's budget is all there is
+    assert allocator.allowed[0].rate == inf and allocator._ledger._destinations[1].allowance < 5 * UNITS_PER_CALL
 
 
 def test_a_report_on_an_endpoint_that_nobody_knows_changes_nothing():
     allocator = started("a")
-    allocator.turn(0, [listed("e")])
-    before = allocator.look()
-    allocator.turn(1, reports(O.TIMEOUT, 5, endpoint="never"))
-    assert allocator.look() == before
+    allocator.step(0, [listed("e")])
+    before = allocator.allowances()
+    allocator.step(1, reports(O.TIMEOUT, 5, endpoint="never"))
+    assert allocator.allowances() == before
 
 
 class Partner:
@@ -142,7 +142,7 @@
             self.number, self.amount, self.until = grant.number, grant.amount, now + grant.lease_us
 
     def send(self, now, partner):
-        rate = min(self.backlog, self.amount / CALLS) if now < self.until else 0.0
+        rate = min(self.backlog, self.amount / UNITS_PER_CALL) if now < self.until else 0.0
         self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / S), now
         if self.tokens >= 1:
             self.tokens -= 1
@@ -155,7 +155,7 @@
     partner = Partner(30.0, 20 * S, 35 * S, set_)
     proxies = [Proxy(name, 30.0) for name in "abc"]
     allocator, wire = started("a", "b", "c"), []
-    allocator.turn(0, [listed("e")])
+    allocator.step(0, [listed("e")])
     for now in range(0, seconds * S, 10 * MS):
         for _, kind, proxy, what in [row for row in wire if row[0] <= now]:
             if kind == "grant":
@@ -168,13 +168,13 @@
             proxy.send(now, partner)
             linked = not (cut and proxy.name == cut[0] and cut[1] <= now < cut[2])
             if linked != proxy.linked:
-                (allocator._ledger.join if linked else allocator._ledger.lost)(proxy.name)
+                (allocator._ledger.join if linked else allocator._ledger.disconnected)(proxy.name)
                 proxy.linked = linked
         if now % (100 * MS) == 0:
             told = [report for proxy in proxies if proxy.linked for report in proxy.report]
             for proxy in proxies:
                 proxy.report = proxy.report if not proxy.linked else []
-            for grant in allocator.turn(now, told):
+            for grant in allocator.step(now, told):
                 proxy = next(one for one in proxies if one.name == grant.holder)
                 if proxy.linked:
                     wire.append((now + 50 * MS, "grant", proxy, grant))
@@ -195,12 +195,12 @@
 def test_a_turn_asks_for_what_has_news_or_may_change_by_time_and_for_nothing_else(monkeypatch):
     allocator = started("a")
     many = [i.Endpoint(f"e{n}", "a", "one", n, i.Status.READY, 0.0) for n in range(50)]
-    allocator.turn(0, [i.Listed(i.ListKind.CHANGES, many)])
+    allocator.step(0, [i.Listed(i.ListKind.CHANGES, many)])
     asked, real = [], allocator._module.allowances
     monkeypatch.setattr(allocator._module, "allowances", lambda among=None: asked.append(set(among)) or real(among))
-    allocator.turn(S, reports(O.CONNECT_FAILED, 3, S, endpoint="e7"))
-    allocator.turn(2 * S, reports(O.OK, at=2 * S, endpoint="e9"))
-    allocator.turn(3 * S, [])
+    allocator.step(S, reports(O.CONNECT_FAILED, 3, S, endpoint="e7"))
+    allocator.step(2 * S, reports(O.OK, at=2 * S, endpoint="e9"))
+    allocator.step(3 * S, [])
     moved = i.Endpoint("e9", "a", "one", 8, i.Status.READY, 0.0)
-    allocator.turn(4 * S, [i.Listed(i.ListKind.CHANGES, [moved])])
+    allocator.step(4 * S, [i.Listed(i.ListKind.CHANGES, [moved])])
     assert asked == [{7}, {7, 9}, {7}, {7, 8, 9}]
--- a/tests/control/test_configure.py
+++ b/tests/control/test_configure.py
@@ -4,7 +4,7 @@
 
 from scalefall import interface as i
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.service import Builder, Service
+from scalefall.control.service import ResourceBuilder, ControlService
 from scalefall.control.streams import Request, Response
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry
@@ -32,8 +32,10 @@
         version = ",".join(entry.endpoint.status.name for entry in rows)
         return Resource(EDS, f"route-{number}", version, None, destination=number)
 
-    service = Service(0, settings(siblings=1), 3, Builder(lambda rows, routes: [], endpoints), 2 * S, S // 2, 2 * S)
-    service.opened(1, "a", True, False)
+    service = ControlService(
+        0, settings(siblings=1), 3, ResourceBuilder(lambda rows, routes: [], endpoints), 2 * S, S // 2, 2 * S
+    )
+    service.resource_stream_opened(1, "a", True, False)
     service.request(1, Request(EDS, names=("*",)), 0)
     service.configure(fleet(*range(5)), 0)
     built.clear()
--- a/tests/control/test_grants.py
+++ b/tests/control/test_grants.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from scalefall.control.grants import CALLS, LEAST, Grant, Ledger, fair
+from scalefall.control.grants import UNITS_PER_CALL, MIN_GRANT, Grant, Ledger, fair
 
 S = 1_000_000
 LEASE, DELAY = 4 * S, 5 * S
@@ -39,8 +39,8 @@
         self.allowances = deque([(0, 0)])  # since when, how much
         self.ledger, self.live, self.epoch = Ledger(0, LEASE, DELAY), set(), 0
 
-    def turn(self, delays):
-        for grant in self.ledger.turn(self.now):
+    def step(self, delays):
+        for grant in self.ledger.step(self.now):
             delay = delays.pop() if delays else 0
             if delay is not None:
                 self.wire.append((self.now + delay, "grant", grant, self.epoch))
@@ -50,14 +50,14 @@
         end = self.now + span
         while True:
             due = [row for row in self.wire if row[0] <= end]
-            at = min([max(self.now + 1, self.ledger.next_turn(self.now)), *(row[0] for row in due)])
+            at = min([max(self.now + 1, self.ledger.next_deadline(self.now)), *(row[0] for row in due)])
             if at > end:
                 break
             self.now = at
             for row in [row for row in due if row[0] == at]:
                 self.wire.remove(row)
                 self.arrived(row, delays)
-            self.turn(delays)
+            self.step(delays)
             self.kept()
         self.now = end
 
@@ -70,29 +70,31 @@
             if what.holder in self.live:
                 self.wire.append((self.now + (delays.pop() or 0 if delays else 0), "ack", what, epoch))
 
-    @rule(name=names, wanted=st.integers(1, 20 * CALLS))
+    @rule(name=names, wanted=st.integers(1, 20 * UNITS_PER_CALL))
     def joins(self, name, wanted):
         self.holders.setdefault(name, Holder())
         self.live.add(name)
         self.ledger.join(name)
-        self.ledger.want(name, DEST, wanted)
-        self.turn([])
+        self.ledger.set_demand(name, DEST, wanted)
+        self.step([])
 
     @rule(name=names)
     def is_cut_off(self, name):
         self.live.discard(name)
-        self.ledger.lost(name)
+        self.ledger.disconnected(name)
 
-    @rule(name=names, wanted=st.integers(0, 20 * CALLS))
+    @rule(name=names, wanted=st.integers(0, 20 * UNITS_PER_CALL))
     def wants(self, name, wanted):
         if name in self.live:
-            self.ledger.want(name, DEST, wanted)
+            self.ledger.set_demand(name, DEST, wanted)
 
-    @rule(amount=st.sampled_from([0, LEAST // 2, LEAST, 3 * LEAST, 5 * CALLS, 50 * CALLS]))
+    @rule(
+        amount=st.sampled_from([0, MIN_GRANT // 2, MIN_GRANT, 3 * MIN_GRANT, 5 * UNITS_PER_CALL, 50 * UNITS_PER_CALL])
+    )
     def the_module_allows(self, amount):
         self.ledger.allow(DEST, amount)
         self.allowances.append((self.now, amount))
-        self.turn([])
+        self.step([])
 
     @rule()
     def the_service_restarts(self):
@@ -105,7 +107,7 @@
         self.ledger.resume(number)
         for name in self.live:
             self.ledger.join(name)
-            self.ledger.want(name, DEST, CALLS)
+            self.ledger.set_demand(name, DEST, UNITS_PER_CALL)
         self.ledger.allow(DEST, self.allowances[-1][1])
 
     @invariant()
@@ -122,9 +124,9 @@
         """Left alone with an allowance, every live holder that wants work has some in the end."""
         if not hasattr(self, "ledger"):
             return
-        self.the_module_allows(LEAST)
+        self.the_module_allows(MIN_GRANT)
         for name in sorted(self.live):
-            self.ledger.want(name, DEST, CALLS)
+            self.ledger.set_demand(name, DEST, UNITS_PER_CALL)
         served = defaultdict(int)
         for _ in range(4 * 4 * 2 * 9 * 2):
             self.time_goes_on(S // 2, [])
@@ -137,12 +139,12 @@
 TestWorld = World.TestCase
 
 
-def started(*holders, allow=10 * CALLS, want=20 * CALLS):
+def started(*holders, allow=10 * UNITS_PER_CALL, want=20 * UNITS_PER_CALL):
     ledger = Ledger(-LEASE - DELAY, LEASE, DELAY)
     ledger.allow(DEST, allow)
     for holder in holders:
         ledger.join(holder)
-        ledger.want(holder, DEST, want)
+        ledger.set_demand(holder, DEST, want)
     return ledger
 
 
@@ -157,99 +159,99 @@
 
 def test_an_allowance_is_divided_and_a_newcomer_waits_for_room():
     ledger = started("a", "b")
-    first = ledger.turn(0)
-    assert amounts(first) == {"a": 5 * CALLS, "b": 5 * CALLS}
+    first = ledger.step(0)
+    assert amounts(first) == {"a": 5 * UNITS_PER_CALL, "b": 5 * UNITS_PER_CALL}
     acknowledge(ledger, first, S)
     ledger.join("c")
-    ledger.want("c", DEST, 20 * CALLS)
-    second = ledger.turn(S)
+    ledger.set_demand("c", DEST, 20 * UNITS_PER_CALL)
+    second = ledger.step(S)
     assert amounts(second) == {"a": 3333, "b": 3333}  # less for them, and nothing yet for the newcomer
     acknowledge(ledger, second[:1], S + 1)
-    assert amounts(ledger.turn(S + 1)) == {"c": 5000 - 3333}
+    assert amounts(ledger.step(S + 1)) == {"c": 5000 - 3333}
 
 
 def test_what_a_silent_holder_has_is_nobody_elses_until_it_ran_out():
     ledger = started("a", "b")
-    first = ledger.turn(0)
+    first = ledger.step(0)
     acknowledge(ledger, [grant for grant in first if grant.holder == "a"], 0)
-    ledger.lost("b")
-    assert amounts(ledger.turn(LEASE + DELAY - 1)) == {"a": 5 * CALLS}  # renewed, and not raised
-    assert amounts(ledger.turn(LEASE + DELAY)) == {"a": 10 * CALLS}
+    ledger.disconnected("b")
+    assert amounts(ledger.step(LEASE + DELAY - 1)) == {"a": 5 * UNITS_PER_CALL}  # renewed, and not raised
+    assert amounts(ledger.step(LEASE + DELAY)) == {"a": 10 * UNITS_PER_CALL}
 
 
 def test_free_room_is_given_once():
     ledger = started("x", "y")
-    acknowledge(ledger, ledger.turn(0), 0)
-    ledger.lost("x")
-    ledger.lost("y")
-    ledger.allow(DEST, 20 * CALLS)
+    acknowledge(ledger, ledger.step(0), 0)
+    ledger.disconnected("x")
+    ledger.disconnected("y")
+    ledger.allow(DEST, 20 * UNITS_PER_CALL)
     for holder in ("b", "c"):
         ledger.join(holder)
-        ledger.want(holder, DEST, 20 * CALLS)
-    assert amounts(ledger.turn(S)) == {"b": 10 * CALLS} and ledger.in_use(DEST, S) == 20 * CALLS
+        ledger.set_demand(holder, DEST, 20 * UNITS_PER_CALL)
+    assert amounts(ledger.step(S)) == {"b": 10 * UNITS_PER_CALL} and ledger.in_use(DEST, S) == 20 * UNITS_PER_CALL
 
 
 def test_an_acknowledgement_of_an_earlier_grant_says_nothing_of_a_later_one():
-    ledger = started("a", allow=5 * CALLS)
-    first = ledger.turn(0)
-    ledger.allow(DEST, 10 * CALLS)
-    assert amounts(ledger.turn(1)) == {"a": 10 * CALLS}
+    ledger = started("a", allow=5 * UNITS_PER_CALL)
+    first = ledger.step(0)
+    ledger.allow(DEST, 10 * UNITS_PER_CALL)
+    assert amounts(ledger.step(1)) == {"a": 10 * UNITS_PER_CALL}
     acknowledge(ledger, first, 2)
-    assert ledger.in_use(DEST, 2) == ledger.in_use(DEST, 1 + DELAY + LEASE - 1) == 10 * CALLS
+    assert ledger.in_use(DEST, 2) == ledger.in_use(DEST, 1 + DELAY + LEASE - 1) == 10 * UNITS_PER_CALL
 
 
 def test_an_acknowledged_grant_runs_out_by_its_lease_and_a_lost_one_later():
     ledger = started("a", "b")
-    acknowledge(ledger, [g for g in ledger.turn(0) if g.holder == "b"], S)
-    ledger.lost("a")
-    ledger.lost("b")
-    assert ledger.in_use(DEST, S + LEASE - 1) == 10 * CALLS
-    assert ledger.in_use(DEST, S + LEASE) == 5 * CALLS
+    acknowledge(ledger, [g for g in ledger.step(0) if g.holder == "b"], S)
+    ledger.disconnected("a")
+    ledger.disconnected("b")
+    assert ledger.in_use(DEST, S + LEASE - 1) == 10 * UNITS_PER_CALL
+    assert ledger.in_use(DEST, S + LEASE) == 5 * UNITS_PER_CALL
     assert ledger.in_use(DEST, DELAY + LEASE) == 0
 
 
 def test_nothing_is_granted_until_what_an_earlier_service_granted_has_run_out():
     ledger = Ledger(0, LEASE, DELAY)
-    ledger.allow(DEST, CALLS)
+    ledger.allow(DEST, UNITS_PER_CALL)
     ledger.join("a")
-    ledger.want("a", DEST, CALLS)
-    assert ledger.turn(LEASE + DELAY - 1) == [] and ledger.next_turn(0) == LEASE + DELAY
-    assert amounts(ledger.turn(LEASE + DELAY)) == {"a": CALLS}
+    ledger.set_demand("a", DEST, UNITS_PER_CALL)
+    assert ledger.step(LEASE + DELAY - 1) == [] and ledger.next_deadline(0) == LEASE + DELAY
+    assert amounts(ledger.step(LEASE + DELAY)) == {"a": UNITS_PER_CALL}
 
 
 def test_a_fall_of_the_allowance_is_told_at_once_and_raises_nobody():
     ledger = started("a", "b")
-    acknowledge(ledger, ledger.turn(0), 0)
-    ledger.allow(DEST, CALLS)
-    ledger.want("b", DEST, CALLS // 10)
-    less = ledger.turn(S)
+    acknowledge(ledger, ledger.step(0), 0)
+    ledger.allow(DEST, UNITS_PER_CALL)
+    ledger.set_demand("b", DEST, UNITS_PER_CALL // 10)
+    less = ledger.step(S)
     assert amounts(less) == {"a": 900, "b": 100}
     acknowledge(ledger, less[:1], S)
-    assert ledger.turn(S) == [] and ledger.in_use(DEST, S) > CALLS
+    assert ledger.step(S) == [] and ledger.in_use(DEST, S) > UNITS_PER_CALL
 
 
 def test_what_is_given_after_a_fall_adds_up_also_with_a_holder_that_is_lost_meanwhile():
-    ledger = started("a", "b", "c", allow=1000 * CALLS)
-    ledger.turn(0)
-    ledger.allow(DEST, 30 * CALLS)
-    ledger.turn(S)
-    ledger.lost("c")  # what it was given after the fall is its own until it has run out
-    ledger.want("a", DEST, 40 * CALLS)
+    ledger = started("a", "b", "c", allow=1000 * UNITS_PER_CALL)
+    ledger.step(0)
+    ledger.allow(DEST, 30 * UNITS_PER_CALL)
+    ledger.step(S)
+    ledger.disconnected("c")  # what it was given after the fall is its own until it has run out
+    ledger.set_demand("a", DEST, 40 * UNITS_PER_CALL)
     for now in range(2 * S, S + LEASE + DELAY, S):
-        ledger.turn(now)
-    assert ledger.in_use(DEST, LEASE + DELAY) <= 30 * CALLS
-    ledger.turn(S + LEASE + DELAY)
-    assert ledger.in_use(DEST, S + LEASE + DELAY) > 20 * CALLS  # and then it is others'
+        ledger.step(now)
+    assert ledger.in_use(DEST, LEASE + DELAY) <= 30 * UNITS_PER_CALL
+    ledger.step(S + LEASE + DELAY)
+    assert ledger.in_use(DEST, S + LEASE + DELAY) > 20 * UNITS_PER_CALL  # and then it is others'
 
 
 def test_a_destination_that_stays_as_it_is_costs_one_renewal_in_half_a_lease():
     ledger = started("a")
     sent, now = 0, 0
     while now < 20 * LEASE:
-        grants = ledger.turn(now)
+        grants = ledger.step(now)
         acknowledge(ledger, grants, now)
         sent += len(grants)
-        now = max(now + 1, ledger.next_turn(now))
+        now = max(now + 1, ledger.next_deadline(now))
     assert 40 <= sent <= 42
 
 
@@ -269,5 +271,5 @@
 def test_a_grant_of_a_lower_number_that_comes_late_is_dropped_by_its_holder():
     holder = Holder()
     holder.get(Grant("a", DEST, 2, 0, LEASE), 0)
-    holder.get(Grant("a", DEST, 1, CALLS, LEASE), 1)
+    holder.get(Grant("a", DEST, 1, UNITS_PER_CALL, LEASE), 1)
     assert holder.may_use(2) == 0
--- a/tests/control/test_members.py
+++ b/tests/control/test_members.py
@@ -4,7 +4,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from scalefall.control.members import MOST_INSTANCES, Change, Joined, Members, Refused, State
+from scalefall.control.members import (
+    MAX_INSTANCES_PER_NODE,
+    MembershipChange,
+    Joined,
+    Members,
+    JoinRejected,
+    MemberState,
+)
 
 SILENCE, FORGET = 10, 30
 
@@ -19,41 +26,45 @@
 def test_one_that_reconnects_is_the_same_holder_and_its_old_stream_is_closed():
     m = members((1, "p", "x"))
     assert m.join(2, "p", "x", 5) == Joined("p/x", True, 1, False)
-    assert m.ended(1, 6) is None and m.state("p/x") is State.LIVE  # the old stream's end is no news
-    assert m.ended(2, 7) == Change("p/x", "p", State.CUT)
+    assert m.stream_closed(1, 6) is None and m.state("p/x") is MemberState.LIVE  # the old stream's end is no news
+    assert m.stream_closed(2, 7) == MembershipChange("p/x", "p", MemberState.DISCONNECTED)
     assert m.join(3, "p", "x", 8) == Joined("p/x", True, None, False)
 
 
 def test_silence_and_the_end_of_the_lease_count_from_the_last_sign_of_it():
     m = members((1, "p", "x"))
-    assert m.turn(SILENCE - 1) == [] and m.next_turn(0) == SILENCE
-    assert m.turn(SILENCE) == [Change("p/x", "p", State.SILENT)]
-    m.ended(1, FORGET - 1)
-    assert m.turn(FORGET - 1) == []
-    assert m.turn(FORGET) == [Change("p/x", "p", State.GONE)] and len(m) == 0
+    assert m.step(SILENCE - 1) == [] and m.next_deadline(0) == SILENCE
+    assert m.step(SILENCE) == [MembershipChange("p/x", "p", MemberState.SILENT)]
+    m.stream_closed(1, FORGET - 1)
+    assert m.step(FORGET - 1) == []
+    assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.FORGOTTEN)] and len(m) == 0
     assert m.join(2, "p", "x", FORGET) == Joined("p/x", False, None, False)
 
 
 def test_one_whose_stream_ends_after_a_long_silence_is_forgotten_in_time_though_others_are_heard():
     m = members((1, "p", "x"), (2, "q", "y"))
-    m.turn(SILENCE)
-    m.heard(2, FORGET - 2)
-    m.ended(1, FORGET - 1)  # it was last heard long ago, and its place is before the other's
-    assert m.turn(FORGET) == [Change("p/x", "p", State.GONE)] and m.next_turn(FORGET) > FORGET
+    m.step(SILENCE)
+    m.heartbeat_received(2, FORGET - 2)
+    m.stream_closed(1, FORGET - 1)  # it was last heard long ago, and its place is before the other's
+    assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.FORGOTTEN)] and m.next_deadline(FORGET) > FORGET
 
 
 def test_a_silent_one_that_speaks_is_live_again():
     m = members((1, "p", "x"))
-    m.turn(SILENCE)
-    assert m.heard(1, SILENCE + 1) == "p/x" and m.heard(1, SILENCE + 2) is None
-    assert m.turn(SILENCE + 3) == [] and m.live() == ["p/x"]
+    m.step(SILENCE)
+    assert m.heartbeat_received(1, SILENCE + 1) == "p/x" and m.heartbeat_received(1, SILENCE + 2) is None
+    assert m.step(SILENCE + 3) == [] and m.live() == ["p/x"]
 
 
 def test_a_restart_and_a_twin_are_holders_of_their_own():
     m = members((1, "p", "x"))
     assert m.join(2, "p", "y", 1) == Joined("p/y", False, None, True)
-    m.ended(1, 2)
-    assert m.join(3, "p", "z", 3).twin and sorted(m.live()) == ["p/y", "p/z"] and m.state("p/x") is State.CUT
+    m.stream_closed(1, 2)
+    assert (
+        m.join(3, "p", "z", 3).shares_node_id
+        and sorted(m.live()) == ["p/y", "p/z"]
+        and m.state("p/x") is MemberState.DISCONNECTED
+    )
     assert m.join(4, "q", "x", 3) == Joined("q/x", False, None, False)
 
 
@@ -63,10 +74,10 @@
 
 
 def test_one_name_cannot_fill_the_memory():
-    m = members(*((n, "p", f"i{n}") for n in range(MOST_INSTANCES)))
-    assert m.join(99, "p", "more", 1) == Refused("p") and len(m) == MOST_INSTANCES
+    m = members(*((n, "p", f"i{n}") for n in range(MAX_INSTANCES_PER_NODE)))
+    assert m.join(99, "p", "more", 1) == JoinRejected("p") and len(m) == MAX_INSTANCES_PER_NODE
     assert isinstance(m.join(99, "q", "more", 1), Joined)
-    m.turn(FORGET)
+    m.step(FORGET)
     assert isinstance(m.join(100, "p", "more", FORGET), Joined)
 
 
@@ -82,8 +93,8 @@
         self.next += 1
         joined = self.m.join(self.next, node, instance, self.now)
         before = [stream for stream, holder in self.streams.items() if holder == joined.holder]
-        assert ([joined.close] if joined.close else []) == before
-        assert joined.came_back == (joined.holder in self.heard)
+        assert ([joined.replaced_stream] if joined.replaced_stream else []) == before
+        assert joined.is_known == (joined.holder in self.heard)
         for stream in before:
             del self.streams[stream]
         self.streams[self.next], self.heard[joined.holder] = joined.holder, self.now
@@ -94,28 +105,28 @@
             return
         stream = data.draw(st.sampled_from(sorted(self.streams)))
         if ends:
-            assert self.m.ended(stream, self.now).state is State.CUT
+            assert self.m.stream_closed(stream, self.now).state is MemberState.DISCONNECTED
             del self.streams[stream]
         else:
-            self.m.heard(stream, self.now)
+            self.m.heartbeat_received(stream, self.now)
             self.heard[self.streams[stream]] = self.now
 
     @rule(span=st.integers(1, 12))
     def time_goes_on(self, span):
         self.now += span
-        gone = {change.holder for change in self.m.turn(self.now) if change.state is State.GONE}
+        gone = {change.holder for change in self.m.step(self.now) if change.state is MemberState.FORGOTTEN}
         assert gone == {holder for holder, at in self.heard.items() if at <= self.now - FORGET}
         self.heard = {holder: at for holder, at in self.heard.items() if holder not in gone}
         self.streams = {stream: holder for stream, holder in self.streams.items() if holder not in gone}
-        assert self.m.next_turn(self.now) is None or self.m.next_turn(self.now) > self.now
+        assert self.m.next_deadline(self.now) is None or self.m.next_deadline(self.now) > self.now
 
     @invariant()
     def knows_who_is_live(self):
         if hasattr(self, "m"):
             assert len(self.m) == len(self.heard)
-            live = {holder for holder in self.streams.values() if self.m.state(holder) is State.LIVE}
+            live = {holder for holder in self.streams.values() if self.m.state(holder) is MemberState.LIVE}
             assert set(self.m.live()) == live
-            assert all(self.m.holder(stream) == holder for stream, holder in self.streams.items())
+            assert all(self.m.holder_of(stream) == holder for stream, holder in self.streams.items())
 
 
 Fleet.TestCase.settings = limits(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from scalefall.control.catalog import CDS, EDS, LDS, RDS, Catalog, Inconsistent, Resource
-from scalefall.control.streams import MOST_NAMES, WINDOW, Close, Rejected, Request, Response, Stream
+from scalefall.control.catalog import CDS, EDS, LDS, RDS, Catalog, InconsistentResources, Resource
+from scalefall.control.streams import MAX_NAMES, WINDOW, CloseStream, ResponseRejected, Request, Response, XdsStream
 
 POISON = "poison"
 
@@ -31,7 +31,7 @@
 def started(incremental, *resources):
     catalog = Catalog()
     catalog.replace(resources or simple())
-    return catalog, Stream(catalog, "p/x", incremental)
+    return catalog, XdsStream(catalog, "p/x", incremental)
 
 
 def ack(stream, actions):
@@ -50,9 +50,9 @@
 def test_a_set_with_a_reference_to_nothing_is_refused_whole():
     catalog, _ = started(True)
     before = catalog.generation
-    with pytest.raises(Inconsistent, match="r needs gone"):
+    with pytest.raises(InconsistentResources, match="r needs gone"):
         catalog.update([resource(CDS, "d"), resource(RDS, "r", "2", (CDS, "gone"))])
-    with pytest.raises(Inconsistent, match="r needs c"):
+    with pytest.raises(InconsistentResources, match="r needs c"):
         catalog.update([], [(CDS, "c")])
     assert catalog.get((CDS, "d")) is None and catalog.generation == before
     assert catalog.update(simple()) == set() and catalog.generation == before
@@ -66,7 +66,7 @@
     changed = catalog.update([resource(EDS, "c", "2")])
     assert sent(stream.changed(changed)) == [(EDS, ["c"], ())]
     assert stream.changed(changed) == []
-    other = Stream(catalog, "q/x", incremental)
+    other = XdsStream(catalog, "q/x", incremental)
     other.request(Request(LDS))
     assert other.changed({(EDS, "c")}) == []
 
@@ -87,15 +87,18 @@
 @pytest.mark.parametrize("incremental", [True, False])
 def test_a_rejected_version_is_logged_kept_from_that_client_and_stops_nobody_else(incremental):
     catalog, stream = started(incremental)
-    other = Stream(catalog, "q/x", incremental)
+    other = XdsStream(catalog, "q/x", incremental)
     for each in (stream, other):
         ack(each, each.request(Request(CDS)))
     keys = catalog.update([resource(CDS, "c", "2")])
     [response] = stream.changed(keys)
     ack(other, other.changed(keys))
     rejected = stream.request(Request(CDS, response.nonce, error="no such filter"))
-    assert rejected == [Rejected(CDS, ("c",), "no such filter")]
-    assert (stream.has((CDS, "c")).version, other.has((CDS, "c")).version) == ("1", "2")
+    assert rejected == [ResponseRejected(CDS, ("c",), "no such filter")]
+    assert (stream.acknowledged_resource((CDS, "c")).version, other.acknowledged_resource((CDS, "c")).version) == (
+        "1",
+        "2",
+    )
     assert stream.changed(keys) == []
     assert sent(stream.changed(catalog.update([resource(CDS, "c", "3")]))) == [(CDS, ["c"], ())]
 
@@ -105,7 +108,7 @@
     responses = stream.request(Request(EDS, names=("c",)))
     for version in range(2, 50):
         responses += stream.changed(catalog.update([resource(EDS, "c", str(version))]))
-    assert len(responses) == WINDOW and stream.waiting == 1
+    assert len(responses) == WINDOW and stream.pending_names == 1
     assert ack(stream, responses[-1:])[0].resources[0].version == "49"
 
 
@@ -113,7 +116,7 @@
     catalog, stream = started(True)
     known = (("c", "1"), ("gone", "1"))
     catalog.update([resource(CDS, "d")])
-    assert sent(stream.request(Request(CDS, known=known))) == [(CDS, ["d"], ()), (CDS, [], ("gone",))]
+    assert sent(stream.request(Request(CDS, initial_versions=known))) == [(CDS, ["d"], ()), (CDS, [], ("gone",))]
     assert sent(stream.request(Request(CDS, names=("c", "none")))) == [(CDS, ["c"], ()), (CDS, [], ("none",))]
 
 
@@ -123,8 +126,8 @@
     second = stream.changed(catalog.update([resource(EDS, "c", "2")]))
     ack(stream, second)
     assert stream.request(Request(EDS, first[0].nonce, ("c", "x"), error="late")) == []
-    assert stream.has((EDS, "c")).version == "2"
-    assert isinstance(Stream(catalog, "p", False).request(Request(EDS, "7"))[0], Close)
+    assert stream.acknowledged_resource((EDS, "c")).version == "2"
+    assert isinstance(XdsStream(catalog, "p", False).request(Request(EDS, "7"))[0], CloseStream)
 
 
 @pytest.mark.parametrize(
@@ -133,13 +136,13 @@
         Request("type.googleapis.com/unknown"),
         Request(EDS, names=("x" * 10_000,)),
         Request(EDS, names=("",)),
-        Request(EDS, names=tuple(f"n{n}" for n in range(MOST_NAMES + 1))),
+        Request(EDS, names=tuple(f"n{n}" for n in range(MAX_NAMES + 1))),
     ],
 )
 def test_what_is_too_much_ends_the_stream_and_frees_it(request_):
     _, stream = started(True)
     [close] = stream.request(request_)
-    assert isinstance(close, Close) and len(close.reason) < 1000 and not stream._watches
+    assert isinstance(close, CloseStream) and len(close.reason) < 1000 and not stream._watches
     assert stream.request(Request(CDS)) == stream.changed({(CDS, "c")}) == []
 
 
@@ -148,24 +151,24 @@
     ack(stream, stream.request(Request(EDS, names=("c", "d"))))
     now, beats = 0, []
     while now < 30:
-        new = stream.beat(now)
-        beats += [(now, [r.name for r in action.resources], action.beat) for action in new]
+        new = stream.heartbeats(now)
+        beats += [(now, [r.name for r in action.resources], action.is_heartbeat) for action in new]
         if now < 12:
             ack(stream, new)
-        now = stream.next_beat(now) if stream.next_beat(now) > now else now + 1
+        now = stream.next_heartbeat(now) if stream.next_heartbeat(now) > now else now + 1
     assert beats[:3] == [(at, ["c"], True) for at in (0, 4, 8)] and len(beats) == 4  # the one at 12 had no answer
 
 
 def test_own_resources_go_before_the_shared_ones_for_their_holder_alone():
     catalog, stream = started(True)
-    other = Stream(catalog, "q/x", True)
+    other = XdsStream(catalog, "q/x", True)
     for each in (stream, other):
         ack(each, each.request(Request(EDS, names=("c",))))
-    keys = catalog.own("p/x", [resource(EDS, "c", "own")])
+    keys = catalog.override("p/x", [resource(EDS, "c", "own")])
     assert [a.resources[0].version for a in stream.changed(keys)] == ["own"] and other.changed(keys) == []
-    assert [a.resources[0].version for a in stream.changed(catalog.own("p/x", []))] == ["1"]
-    with pytest.raises(Inconsistent):
-        catalog.own("p/x", [resource(EDS, "nowhere")])
+    assert [a.resources[0].version for a in stream.changed(catalog.override("p/x", []))] == ["1"]
+    with pytest.raises(InconsistentResources):
+        catalog.override("p/x", [resource(EDS, "nowhere")])
 
 
 class Clients(RuleBasedStateMachine):
@@ -174,7 +177,7 @@
     @initialize()
     def start(self):
         self.catalog, self.version = Catalog(), 0
-        self.streams = [Stream(self.catalog, "a", True), Stream(self.catalog, "b", False)]
+        self.streams = [XdsStream(self.catalog, "a", True), XdsStream(self.catalog, "b", False)]
         self.wire, self.has = [[], []], [{CDS: {}, RDS: {}}, {CDS: {}, RDS: {}}]
         self.edit({0: False}, [0])
         for n in (0, 1):
--- a/tests/transport/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -49,7 +49,7 @@
             self._said += 1
             message = rlqs_pb2.RateLimitQuotaUsageReports(domain=node)
             bucket = message.bucket_quota_usages.add().bucket_id.bucket
-            bucket.update({wire.SAID: f"{self._said}", wire.HAD: f"{self.had}"})
+            bucket.update({wire.REPORT_NUMBER: f"{self._said}", wire.ACKNOWLEDGED_GRANT: f"{self.had}"})
             yield message
             with contextlib.suppress(queue.Empty):
                 going_on = self._news.get(timeout=0.1)
@@ -83,7 +83,7 @@
     found, end = set(), time.monotonic() + LONG
     while found != wanted and time.monotonic() < end:
         response = raw.next()
-        found |= {resources.destination(row.name) for row in response.resources if row.name != resources.LEASE}
+        found |= {resources.destination(row.name) for row in response.resources if row.name != resources.LEASE_NAME}
         found -= {resources.destination(name) for name in response.removed_resources}
         raw.ack(response)
     return found
