--- /dev/null
+++ b/tests/stored_data/mapping.py
@@ -0,0 +1,245 @@
+"""Between the code's names and the neutral ones of the stored data: the one place that knows both.
+
+The stored files and the JSON beside them outlive any renaming in the code. When a class, a method or a field of the
+code gets another name, only this module changes; the JSON keys on its right-hand sides must not.
+"""
+
+import math
+from dataclasses import dataclass, field
+
+from scalefall import interface
+from scalefall.assignment.assembly import AssignmentSettings, assemble
+from scalefall.assignment.model import Node
+from scalefall.assignment.snapshot import TableState, decode, encode
+from scalefall.control.edge.lasting import Lasting
+from scalefall.control.edge.state import Folder
+from scalefall.interface import Effect
+from scalefall.net import journal, learned_rates
+from scalefall.net.operators import OutFile
+
+DISK_BYTES = 4_000_000  # the sender's limit for its state folder
+REPEAT = {"not recorded": None, "freely": Effect.SAFE, "with key": Effect.KEYED, "never": Effect.UNSAFE}
+ENDS = {"none": 0, "failed": journal.FAILED, "returned": journal.RETURNED}
+LATEST = {"rates": learned_rates.FRESH_US}  # us from which on what is stored is too old
+OUTCOMES = {"not sent": interface.Outcome.NOT_SENT, "cannot connect": interface.Outcome.CONNECT_FAILED}
+
+
+def _named(table, value):
+    (name,) = [name for name, own in table.items() if own == value]
+    return name
+
+
+# -- the sender's journal
+
+
+def open_journal(folder):
+    return journal.Journal(str(folder), DISK_BYTES)
+
+
+def perform(opened, operation):
+    """Do to a journal what one line of the stored operations says; True unless it was refused."""
+    match operation:
+        case ["accept", row]:
+            return opened.take_on(delivery(row))
+        case ["start attempt", ids, wall_us, zone]:
+            return opened.pass_begun(ids, wall_us, zone)
+        case ["finish attempt", name, may_have_run]:
+            opened.outcome(name, may_have_run)
+        case ["finish", name]:
+            opened.over(name)
+        case ["owe notice", name, end, after_ms]:
+            opened.ended(name, ENDS[end], after_ms)
+        case _:
+            raise ValueError(operation)
+    return True
+
+
+def delivery(row):
+    return journal.Owed(
+        id=row["id"],
+        class_name=row["class"],
+        destination=row["destination"],
+        due_wall=row["due_us"],
+        key=row["key"],
+        body=bytes.fromhex(row["body"]),
+        effect=REPEAT[row["repeat"]],
+        key_scope_zone=row["key holds in one zone"],
+        key_ttl_us=row["key_lifetime_us"],
+    )
+
+
+def deliveries(opened):
+    """All that an open journal knows, in its order."""
+    return [
+        {
+            "id": row.id,
+            "class": row.class_name,
+            "destination": row.destination,
+            "due_us": row.due_wall,
+            "key": row.key,
+            "body": row.body.hex(),
+            "attempts": row.attempts,
+            "may_have_run_at_us": row.ran_wall,
+            "may_have_run_in": row.ran_zone,
+            "attempt_open": row.out,
+            "last_attempt_at_us": row.out_wall,
+            "last_attempt_in": row.out_zone,
+            "owes": _named(ENDS, row.end),
+            "after_ms": row.after_ms,
+            "repeat": _named(REPEAT, row.effect),
+            "key holds in one zone": row.key_scope_zone,
+            "key_lifetime_us": row.key_ttl_us,
+        }
+        for row in opened.owed.values()
+    ]
+
+
+# -- the sender's learned rates and endpoints in maintenance
+
+
+def save_rates(folder, rows, wall_us):
+    learned_rates.save(str(folder), learned_rates.room(DISK_BYTES), [rate(row) for row in rows], wall_us)
+
+
+def load_rates(folder, wall_us):
+    return [rate_row(row) for row in learned_rates.load(str(folder), learned_rates.room(DISK_BYTES), wall_us)]
+
+
+def rate(row):
+    return interface.Known(
+        destination=row["destination"], route=row["route"], part=row["own_rate"], limit=row["reported_limit"]
+    )
+
+
+def rate_row(known):
+    return {
+        "destination": known.destination,
+        "route": known.route,
+        "own_rate": known.part,
+        "reported_limit": known.limit,
+    }
+
+
+def save_maintenance(folder, names):
+    return OutFile(str(folder), DISK_BYTES).save(set(names))
+
+
+def load_maintenance(folder):
+    return sorted(OutFile(str(folder), DISK_BYTES).load())
+
+
+# -- control's state folder
+
+
+@dataclass
+class _Ledger:
+    number: int = 0
+
+
+class StandIn:
+    """In place of a control service: notes what its predecessor's folder tells it, and has what it is to leave."""
+
+    def __init__(self, state, assignment_text, now_us):
+        self.ledger, self.allocator, self.module = _Ledger(), self, self
+        self._state, self._text, self._now = state, assignment_text, now_us
+        self.seen = {}
+
+    def begin_granting(self, now, number, snapshot=None):
+        self.seen |= {"granting_at_us": now, "highest_number": number, "assignment_text": snapshot}
+        self.ledger.number = number
+
+    def recalled(self, events, now):
+        self.seen["events"] = [event_row(event) for event in events]
+
+    def generation(self):
+        return 0 if self._text is None else 1
+
+    def snapshot(self):
+        return self._text
+
+    def doubtful(self):
+        return [
+            interface.Allowed(
+                destination=row["destination"],
+                route=row["route"],
+                endpoints={name: math.inf if own is None else own for name, own in row["endpoints"].items()},
+                rate=row["rate"],
+                silent_until=self._now + row["silent_for_us"],
+            )
+            for row in self._state["allowances"]
+        ]
+
+    def known(self):
+        return [rate(row) for row in self._state["rates"]]
+
+
+def event_row(event):
+    match event:
+        case interface.Known():
+            return {"learned": rate_row(event)}
+        case interface.Reported():
+            return {
+                "endpoint": event.endpoint,
+                "sent_at_us": event.sent_us,
+                "outcome": _named(OUTCOMES, event.outcome),
+                "wait_us": event.wait_us,
+            }
+
+
+@dataclass
+class Leader:
+    """A control process, as far as its state folder goes."""
+
+    folder: str
+    state: dict
+    assignment_text: str | None
+    now_us: int
+    wall_us: int
+    service: StandIn = field(init=False)
+
+    def __post_init__(self):
+        self.service = StandIn(self.state, self.assignment_text, self.now_us)
+        self._lasting = Lasting(self.service, Folder(str(self.folder)), 1_000_000)
+
+    def lead(self):
+        """Become the one that grants; what the service was told of its predecessor."""
+        assert self._lasting.take(self.now_us, self.wall_us)
+        return self.service.seen
+
+    def grant_up_to(self, number):
+        self.service.ledger.number = number
+        self._lasting.reserve()
+
+    def remember(self):
+        self._lasting.remember(self.now_us, self.wall_us)
+
+    def end(self):
+        self._lasting.release()
+
+
+def assignment_text(row):
+    state = TableState(
+        table={shard: tuple(holders) for shard, holders in row["holders"]},
+        isolated=dict(row["own_shards"]),
+        generation=row["generation"],
+        nodes=tuple(Node(*each) for each in row["nodes"]),
+    )
+    return encode(state, row["settings"])
+
+
+def assignment_row(text, settings):
+    state = decode(text, settings)
+    return {
+        "settings": settings,
+        "generation": state.generation,
+        "own_shards": sorted([destination, shard] for destination, shard in state.isolated.items()),
+        "nodes": [[node.name, node.region, node.zone] for node in state.nodes],
+        "holders": [[shard, list(holders)] for shard, holders in state.table.items()],
+    }
+
+
+def assignment_again(text, shards):
+    """What a coordinator that starts from this text leaves, and why the text was refused, if it was."""
+    settings = AssignmentSettings(shards=shards, lease_us=2_000_000, delay_us=500_000, restart_us=3_000_000)
+    assembly, refused = assemble(0, settings, text)
+    return assembly.snapshot(), refused
