--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -28,11 +28,11 @@
 from scalefall import adapter
 from scalefall import interface as i
 from scalefall.assignment.model import ShardGrant
-from scalefall.control.allocator import MOST, UNLIMITED
+from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
-from scalefall.control.edge import resources, wire
-from scalefall.control.edge.server import Control, Options, Peer as StreamPeer, ShardingOptions
-from scalefall.control.edge.state import Folder
+from scalefall.control.transport import resources, wire
+from scalefall.control.transport.server import ControlServer, Peer as StreamPeer, ServerOptions, ShardingOptions
+from scalefall.control.transport.state import StateDirectory
 from scalefall.control.grants import Grant
 from scalefall.control.streams import Response
 from scalefall.net import http, streams
@@ -461,12 +461,12 @@
 def packed(resource):
     """A resource as an incremental response carries it: name, version, time to live, body."""
     response = Response(resource.type, "n", "v", (resource,))
-    return wire.Responses().bytes(response, True, True)
+    return wire.ResponseEncoder().encode(response, True, True)
 
 
 def fixed_resources(title, rows, attempts, carried):
     rules = {7: RouteRules(frozenset(carried), attempts, S)}
-    made = resources.fixed({7: rows}, rules, settings(classes=CLASSES))
+    made = resources.static_resources({7: rows}, rules, settings(classes=CLASSES))
     return {f"{title} {resource.type.rpartition('.')[2]}": packed(resource) for resource in made}
 
 
@@ -488,7 +488,7 @@
         "lasting": ([row("e0")], [allowed(e0=inf)]),
     }
     return {
-        f"endpoints {name}": resources.endpoints(7, entries, told, S, 0 if name == "lasting" else TTL)
+        f"endpoints {name}": resources.endpoint_resource(7, entries, told, S, 0 if name == "lasting" else TTL)
         for name, (entries, told) in cases.items()
     }
 
@@ -498,12 +498,12 @@
     found |= fixed_resources("one-try", [row("e0", calls=4), row("e1")], 1, CLASSES)
     found |= fixed_resources("nothing", [], 3, ["freely"])
     found |= {name: packed(resource) for name, resource in endpoint_lists().items()}
-    return found | {"lease": packed(resources.lease(TTL))}
+    return found | {"lease": packed(resources.lease_resource(TTL))}
 
 
 def xds_responses() -> Bytes:
     lists = endpoint_lists()
-    pair, lasting = (lists["endpoints ready"], resources.lease(TTL)), (lists["endpoints lasting"],)
+    pair, lasting = (lists["endpoints ready"], resources.lease_resource(TTL)), (lists["endpoints lasting"],)
     cases = {
         "new": Response(EDS, "n1", "v1", pair),
         "no-time-to-live": Response(EDS, "n1", "v1", lasting),
@@ -518,7 +518,7 @@
         "delta-leased": (True, True),
     }
     return {
-        f"{form} {name}": wire.Responses().bytes(response, *flags)
+        f"{form} {name}": wire.ResponseEncoder().encode(response, *flags)
         for name, response in cases.items()
         for form, flags in forms.items()
     }
@@ -533,7 +533,15 @@
 
 def quotas() -> Bytes:
     bucket = {"route": "7", "name": "n"}
-    amounts = {"deny": 0, "least": 1, "slow": 200, "pace": 12_345, "fast": 2_000_000, "most": MOST, "all": UNLIMITED}
+    amounts = {
+        "deny": 0,
+        "least": 1,
+        "slow": 200,
+        "pace": 12_345,
+        "fast": 2_000_000,
+        "most": MAX_LIMITED,
+        "all": UNLIMITED,
+    }
     found = {
         f"grant {name}": kept(wire.grant(Grant("h/1", 7, 3, amount, 4 * S), bucket, None))
         for name, amount in amounts.items()
@@ -578,8 +586,8 @@
     with tempfile.TemporaryDirectory() as folder:
         config = Config("n", LOCAL, None, folder, 3, 100, 10**6, 10**8, told, read_list(list_update(0)), fleet=fleet)
         shards = ShardingOptions(4, 10 * S, 0.0) if divided else None
-        options = Options("127.0.0.1:0", 4 * S, 5 * S, TTL, 2 * S, shards)
-        control = Control(config, options, Folder(folder), None)
+        options = ServerOptions("127.0.0.1:0", 4 * S, 5 * S, TTL, 2 * S, shards)
+        control = ControlServer(config, options, StateDirectory(folder), None)
         control._take()
 
         async def run():
@@ -591,7 +599,7 @@
         try:
             return asyncio.run(run())
         finally:
-            control._lasting.release()
+            control._leader_state.release()
 
 
 def control_streams() -> Bytes:
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -11,8 +11,8 @@
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.model import Node
 from scalefall.assignment.snapshot import TableState, decode, encode
-from scalefall.control.edge.lasting import Lasting
-from scalefall.control.edge.state import Folder
+from scalefall.control.transport.leadership import LeaderState
+from scalefall.control.transport.state import StateDirectory
 from scalefall.interface import Effect
 from scalefall.net import journal, learned_rates
 from scalefall.net.operators import OutFile
@@ -144,11 +144,11 @@
         self._state, self._text, self._now = state, assignment_text, now_us
         self.seen = {}
 
-    def begin_granting(self, now, number, snapshot=None):
+    def become_leader(self, now, number, snapshot=None):
         self.seen |= {"granting_at_us": now, "highest_number": number, "assignment_text": snapshot}
         self.ledger.number = number
 
-    def recalled(self, events, now):
+    def restore(self, events, now):
         self.seen["events"] = [event_row(event) for event in events]
 
     def generation(self):
@@ -157,7 +157,7 @@
     def snapshot(self):
         return self._text
 
-    def doubtful(self):
+    def unsettled_allowances(self):
         return [
             interface.Allowed(
                 destination=row["destination"],
@@ -199,22 +199,22 @@
 
     def __post_init__(self):
         self.service = StandIn(self.state, self.assignment_text, self.now_us)
-        self._lasting = Lasting(self.service, Folder(str(self.folder)), 1_000_000)
+        self._leader_state = LeaderState(self.service, StateDirectory(str(self.folder)), 1_000_000)
 
     def lead(self):
         """Become the one that grants; what the service was told of its predecessor."""
-        assert self._lasting.take(self.now_us, self.wall_us)
+        assert self._leader_state.acquire_leadership(self.now_us, self.wall_us)
         return self.service.seen
 
     def grant_up_to(self, number):
         self.service.ledger.number = number
-        self._lasting.reserve()
+        self._leader_state.reserve_numbers()
 
     def remember(self):
-        self._lasting.remember(self.now_us, self.wall_us)
+        self._leader_state.save(self.now_us, self.wall_us)
 
     def end(self):
-        self._lasting.release()
+        self._leader_state.release()
 
 
 def assignment_text(row):
--- a/tests/stored_data/write.py
+++ b/tests/stored_data/write.py
@@ -14,7 +14,7 @@
 
 HERE = pathlib.Path(__file__).parent
 ROOT = HERE.parents[1]
-sys.path[:0] = [str(ROOT), str(HERE), str(ROOT / "tests"), str(ROOT / "tests" / "edge")]
+sys.path[:0] = [str(ROOT), str(HERE), str(ROOT / "tests"), str(ROOT / "tests" / "transport")]
 
 import mapping  # noqa: E402
 from scalefall.lab.partner.model import Shape  # noqa: E402
@@ -164,7 +164,7 @@
 
 
 def captured():
-    """The lines that real processes of control, a proxy and a partner log in a test of tests/edge."""
+    """The lines that real processes of control, a proxy and a partner log in a test of tests/transport."""
     import pytest
 
     from scalefall.control import audit
@@ -177,7 +177,7 @@
 
     audit.read = keep
     name = "test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back"
-    assert pytest.main(["-q", "-p", "no:cacheprovider", f"{ROOT}/tests/edge/test_standins.py::{name}"]) == 0
+    assert pytest.main(["-q", "-p", "no:cacheprovider", f"{ROOT}/tests/transport/test_standins.py::{name}"]) == 0
     return lines
 
 
