--- a/benchmarks/control_bad_peers.py
+++ b/benchmarks/control_bad_peers.py
@@ -18,7 +18,7 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
-from control import EDS, Stream, started, used  # noqa: E402
+from control import EDS, Stream, started, used
 
 LEASE_S, MOST_MB = 0.9, 64
 LOCAL = [("grpc.use_local_subchannel_pool", 1)]
--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -15,8 +15,8 @@
 from collections import Counter
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
-from scalefall.control import audit  # noqa: E402
-from scalefall.lab.world import SECOND, Plan, World, returning  # noqa: E402
+from scalefall.control import audit
+from scalefall.lab.world import SECOND, Plan, World, returning
 
 RETURNS = {
     "whole": {},
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -35,7 +35,7 @@
         "hosts": [
             {
                 "host": "t",
-                "dial": "%s:%d" % partner,
+                "dial": "{}:{}".format(*partner),
                 "site": "here",
                 "class": "toy",
                 "block": DEST,
@@ -155,7 +155,7 @@
     first = next(iter(found))
     print(f"{'':<34}{'CPU us/message':>15}{'ratio':>7}{'peak MB':>9}{'ratio':>7}{'start s':>9}")
     for name, rows in found.items():
-        ratio = statistics.median(row / base for row, base in zip(rows, found[first]))
+        ratio = statistics.median(row / base for row, base in zip(rows, found[first], strict=False))
         print(
             f"{name:<34}{statistics.median(rows):>15.0f}{ratio:>7.2f}{peaks[name]:>9.1f}"
             f"{peaks[name] / peaks[first]:>7.2f}{running[name][2]:>9.2f}"
--- a/benchmarks/reload.py
+++ b/benchmarks/reload.py
@@ -83,8 +83,9 @@
         write(site, options.endpoints, options.files)
         with open(site / "site.scale", "a") as file:
             file.write(
-                "sender { slots 50; hold 1000 }\npool toy { endpoint t { at 127.0.0.1:%d } }\n"
-                "route 900000 { pool toy }\n" % listener.getsockname()[1]
+                "sender { slots 50; hold 1000 }\n"
+                f"pool toy {{ endpoint t {{ at 127.0.0.1:{listener.getsockname()[1]} }} }}\n"
+                "route 900000 { pool toy }\n"
             )
         child = subprocess.Popen(
             [
--- a/benchmarks/scaling/calibrate.py
+++ b/benchmarks/scaling/calibrate.py
@@ -69,7 +69,7 @@
     print(f"\n{'Calibration':<32}{'real':>12}{'hollow':>12}")
     for direction, kinds in real.messages.items():
         for kind, counted in kinds.items():
-            for what, one, other in zip(("messages", "bytes"), counted, hollow.messages[direction][kind]):
+            for what, one, other in zip(("messages", "bytes"), counted, hollow.messages[direction][kind], strict=False):
                 found.append(_check(f"{kind} {direction}, {what}", one, other, WIRE))
     print(f"{'messages fallen back':<32}{real.fallen:>12.1%}{hollow.fallen:>12.1%}  (told, not checked)")
     found.append(_check("contract's state, bytes", real.state, hollow.state, STATE))
--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -253,7 +253,8 @@
         sent.clear()
         for stream in made:
             (action,) = stream.beat(now)
-            assert isinstance(action, Response) and action.beat
+            assert isinstance(action, Response)
+            assert action.beat
             sent.append(responses.bytes(action, True, True))
             stream.request(Request(EDS, action.nonce))
 
--- a/benchmarks/scaling/divided.py
+++ b/benchmarks/scaling/divided.py
@@ -109,7 +109,7 @@
             configuration.settings(),
             configuration.configuration(size.destinations),
             size.senders,
-            lambda number: [],
+            lambda _number: [],
             is_down=configuration.is_down,
             options=ControlOptions(report_us=REPORT_US, with_fixed=False, most_reported=1),
             timer=time.process_time_ns,
--- a/benchmarks/scaling/job.py
+++ b/benchmarks/scaling/job.py
@@ -38,7 +38,7 @@
     "listed-memory": sender_control.listed,
     "held-memory": sender_messages.held,
 }
-FACTS = {"divided": divided.facts, "sample": sample.run, "touched": lambda mode: touched.touched()}  # not slopes
+FACTS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}  # not slopes
 SHORT = ("granted", "allocator", "catalog", "configured", "grants", "streams", "list-change")  # timed, several times
 TIMED = ("failures", "failures-lost", "delivered", *SHORT)
 MEMORY = "-memory"  # ends the names of jobs whose process has to allocate by malloc
--- a/benchmarks/scaling/output.py
+++ b/benchmarks/scaling/output.py
@@ -53,7 +53,7 @@
     """One column a kind of traffic."""
     title = "Without assignment, 900 senders and 420,000 destinations (reckoned)"
     lines = [f"\n{title:<68}" + "".join(f"{traffic:>30}" for traffic in rows)]
-    for same in zip(*rows.values()):
+    for same in zip(*rows.values(), strict=False):
         cells = [f"{row.value:,.4g}" + (f" ({row.verdict})" if row.most is not None else "") for row in same]
         budget = f", budget {same[0].most:,.4g}" if same[0].most is not None else ""
         lines.append(f"  {f'{same[0].name}, {same[0].unit}{budget}':<66}" + "".join(f"{cell:>30}" for cell in cells))
--- a/benchmarks/scaling/run.py
+++ b/benchmarks/scaling/run.py
@@ -38,7 +38,7 @@
 
     def all_figures(self) -> list[Figure]:
         """One of each, of all its runs."""
-        return [middle(same) for name in JOBS for same in zip(*self.runs[name])]
+        return [middle(same) for name in JOBS for same in zip(*self.runs[name], strict=False)]
 
 
 def measured(mode: str, workers: int, rounds: int = 1, plays: list[dict[str, Any]] | None = None) -> Measured:
@@ -72,7 +72,7 @@
     if first.quantity is not TIME:
         return first
     points = []
-    for same in zip(*(each.points for each in figures)):
+    for same in zip(*(each.points for each in figures), strict=False):
         points.append((same[0][0], statistics.median_low(value for _, value in same)))
     return figure(first.role, first.name, first.quantity, first.unit, first.sizes, points)
 
@@ -83,7 +83,7 @@
 
 def _jobs(names: list[str], mode: str, workers: int) -> list[tuple[str, dict[str, Any]]]:
     with ThreadPoolExecutor(min(workers, MOST_WORKERS)) as pool:
-        return list(zip(names, pool.map(lambda name: _job(name, mode), names)))
+        return list(zip(names, pool.map(lambda name: _job(name, mode), names), strict=False))
 
 
 def _job(name: str, mode: str) -> dict[str, Any]:
--- a/benchmarks/scaling/sample.py
+++ b/benchmarks/scaling/sample.py
@@ -50,7 +50,7 @@
             configuration.configuration(destinations),
             senders,
             lambda number: routes[number],
-            lambda number, random_: itertools.cycle(events[number]),
+            lambda number, _random: itertools.cycle(events[number]),
             configuration.is_down,
             timer=time.process_time_ns,
         ),
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -125,7 +125,7 @@
         )
         row = json.loads(done.stdout)
         first = first or row
-        print(f"{number:9}", *(f"{value:9.2f} (x{value / base:6.1f})" for value, base in zip(row, first)))
+        print(f"{number:9}", *(f"{value:9.2f} (x{value / base:6.1f})" for value, base in zip(row, first, strict=False)))
 
 
 if __name__ == "__main__":
--- a/example/demo.py
+++ b/example/demo.py
@@ -54,7 +54,7 @@
         while (line := self.next(until)) is not None:
             if part in line:
                 return line
-        sys.exit("demo: no sign of %r. What it said:\n%s" % (part, "\n".join(self.seen)))
+        sys.exit("demo: no sign of {!r}. What it said:\n{}".format(part, "\n".join(self.seen)))
 
     def end(self):
         if self.process.poll() is None:
@@ -80,7 +80,7 @@
     classes = ("fee-order", "event-notice", "status-update")
     rows = [(f"m-{n:02}", classes[n % 3], 7, 20_000) for n in range(number)]
     rows += [(f"away-{n}", classes[1 + n % 2], 9, AWAY_MS) for n in range(4)]
-    return rows + [("not-carried", "fee-order", 9, AWAY_MS), ("no-route", "status-update", 8, AWAY_MS)]
+    return [*rows, ("not-carried", "fee-order", 9, AWAY_MS), ("no-route", "status-update", 8, AWAY_MS)]
 
 
 def final(ends):
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -12,6 +12,7 @@
 import threading
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
+import contextlib
 
 BEAT_S = 2
 
@@ -121,10 +122,8 @@
         server.daemon_threads = True
         threading.Thread(target=server.serve_forever, daemon=True).start()
     say(f"discovery at 127.0.0.1:{servers[-1].server_port}")
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         threading.Event().wait()
-    except KeyboardInterrupt:
-        pass
 
 
 if __name__ == "__main__":
--- a/scalefall/cli/config.py
+++ b/scalefall/cli/config.py
@@ -38,7 +38,7 @@
         click.echo(render.text(loaded.problems, loaded.source(), paint), nl=False)
     if loaded.fatal:
         sys.exit(output.CANNOT_RUN)
-    sys.exit(output.ERRORS if loaded.errors or strict and loaded.problems else output.OK)
+    sys.exit(output.ERRORS if loaded.errors or (strict and loaded.problems) else output.OK)
 
 
 @click.command(
--- a/scalefall/cli/logs.py
+++ b/scalefall/cli/logs.py
@@ -21,7 +21,7 @@
     return NAME.match(template)[0].strip(" ,;")
 
 
-def _fields(logger: object, method: str, event: dict) -> dict:
+def _fields(_logger: object, _method: str, event: dict) -> dict:
     """Name, text and the message's fields of a record of the standard library."""
     record: logging.LogRecord = event["_record"]
     event["text"], event["event"] = event["event"], event_name(str(record.msg))
@@ -30,7 +30,7 @@
     return event
 
 
-def _line(logger: object, method: str, event: dict) -> str:
+def _line(_logger: object, _method: str, event: dict) -> str:
     """The sender's line: time, level, text."""
     text = f"{event['timestamp']} {event['level'].upper()} {event['text']}"
     return f"{text}\n{event['exception']}" if "exception" in event else text
@@ -57,7 +57,7 @@
     logging.raiseExceptions = False  # a log that nobody reads must not end the program
 
 
-def _clock(logger: object, method: str, event: dict) -> dict:
+def _clock(_logger: object, _method: str, event: dict) -> dict:
     record: logging.LogRecord = event["_record"]
     event["timestamp"] = logging.Formatter("%(asctime)s.%(msecs)03d", "%H:%M:%S").format(
         logging.makeLogRecord({"created": record.created, "msecs": record.msecs, "msg": ""})
--- a/scalefall/lab/hollow/fleet.py
+++ b/scalefall/lab/hollow/fleet.py
@@ -48,8 +48,8 @@
     configuration: Configuration
     senders: int
     routes: Callable[[int], list[int]]  # destinations that the sender of this number asks for
-    traffic: Callable[[int, random.Random], Traffic] = lambda number, random_: iter(())
-    is_down: Callable[[int], bool] = lambda destination: False
+    traffic: Callable[[int, random.Random], Traffic] = lambda _number, _random: iter(())
+    is_down: Callable[[int], bool] = lambda _destination: False
     options: ControlOptions = ControlOptions()
     factory: ServiceFactory = make_service
     timer: Callable[[], int] = no_timer  # processor time, where a benchmark wants it
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -49,7 +49,7 @@
         random_: random.Random,
         stopwatch: Stopwatch,
         traffic: Traffic | None = None,
-        is_down: Callable[[int], bool] = lambda destination: False,
+        is_down: Callable[[int], bool] = lambda _destination: False,
         outcomes: Outcomes | None = None,
     ) -> None:
         """control: the instance that can be reached now, if any. is_down: whether a call to a destination fails.
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -85,8 +85,8 @@
         shards: int,
         random_: random.Random,
         stopwatch: Stopwatch,
-        counts: Counts = lambda held, span_us: {},
-        is_down: Callable[[int], bool] = lambda destination: False,
+        counts: Counts = lambda _held, _span_us: {},
+        is_down: Callable[[int], bool] = lambda _destination: False,
     ) -> None:
         super().__init__(clock, control, link, node, instance, [], random_, stopwatch, is_down=is_down)
         self.contract = ShardedContract(Sharding(shards).shard_of)
@@ -148,7 +148,7 @@
     """How destinations are divided in a fleet of hollow senders, and what they are called with."""
 
     assignment: AssignmentSettings
-    counts: Counts = lambda held, span_us: {}
+    counts: Counts = lambda _held, _span_us: {}
 
 
 class ShardedFleet(Fleet):
--- a/scalefall/lab/hollow/stopwatch.py
+++ b/scalefall/lab/hollow/stopwatch.py
@@ -13,7 +13,7 @@
 class Stopwatch:
     """Adds up the time between start() and stop(), in the units of its timer."""
 
-    __slots__ = ("spent", "_timer", "_begun")
+    __slots__ = ("_begun", "_timer", "spent")
 
     def __init__(self, timer: Callable[[], int] = no_timer) -> None:
         self.spent = 0
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -198,7 +198,7 @@
             report = json.loads(fields.get("x-load", "{}"))
         except ConnectionRefusedError:
             outcome = O.CONNECT_FAILED
-        except asyncio.TimeoutError:
+        except TimeoutError:
             outcome = O.TIMEOUT
         except (OSError, ValueError):
             pass
@@ -214,7 +214,7 @@
             fields["Idempotency-Key"] = name
         try:
             return str((await asyncio.wait_for(_post(self._options.sender, f"/{cls.name}", fields), CALL_S))[0])
-        except (OSError, ValueError, asyncio.TimeoutError):
+        except (TimeoutError, OSError, ValueError):
             return "failed"
 
 
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -187,7 +187,7 @@
 class _Control:
     def __init__(self, world: World, number: int, kept: dict | None) -> None:
         self._world, plan = world, world.plan
-        builder = Builder(lambda rows, routes: [], self._endpoints)
+        builder = Builder(lambda _rows, _routes: [], self._endpoints)
         self.service = Service(
             world.now, settings(plan.classes), 3, builder, plan.lease_us, plan.delay_us, plan.lease_us
         )
@@ -491,10 +491,8 @@
         )
         if answer.outcome is i.Outcome.OK:
             self._end(name, "ok")
-        elif (
-            "eager" in world.plan.mistakes
-            and tries < ATTEMPTS
-            or may_repeat(cls, answer.outcome, first, world.now, tries)
+        elif ("eager" in world.plan.mistakes and tries < ATTEMPTS) or may_repeat(
+            cls, answer.outcome, first, world.now, tries
         ):
             world.after(world.random.uniform(25, 100) * MS, lambda: self._try(name, cls, tries, first))
         else:
--- a/scalefall/lang/diff.py
+++ b/scalefall/lang/diff.py
@@ -43,7 +43,7 @@
     return sorted(found, key=lambda change: (ORDER.index(change.level), change.subject, change.word, change.text))
 
 
-def as_text(changes: list[Change], paint: Callable[[str, str], str] = lambda text, what: text) -> str:
+def as_text(changes: list[Change], paint: Callable[[str, str], str] = lambda text, _what: text) -> str:
     rows = []
     for change in changes:
         mark = {DANGEROUS: "DANGEROUS ", NOTABLE: "notable   ", PLAIN: "          "}[change.level]
@@ -361,7 +361,7 @@
 def _wider(old: Repeat, new: Repeat) -> bool:
     if old.effect != new.effect:
         return EFFECTS.index(new.effect) > EFFECTS.index(old.effect)
-    return new.ttl_us > old.ttl_us or old.in_zone and not new.in_zone
+    return new.ttl_us > old.ttl_us or (old.in_zone and not new.in_zone)
 
 
 def _times(old: Decimal, new: Decimal) -> Decimal:
--- a/scalefall/lang/format.py
+++ b/scalefall/lang/format.py
@@ -52,13 +52,13 @@
         if line is not None and len(indent) + len(line) <= WIDTH:
             self._write(indent + line, group[0].line, group[-1].end_line)
         else:
-            for statement, text in zip(group, flat):
+            for statement, text in zip(group, flat, strict=False):
                 self._one(statement, text, level)
         self._comment_behind(group[-1].end_line)
 
     def _one(self, statement: Statement, flat: str | None, level: int) -> None:
         indent = STEP * level
-        if statement.body is None or flat is not None and len(indent) + len(flat) <= WIDTH:
+        if statement.body is None or (flat is not None and len(indent) + len(flat) <= WIDTH):
             self._write(indent + (flat or _words(statement.words)), statement.line, statement.end_line)
             return
         head_line = _last_line(statement.words)
--- a/scalefall/lang/meaning.py
+++ b/scalefall/lang/meaning.py
@@ -117,7 +117,9 @@
             )
             return None
         free = block in ("class", "kind", "zone", "tenant")  # named by others: any text, in quotes
-        if not (NAME.match(name) or free and words[0].type == "STRING" and name.isprintable() and 0 < len(name) <= 200):
+        if not (
+            NAME.match(name) or (free and words[0].type == "STRING" and name.isprintable() and 0 < len(name) <= 200)
+        ):
             self._error(
                 "name",
                 document.place(words[0]),
--- a/scalefall/lang/render.py
+++ b/scalefall/lang/render.py
@@ -11,7 +11,7 @@
 MOST_SHOWN = 160  # columns of a source line
 
 
-def no_paint(text: str, what: str) -> str:
+def no_paint(text: str, _what: str) -> str:
     return text
 
 
--- a/scalefall/lang/syntax.py
+++ b/scalefall/lang/syntax.py
@@ -68,7 +68,7 @@
 
 
 def same_statements(one: list[Statement], other: list[Statement]) -> bool:
-    return len(one) == len(other) and all(a.same(b) for a, b in zip(one, other))
+    return len(one) == len(other) and all(a.same(b) for a, b in zip(one, other, strict=False))
 
 
 @dataclass(slots=True)
