--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -79,6 +79,7 @@
     seconds: float = 24.0
     faults: list[Fault] = field(default_factory=list)
     changes: list[tuple[float, ListKind, list[tuple[str, Status, float | None]]]] = field(default_factory=list)
+    moves: list[tuple[float, str, int]] = field(default_factory=list)  # at, endpoint, its new destination
     limits: dict[int, float] = field(default_factory=dict)  # calls a second that a destination takes
     new_limits: list[tuple[float, int, float]] = field(default_factory=list)
     others: float = 0.0  # share of the limit that other senders use
@@ -86,6 +87,7 @@
     tells_wait: bool = False  # of calls above the limit
     withdrawn: float = 0.01
     finished: float = 0.02  # answers that are errors and final
+    repeated: float = 0.0  # share of outcomes that are told twice
     foreign: float = 0.0  # calls a second of other proxies
     probed: float = 0.0  # probe outcomes a second
     list_fails: int = 0  # so many times in a row, when asked for
@@ -136,6 +138,8 @@
             self.push(0, self.restored(number))
         for at, list_kind, rows in play.changes:
             self.push(at * S, (list_kind, rows))
+        for move in play.moves:
+            self.push(move[0] * S, move)
         for at, destination, limit in play.new_limits:
             self.push(at * S, (destination, limit))
         for stream in play.streams:
@@ -277,6 +281,9 @@
 
     def resolve(self, entry: Any) -> Any:
         """An event as it is when its time comes; None where nothing is left of it."""
+        if isinstance(entry, tuple) and isinstance(entry[1], str):
+            self.rows[entry[1]].destination = entry[2]
+            return interface.Listed(ListKind.CHANGES, [copy.copy(self.rows[entry[1]])])
         if isinstance(entry, tuple) and len(entry) == 3:
             return interface.Timer(entry[0]) if self.timers.get(entry[0]) == entry[1] else None
         if isinstance(entry, tuple) and isinstance(entry[0], int):
@@ -292,7 +299,10 @@
             whole = [copy.copy(row) for row in self.rows.values() if row.status is not Status.GONE]
             return interface.Listed(kind, whole if kind is ListKind.WHOLE else changed)
         if isinstance(entry, interface.Attempted):
-            return entry if self.out.pop((entry.id, entry.attempt), None) else None
+            first = self.out.pop((entry.id, entry.attempt), None) is not None
+            if first and self.chance(self.play.repeated):
+                self.push(self.queue[0][0] if self.queue else 0, entry)
+            return entry if first or self.play.repeated else None
         return entry
 
     def run(self) -> list[Any]:
@@ -376,6 +386,7 @@
 
 
 def plays() -> list[Play]:
+    """Return all plays; their seeds go by their place, so that a new one is put at the end."""
     s = helpers.settings
     outage = [Fault("error", 6, 11)]
     tight = dict(fall_us=1500 * MS, cold_us=8 * S, cold_from=0.26)
@@ -583,6 +594,86 @@
             seconds=80,
             changes=[(6, CHANGES, [("f1", GONE, None)]), (75, CHANGES, [("e1", READY, None)])],
         ),
+        *later_plays(),
+    ]
+
+
+def later_plays() -> list[Play]:
+    """Plays for decisions that those before left open: found by changing the module and seeing none differ."""
+    s = helpers.settings
+    fades = (
+        helpers.message_class("fades", late_worth=0.1),
+        helpers.message_class("fades-too", late_worth=0.3, worth=2),
+    )
+    fading = {rules.name: rules for rules in fades}
+    ordered = (
+        helpers.message_class("safe-ordered", in_order=True),
+        helpers.message_class("keyed-ordered", interface.Effect.KEYED, in_order=True),
+        helpers.message_class("unsafe-ordered", interface.Effect.UNSAFE, in_order=True),
+    )
+    short_waits = [Fault("full", at, at + 0.4, tells_wait=True) for at in (3, 6, 9, 13, 17, 21)]
+    short_errors = [Fault("error", at, at + 0.3, tells_wait=True) for at in (4.5, 11, 15, 19)]
+    fade_streams = [Stream(14, "fades"), Stream(10, "fades-too")]
+    return [
+        Play("deep-chains", s(slots=60), rows("e1", "e2", ms=900), [Stream(24)], seconds=14, limits={1: 26}),
+        Play("low-rate", s(siblings=20), rows("e1"), [Stream(1.2)], limits={1: 4}, others=0.8, seconds=60),
+        Play("short-waits", s(), rows("e1"), [Stream(8)], faults=[*short_waits, *short_errors]),
+        Play(
+            "ordered",
+            s(classes={rules.name: rules for rules in ordered}, turn_gap_us=1500 * MS),
+            rows("e1", "e2", ms=400),
+            [Stream(3, rules.name, keys=5) for rules in ordered],
+            faults=[Fault("error", 0, 24, share=0.15), Fault("reset", 8, 9), Fault("hang", 14, 15, "e1")],
+            withdrawn=0.2,
+        ),
+        Play("restart-full", s(max_held=20), rows("e1", ms=300), [Stream(8)], restored=40, seconds=8, limits={1: 6}),
+        Play("zone-fees", s(zone_fee={"a": 0.02, "b": 0.0}), rows("e1", "e2", "e3", "e4"), ALL_CLASSES, seconds=10),
+        Play("fades", s(classes=fading, slots=6), rows("e1"), fade_streams, seconds=14, limits={1: 10}),
+        Play(
+            "fades-halving",
+            s(classes=fading, slots=6, halving=True),
+            rows("e1"),
+            fade_streams,
+            seconds=14,
+            limits={1: 10},
+        ),
+        Play("foreign-full", s(siblings=2), rows("e1"), [Stream(9)], foreign=12, limits={1: 10}, others=0.3),
+        Play(
+            "moved",
+            s(),
+            rows("e1", "e2") + rows("f1", destination=2, ms=500),
+            [Stream(6), Stream(5, destination=2)],
+            moves=[(5, "e2", 2), (9, "f1", 1), (14, "e2", 1)],
+            seconds=18,
+        ),
+        Play(
+            "shutdown-short",
+            s(),
+            rows("e1", "e2", ms=200),
+            [Stream(20), Stream(8, "keyed")],
+            seconds=9,
+            closing=(4, 6.2),
+        ),
+        Play(
+            "shutdown-batches",
+            s(slots=6),
+            rows("e1", kind="many", ms=500) + rows("f1", destination=2, kind="route"),
+            [Stream(20), Stream(6, "unsafe"), Stream(6, "zoned", destination=2), Stream(3, "ordered", keys=2)],
+            seconds=14,
+            closing=(6, 10.5),
+            faults=[Fault("error", 7, 8)],
+            restored=10,
+        ),
+        Play(
+            "repeated",
+            s(weights="live"),
+            rows("e1", "e2", weight=8),
+            [Stream(8)],
+            repeated=0.1,
+            seconds=10,
+            limits={1: 9},
+        ),
+        Play("told-none", s(weights="told"), rows("e1"), [Stream(8)], repeated=0.1, seconds=10, limits={1: 6}),
     ]
 
 
--- a/tests/characterization/test_policy_replay.py
+++ b/tests/characterization/test_policy_replay.py
@@ -125,7 +125,7 @@
 
 
 def test_every_form_of_limit_is_recorded(seen):
-    assert all(seen["weights", form] for form in ("told", "rough", "nominal", "none"))
+    assert all(seen["weights", form] for form in ("told", "rough", "nominal", "live", "none"))
     assert all(seen["operator's limit", "told", is_set] for is_set in (True, False))
     assert seen["report", "none", "x1"]
     assert seen["report", "none", "x0"]
