--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -253,7 +253,8 @@
         sent.clear()
         for stream in made:
             (action,) = stream.heartbeats(now)
-            assert isinstance(action, Response) and action.is_heartbeat
+            assert isinstance(action, Response)
+            assert action.is_heartbeat
             sent.append(responses.encode(action, True, True))
             stream.request(Request(EDS, action.nonce))
 
