--- a/scalefall/control/transport/quota_wire.py
+++ b/scalefall/control/transport/quota_wire.py
@@ -19,7 +19,7 @@
 from envoy.type.v3 import ratelimit_strategy_pb2, token_bucket_pb2
 from google.protobuf import wrappers_pb2
 
-from scalefall.assignment.model import WHOLE, ShardGrant
+from scalefall.assignment.model import FULL_QUOTA, DestinationLimit, ShardGrant
 from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
 from scalefall.control.grants import UNITS_PER_CALL, Grant
 from scalefall.control.transport.protobuf import duration
@@ -148,7 +148,7 @@
         bucket = _shard_bucket(given)
         if last_report is not None and not response.bucket_action:
             bucket[LAST_REPORT] = f"{last_report}"
-        _assign(response, bucket, given.lease_us, UNLIMITED if given.share else 0)
+        _assign(response, bucket, given.lease_us, UNLIMITED if given.quota else 0)
         for destination, amount in given.limits:
             _assign(response, {SHARD: f"{given.shard}", ROUTE: f"{destination}"}, given.lease_us, amount)
     return response
@@ -158,8 +158,8 @@
     bucket = {SHARD: f"{given.shard}", EPOCH: f"{given.epoch}", GRANT: f"{given.number}"}
     if given.destination is not None:
         bucket[ROUTE] = f"{given.destination}"
-    if 0 < given.share < WHOLE:
-        bucket[SHARE] = f"{given.share}"
+    if 0 < given.quota < FULL_QUOTA:
+        bucket[SHARE] = f"{given.quota}"
     return bucket
 
 
@@ -191,9 +191,9 @@
 
 
 def _read_grant(keys: Mapping[str, str], amount: int, lease_us: int, holder: str) -> ShardGrant:
-    share = int(keys.get(SHARE, f"{WHOLE}")) if amount else 0
+    quota = int(keys.get(SHARE, f"{FULL_QUOTA}")) if amount else 0
     destination = int(keys[ROUTE]) if ROUTE in keys else None
-    return ShardGrant(holder, int(keys[SHARD]), int(keys[EPOCH]), int(keys[GRANT]), share, lease_us, (), destination)
+    return ShardGrant(holder, int(keys[SHARD]), int(keys[EPOCH]), int(keys[GRANT]), quota, lease_us, (), destination)
 
 
 def _add_limit(grants: list[ShardGrant], keys: Mapping[str, str], amount: int) -> None:
@@ -201,7 +201,7 @@
     shard = int(keys[SHARD])
     if not grants or grants[-1].shard != shard:
         raise ValueError(f"an allowance of shard {shard} follows no grant of it")
-    grants[-1] = replace(grants[-1], limits=(*grants[-1].limits, (int(keys[ROUTE]), amount)))
+    grants[-1] = replace(grants[-1], limits=(*grants[-1].limits, DestinationLimit(int(keys[ROUTE]), amount)))
 
 
 # -- both
--- a/scalefall/control/transport/quotas.py
+++ b/scalefall/control/transport/quotas.py
@@ -100,4 +100,4 @@
 
     def count_calls(self, index: LoadReportIndex, stats: Iterable[load_report_pb2.ClusterStats]) -> None:
         """Count the calls of each destination: shards are placed by their load."""
-        self._service.counted(index.loads(stats))
+        self._service.calls_counted(index.loads(stats))
