--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -57,7 +57,7 @@
     from helpers import settings
 
     from scalefall.net.config import Config
-    from scalefall.net.host import PACE_US, Host
+    from scalefall.net.host import RATE_SHARE_US, Host
     from scalefall.net.list_stream import read_list
     from scalefall.net.scheduler import Scheduler
 
@@ -97,7 +97,7 @@
             settings(ask=False, siblings=number),
             known,
         )
-        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * PACE_US
+        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * RATE_SHARE_US
         host = Host(scheduler, config)
         scheduler.spawn(host.start)
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -64,7 +64,7 @@
         self.host._journal.close()
         self.host.front.stop_listening()
         if self.admin:
-            self.host._operators.close()
+            self.host._admin_server.close()
         self.world._ready.clear()
         for task in list(self.world._waits.values()):
             self.world._poll.unregister(task.fd)
@@ -198,7 +198,7 @@
         sock, _ = firm.call()
         sock.send(http.answer(200, []))
         firm.world.until(lambda: firm.owed() == [])
-        assert list(firm.host._ended) == ["n"]
+        assert list(firm.host._finished_ids) == ["n"]
 
     play(firm, steps)
 
@@ -343,7 +343,7 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
-        firm.world.until(lambda: firm.host._waits)
+        firm.world.until(lambda: firm.host._retry_after_until)
         assert not firm.host._may_begin(entry)
         firm.world.sleep(600 * MS)
         assert firm.host._may_begin(entry)
@@ -387,16 +387,16 @@
 
 
 def test_a_module_that_fails_in_a_turn_refuses_what_came_and_the_rest_carries_on(firm, monkeypatch):
-    counted, handle = [], firm.host._module.handle
+    counted, handle = [], firm.host._engine.handle
     monkeypatch.setattr(module, "check", lambda condition, name: bool(condition) or counted.append(name))
 
     def fails(now, events):
         if any(isinstance(event, i.Message) for event in events):
-            monkeypatch.setattr(firm.host._module, "handle", handle)
+            monkeypatch.setattr(firm.host._engine, "handle", handle)
             raise RuntimeError("seen in a test")
         return handle(now, events)
 
-    monkeypatch.setattr(firm.host._module, "handle", fails)
+    monkeypatch.setattr(firm.host._engine, "handle", fails)
 
     def steps():
         assert firm.answer(firm.hand_in("m")).status == 503
@@ -444,7 +444,7 @@
 
 
 def test_a_send_to_an_endpoint_that_no_list_has_costs_that_attempt_and_not_the_turn(firm, monkeypatch):
-    counted, handle, outcomes = [], firm.host._module.handle, []
+    counted, handle, outcomes = [], firm.host._engine.handle, []
     monkeypatch.setattr(module, "check", lambda condition, name: bool(condition) or counted.append(name))
 
     def strays(now, events):
@@ -454,7 +454,7 @@
             actions.insert(0, i.Send("m", "ghost", S))
         return actions
 
-    monkeypatch.setattr(firm.host._module, "handle", strays)
+    monkeypatch.setattr(firm.host._engine, "handle", strays)
 
     def steps():
         firm.taken("m")
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -189,7 +189,7 @@
     finally:
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
-    assert world.broken is None and firm.owed() == [] and world.now() - firm.host._closing_at < 3300 * MS
+    assert world.broken is None and firm.owed() == [] and world.now() - firm.host._started_at < 3300 * MS
 
 
 @pytest.mark.parametrize("heard", [False, True])
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -57,7 +57,7 @@
         firm.die()
         firm.start()
         firm.watched()
-        assert not firm.host._duty.out
+        assert not firm.host._admin_state.out
         firm.world.until(lambda: "e" not in firm.host._endpoint_list.left_at)
 
     play(firm, steps)
@@ -159,7 +159,7 @@
 def test_a_call_gets_the_status_that_it_deserves(firm, method, path, status):
     def steps():
         assert call(firm, method, path) == status
-        assert firm.host._duty.out == set()
+        assert firm.host._admin_state.out == set()
         firm.taken("a")
 
     play(firm, steps)
@@ -211,9 +211,9 @@
         idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MOST_CALLERS)]
         firm.world.sleep(10 * MS)
         assert call(firm, "GET", "/healthcheck") == 200
-        assert len(firm.host._operators._callers) <= MOST_CALLERS
+        assert len(firm.host._admin_server._callers) <= MOST_CALLERS
         firm.world.sleep(3 * S)
-        assert not firm.host._operators._callers
+        assert not firm.host._admin_server._callers
         for sock in idle:
             sock.close()
 
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -104,7 +104,7 @@
 
 def hand_in(world, host, name, cls="fee", dest=7, span=5 * S):
     transaction = Transaction(name, cls, dest, world.now() + span, None, b"body")
-    host.offer(transaction)
+    host.submit(transaction)
     world.until(lambda: transaction.verdict is not None)
     return transaction.verdict
 
@@ -170,13 +170,13 @@
     def play():
         peer = Peer(world)
         host = started(world, tmp_path, at(peer), 4, b"3s", b"")
-        before = dict(host._endpoint_list.entries), host._rules, host._endpoint_list.seq
+        before = dict(host._endpoint_list.entries), host._route_rules, host._endpoint_list.seq
 
         def broken():
             raise ConfigError(error)
 
         reload(world, host, broken)
-        assert (dict(host._endpoint_list.entries), host._rules, host._endpoint_list.seq) == before
+        assert (dict(host._endpoint_list.entries), host._route_rules, host._endpoint_list.seq) == before
         assert hand_in(world, host, "m1") == Taken()
         serve(world, peer, peer.accept())
 
@@ -202,11 +202,11 @@
         host.reload(slow)
         assert hand_in(world, host, "m1") == Taken()  # while the thread reads
         serve(world, peer, peer.accept())
-        assert host._rules[7].attempts == 4
+        assert host._route_rules[7].attempts == 4
         host.reload(slow)
         held.set()
         world.until(lambda: not host._reloading)
-        assert reads == [False, False] and host._rules[7].attempts == 2
+        assert reads == [False, False] and host._route_rules[7].attempts == 2
 
     world.play(play)
 
@@ -217,8 +217,8 @@
     def play():
         host = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"100ms", b"")
         transaction = Transaction("m", "fee", 7, world.now(), None, b"")
-        assert host._at_most(transaction, 5 * S) == 100 * MS
-        assert host._at_most(dataclasses.replace(transaction, destination=8), 5 * S) == 5 * S
+        assert host._cap_retry_after(transaction, 5 * S) == 100 * MS
+        assert host._cap_retry_after(dataclasses.replace(transaction, destination=8), 5 * S) == 5 * S
 
     world.play(play)
 
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -27,7 +27,7 @@
         self.world, self.list = self.firm.world, self.firm.host._endpoint_list
         self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch_at
         self.list._watch_at, self.waiting, self.sockets = self._ends, None, []
-        for source in (self.list._random, self.firm.host._module.random):
+        for source in (self.list._random, self.firm.host._engine.random):
             source.random = lambda: LONGEST
 
     def _ends(self, address):
