--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -18,11 +18,11 @@
 from scalefall.cli.run import configuration as configuration_on_file
 from scalefall.lab.hollow import configuration
 from scalefall.net.config import Config
-from scalefall.net.host import Host
+from scalefall.net.sender import Sender
 from scalefall.net.journal import Journal, Owed
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.transaction import Transaction
-from scalefall.policy import Sender
+from scalefall.policy import Sender as Engine
 
 ROLE = Role.SENDER_MESSAGES
 BODY = 200  # bytes of a message
@@ -50,14 +50,14 @@
     threading.Thread(target=serve, args=(listener,), daemon=True).start()
     scheduler = Scheduler()
 
-    def play(host: Host) -> None:
-        host.start()
-        scheduler.in_thread(hand_in, host.address, RATE, SLICE / RATE, "first")
+    def play(sender: Sender) -> None:
+        sender.start()
+        scheduler.in_thread(hand_in, sender.address, RATE, SLICE / RATE, "first")
         for count in DELIVERED[mode]:
             total = 0.0
             for at in range(0, count, SLICE):
                 steps, begun = Steps(), time.thread_time_ns()
-                scheduler.in_thread(hand_in, host.address, RATE, SLICE / RATE, f"m{count}-{at}")
+                scheduler.in_thread(hand_in, sender.address, RATE, SLICE / RATE, f"m{count}-{at}")
                 scheduler.sleep(END_US)
                 total += steps.of(time.thread_time_ns() - begun)
             series.add(count, total)
@@ -66,7 +66,7 @@
     with tempfile.TemporaryDirectory() as folder:
         state = pathlib.Path(folder, "state")
         state.mkdir()
-        scheduler.spawn(play, Host(scheduler, _on_file(state, listener.getsockname())))
+        scheduler.spawn(play, Sender(scheduler, _on_file(state, listener.getsockname())))
         scheduler.run()
     return [series]
 
@@ -124,9 +124,9 @@
     return configuration_on_file(str(path), str(state), {})[0].config
 
 
-def _module(count: int) -> Sender:
+def _module(count: int) -> Engine:
     """A module with destinations that take nothing more, so that what comes is held."""
-    module = Sender(replace(configuration.settings(), max_held=2 * count, slots=1), 1)
+    module = Engine(replace(configuration.settings(), max_held=2 * count, slots=1), 1)
     endpoints = [configuration.entry(number).endpoint for number in range(HELD_DESTINATIONS)]
     module.handle(0, [i.Listed(i.ListKind.WHOLE, endpoints)])
     first = [i.Message(f"first-{number}", number, CLASS, DUE_US, restored=True) for number in range(HELD_DESTINATIONS)]
@@ -140,7 +140,7 @@
     transactions.extend(_transaction(number) for number in range(count))
 
 
-def _hand_in(module: Sender, transactions: list[Transaction]) -> None:
+def _hand_in(module: Engine, transactions: list[Transaction]) -> None:
     module.handle(0, [_message(transaction) for transaction in transactions])
 
 
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -57,7 +57,8 @@
     from helpers import settings
 
     from scalefall.net.config import Config
-    from scalefall.net.host import RATE_SHARE_US, Host
+    from scalefall.net.rate_keeper import TIME_PER_RATE_US
+    from scalefall.net.sender import Sender
     from scalefall.net.list_stream import read_list
     from scalefall.net.scheduler import Scheduler
 
@@ -97,9 +98,9 @@
             settings(ask=False, siblings=number),
             known,
         )
-        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * RATE_SHARE_US
-        host = Host(scheduler, config)
-        scheduler.spawn(host.start)
+        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * TIME_PER_RATE_US
+        sender = Sender(scheduler, config)
+        scheduler.spawn(sender.start)
 
         def listen():
             figures["list"], scheduler.longest, scheduler.spent = scheduler.longest, 0, 0
@@ -111,7 +112,7 @@
 
         scheduler.call_at(scheduler.now() + 1_900_000, listen)
         scheduler.run()
-        assert len(host._endpoint_list.entries) == number, "the list was not taken whole"
+        assert len(sender.endpoint_list.entries) == number, "the list was not taken whole"
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(json.dumps([figures["list"] / 1e6, figures["rest"] / 1e6, 100 * figures["share"], memory]))
 
--- a/scalefall/__main__.py
+++ b/scalefall/__main__.py
@@ -7,7 +7,7 @@
 def sender() -> int:
     from scalefall.net.checks import log_to_standard_error
     from scalefall.net.config import ConfigError, read_config
-    from scalefall.net.host import run
+    from scalefall.net.sender import run
 
     log_to_standard_error(os.environ.get("SCALEFALL_LOG") == "debug")
     try:
--- a/scalefall/cli/run.py
+++ b/scalefall/cli/run.py
@@ -16,7 +16,7 @@
 from scalefall.lang.files import ROOT_FILE
 from scalefall.net.checks import log
 from scalefall.net.config import Config, ConfigError, read_address
-from scalefall.net.host import run as serve
+from scalefall.net.sender import run as serve
 
 
 def _address(context: click.Context, parameter: click.Parameter, value: str | None) -> tuple[str, int] | None:
--- /dev/null
+++ b/scalefall/net/admission.py
@@ -0,0 +1,157 @@
+"""What becomes of a request at submission, and how one is accepted."""
+
+from __future__ import annotations
+
+import logging
+
+from scalefall.interface import Dropped, Message, Settings
+from scalefall.net.checks import debug, log
+from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.delivery_tracker import DeliveryTracker
+from scalefall.net.endpoint_list import EndpointList
+from scalefall.net.event_queue import EventQueue
+from scalefall.net.journal import RETURNED, Journal, Owed
+from scalefall.net.route_table import RouteTable
+from scalefall.net.scheduler import Scheduler
+from scalefall.net.transaction import Conflict, Failed, NotCarried, Taken, Transaction, UnavailableAnswer
+
+MILLISECOND_US = 1000  # microseconds in a millisecond
+RETRY_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
+RETRY_WHEN_CLOSING_US = 500_000  # and by one that is about to end: its replicas are there at once
+
+
+class Admission:
+    """Decides on requests where the engine is not needed, and passes the others to it.
+
+    An ingress submits requests, and withdraws those whose client has gone. The answer to a request comes through its
+    `decide`: at once, or with the next step of the engine.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        settings: Settings,
+        events: EventQueue,
+        tracker: DeliveryTracker,
+        deadline_watch: DeadlineWatch,
+        journal: Journal,
+        endpoint_list: EndpointList,
+        routes: RouteTable,
+        wall_offset_us: int,
+    ) -> None:
+        """Admit requests from now on.
+
+        Args:
+            scheduler: The clock.
+            settings: The classes in force and the most messages that may be open.
+            events: Carries what the engine has to decide.
+            tracker: The requests in flight.
+            deadline_watch: Sees to the end of accepted messages.
+            journal: Holds each message before it counts as accepted.
+            endpoint_list: Tells which destinations have endpoints.
+            routes: Tells which classes a route carries.
+            wall_offset_us: What to add to monotonic time for wall time, in microseconds.
+        """
+        self._scheduler = scheduler
+        self._settings = settings
+        self._events = events
+        self._tracker = tracker
+        self._open = tracker.open
+        self._deadline_watch = deadline_watch
+        self._journal = journal
+        self._endpoint_list = endpoint_list
+        self._routes = routes
+        self._wall_offset_us = wall_offset_us
+        self._closes_at_us: int | None = None
+
+    def close_at(self, at_us: int) -> None:
+        """Reject every new message from a moment on (monotonic, microseconds)."""
+        self._closes_at_us = at_us
+
+    def submit(self, request: Transaction) -> None:
+        """Decide on a request, or hand it to the engine, whose answer comes with its next step.
+
+        Ids are fresh: under one that was used before, no other message is delivered.
+        """
+        message_id = request.id
+        pending = self._journal.owed.get(message_id)
+        if message_id in self._open:
+            self._submit_repeated(request)
+        elif message_id in self._tracker.finished:
+            same = self._tracker.finished[message_id][1] == request.stands_for()
+            request.decide(Taken() if same else Conflict())
+        elif pending is not None:  # ended, and its delivery report on the way: the same answer here
+            returned = pending.end == RETURNED
+            request.decide(UnavailableAnswer(pending.after_ms * MILLISECOND_US) if returned else Failed())
+        elif self._closes_at_us is not None and self._scheduler.now() >= self._closes_at_us:
+            request.decide(UnavailableAnswer(RETRY_WHEN_CLOSING_US, True))
+        elif not self._routes.carries(request.destination, request.class_name):
+            request.decide(NotCarried())
+        elif (
+            not self._endpoint_list.serves(request.destination)
+            or len(self._open) >= self._settings.max_held
+            or not self._journal.room(len(request.body))
+        ):
+            request.decide(UnavailableAnswer(RETRY_WHEN_FULL_US, True))
+        else:
+            self._tracker.add(request)
+            request.cls = self._settings.classes.get(request.class_name)
+            self._events.gather(Message(message_id, request.destination, request.class_name, request.due))
+
+    def withdraw(self, request: Transaction) -> None:
+        """Forget a request whose client went before it had its answer: nothing is owed any more."""
+        if self._open.get(request.id) is request and not request.promised:
+            self._tracker.discard(request.id)
+            self._journal.over(request.id)
+            self._events.gather(Dropped(request.id))
+
+    def accept(self, request: Transaction) -> None:
+        """Write a message that the engine keeps into the journal, before its answer goes out.
+
+        What the journal cannot hold after all is rejected.
+        """
+        if log.isEnabledFor(logging.DEBUG):
+            self._log_accepted(request)
+        pending = Owed(
+            request.id,
+            request.class_name,
+            request.destination,
+            request.due + self._wall_offset_us,
+            request.key,
+            request.body,
+        )
+        message_class = request.cls
+        if message_class is not None:
+            pending.effect = message_class.effect
+            pending.key_scope_zone = message_class.key_scope_zone
+            pending.key_ttl_us = message_class.key_ttl_us
+        if self._journal.take_on(pending):
+            self._deadline_watch.watch(request)
+        else:
+            request.decide(UnavailableAnswer(RETRY_WHEN_FULL_US, True))
+            self.withdraw(request)
+
+    def _submit_repeated(self, request: Transaction) -> None:
+        """Decide on the id of an open request submitted once more.
+
+        What is open stays as it was submitted, whoever asks: otherwise another's body would be delivered under its id,
+        and that client's leaving would withdraw it.
+        """
+        first = self._open[request.id]
+        if first.stands_for() == request.stands_for() and isinstance(first.verdict, Taken):
+            first.promised = True
+            request.decide(Taken())
+        else:
+            request.decide(Conflict())
+
+    def _log_accepted(self, request: Transaction) -> None:
+        debug(
+            "taken on %s: %s for %d, %d ms left",
+            request.id,
+            request.class_name,
+            request.destination,
+            (request.due - self._scheduler.now()) // MILLISECOND_US,
+            id=request.id,
+            class_=request.class_name,
+            dest=request.destination,
+        )
--- /dev/null
+++ b/scalefall/net/attempt_dispatcher.py
@@ -0,0 +1,239 @@
+"""From the engine's sends to attempts on the sockets, and back from their results to events."""
+
+from __future__ import annotations
+
+import logging
+from math import inf
+
+from scalefall.interface import NEVER_RAN, Attempted, Effect, Endpoint, Outcome, Send, Settings
+from scalefall.net.attempts import Attempts, Load, batch_size
+from scalefall.net.checks import check, debug, log
+from scalefall.net.delivery_tracker import DeliveryTracker
+from scalefall.net.endpoint_list import EndpointList
+from scalefall.net.event_queue import EventQueue
+from scalefall.net.journal import Journal
+from scalefall.net.list_stream import Entry
+from scalefall.net.scheduler import Scheduler
+from scalefall.net.transaction import Transaction
+
+MILLISECOND_US = 1000  # microseconds in a millisecond
+DRAIN_MARGIN_US = 200 * MILLISECOND_US  # an attempt whose first byte would go out later than the drain's grace less
+# this does not begin: its endpoint may not be there for its answer
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for any body, so for an attempt with several messages too
+
+
+class AttemptDispatcher:
+    """Groups the sends of a step into attempts, begins them, and reports the outcome of each message.
+
+    Each begin is in the journal before its attempt goes out. Until when a destination wants nothing is kept here, as
+    an attempt whose connection came up late must heed it too.
+
+    Attributes:
+        attempts: The attempts that are out, and the pools of connections.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        settings: Settings,
+        max_sockets: int,
+        events: EventQueue,
+        tracker: DeliveryTracker,
+        journal: Journal,
+        endpoint_list: EndpointList,
+        wall_offset_us: int,
+    ) -> None:
+        """Start with no attempt out.
+
+        Args:
+            scheduler: The clock, and the tasks that carry the attempts.
+            settings: What an attempt may hold, by kind of endpoint, and the drain's grace.
+            max_sockets: How many connections to endpoints there may be.
+            events: Carries outcomes to the engine.
+            tracker: The requests in flight.
+            journal: Records begins and outcomes.
+            endpoint_list: The endpoints and their addresses.
+            wall_offset_us: What to add to monotonic time for wall time, in microseconds.
+        """
+        self._scheduler = scheduler
+        self._settings = settings
+        self._events = events
+        self._tracker = tracker
+        self._open = tracker.open
+        self._journal = journal
+        self._endpoint_list = endpoint_list
+        self._wall_offset_us = wall_offset_us
+        self._retry_after_until: dict[int | str, int] = {}  # by wait scope: nothing may begin before
+        self.attempts = Attempts(
+            scheduler, settings, max_sockets, self._settled, self.may_begin, tracker.open.__contains__
+        )
+
+    # -- sends
+
+    def dispatch(self, sends: dict[str, list[Send]]) -> None:
+        """Begin the attempts for a step's sends, given by endpoint id in the engine's order."""
+        for endpoint_id, calls in sends.items():
+            entry = self._endpoint_list.entries.get(endpoint_id)
+            if entry is None:
+                check(False, "the module sends to endpoints that the list has")
+                self._report_unsent(endpoint_id, calls)
+                continue
+            max_messages = self._settings.per_call.get(entry.endpoint.kind, 1)
+            while calls:
+                number = self._count_that_fit(calls[:max_messages])
+                self._begin(entry, calls[:number])
+                calls = calls[number:]
+
+    def _count_that_fit(self, calls: list[Send]) -> int:
+        """Return how many of the sends one body holds; a single one always goes, as it is passed on unchanged."""
+        size = 0
+        for number, send in enumerate(calls):
+            request = self._open.get(send.id)
+            size += batch_size(request.id, request.key, request.body) if request else 0
+            alone = request is not None and request.alone
+            if number and (size > MAX_BODY_BYTES or alone):
+                return number
+            if alone:
+                return 1
+        return len(calls)
+
+    def _report_unsent(self, endpoint_id: str, calls: list[Send]) -> None:
+        """Report sends to an endpoint that is not there as attempts that were not sent."""
+        for send in calls:
+            request = self._open.get(send.id)
+            attempt = request.attempts if request else 0
+            if request:
+                request.attempts += 1
+            self._events.gather(Attempted(send.id, attempt, endpoint_id, Outcome.NOT_SENT, 0))
+
+    def _begin(self, entry: Entry, calls: list[Send]) -> None:
+        """Begin one attempt with the messages of these sends.
+
+        The message with the latest deadline stands first: an answer that comes after the deadline of an attempt's
+        first message ends none of them, and no attempt is out for longer than its last message has time.
+        """
+        now_us = self._scheduler.now()
+        loads = []
+        for send in sorted(calls, key=self._due_us, reverse=True):
+            request = self._open.get(send.id)
+            if request is None:  # not accepted after all: the attempt ends unsent
+                self._events.gather(Attempted(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
+                continue
+            message_class = request.cls
+            loads.append(
+                Load(
+                    send.id,
+                    request.attempts,
+                    now_us + send.timeout_us,
+                    request.key,
+                    request.body,
+                    message_class is not None and message_class.effect is Effect.UNSAFE,
+                    self._begin_by(request),
+                )
+            )
+            request.attempts += 1
+        if not loads:
+            return
+        ids = [load.id for load in loads]
+        if log.isEnabledFor(logging.DEBUG):
+            _log_begin(entry, loads, ids, now_us)
+        if self._journal.pass_begun(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
+            self.attempts.begin(entry, loads)
+        else:
+            for load in loads:
+                self._events.gather(Attempted(load.id, load.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0))
+
+    def _due_us(self, send: Send) -> int:
+        """Return the deadline of a send's message; 0 if it is no longer open."""
+        return self._open[send.id].due if send.id in self._open else 0
+
+    def _begin_by(self, request: Transaction) -> float:
+        """Return until when the endpoints drop a repeat of a request, if an attempt with its key may have run."""
+        message_class = request.cls
+        pending = self._journal.owed.get(request.id)
+        if message_class is None or message_class.effect is not Effect.KEYED or pending is None or not pending.ran_wall:
+            return inf
+        return pending.ran_wall - self._wall_offset_us + message_class.key_ttl_us
+
+    # -- results
+
+    def may_begin(self, entry: Entry) -> bool:
+        """Return whether an attempt's first byte may still go out, now that its connection is up."""
+        now_us, endpoint = self._scheduler.now(), entry.endpoint
+        left_at_us = self._endpoint_list.left_at.get(endpoint.id, now_us)
+        drained = now_us - left_at_us > self._settings.drain_grace_us - DRAIN_MARGIN_US
+        return (
+            not drained
+            and not self._endpoint_list.replaced(entry)
+            and self._retry_after_until.get(self._wait_scope(endpoint), 0) <= now_us
+        )
+
+    def forget_expired_waits(self) -> None:
+        """Forget waits that are over, so that none is kept for destinations that have gone."""
+        now_us = self._scheduler.now()
+        self._retry_after_until = {
+            scope: until_us for scope, until_us in self._retry_after_until.items() if until_us > now_us
+        }
+
+    def close_unwanted_connections(self) -> None:
+        """Close idle connections to endpoints that want nothing new any more."""
+        for endpoint_id in self._endpoint_list.left_at:
+            self.attempts.left(self._endpoint_list.entries[endpoint_id])
+
+    def _settled(self, event: Attempted, unreadable: bool) -> None:
+        """Record how an attempt has ended for one message, and report it to the engine.
+
+        In an attempt with several messages that could not be read, one may spoil the others: each goes alone from
+        now on.
+        """
+        if unreadable and event.id in self._open:
+            self._open[event.id].alone = True
+        if log.isEnabledFor(logging.DEBUG):
+            _log_outcome(event)
+        if event.wait_us and event.endpoint in self._endpoint_list.entries:
+            scope = self._wait_scope(self._endpoint_list.entries[event.endpoint].endpoint)
+            until_us = self._scheduler.now() + event.wait_us
+            self._retry_after_until[scope] = max(self._retry_after_until.get(scope, 0), until_us)
+        if event.finished:
+            self._journal.over(event.id)
+            self._tracker.finish(event.id)
+        else:
+            self._journal.outcome(event.id, event.outcome not in NEVER_RAN)
+            event.finished = event.id not in self._open
+        self._events.gather(event)
+
+    def _wait_scope(self, endpoint: Endpoint) -> int | str:
+        """Return what a wait that an endpoint told holds for: its destination, or the endpoint on its own."""
+        return endpoint.id if self._settings.apart.get(endpoint.kind) else endpoint.destination
+
+
+def _log_begin(entry: Entry, loads: list[Load], ids: list[str], now_us: int) -> None:
+    """Log the begin of an attempt for those who follow every message."""
+    debug(
+        "pass to %s: %s",
+        entry.endpoint.id,
+        " ".join(f"{load.id}/{load.attempt} for {(load.until - now_us) // MILLISECOND_US} ms" for load in loads),
+        ids=ids,
+        endpoint=entry.endpoint.id,
+        dest=entry.endpoint.destination,
+    )
+
+
+def _log_outcome(event: Attempted) -> None:
+    """Log the outcome of an attempt for one message, for those who follow every one."""
+    debug(
+        "outcome %s/%d at %s: %s after %d ms, wait %d ms, told %s",
+        event.id,
+        event.attempt,
+        event.endpoint,
+        event.outcome.value,
+        event.latency_us // MILLISECOND_US,
+        event.wait_us // MILLISECOND_US,
+        event.report,
+        id=event.id,
+        attempt=event.attempt,
+        endpoint=event.endpoint,
+        outcome=event.outcome.value,
+        latency_us=event.latency_us,
+        told=event.report,
+    )
--- /dev/null
+++ b/scalefall/net/rate_keeper.py
@@ -0,0 +1,56 @@
+"""Saves the rates that the engine has learned, for the process after this one."""
+
+from __future__ import annotations
+
+from scalefall.interface import Known
+from scalefall.net import learned_rates
+from scalefall.net.scheduler import Scheduler
+from scalefall.policy import Sender as Engine
+
+SECOND_US = 1_000_000  # microseconds in a second
+SAVE_PERIOD_US = SECOND_US  # the least time between two saves: an older copy than this is of little use
+TIME_PER_RATE_US = SECOND_US // 200  # and no more than 200 rates a second, however many there are
+
+
+class RateKeeper:
+    """Writes the learned rates into the state folder again and again while the sender runs."""
+
+    def __init__(self, scheduler: Scheduler, engine: Engine, state_folder: str, limit_bytes: int) -> None:
+        """Keep the rates of one engine.
+
+        Args:
+            scheduler: The clock, and the task that saves.
+            engine: What has learned the rates.
+            state_folder: The folder that outlives the process.
+            limit_bytes: What the file and the copy that replaces it may take there together.
+        """
+        self._scheduler = scheduler
+        self._engine = engine
+        self._state_folder = state_folder
+        self._limit_bytes = limit_bytes
+        self._stopped = False
+
+    def load(self) -> list[Known]:
+        """Return the rates that the process before has left, if they are of use."""
+        return learned_rates.load(self._state_folder, self._limit_bytes, self._scheduler.wall())
+
+    def keep_saving(self) -> None:
+        """Save until stopped, with a pause that grows with the number of rates; runs as a task."""
+        while not self._stopped:
+            rates = self._engine.known()
+            learned_rates.save(
+                self._state_folder,
+                self._limit_bytes,
+                rates,
+                self._scheduler.wall(),
+                lambda: self._scheduler.sleep(0),
+            )
+            self._scheduler.sleep(max(SAVE_PERIOD_US, len(rates) * TIME_PER_RATE_US))
+
+    def stop(self) -> None:
+        """Begin no further save of the task's."""
+        self._stopped = True
+
+    def save_last(self) -> None:
+        """Save at once and without pauses, at the end of the process."""
+        learned_rates.save(self._state_folder, self._limit_bytes, self._engine.known(), self._scheduler.wall())
--- /dev/null
+++ b/scalefall/net/sender_loop.py
@@ -0,0 +1,128 @@
+"""The loop around the engine: one step takes the gathered events, and its actions are routed to who performs them."""
+
+from __future__ import annotations
+
+from scalefall.interface import (
+    Action,
+    Cancel,
+    Close,
+    Fail,
+    Log,
+    Message,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+    Timer,
+)
+from scalefall.net.admission import RETRY_WHEN_FULL_US, Admission
+from scalefall.net.attempt_dispatcher import AttemptDispatcher
+from scalefall.net.checks import check, log
+from scalefall.net.delivery_tracker import DeliveryTracker
+from scalefall.net.endpoint_list import EndpointList
+from scalefall.net.event_queue import EventQueue
+from scalefall.net.final_answers import FinalAnswers
+from scalefall.net.scheduler import Scheduler
+from scalefall.net.transaction import Taken, UnavailableAnswer, Verdict
+from scalefall.policy import Sender as Engine
+
+
+class SenderLoop:
+    """Calls the engine once a step and performs what it decides.
+
+    The order within a step is part of the contract: final answers come first, so that a message which is shed in its
+    first step is never journaled; then the accepted ones are journaled; their attempts go out last.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        engine: Engine,
+        events: EventQueue,
+        tracker: DeliveryTracker,
+        admission: Admission,
+        dispatcher: AttemptDispatcher,
+        final_answers: FinalAnswers,
+        endpoint_list: EndpointList,
+    ) -> None:
+        """Route the engine's actions to these parts.
+
+        Args:
+            scheduler: The clock, and the engine's timers.
+            engine: Takes every decision.
+            events: Gathers what the engine has to hear.
+            tracker: The requests in flight.
+            admission: Accepts what the engine keeps.
+            dispatcher: Sends, and closes connections.
+            final_answers: Ends what is shed or failed.
+            endpoint_list: Opens its watch when the engine wants it.
+        """
+        self._scheduler = scheduler
+        self._engine = engine
+        self._events = events
+        self._open = tracker.open
+        self._admission = admission
+        self._dispatcher = dispatcher
+        self._attempts = dispatcher.attempts
+        self._final_answers = final_answers
+        self._endpoint_list = endpoint_list
+
+    def step(self) -> None:
+        """Hand the gathered events to the engine, perform its actions, and answer the requests among the events."""
+        events = self._events.take()
+        if not events:
+            return
+        submitted = [
+            event.id
+            for event in events
+            if isinstance(event, Message) and event.id in self._open and self._open[event.id].verdict is None
+        ]
+        verdict: Verdict
+        try:
+            self._perform(self._engine.handle(self._scheduler.now(), events), submitted)
+            verdict = Taken()
+        except Exception:  # noqa: BLE001 - nothing was promised yet: what came in this step goes elsewhere
+            log.exception("the module failed in a turn")
+            check(False, "the module failed in a turn")
+            verdict = UnavailableAnswer(RETRY_WHEN_FULL_US, True)
+        for message_id in submitted:
+            request = self._open.get(message_id)
+            if request is not None:
+                request.decide(verdict)
+                if not isinstance(verdict, Taken):
+                    self._admission.withdraw(request)
+
+    def _perform(self, actions: list[Action], submitted: list[str]) -> None:
+        """Perform a step's actions; sends last, grouped by endpoint."""
+        sends: dict[str, list[Send]] = {}
+        for action in actions:
+            match action:
+                case Refuse(id=message_id, retry_after_us=retry_after_us):
+                    self._final_answers.shed(message_id, retry_after_us)
+                case Fail(id=message_id):
+                    self._final_answers.fail(message_id)
+                case Send(endpoint=endpoint):
+                    sends.setdefault(endpoint, []).append(action)
+                case Cancel(id=message_id, attempt=attempt):
+                    self._attempts.cancel(message_id, attempt)
+                case SetTimer(token=token, delay_us=delay_us):
+                    self._scheduler.call_at(self._scheduler.now() + delay_us, self._events.gather, Timer(token))
+                case _:
+                    self._perform_rare(action)
+        for message_id in submitted:
+            if message_id in self._open:
+                self._admission.accept(self._open[message_id])
+        self._dispatcher.dispatch(sends)
+
+    def _perform_rare(self, action: Action) -> None:
+        """Perform an action that belongs to no single message."""
+        match action:
+            case Close(endpoint=endpoint):
+                if endpoint in self._endpoint_list.entries:
+                    self._attempts.close_idle(self._endpoint_list.entries[endpoint])
+            case Subscribe():
+                self._endpoint_list.subscribe()
+            case Log(line=line):
+                log.info("module: %s", line)
+            case _:
+                check(False, f"the module asks only for what is allowed here, not {type(action).__name__}")
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -351,7 +351,7 @@
 
 def test_the_senders_program_loads_nothing_of_it():
     code = (
-        "import sys, scalefall.net.host, scalefall.cli.main; print([m for m in sys.modules if 'grpc' in m or "
+        "import sys, scalefall.net.sender, scalefall.cli.main; print([m for m in sys.modules if 'grpc' in m or "
         "'google' in m or 'cryptography' in m or 'control.edge' in m])"
     )
     assert subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).strip() == "[]"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -185,7 +185,7 @@
 
 def test_the_platforms_sender_loads_neither_parser_nor_command_line():
     code = (
-        "import sys, scalefall.__main__, scalefall.net.host; "
+        "import sys, scalefall.__main__, scalefall.net.sender; "
         "print([m for m in ('lark', 'click', 'structlog', 'netaddr', 'scalefall.lang', 'scalefall.cli') "
         "if m in sys.modules])"
     )
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -1,4 +1,4 @@
-"""The host with its module on sockets; the test plays the clients, the endpoints and the platform."""
+"""The sender with its engine on sockets; the test plays the clients, the endpoints and the platform."""
 
 import json
 import socket
@@ -8,12 +8,12 @@
 from nethelp import MS, STREAM, Peer, S, World, chunk, listed, read, list_update
 
 from scalefall import interface as i
-from scalefall.net import host as module
-from scalefall.net import http, streams
+from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
 from scalefall.net.endpoint_list import read_list
-from scalefall.net.host import Host
 from scalefall.net.journal import Owed
+from scalefall.net.sender import Sender
+from scalefall.policy import Sender as Engine
 
 
 class Firm:
@@ -40,8 +40,8 @@
             self.known,
             admin=self.admin,
         )
-        self.host = Host(self.world, config)
-        self.host.start()
+        self.sender = Sender(self.world, config)
+        self.sender.start()
 
     def watched(self):
         """The platform's side of the watch; what is posted meanwhile waits for notices()."""
@@ -61,10 +61,10 @@
 
     def die(self):
         """SIGKILL: nothing of the process is left but the folder."""
-        self.host._journal.close()
-        self.host.front.stop_listening()
+        self.sender.journal.close()
+        self.sender.ingress.stop_listening()
         if self.admin:
-            self.host._admin_server.close()
+            self.sender.admin_server.close()
         self.world._ready.clear()
         for task in list(self.world._waits.values()):
             self.world._poll.unregister(task.fd)
@@ -75,7 +75,7 @@
         streams.send(self.world, sock, data, self.world.now() + S)
 
     def hand_in(self, name, cls="safe", deadline="8000m", key=None, body=b"body", sock=None, dest=7):
-        sock = sock or socket.create_connection(self.host.address)
+        sock = sock or socket.create_connection(self.sender.address)
         sock.setblocking(False)
         fields = [("X-Request-Id", name), ("X-Deadline", deadline), ("X-Route-To", f"dest={dest}")]
         sock.send(http.request("POST", f"/{cls}", "s", fields + ([("Idempotency-Key", key)] if key else []), body))
@@ -100,7 +100,7 @@
         return [json.loads(line) for line in request.body.splitlines()]
 
     def owed(self):
-        return sorted(self.host._journal.owed)
+        return sorted(self.sender.journal.owed)
 
 
 def owed(firm, name, cls):
@@ -122,7 +122,7 @@
         firm.taken("m")
         assert firm.owed() == ["m"]
         sock, request = firm.call()
-        assert request.fields["x-request-id"] == "m" and firm.host._journal.owed["m"].out
+        assert request.fields["x-request-id"] == "m" and firm.sender.journal.owed["m"].out
         sock.send(http.answer(200, []))
         firm.world.until(lambda: firm.owed() == [])
 
@@ -152,7 +152,7 @@
     def steps():
         firm.hand_in("m").close()
         firm.world.sleep(S)
-        assert firm.owed() == [] and firm.host._open == {}
+        assert firm.owed() == [] and firm.sender.tracker.open == {}
 
     play(firm, steps)
 
@@ -198,7 +198,7 @@
         sock, _ = firm.call()
         sock.send(http.answer(200, []))
         firm.world.until(lambda: firm.owed() == [])
-        assert list(firm.host._finished_ids) == ["n"]
+        assert list(firm.sender.tracker.finished) == ["n"]
 
     play(firm, steps)
 
@@ -220,7 +220,7 @@
 def test_a_message_for_a_destination_that_the_list_never_named_is_turned_away(firm):
     def steps():
         answer = firm.answer(firm.hand_in("m", dest=8))
-        assert (answer.status, answer.fields["retry-after"]) == (503, "1.000") and firm.host._open == {}
+        assert (answer.status, answer.fields["retry-after"]) == (503, "1.000") and firm.sender.tracker.open == {}
 
     play(firm, steps)
 
@@ -270,7 +270,7 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        firm.world.until(lambda: not firm.host._journal.owed["m"].out)
+        firm.world.until(lambda: not firm.sender.journal.owed["m"].out)
         firm.die()
 
     play(firm, steps)
@@ -279,7 +279,7 @@
     def again():
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        assert firm.notices() == [{"id": "m", "state": "returned", "after_ms": firm.host._journal.owed["m"].after_ms}]
+        assert firm.notices() == [{"id": "m", "state": "returned", "after_ms": firm.sender.journal.owed["m"].after_ms}]
 
     play(firm, again)
 
@@ -299,11 +299,11 @@
 
     def steps():
         gone("terminating")  # so nothing goes out before the death
-        firm.world.until(lambda: firm.host._endpoint_list.seq == 2)
+        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         for name in names:
-            firm.host._journal.take_on(owed(firm, name, cls))
+            firm.sender.journal.take_on(owed(firm, name, cls))
             if ran:
-                firm.host._journal.pass_begun([name], firm.world.wall(), "a")
+                firm.sender.journal.pass_begun([name], firm.world.wall(), "a")
         firm.die()
 
     play(firm, steps)
@@ -336,21 +336,20 @@
 
 def test_a_told_wait_and_a_drain_stop_what_has_not_begun(firm):
     """A dial may last past either: both are looked at again before a call's first byte."""
-    entry = firm.host._endpoint_list.entries["e"]
+    entry = firm.sender.endpoint_list.entries["e"]
 
     def steps():
-        assert firm.host._may_begin(entry)
+        assert firm.sender.dispatcher.may_begin(entry)
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
-        firm.world.until(lambda: firm.host._retry_after_until)
-        assert not firm.host._may_begin(entry)
+        firm.world.until(lambda: not firm.sender.dispatcher.may_begin(entry))
         firm.world.sleep(600 * MS)
-        assert firm.host._may_begin(entry)
+        assert firm.sender.dispatcher.may_begin(entry)
         firm.watch.send(chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating"), whole=False)))
-        firm.world.until(lambda: "e" in firm.host._endpoint_list.left_at)
+        firm.world.until(lambda: "e" in firm.sender.endpoint_list.left_at)
         firm.world.sleep(900 * MS)
-        assert not firm.host._may_begin(entry)
+        assert not firm.sender.dispatcher.may_begin(entry)
 
     play(firm, steps)
 
@@ -387,16 +386,16 @@
 
 
 def test_a_module_that_fails_in_a_turn_refuses_what_came_and_the_rest_carries_on(firm, monkeypatch):
-    counted, handle = [], firm.host._engine.handle
-    monkeypatch.setattr(module, "check", lambda condition, name: bool(condition) or counted.append(name))
+    counted, handle = [], firm.sender.engine.handle
+    monkeypatch.setattr(sender_loop, "check", lambda condition, name: bool(condition) or counted.append(name))
 
     def fails(now, events):
         if any(isinstance(event, i.Message) for event in events):
-            monkeypatch.setattr(firm.host._engine, "handle", handle)
+            monkeypatch.setattr(firm.sender.engine, "handle", handle)
             raise RuntimeError("seen in a test")
         return handle(now, events)
 
-    monkeypatch.setattr(firm.host._engine, "handle", fails)
+    monkeypatch.setattr(firm.sender.engine, "handle", fails)
 
     def steps():
         assert firm.answer(firm.hand_in("m")).status == 503
@@ -410,13 +409,13 @@
 def test_what_the_module_never_ends_has_its_notice_all_the_same(firm, monkeypatch, restart):
     """Its end hung on the module's own book alone: lost from it, a message taken on stayed open for good."""
     counted = []
-    monkeypatch.setattr(module, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(deadline_watch, "check", lambda condition, name: bool(condition) or counted.append(name))
 
     def steps():
         firm.taken("m")
         sock, _ = firm.call()
         began = firm.world.now()
-        monkeypatch.setattr(module.Sender, "handle", lambda self, now, events: [])
+        monkeypatch.setattr(Engine, "handle", lambda self, now, events: [])
         if restart:
             firm.die()
             firm.start()
@@ -430,11 +429,11 @@
 
 @pytest.mark.parametrize("held_up", [False, True])
 def test_a_process_that_was_held_up_past_a_messages_time_ends_it_as_the_module_says(firm, held_up):
-    """The module's timer and the host's own came due in one look, and the host's failed what may come again."""
+    """The module's timer and the sender's own came due in one look, and the sender's failed what may come again."""
 
     def steps():
         firm.watch.send(chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating"), whole=False)))
-        firm.world.until(lambda: firm.host._endpoint_list.seq == 2)
+        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         firm.taken("m", deadline="4000m")
         if held_up:
             firm.world.clock += 10 * S
@@ -444,8 +443,8 @@
 
 
 def test_a_send_to_an_endpoint_that_no_list_has_costs_that_attempt_and_not_the_turn(firm, monkeypatch):
-    counted, handle, outcomes = [], firm.host._engine.handle, []
-    monkeypatch.setattr(module, "check", lambda condition, name: bool(condition) or counted.append(name))
+    counted, handle, outcomes = [], firm.sender.engine.handle, []
+    monkeypatch.setattr(attempt_dispatcher, "check", lambda condition, name: bool(condition) or counted.append(name))
 
     def strays(now, events):
         outcomes.extend(event for event in events if isinstance(event, i.Attempted))
@@ -454,7 +453,7 @@
             actions.insert(0, i.Send("m", "ghost", S))
         return actions
 
-    monkeypatch.setattr(firm.host._engine, "handle", strays)
+    monkeypatch.setattr(firm.sender.engine, "handle", strays)
 
     def steps():
         firm.taken("m")
@@ -473,7 +472,7 @@
     def steps():
         firm.taken("out")
         sock, _ = firm.call()
-        firm.host.close()
+        firm.sender.close()
         began = firm.world.now()
         firm.world.sleep(300 * MS)
         late = firm.hand_in("late")
@@ -501,14 +500,14 @@
             sock.send(http.answer(200, []))
             firm.world.until(lambda: not firm.owed())
             sock.close()
-        close, last = firm.host.front.stop_listening, []
+        close, last = firm.sender.ingress.stop_listening, []
 
         def stop_listening():
             last.append(firm.hand_in("last"))  # waits in the listener's queue
             close()
 
-        monkeypatch.setattr(firm.host.front, "stop_listening", stop_listening)
-        firm.host.close()
+        monkeypatch.setattr(firm.sender.ingress, "stop_listening", stop_listening)
+        firm.sender.close()
         sock, call = firm.call()
         assert call.fields["x-request-id"] == "last" and firm.answer(last[0]).status == 202
         firm.world.sleep(200 * MS)
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -92,7 +92,7 @@
         (tmp_path / str(number)).mkdir()
         firm = Firm(tmp_path / str(number))
         others, over, killed = Others(firm, answers), [], False
-        dies_at(firm.host._journal, number, before)
+        dies_at(firm.sender.journal, number, before)
 
         def life(*clients, firm=firm, others=others, over=over):
             others.stay()
@@ -123,7 +123,7 @@
 
 def ends(firm, steps):
     """Whether the process ends by itself, in time after it was first told to, however long the steps would go on."""
-    close, told = firm.host.close, []
+    close, told = firm.sender.close, []
 
     def closed():
         told.append(firm.world.now())
@@ -134,7 +134,7 @@
         steps()
         firm.world.sleep(60 * S)
 
-    firm.host.close = closed
+    firm.sender.close = closed
     firm.world.spawn(whole)
     firm.world.run()
     assert firm.world.broken is None
@@ -150,12 +150,12 @@
     def steps():
         firm.taken("m")
         calls.append(firm.call())  # hangs
-        firm.host.close()
+        firm.sender.close()
         firm.world.sleep(later)
         if more == "SIGTERM":
-            firm.host.close()
+            firm.sender.close()
         else:
-            firm.host.reload(broken if "broken" in more else lambda: firm.host._config)
+            firm.sender.reload(broken if "broken" in more else lambda: firm.sender.config)
 
     calls = []
     assert ends(firm, steps) and firm.owed() == ["m"]
@@ -170,7 +170,7 @@
     def sigterm():
         if asked == "after":
             socks.append(firm.hand_in("m"))
-        firm.host.close()
+        firm.sender.close()
 
     try:
         world.on_signal(signal.SIGUSR1, sigterm)
@@ -189,7 +189,7 @@
     finally:
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
-    assert world.broken is None and firm.owed() == [] and world.now() - firm.host._started_at < 3300 * MS
+    assert world.broken is None and firm.owed() == [] and world.now() - firm.sender.shutdown.started_at_us < 3300 * MS
 
 
 @pytest.mark.parametrize("heard", [False, True])
@@ -199,7 +199,7 @@
     def steps():
         firm.taken("m", dest=7, cls="unsafe")
         reset(firm.call()[0])  # it may have run: failed
-        firm.host.close()
+        firm.sender.close()
         while not firm.posts:
             firm.platform_met()
         if heard:
@@ -220,7 +220,7 @@
         firm.taken("a", cls="safe")
         firm.taken("b", cls="unsafe")
         calls.extend((firm.call(), firm.call()))
-        firm.host.close()
+        firm.sender.close()
 
     assert ends(firm, steps) and firm.owed() == ["a", "b"]
     firm.die()
@@ -238,7 +238,7 @@
 
 def test_what_is_owed_of_a_class_that_the_next_settings_have_no_more_is_failed_at_once(firm):
     def steps():
-        firm.host._journal.take_on(owed(firm, "m", "keyed"))
+        firm.sender.journal.take_on(owed(firm, "m", "keyed"))
         firm.die()
 
     play(firm, steps)
@@ -253,7 +253,7 @@
     firm = Firm(tmp_path, disk=150_000, max_held=5000, slots=50)
 
     def steps():
-        while firm.host._journal.take_on(owed(firm, f"m{len(firm.owed())}", cls)):
+        while firm.sender.journal.take_on(owed(firm, f"m{len(firm.owed())}", cls)):
             pass
         firm.die()
 
@@ -287,7 +287,7 @@
         if first != "the list":
             firm.watched()
             firm.watch.send(word)
-        firm.world.until(lambda: "e" in firm.host._endpoint_list.left_at)
+        firm.world.until(lambda: "e" in firm.sender.endpoint_list.left_at)
 
     play(firm, steps)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -17,7 +17,7 @@
 
 
 def send(firm, data):
-    sock = socket.create_connection(firm.host.admin)
+    sock = socket.create_connection(firm.sender.admin_address)
     sock.setblocking(False)
     sock.send(data)
     return sock
@@ -39,12 +39,12 @@
     def steps():
         assert call(firm, "PUT", "/endpoints/e/maint") == call(firm, "PUT", "/endpoints/e/maint") == 200
         firm.send(firm.watch, chunk(list_update(2, listed("e", firm.endpoint.address))))
-        firm.world.until(lambda: firm.host._endpoint_list.seq == 2)
+        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         firm.taken("a")
         firm.die()
         firm.start()
         firm.watched()
-        assert firm.host._endpoint_list.entries["e"].endpoint.status.name == "DRAINING"
+        assert firm.sender.endpoint_list.entries["e"].endpoint.status.name == "DRAINING"
         firm.taken("b")
         firm.world.sleep(2 * S)
         assert firm.endpoint.accepted == 0
@@ -57,8 +57,8 @@
         firm.die()
         firm.start()
         firm.watched()
-        assert not firm.host._admin_state.out
-        firm.world.until(lambda: "e" not in firm.host._endpoint_list.left_at)
+        assert not firm.sender.admin_actions.state.out
+        firm.world.until(lambda: "e" not in firm.sender.endpoint_list.left_at)
 
     play(firm, steps)
 
@@ -77,7 +77,7 @@
     def steps():
         if neighbour:
             firm.send(firm.watch, chunk(list_update(2, listed("e", firm.endpoint.address), listed("f", other.address))))
-            firm.world.until(lambda: firm.host._endpoint_list.seq == 2)
+            firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         assert call(firm, "PUT", "/endpoints/e/maint") == 200
         if neighbour:
             firm.taken("n")
@@ -120,9 +120,9 @@
     def steps():
         assert call(firm, "PUT", "/endpoints/e/maint") == 200
         firm.send(firm.watch, chunk(list_update(2, listed("f", firm.endpoint.address))))
-        firm.world.until(lambda: firm.host._endpoint_list.seq == 2)
+        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         assert call(firm, "PUT", "/endpoints/e/ready") == 200
-        assert "e" in firm.host._endpoint_list.left_at and not firm.host._endpoint_list.names("e")
+        assert "e" in firm.sender.endpoint_list.left_at and not firm.sender.endpoint_list.names("e")
         assert call(firm, "PUT", "/endpoints/e/maint") == 404
 
     play(firm, steps)
@@ -159,7 +159,7 @@
 def test_a_call_gets_the_status_that_it_deserves(firm, method, path, status):
     def steps():
         assert call(firm, method, path) == status
-        assert firm.host._admin_state.out == set()
+        assert firm.sender.admin_actions.state.out == set()
         firm.taken("a")
 
     play(firm, steps)
@@ -183,7 +183,7 @@
 def test_the_drain_empties_the_sender_and_ends_when_told(firm):
     def steps():
         def health():
-            sock = socket.create_connection(firm.host.address)
+            sock = socket.create_connection(firm.sender.address)
             sock.setblocking(False)
             sock.send(http.request("GET", "/healthz", "s", []))
             answer = read(firm.world, sock, http.AnswerReader())
@@ -197,7 +197,7 @@
         late = firm.hand_in("b")  # the front has not looked yet: it is served, and its connection ends
         answer = firm.answer(late)
         assert (answer.status, answer.keep) == (202, False) and closed(firm.world, late)
-        silent = socket.create_connection(firm.host.address)
+        silent = socket.create_connection(firm.sender.address)
         silent.setblocking(False)
         assert closed(firm.world, silent) and firm.world.now() - began < 4 * S
         assert call(firm, "PUT", "/healthcheck/ok") == 200
@@ -211,9 +211,9 @@
         idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MOST_CALLERS)]
         firm.world.sleep(10 * MS)
         assert call(firm, "GET", "/healthcheck") == 200
-        assert len(firm.host._admin_server._callers) <= MOST_CALLERS
+        assert len(firm.sender.admin_server._callers) <= MOST_CALLERS
         firm.world.sleep(3 * S)
-        assert not firm.host._admin_server._callers
+        assert not firm.sender.admin_server._callers
         for sock in idle:
             sock.close()
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -20,7 +20,7 @@
 
 def retune(firm, *classes, **changes):
     new = settings(classes={cls.name: cls for cls in classes}, **changes)
-    firm.host.reload(lambda: replace(firm.host._config, settings=new))
+    firm.sender.reload(lambda: replace(firm.sender.config, settings=new))
 
 
 def test_new_classes_hold_at_once_and_dropped_ones_only_for_what_is_open(firm):
@@ -61,8 +61,8 @@
         raise ConfigError("settings: grades[0].deadline must be a number")
 
     def steps():
-        for again in (lambda: firm.host._config, broken):
-            firm.host.reload(again)
+        for again in (lambda: firm.sender.config, broken):
+            firm.sender.reload(again)
             firm.taken(f"m{again is broken}")
         assert "not taken, the old settings stay: settings: grades[0].deadline" in caplog.text
         assert "retuned" not in caplog.text
@@ -100,7 +100,7 @@
     )  # another zone than before
     for _ in range(restarts - 1):  # what was read is written anew
         firm.start()
-        firm.host._journal._compact()
+        firm.sender.journal._compact()
         firm.die()
     firm.start()
 
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -11,7 +11,7 @@
 from scalefall import interface as i
 from scalefall.net.config import ConfigError
 from scalefall.net.endpoint_list import Entry, ListUpdate
-from scalefall.net.host import Host
+from scalefall.net.sender import Sender
 from scalefall.net.static_list import StaticList
 from scalefall.net.transaction import NotCarried, Taken, Transaction, UnavailableAnswer
 
@@ -102,9 +102,9 @@
     )
 
 
-def hand_in(world, host, name, cls="fee", dest=7, span=5 * S):
+def hand_in(world, sender, name, cls="fee", dest=7, span=5 * S):
     transaction = Transaction(name, cls, dest, world.now() + span, None, b"body")
-    host.submit(transaction)
+    sender.admission.submit(transaction)
     world.until(lambda: transaction.verdict is not None)
     return transaction.verdict
 
@@ -115,15 +115,15 @@
     return request
 
 
-def reload(world, host, read_again):
-    host.reload(read_again)
-    world.until(lambda: not host._reloading)
+def reload(world, sender, read_again):
+    sender.reload(read_again)
+    world.until(lambda: not sender.reloader.reloading)
 
 
 def started(world, tmp_path, *words):
-    host = Host(world, read(SITE % words, tmp_path))
-    host.start()
-    return host
+    sender = Sender(world, read(SITE % words, tmp_path))
+    sender.start()
+    return sender
 
 
 def test_a_sender_on_a_file_delivers_and_its_routes_carry_what_they_say(tmp_path):
@@ -131,13 +131,13 @@
 
     def play():
         peer = Peer(world)
-        host = started(world, tmp_path, at(peer), 4, b"3s", b"classes fee")
-        assert hand_in(world, host, "m1") == Taken()
+        sender = started(world, tmp_path, at(peer), 4, b"3s", b"classes fee")
+        assert hand_in(world, sender, "m1") == Taken()
         assert serve(world, peer, peer.accept()).fields["host"] == "%s:%d" % peer.address
-        assert hand_in(world, host, "m2", "note") == NotCarried()
-        assert isinstance(hand_in(world, host, "m3", dest=8), UnavailableAnswer)
-        reload(world, host, lambda: read(SITE % (at(peer), 4, b"3s", b"classes every"), tmp_path))
-        assert hand_in(world, host, "m4", "note") == Taken()
+        assert hand_in(world, sender, "m2", "note") == NotCarried()
+        assert isinstance(hand_in(world, sender, "m3", dest=8), UnavailableAnswer)
+        reload(world, sender, lambda: read(SITE % (at(peer), 4, b"3s", b"classes every"), tmp_path))
+        assert hand_in(world, sender, "m4", "note") == Taken()
 
     world.play(play)
 
@@ -147,18 +147,18 @@
 
     def play():
         old, new = Peer(world), Peer(world)
-        host = started(world, tmp_path, at(old), 4, b"3s", b"")
-        hand_in(world, host, "m1")
+        sender = started(world, tmp_path, at(old), 4, b"3s", b"")
+        hand_in(world, sender, "m1")
         out = old.accept()
         old.read(out)  # m1 is out there when the file changes, and may end
-        reload(world, host, lambda: read(SITE % (at(new), 4, b"3s", b""), tmp_path))
+        reload(world, sender, lambda: read(SITE % (at(new), 4, b"3s", b""), tmp_path))
         for n in range(3):
-            assert hand_in(world, host, f"n{n}") == Taken()
+            assert hand_in(world, sender, f"n{n}") == Taken()
             serve(world, new, new.accept() if n == 0 or new.accepted == n else None)
             world.sleep(S)
         out.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         world.sleep(S)
-        assert old.accepted == 1 and not host._open
+        assert old.accepted == 1 and not sender.tracker.open
 
     world.play(play)
 
@@ -169,15 +169,15 @@
 
     def play():
         peer = Peer(world)
-        host = started(world, tmp_path, at(peer), 4, b"3s", b"")
-        before = dict(host._endpoint_list.entries), host._route_rules, host._endpoint_list.seq
+        sender = started(world, tmp_path, at(peer), 4, b"3s", b"")
+        before = dict(sender.endpoint_list.entries), sender.routes.rules, sender.endpoint_list.seq
 
         def broken():
             raise ConfigError(error)
 
-        reload(world, host, broken)
-        assert (dict(host._endpoint_list.entries), host._route_rules, host._endpoint_list.seq) == before
-        assert hand_in(world, host, "m1") == Taken()
+        reload(world, sender, broken)
+        assert (dict(sender.endpoint_list.entries), sender.routes.rules, sender.endpoint_list.seq) == before
+        assert hand_in(world, sender, "m1") == Taken()
         serve(world, peer, peer.accept())
 
     world.play(play)
@@ -190,7 +190,7 @@
 
     def play():
         peer = Peer(world)
-        host = started(world, tmp_path, at(peer), 4, b"3s", b"")
+        sender = started(world, tmp_path, at(peer), 4, b"3s", b"")
         held, reads = threading.Event(), []
 
         def slow():
@@ -198,15 +198,15 @@
             held.wait(60)
             return read(SITE % (at(peer), 2, b"3s", b""), tmp_path)
 
-        host.reload(slow)
-        host.reload(slow)
-        assert hand_in(world, host, "m1") == Taken()  # while the thread reads
+        sender.reload(slow)
+        sender.reload(slow)
+        assert hand_in(world, sender, "m1") == Taken()  # while the thread reads
         serve(world, peer, peer.accept())
-        assert host._route_rules[7].attempts == 4
-        host.reload(slow)
+        assert sender.routes.rules[7].attempts == 4
+        sender.reload(slow)
         held.set()
-        world.until(lambda: not host._reloading)
-        assert reads == [False, False] and host._route_rules[7].attempts == 2
+        world.until(lambda: not sender.reloader.reloading)
+        assert reads == [False, False] and sender.routes.rules[7].attempts == 2
 
     world.play(play)
 
@@ -215,10 +215,9 @@
     world = World()
 
     def play():
-        host = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"100ms", b"")
-        transaction = Transaction("m", "fee", 7, world.now(), None, b"")
-        assert host._cap_retry_after(transaction, 5 * S) == 100 * MS
-        assert host._cap_retry_after(dataclasses.replace(transaction, destination=8), 5 * S) == 5 * S
+        sender = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"100ms", b"")
+        assert sender.routes.cap_retry_after(7, 5 * S) == 100 * MS
+        assert sender.routes.cap_retry_after(8, 5 * S) == 5 * S
 
     world.play(play)
 
@@ -227,10 +226,10 @@
     world = World()
 
     def play():
-        host = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"3s", b"")
-        assert hand_in(world, host, "m1", span=2 * S) == Taken()
-        world.until(lambda: not host._open)
-        assert not host._journal.owed
+        sender = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"3s", b"")
+        assert hand_in(world, sender, "m1", span=2 * S) == Taken()
+        world.until(lambda: not sender.tracker.open)
+        assert not sender.journal.owed
 
     world.play(play)
     assert [r.fields["id"] for r in caplog.records if r.getMessage().startswith("notice: m1 returned")] == ["m1"]
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -24,10 +24,10 @@
 
     def __init__(self, folder, pushed):
         self.firm = Firm(folder, ask=not pushed, siblings=30)
-        self.world, self.list = self.firm.world, self.firm.host._endpoint_list
+        self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
         self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch_at
         self.list._watch_at, self.waiting, self.sockets = self._ends, None, []
-        for source in (self.list._random, self.firm.host._engine.random):
+        for source in (self.list._random, self.firm.sender.engine.random):
             source.random = lambda: LONGEST
 
     def _ends(self, address):
