--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -113,7 +113,7 @@
         first message ends none of them, and no attempt is out for longer than its last message has time.
         """
         now_us = self._scheduler.now()
-        loads = []
+        loads, ids = [], []
         for send in sorted(calls, key=self._due_us, reverse=True):
             request = self._open.get(send.id)
             if request is None:  # not accepted after all: the attempt ends unsent
@@ -132,9 +132,9 @@
                 )
             )
             request.attempts += 1
+            ids.append(send.id)
         if not loads:
             return
-        ids = [load.id for load in loads]
         if log.isEnabledFor(logging.DEBUG):
             _log_begin(entry, loads, ids, now_us)
         if self._journal.pass_begun(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
