--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -18,6 +18,7 @@
 
     Attributes:
         state: What the operators have asked for so far.
+        store: Keeps which endpoints are in maintenance, across a restart.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         """
         self._scheduler = scheduler
         self._tick_us = tick_us
-        self._store = store
+        self.store = store
         self._events = events
         self._endpoint_list = endpoint_list
         self._ingress = ingress
@@ -76,7 +77,7 @@
 
     def _keep(self, in_maintenance: set[str]) -> bool:
         """Store which endpoints are in maintenance, if that changes; False if it could not be written."""
-        return in_maintenance == self.state.out or self._store.save(in_maintenance)
+        return in_maintenance == self.state.out or self.store.save(in_maintenance)
 
     def _report_restarted(self, endpoint: str) -> None:
         """Have an endpoint that is back from maintenance met as after an outage that others have seen.
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -40,7 +40,6 @@
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import EndpointList, Entry, read_list
 from scalefall.net.front import Front
-from scalefall.net.host import CLOSED_US
 from scalefall.net.notices import Notices
 from scalefall.net.transaction import Conflict, Failed, NotCarried, Taken, UnavailableAnswer
 
@@ -246,12 +245,12 @@
     firm.taken("b")
     found["host-same-again"] = answer(firm.world, firm.hand_in("b"))
     found["host-conflict"] = answer(firm.world, firm.hand_in("b", body=b"another"))
-    firm.host.front.drain(True)
+    firm.sender.ingress.drain(True)
     found["host-draining"] = answer(firm.world, firm.hand_in("c"))
-    firm.host.front.drain(False)
-    firm.host.close()
+    firm.sender.ingress.drain(False)
+    firm.sender.close()
     found["host-closing"] = answer(firm.world, firm.hand_in("d"))
-    firm.host._closing_at -= CLOSED_US  # as if so long ago
+    firm.sender.admission.close_at(firm.world.now())  # as some time later
     found["host-closed"] = answer(firm.world, firm.hand_in("e"))
     return found
 
@@ -415,7 +414,7 @@
     found = {}
 
     def say(name, data):
-        sock = dial(firm.host.admin)
+        sock = dial(firm.sender.admin_address)
         sock.send(data)
         found[name] = answer(firm.world, sock)
 
@@ -423,9 +422,9 @@
         say(f"{number:02} {method} {path}", http.request(method, path, "s", []))
     for name, data in OPERATED_BADLY.items():
         say(name, data)
-    firm.host._out.room = 0
+    firm.sender.admin_actions.store.room = 0
     say("no-room", http.request("PUT", "/endpoints/e/maint", "s", []))
-    firm.host.close()
+    firm.sender.close()
     say("closing", http.request("GET", "/healthcheck", "s", []))
     return found
 
