--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -23,7 +23,7 @@
 from helpers import message_class, settings
 from nethelp import MS, STREAM, Calls, Peer, S, World, chunk, closed, list_update, listed
 from test_adapter import CONFIG
-from test_host import Firm
+from test_sender import Firm
 
 from scalefall import adapter
 from scalefall import interface as i
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -5,7 +5,7 @@
 
 import pytest
 from nethelp import MS, Peer, S, chunk, closed, listed, read, list_update
-from test_host import Firm
+from test_sender import Firm
 
 from scalefall.net import http
 from scalefall.net.operators import MOST_CALLERS, Duty, OutFile
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import message_class
 from nethelp import MS, S
-from test_host import Firm, play
+from test_sender import Firm, play
 
 from scalefall import interface as i
 from scalefall.net import http, streams
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import message_class, settings
 from nethelp import S, listed, reset, list_update
-from test_host import Firm, play
+from test_sender import Firm, play
 
 from scalefall import interface as i
 from scalefall.net import http
--- a/tests/test_host_crossings.py
+++ b/tests/test_sender_races.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import message_class
 from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
-from test_host import Firm, owed, play
+from test_sender import Firm, owed, play
 from test_journal import used
 
 from scalefall import interface as i
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,7 @@
 
 import pytest
 from nethelp import S, listed, list_update
-from test_host import Firm
+from test_sender import Firm
 
 from scalefall.net import learned_rates
 from scalefall.net.endpoint_list import read_list
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -7,7 +7,7 @@
 import pytest
 from greenlet import getcurrent
 from nethelp import MS, STREAM, S, chunk, list_update, listed
-from test_host import Firm
+from test_sender import Firm
 
 from scalefall.net import endpoint_list, http
 
