--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -674,6 +674,28 @@
             limits={1: 9},
         ),
         Play("told-none", s(weights="told"), rows("e1"), [Stream(8)], repeated=0.1, seconds=10, limits={1: 6}),
+        Play(
+            "cut-and-told",
+            s(siblings=8),
+            rows("e1", "e2"),
+            [Stream(14)],
+            limits={1: 40},
+            others=0.1,
+            tells_limit=True,
+            seconds=12,
+            faults=[Fault("full", 0, 12, share=0.15)],
+        ),
+        Play(
+            "cut-and-told-batches",
+            s(siblings=8),
+            rows("e1", kind="many"),
+            [Stream(14)],
+            limits={1: 40},
+            others=0.1,
+            tells_limit=True,
+            seconds=12,
+            faults=[Fault("full", 0, 12, share=0.15)],
+        ),
     ]
 
 
