--- a/tests/test_docs_names.py
+++ b/tests/test_docs_names.py
@@ -9,7 +9,8 @@
     `EndpointList.replaced`, `http.MAX_HEAD`            what a class or a module of that name defines
     `EndpointList`, `_restore`, `SILENT_US`             a class, a private name, a constant, wherever it is defined
 
-Anything else in backticks (words of a log line, settings, commands) is not checked here.
+Anything else in backticks (words of a log line, settings, commands) is not checked here. In indented pictures, which
+have no backticks, files ending in `.py` are.
 """
 
 from __future__ import annotations
@@ -42,6 +43,7 @@
 ENVIRONMENT = ("RELAY_", "SCALEFALL_")  # prefixes of environment variables, which look like constants
 
 CODE_SPAN = re.compile(r"`([^`\n]+)`")
+INDENTED_FILE = re.compile(r"(?<!\S)[\w./-]+\.py(?!\S)")
 FENCE = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
 FILE = re.compile(r"[\w.][\w./-]*\.(?:py|md)\Z")
 DIRECTORY = re.compile(r"(?:[\w.-]+/)+\Z")
@@ -187,7 +189,7 @@
     return [
         f"{number}: `{span}`: {why}"
         for number, line in enumerate(text.splitlines(), 1)
-        for span in CODE_SPAN.findall(line)
+        for span in (INDENTED_FILE if line.startswith("    ") else CODE_SPAN).findall(line)
         if (why := fault(span, names))
     ]
 
@@ -214,6 +216,9 @@
     ]
     found = faults("".join(f"text `{name}` text\n" for name in broken), code_names())
     assert [line.split("`")[1] for line in found] == broken
+    assert faults("    client --> net/never_there.py   parses\n", code_names()) == [
+        "1: `net/never_there.py`: no such file"
+    ]
 
 
 def test_what_exists_or_is_no_name_is_passed_over() -> None:
