--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import message_class
 from nethelp import MS, S
-from test_host import Firm, play
+from test_sender import Firm, play
 
 from scalefall import interface as i
 from scalefall.net import http, streams
@@ -26,7 +26,7 @@
         firm.handed_in = firm.world.now()
         firm.taken("m", cls="keyed", key="k")
         firm.call()
-        firm.began = firm.host._journal.owed["m"].out_wall - firm.host._wall
+        firm.began = firm.sender.journal.owed["m"].out_wall - firm.sender.wall_offset_us
         firm.die()
 
     play(firm, steps)
