--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -25,19 +25,24 @@
     """Destination modulo COUNT; an isolated one has the lowest free number from COUNT on."""
 
     def __init__(self, isolated=()):
+        """Isolate these destinations, with their shards."""
         self.isolated = dict(isolated)
 
     def shard_of(self, destination):
+        """Return the destination's shard."""
         return self.isolated.get(destination, destination % COUNT)
 
     def shards(self):
+        """Return all shards."""
         return [*range(COUNT), *self.isolated.values()]
 
     def isolate(self, destination):
+        """Return a sharding with one more isolated destination."""
         free = next(number for number in range(COUNT, 99) if number not in self.isolated.values())
         return StandInSharding(self.isolated | {destination: free})
 
     def merge(self, destination):
+        """Return a sharding with one isolated destination less."""
         return StandInSharding({other: own for other, own in self.isolated.items() if other != destination})
 
 
@@ -48,12 +53,14 @@
     """
 
     def __init__(self, replicas=1):
+        """Place each shard on so many nodes."""
         self.replicas = replicas
         self.next_table = None
         self.calls = []  # (loads by shard, names of the nodes)
         self.may_move = None  # of the last call
 
-    def __call__(self, table, loads, nodes, limits, shards, may_move):
+    def __call__(self, table, loads, nodes, _limits, shards, may_move):
+        """Return the next table, as placement.place does."""
         self.may_move = may_move
         names = [node.name for node in nodes]
         self.calls.append((dict(loads), names))
@@ -64,6 +71,7 @@
         return Plan(table, frozenset())
 
     def table(self, table, names, shards):
+        """Return the table in which what can stay stays."""
         placed = {shard: [name for name in table.get(shard, ()) if name in names] for shard in shards}
         counts = {name: sum(name in row for row in placed.values()) for name in names}
         for row in placed.values():
@@ -77,18 +85,21 @@
     """Answers `change`, whatever its input."""
 
     def __init__(self):
+        """Change nothing until `change` is another."""
         self.change = IsolationChange(isolate=(), merge=())
         self.loads, self.node_load = None, None  # of the last call
 
-    def __call__(self, loads, sharding, node_load):
+    def __call__(self, loads, _sharding, node_load):
+        """Return `change`, as isolation_policy.decide does."""
         self.loads, self.node_load = loads, node_load
         return self.change
 
 
-class Site:
+class Simulation:
     """A coordinator, and holders that get its grants at once and acknowledge them while they can be heard."""
 
     def __init__(self, state=None, isolation=None, replicas=1, holders=None, now=0, number=0):
+        """Start a coordinator, with the holders of an earlier simulation if they are given."""
         sharding = StandInSharding(state.isolated if state else ())
         self.now, self.placement = now, StandInPlacement(replicas)
         self.coordinator = Coordinator(now, SETTINGS, self.placement, sharding, isolation, state)
@@ -97,17 +108,20 @@
         self.live, self.sent = set(), defaultdict(int)
 
     def joins(self, *processes, zone=""):
+        """Let processes be heard, for the first time or again."""
         for process in processes:
             self.holders.setdefault(process, ShardHolder(lambda destination: destination % COUNT))
             self.live.add(process)
             self.coordinator.holder_joined(process, Node(process.partition("/")[0], "north", zone), self.now)
 
     def loses(self, *processes):
+        """Let processes be heard no more; they use their leases on."""
         for process in processes:
             self.live.discard(process)
             self.coordinator.holder_lost(process, self.now)
 
     def until(self, end):
+        """Step whenever it is due; no shard is ever granted more than once."""
         while True:
             for grant in self.coordinator.step(self.now):
                 assert grant.holder in self.live
@@ -123,91 +137,95 @@
         self.now = end
 
     def leased(self, process):
+        """Return the shards that a process has a lease on now."""
         return self.holders[process].leased_shards(self.now)
 
 
 def running(*processes, **more):
-    site = Site(**more)
-    site.joins(*processes)
-    site.until(GRACE + S)
-    site.coordinator.drain_changes()
-    return site
+    """Return a simulation past its grace period."""
+    simulation = Simulation(**more)
+    simulation.joins(*processes)
+    simulation.until(GRACE + S)
+    simulation.coordinator.drain_changes()
+    return simulation
 
 
 def test_every_shard_is_leased_once_after_the_grace_period():
     """Nothing is granted in the grace period; afterwards every shard has one holder, renewed once a second."""
-    site = Site()
-    site.joins("a/1", "b/1", "c/1")
-    site.until(GRACE - 1)
-    assert not site.sent
-    assert len(site.coordinator.shards_of("a")) == 4
-    site.until(GRACE)
-    assert set().union(*map(site.leased, site.live)) == set(range(COUNT))
-    assert all(site.leased(process) == site.coordinator.shards_of(process[0]) for process in site.live)
-    site.until(GRACE + 20 * S)
-    assert len(site.placement.calls) == 1
-    assert set(site.sent.values()) == {4 * 21}
+    simulation = Simulation()
+    simulation.joins("a/1", "b/1", "c/1")
+    simulation.until(GRACE - 1)
+    assert not simulation.sent
+    assert len(simulation.coordinator.shards_of("a")) == 4
+    simulation.until(GRACE)
+    assert set().union(*map(simulation.leased, simulation.live)) == set(range(COUNT))
+    assert all(
+        simulation.leased(process) == simulation.coordinator.shards_of(process[0]) for process in simulation.live
+    )
+    simulation.until(GRACE + 20 * S)
+    assert len(simulation.placement.calls) == 1
+    assert set(simulation.sent.values()) == {4 * 21}
 
 
 def test_a_restart_moves_nothing_and_waits_for_the_leases_of_the_old_process():
     """A new process of a node gets the node's shards once the old one's leases have run out; nothing is placed."""
-    site = running("a/1", "b/1")
-    table, mine, asked = site.coordinator.state().table, site.leased("a/1"), len(site.placement.calls)
-    site.loses("a/1")
-    site.until(site.now + S // 2)
-    site.joins("a/2")
-    site.until(site.now + 1)
-    assert not site.leased("a/2")
-    assert site.leased("a/1") == mine
-    site.until(site.now + LEASE)
-    assert site.leased("a/2") == mine
-    assert not site.leased("a/1")
-    assert site.coordinator.state().table == table
-    assert len(site.placement.calls) == asked
-    assert site.coordinator.drain_changes() == {}
+    simulation = running("a/1", "b/1")
+    table, mine, asked = simulation.coordinator.state().table, simulation.leased("a/1"), len(simulation.placement.calls)
+    simulation.loses("a/1")
+    simulation.until(simulation.now + S // 2)
+    simulation.joins("a/2")
+    simulation.until(simulation.now + 1)
+    assert not simulation.leased("a/2")
+    assert simulation.leased("a/1") == mine
+    simulation.until(simulation.now + LEASE)
+    assert simulation.leased("a/2") == mine
+    assert not simulation.leased("a/1")
+    assert simulation.coordinator.state().table == table
+    assert len(simulation.placement.calls) == asked
+    assert simulation.coordinator.drain_changes() == {}
     with pytest.raises(AssignmentError, match="unknown holder a/1"):
-        site.coordinator.acknowledged("a/1", 0, 1, site.now)
+        simulation.coordinator.acknowledged("a/1", 0, 1, simulation.now)
 
 
 def test_a_process_that_is_cut_off_and_comes_back_goes_on_with_its_tenures():
     """A process that comes back within its leases keeps its epochs; that it is lost twice changes nothing."""
-    site = running("a/1", "b/1")
-    epochs = {shard: site.holders["a/1"].epoch(shard) for shard in site.leased("a/1")}
-    site.loses("a/1")
-    site.coordinator.holder_lost("a/1", site.now)  # told again
-    site.until(site.now + LEASE * 3 // 5)  # past its renewal, and within its lease
-    site.joins("a/1")
-    site.until(site.now + LEASE)
-    assert {shard: site.holders["a/1"].epoch(shard) for shard in site.leased("a/1")} == epochs
+    simulation = running("a/1", "b/1")
+    epochs = {shard: simulation.holders["a/1"].epoch(shard) for shard in simulation.leased("a/1")}
+    simulation.loses("a/1")
+    simulation.coordinator.holder_lost("a/1", simulation.now)  # repeated
+    simulation.until(simulation.now + LEASE * 3 // 5)  # past its renewal, and within its lease
+    simulation.joins("a/1")
+    simulation.until(simulation.now + LEASE)
+    assert {shard: simulation.holders["a/1"].epoch(shard) for shard in simulation.leased("a/1")} == epochs
 
 
 def test_the_loss_of_a_zone_is_one_decision_and_its_shards_go_to_the_others():
     """Two nodes lost shortly after one another are placed together, not by the regular placement between."""
-    site = Site()
-    site.joins("a/1", "b/1", zone="one")
-    site.joins("c/1", "d/1", zone="two")
+    simulation = Simulation()
+    simulation.joins("a/1", "b/1", zone="one")
+    simulation.joins("c/1", "d/1", zone="two")
     first = SETTLE_US + SETTINGS.rebalance_us - SETTINGS.restart_us - SETTLE_US // 4
-    site.until(first)  # the regular placement falls between the ends of the two nodes
-    asked = len(site.placement.calls)
-    site.loses("a/1")
-    site.until(first + SETTLE_US // 2)
-    site.loses("b/1")
-    site.until(first + SETTINGS.restart_us + SETTLE_US - 1)
-    assert len(site.placement.calls) == asked
-    site.until(first + SETTINGS.restart_us + SETTLE_US)
-    assert [names for _, names in site.placement.calls[asked:]] == [["c", "d"]]
-    assert site.leased("c/1") | site.leased("d/1") == set(range(COUNT))
-    assert not site.coordinator.shards_of("a")
-    assert len(site.coordinator.drain_changes()) == 4
+    simulation.until(first)  # the regular placement falls between the ends of the two nodes
+    asked = len(simulation.placement.calls)
+    simulation.loses("a/1")
+    simulation.until(first + SETTLE_US // 2)
+    simulation.loses("b/1")
+    simulation.until(first + SETTINGS.restart_us + SETTLE_US - 1)
+    assert len(simulation.placement.calls) == asked
+    simulation.until(first + SETTINGS.restart_us + SETTLE_US)
+    assert [names for _, names in simulation.placement.calls[asked:]] == [["c", "d"]]
+    assert simulation.leased("c/1") | simulation.leased("d/1") == set(range(COUNT))
+    assert not simulation.coordinator.shards_of("a")
+    assert len(simulation.coordinator.drain_changes()) == 4
 
 
 def test_a_newcomer_gets_a_shard_when_its_holder_has_acknowledged_and_both_cover_it_meanwhile():
     """A moved shard is withdrawn, acknowledged, and only then granted; until then both nodes cover it."""
-    site = running("a/1")
-    site.joins("b/1")
+    simulation = running("a/1")
+    simulation.joins("b/1")
     moved = {shard: ("b",) if shard < 6 else ("a",) for shard in range(COUNT)}
-    site.placement.next_table = moved
-    coordinator, now = site.coordinator, site.now + SETTLE_US
+    simulation.placement.next_table = moved
+    coordinator, now = simulation.coordinator, simulation.now + SETTLE_US
     withdrawals = [grant for grant in coordinator.step(now) if not grant.quota]
     assert {grant.shard for grant in withdrawals} == set(range(6))
     assert coordinator.serves("a", 3)
@@ -223,30 +241,30 @@
 
 def test_a_replacement_that_comes_while_a_lost_node_may_come_back_is_placed_with_its_loss():
     """A node that comes while another may come back is placed when the other is removed."""
-    site = running("a/1", "b/1")
-    asked, lost_at = len(site.placement.calls), site.now
-    site.loses("a/1")
-    site.until(lost_at + S)
-    site.joins("c/1")
-    site.until(lost_at + SETTINGS.restart_us - 1)
-    assert len(site.placement.calls) == asked
-    site.until(lost_at + SETTINGS.restart_us)
-    assert site.placement.calls[asked:] == [({}, ["b", "c"])]
+    simulation = running("a/1", "b/1")
+    asked, lost_at = len(simulation.placement.calls), simulation.now
+    simulation.loses("a/1")
+    simulation.until(lost_at + S)
+    simulation.joins("c/1")
+    simulation.until(lost_at + SETTINGS.restart_us - 1)
+    assert len(simulation.placement.calls) == asked
+    simulation.until(lost_at + SETTINGS.restart_us)
+    assert simulation.placement.calls[asked:] == [({}, ["b", "c"])]
 
 
 def test_nothing_moves_for_balance_before_loads_have_been_measured_long_enough():
     """A first table is balanced by number; after that, or from a snapshot, loads have to be known for a while."""
-    site = running("a/1", "b/1")
-    assert site.placement.may_move  # a first table, balanced by number
-    begun, seen = site.now, []
-    while site.now <= begun + BALANCE_AFTER_US + SETTINGS.rebalance_us:
-        site.coordinator.loads_reported({1: 5.0}, site.now)
-        site.until(site.now + SETTINGS.rebalance_us)
-        seen.append(site.placement.may_move)
+    simulation = running("a/1", "b/1")
+    assert simulation.placement.may_move  # a first table, balanced by number
+    begun, seen = simulation.now, []
+    while simulation.now <= begun + BALANCE_AFTER_US + SETTINGS.rebalance_us:
+        simulation.coordinator.loads_reported({1: 5.0}, simulation.now)
+        simulation.until(simulation.now + SETTINGS.rebalance_us)
+        seen.append(simulation.placement.may_move)
     assert seen[0] is False
     assert seen[-1] is True
     assert seen.index(True) * SETTINGS.rebalance_us >= BALANCE_AFTER_US - S
-    after = Site(state=site.coordinator.state(), now=site.now, number=site.coordinator.number)
+    after = Simulation(state=simulation.coordinator.state(), now=simulation.now, number=simulation.coordinator.number)
     after.joins("a/2", "b/2")
     after.until(after.now + GRACE + SETTINGS.restart_us)
     assert after.placement.calls
@@ -255,23 +273,23 @@
 
 def test_of_two_processes_of_a_node_the_one_that_joined_last_holds():
     """The newer process gets the shards, and the older one gets them back when the newer is lost."""
-    site = running("a/1", "b/1")
-    mine = site.leased("a/1")
-    site.joins("a/2")
-    site.until(site.now + 1)
-    assert site.leased("a/2") == mine
-    assert not site.leased("a/1")
-    site.loses("a/2")
-    site.until(site.now + LEASE + 1)
-    assert site.leased("a/1") == mine
+    simulation = running("a/1", "b/1")
+    mine = simulation.leased("a/1")
+    simulation.joins("a/2")
+    simulation.until(simulation.now + 1)
+    assert simulation.leased("a/2") == mine
+    assert not simulation.leased("a/1")
+    simulation.loses("a/2")
+    simulation.until(simulation.now + LEASE + 1)
+    assert simulation.leased("a/1") == mine
 
 
 def test_a_coordinator_that_starts_from_a_table_moves_nothing_of_the_nodes_that_come_back():
     """Nothing is placed in the grace period; only the shards of a node that did not come back move."""
     first = running("a/1", "b/1", "c/1")
     state = first.coordinator.state()
-    second = Site(state=state, holders=first.holders, now=first.now, number=first.coordinator.number)
-    second.joins("b/1", "d/1")  # c is gone for good, a comes late
+    second = Simulation(state=state, holders=first.holders, now=first.now, number=first.coordinator.number)
+    second.joins("b/1", "d/1")  # c does not come back, a comes late
     second.until(second.now + GRACE - 1)
     assert not second.placement.calls
     assert second.coordinator.shards_of("a") == first.coordinator.shards_of("a")
@@ -288,7 +306,7 @@
     first = running("a/1")
     late = ShardGrant("a/1", 0, first.holders["a/1"].epoch(0), 10**9, FULL_QUOTA, LEASE, ())  # whatever its number
     state, number = first.coordinator.state(), first.coordinator.number
-    second = Site(state=state, holders=first.holders, now=first.now, number=number)
+    second = Simulation(state=state, holders=first.holders, now=first.now, number=number)
     second.joins("a/1", "b/1")
     second.until(second.now + GRACE)
     assert second.holders["a/1"].epoch(0) > late.epoch
@@ -297,54 +315,57 @@
 
 def test_the_table_stays_as_it_is_while_no_node_is_present():
     """Without nodes nothing is placed; the first node that comes back gets everything."""
-    site = running("a/1", "b/1")
-    table = site.coordinator.state().table
-    site.loses("a/1", "b/1")
-    site.until(site.now + 40 * S)
-    assert site.coordinator.state().table == table
-    site.joins("b/2")
-    site.until(site.now + SETTLE_US)
-    assert site.leased("b/2") == set(range(COUNT))
+    simulation = running("a/1", "b/1")
+    table = simulation.coordinator.state().table
+    simulation.loses("a/1", "b/1")
+    simulation.until(simulation.now + 40 * S)
+    assert simulation.coordinator.state().table == table
+    simulation.joins("b/2")
+    simulation.until(simulation.now + SETTLE_US)
+    assert simulation.leased("b/2") == set(range(COUNT))
 
 
 def test_the_quotas_of_a_shard_on_several_nodes_add_up_to_the_full_quota():
     """Quotas differ by one at most, and each holder's budget is rounded down."""
-    site = running("a/1", "b/1", "c/1", replicas=3)
-    quotas = [site.holders[process].quota(0, site.now) for process in ("a/1", "b/1", "c/1")]
+    simulation = running("a/1", "b/1", "c/1", replicas=3)
+    quotas = [simulation.holders[process].quota(0, simulation.now) for process in ("a/1", "b/1", "c/1")]
     assert sum(quotas) == FULL_QUOTA
     assert max(quotas) - min(quotas) == 1
-    site.coordinator.set_allowance(12, 3000)
-    site.until(site.now + 1)
-    assert sum(holder.budget(12, site.now) for holder in site.holders.values()) == 2998  # each rounds down
+    simulation.coordinator.set_allowance(12, 3000)
+    simulation.until(simulation.now + 1)
+    assert sum(holder.budget(12, simulation.now) for holder in simulation.holders.values()) == 2998  # each rounds down
 
 
 def test_a_hot_destination_gets_a_shard_of_its_own_and_goes_back():
     """The destination's allowance, load and coverage go with it to its own shard and back."""
     isolation = StandInIsolation()
-    site = running("a/1", "b/1", isolation=isolation)
-    site.coordinator.set_allowance(5, 700)
-    site.coordinator.loads_reported({5: 30.0, 17: 2.0}, site.now)
+    simulation = running("a/1", "b/1", isolation=isolation)
+    simulation.coordinator.set_allowance(5, 700)
+    simulation.coordinator.loads_reported({5: 30.0, 17: 2.0}, simulation.now)
     isolation.change = IsolationChange(isolate=(5,), merge=())
-    site.until(32 * S)
+    simulation.until(32 * S)
     assert isolation.node_load == pytest.approx(sum(isolation.loads.values()) / 2)
-    assert site.placement.calls[-1][0].keys() == {COUNT, 5}  # the load of its own shard, and that of 17 in its home
-    (own,) = [process for process in site.live if COUNT in site.leased(process)]
-    assert site.holders[own].budget(5, site.now) == 700
-    assert sum(holder.budget(5, site.now) for holder in site.holders.values()) == 700
-    home = next(node for node in "ab" if 5 in site.coordinator.shards_of(node))
-    assert 5 in site.coordinator.drain_changes()[home]  # its destinations are others
-    assert site.coordinator.serves(own[0], 5)
-    assert site.coordinator.state().isolated == {5: COUNT}
+    assert simulation.placement.calls[-1][0].keys() == {
+        COUNT,
+        5,
+    }  # the load of its own shard, and that of 17 in its home
+    (own,) = [process for process in simulation.live if COUNT in simulation.leased(process)]
+    assert simulation.holders[own].budget(5, simulation.now) == 700
+    assert sum(holder.budget(5, simulation.now) for holder in simulation.holders.values()) == 700
+    home = next(node for node in "ab" if 5 in simulation.coordinator.shards_of(node))
+    assert 5 in simulation.coordinator.drain_changes()[home]  # its destinations are others
+    assert simulation.coordinator.serves(own[0], 5)
+    assert simulation.coordinator.state().isolated == {5: COUNT}
     isolation.change = IsolationChange(
         isolate=(17,), merge=(5,)
     )  # 17 is to have the number that 5 had, which is in use yet
-    site.until(63 * S)
-    assert site.coordinator.state().isolated == {}
-    assert COUNT not in site.coordinator.state().table
-    assert site.holders[f"{home}/1"].budget(5, site.now) == 700
-    assert COUNT not in site.leased(own)
-    site.until(93 * S)
-    assert site.coordinator.state().isolated == {17: COUNT}
+    simulation.until(63 * S)
+    assert simulation.coordinator.state().isolated == {}
+    assert COUNT not in simulation.coordinator.state().table
+    assert simulation.holders[f"{home}/1"].budget(5, simulation.now) == 700
+    assert COUNT not in simulation.leased(own)
+    simulation.until(93 * S)
+    assert simulation.coordinator.state().isolated == {17: COUNT}
 
 
 @pytest.mark.parametrize(
@@ -363,17 +384,19 @@
 )
 def test_rejected_input_changes_nothing(wrong, text):
     """Each error names what is wrong; table, leases and loads stay as they were."""
-    site = running("a/1")
-    state = site.coordinator.state()
+    simulation = running("a/1")
+    state = simulation.coordinator.state()
     with pytest.raises(AssignmentError, match=text):
-        wrong(site.coordinator)
-    assert site.coordinator.state() == state
-    site.until(site.now + LEASE)
-    assert site.leased("a/1") == set(range(COUNT))
-    assert site.holders["a/1"].budget(3, site.now) == UNLIMITED
-    placements = len(site.placement.calls)
-    site.until(site.now + SETTINGS.rebalance_us)
-    assert [loads for loads, _ in site.placement.calls[placements:]] == [{}]  # nothing of a bad report was recorded
+        wrong(simulation.coordinator)
+    assert simulation.coordinator.state() == state
+    simulation.until(simulation.now + LEASE)
+    assert simulation.leased("a/1") == set(range(COUNT))
+    assert simulation.holders["a/1"].budget(3, simulation.now) == UNLIMITED
+    placements = len(simulation.placement.calls)
+    simulation.until(simulation.now + SETTINGS.rebalance_us)
+    assert [loads for loads, _ in simulation.placement.calls[placements:]] == [
+        {}
+    ]  # nothing of a bad report was recorded
 
 
 def test_a_state_that_does_not_fit_the_sharding_is_rejected():
@@ -388,6 +411,6 @@
 
 def test_a_coordinator_that_stepped_down_grants_nothing():
     """No renewal is sent, however long it takes."""
-    site = running("a/1")
-    site.coordinator.step_down()
-    assert site.coordinator.step(site.now + 40 * S) == []
+    simulation = running("a/1")
+    simulation.coordinator.step_down()
+    assert simulation.coordinator.step(simulation.now + 40 * S) == []
--- a/tests/assignment/test_isolation.py
+++ b/tests/assignment/test_isolation.py
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("load", [nan, inf, -1.0])
 def test_loads_that_are_no_finite_number_from_0_on_are_rejected(load):
     """Both those of destinations and the mean of a node."""
-    with pytest.raises(AssignmentError, match="^destination 7 has a load of"):
+    with pytest.raises(AssignmentError, match=r"^destination 7 has a load of"):
         decide({7: load}, Sharding(8), 100.0, LowLoadStreaks())
-    with pytest.raises(AssignmentError, match="^the mean load of a node is"):
+    with pytest.raises(AssignmentError, match=r"^the mean load of a node is"):
         decide({}, Sharding(8), load, LowLoadStreaks())
--- a/tests/assignment/test_placement.py
+++ b/tests/assignment/test_placement.py
@@ -19,16 +19,19 @@
 
 
 def drawn_loads(count, seed, sigma=0.5):
+    """Return loads of shards from a seed."""
     draw = random.Random(seed)
     return {shard: draw.lognormvariate(0, sigma) for shard in range(count)}
 
 
 def weights(shards, loads):
+    """Return the load of each shard, where one without a measurement counts a little."""
     idle = sum(loads.values()) / len(shards) * IDLE_FRACTION if loads else 1.0
     return {shard: loads.get(shard, idle) for shard in shards}
 
 
 def node_loads(table, loads, nodes):
+    """Return the load of each node in a table."""
     found = dict.fromkeys((node.name for node in nodes), 0.0)
     for shard, weight in weights(table, loads).items():
         for name in table[shard]:
@@ -37,7 +40,7 @@
 
 
 def check(plan, loads, nodes, limits, shards):
-    """Shards are held by different nodes, in zones as different as room allows; no overloaded node could be helped."""
+    """Holders are different nodes, in zones as different as capacity allows; no overloaded node could be helped."""
     at = {node.name: node for node in nodes}
     found = node_loads(plan.table, loads, nodes)
     cap = sum(found.values()) / len(nodes) * limits.bound
@@ -127,8 +130,8 @@
     only = [node for node in FLEET if node.region == "r0"]
     one = [*only, FLEET[1]]  # one node of r1: what r1 lost goes there first, and balance alone takes it further
     there = {shard for shard, (name,) in before.items() if int(name[1:]) % 2}
-    kept = place(before, loads, one, PlacementLimits(), range(400), may_move=False, former_nodes=FLEET).table
-    assert {shard for shard, holders in kept.items() if holders == ("n01",)} == there
+    unmoved = place(before, loads, one, PlacementLimits(), range(400), may_move=False, former_nodes=FLEET).table
+    assert {shard for shard, holders in unmoved.items() if holders == ("n01",)} == there
     none = place(before, loads, only, PlacementLimits(), range(400), former_nodes=FLEET)
     assert none.moved == there
     assert none.load_ratio < 1.05
@@ -159,7 +162,7 @@
     assert len(table[400]) == 17  # ceil(100 / 6)
     assert len({(FLEET[int(name[1:])].region, FLEET[int(name[1:])].zone) for name in table[400]}) == 8
     assert len(holders(table, 103.0)[400]) == 18
-    assert holders(table, 79.0)[400] == table[400]  # 14 would do, of 17: kept
+    assert holders(table, 79.0)[400] == table[400]  # 14 would do, of 17: they stay
     assert len(holders(table, 70.0)[400]) == 12  # 12 of 17 are below three quarters: given back
     unmeasured = place(table, drawn_loads(400, 6), FLEET, limits, range(401)).table
     assert unmeasured[400] == table[400]
@@ -189,6 +192,7 @@
 
 
 def moved(before, loads, nodes, bound):
+    """Return the shards that move and where to; `before` names the node of each shard."""
     table = {shard: (name,) for shard, name in enumerate(before)}
     plan = place(table, dict(enumerate(loads)), nodes, PlacementLimits(bound), range(len(before)))
     return {shard: plan.table[shard][0] for shard in plan.moved}
@@ -199,7 +203,7 @@
     nodes = [Node("n1", "r0"), Node("n2", "r0"), Node("n3", "r1")]
     before = ["n1", "n1", "n1", "n2", "n3"]
     assert moved(before, [1.0, 2.0, 3.0, 4.0, 3.9], nodes, 1.2) == {0: "n2"}  # n3 is emptier, in the other region
-    assert moved(before, [1.2, 2.0, 3.0, 5.0, 3.9], nodes, 1.2) == {0: "n3"}  # n2 has no room
+    assert moved(before, [1.2, 2.0, 3.0, 5.0, 3.9], nodes, 1.2) == {0: "n3"}  # n2 has no spare capacity
 
 
 def test_shards_too_heavy_for_the_bound_are_still_separated():
@@ -241,7 +245,7 @@
 @pytest.mark.parametrize("load", [nan, inf, -inf, 0, -1.0])
 def test_a_load_that_is_no_finite_number_above_0_is_rejected(load):
     """The error names the shard."""
-    with pytest.raises(AssignmentError, match="^shard 7 has a load of .*: a load is a finite number above 0$"):
+    with pytest.raises(AssignmentError, match=r"^shard 7 has a load of .*: a load is a finite number above 0$"):
         place({}, {1: 1.0, 7: load}, FLEET, PlacementLimits(), range(9))
 
 
@@ -254,7 +258,7 @@
 
 def test_nodes_named_twice_and_limits_out_of_range_are_rejected():
     """Not a number and infinity are out of every range."""
-    with pytest.raises(AssignmentError, match="^node n03 is named twice$"):
+    with pytest.raises(AssignmentError, match=r"^node n03 is named twice$"):
         place({}, {}, [*FLEET, Node("n03", "elsewhere")], PlacementLimits(), range(9))
     for bound in (0.9, nan, inf):
         with pytest.raises(AssignmentError, match="bound"):
--- a/tests/assignment/test_shard_holder.py
+++ b/tests/assignment/test_shard_holder.py
@@ -10,10 +10,12 @@
 
 
 def grant(number, quota=FULL_QUOTA, limits=(), epoch=1, shard=3, destination=None):
+    """Return a grant of shard 3, or another."""
     return ShardGrant("node/one", shard, epoch, number, quota, LEASE, limits, destination)
 
 
 def holder():
+    """Return a holder whose shards are destinations modulo 10."""
     return ShardHolder(lambda destination: destination % 10)
 
 
--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -26,10 +26,11 @@
 
 
 def shard_of(destination):
+    """Return a destination's home shard."""
     return destination % SHARDS
 
 
-class World(RuleBasedStateMachine):
+class LeaseMachine(RuleBasedStateMachine):
     """Messages take up to DELAY each way or are lost; a holder cut off keeps what it has; the service may restart."""
 
     names = st.sampled_from(NAMES)
@@ -38,6 +39,7 @@
 
     @initialize()
     def start(self):
+        """Three holders, each with one shard."""
         self.now, self.wire, self.holders, self.live = 0, [], {}, set()
         self.allowances = {destination: deque([(0, UNLIMITED)]) for destination in DESTINATIONS}
         self.targets, self.isolated = {}, set()
@@ -47,20 +49,24 @@
             self.is_assigned(shard, name, None)
 
     def own_shard(self, destination):
+        """Return the shard that a destination is of now."""
         return OWN[destination] if destination in self.isolated else shard_of(destination)
 
     def step(self, delays):
+        """Send the grants of one step, each with a delay; None loses it."""
         for grant in self.ledger.step(self.now):
             delay = delays.pop() if delays else 0
             if delay is not None:
                 self.wire.append((self.now + delay, "grant", grant, self.generation))
 
     def goes_on(self, span, delays):
+        """Step at once, then let time pass."""
         self.step(delays)
         self.time_goes_on(span, delays)
 
     @rule(span=st.integers(1, LEASE + DELAY), delays=delays)
     def time_goes_on(self, span, delays):
+        """Deliver messages and step whenever either is due; the rules hold after each."""
         end = self.now + span
         while True:
             due = [row for row in self.wire if row[0] <= end]
@@ -76,6 +82,7 @@
         self.now = end
 
     def arrived(self, row, delays):
+        """Deliver a grant to its holder, or its acknowledgement to the service that sent it."""
         _, kind, grant, generation = row
         if kind == "ack":
             if generation == self.generation:
@@ -90,18 +97,21 @@
 
     @rule(name=names)
     def joins(self, name):
+        """A holder can be heard."""
         self.holders.setdefault(name, ShardHolder(shard_of))
         self.live.add(name)
         self.ledger.holder_joined(name)
 
     @rule(name=names, span=spans, delays=delays)
     def is_cut_off(self, name, span, delays):
+        """A holder can be heard no more, and uses what it has."""
         self.live.discard(name)
         self.ledger.holder_lost(name)
         self.time_goes_on(span, delays)
 
     @rule(name=names)
     def forgets_what_was_withdrawn(self, name):
+        """A holder drops tenures as early as it may."""
         if name in self.holders:
             self.holders[name].forget(self.now - DELAY)
 
@@ -125,12 +135,14 @@
         delays=delays,
     )
     def is_allowed(self, destination, amount, span, delays):
+        """A destination's allowance changes."""
         self.allowances[destination].append((self.now, amount))
         self.ledger.set_limit(destination, self.own_shard(destination), amount)
         self.goes_on(span, delays)
 
     @rule(destination=st.sampled_from(sorted(OWN)), name=names, span=spans, delays=delays)
     def is_isolated(self, destination, name, span, delays):
+        """A destination begins to move to a shard of its own."""
         if self.ledger.isolation(destination) or not self.ledger.is_free(OWN[destination]):
             return
         self.ledger.isolate(destination, shard_of(destination), OWN[destination])
@@ -139,6 +151,7 @@
 
     @rule(destination=st.sampled_from(sorted(OWN)), span=spans, delays=delays)
     def is_merged(self, destination, span, delays):
+        """A destination begins to move back."""
         if destination in self.isolated:
             self.ledger.merge(destination)
             self.isolated.discard(destination)
@@ -171,6 +184,7 @@
 
     @invariant()
     def rules_hold(self):
+        """Quotas and budgets in use are within the rules of the ledger's page."""
         for shard in range(SHARDS + len(OWN)):
             quotas = [holder.quota(shard, self.now) for holder in self.holders.values()]
             assert sum(quotas) <= FULL_QUOTA
@@ -184,7 +198,7 @@
             assert used <= max(amount for _, amount in row), f"destination {destination}"
 
     def teardown(self):
-        """Left alone, every live holder has its share of its shards in the end, and knows every limit."""
+        """Left alone, every live holder has its quota of its shards in the end, and knows every limit."""
         if not hasattr(self, "ledger"):
             return
         for _ in range(4 * (LEASE + DELAY) // S):
@@ -198,8 +212,8 @@
                         assert self.holders[name].budget(destination, self.now) == budget
 
 
-World.TestCase.settings = limits(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True)
-TestWorld = World.TestCase
+LeaseMachine.TestCase.settings = limits(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True)
+TestLeases = LeaseMachine.TestCase
 
 
 def started(*holders):
@@ -211,11 +225,13 @@
 
 
 def acknowledge(ledger, grants, now):
+    """Acknowledge grants; each changes something."""
     for grant in grants:
         assert ledger.acknowledged(grant.holder, grant.shard, grant.number, now)
 
 
 def quotas(grants):
+    """Return the quota by holder and shard."""
     return {(grant.holder, grant.shard): grant.quota for grant in grants}
 
 
@@ -304,7 +320,7 @@
     assert renewal.limits == ((7, 1100),)
     ledger.set_limit(8, 1, UNLIMITED)
     (raised,) = ledger.step(S + LEASE // 2)
-    assert dict(raised.limits) == {7: 1100, 8: UNLIMITED}  # not acknowledged yet, so told again
+    assert dict(raised.limits) == {7: 1100, 8: UNLIMITED}  # not acknowledged yet, so sent again
     acknowledge(ledger, [raised], 2 * S)
     ledger.set_limit(7, 1, UNLIMITED)
     assert ledger.step(4 * S)[0].limits == ((7, UNLIMITED),)
@@ -318,12 +334,12 @@
     acknowledge(ledger, ledger.step(0), 0)
     ledger.isolate(7, 1, 9)
     ledger.assign(9, {"c": FULL_QUOTA})
-    told = ledger.step(1)
-    assert {grant.limits for grant in told} == {((7, 0),)}
-    acknowledge(ledger, told[:1], 2)
+    falls = ledger.step(1)
+    assert {grant.limits for grant in falls} == {((7, 0),)}
+    acknowledge(ledger, falls[:1], 2)
     assert ledger.step(2) == []
     assert ledger.isolation(7) is IsolationState.PREPARING
-    acknowledge(ledger, told[1:], 3)
+    acknowledge(ledger, falls[1:], 3)
     (own,) = ledger.step(3)
     assert (own.holder, own.shard, own.destination, own.limits) == ("c", 9, 7, ((7, 1000),))
     acknowledge(ledger, [own], 3)
@@ -357,19 +373,19 @@
 
 def test_shards_that_stay_as_they_are_cost_one_renewal_in_half_a_lease():
     """And no step in between."""
-    ledger, sent, looks = started("a"), defaultdict(int), 0
+    ledger, sent, steps = started("a"), defaultdict(int), 0
     ledger.assign(1, {"a": FULL_QUOTA})
     ledger.assign(2, {"a": FULL_QUOTA})
     now = 0
     while now < 20 * LEASE:
         grants = ledger.step(now)
         acknowledge(ledger, grants, now)
-        looks += 1
+        steps += 1
         for grant in grants:
             sent[grant.shard] += 1
         now = max(now + 1, ledger.next_deadline(now))
     assert sent == {1: 40, 2: 40}
-    assert looks <= 41
+    assert steps <= 41
 
 
 @pytest.mark.parametrize(
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "said"),
+    ("make", "text"),
     [
         (lambda: Sharding(0), "a sharding needs at least one shard, not 0"),
         (lambda: Sharding(MAX_SHARDS + 1), "more shards than the budget"),
@@ -59,8 +59,8 @@
         (lambda: Sharding(8).isolate(-1), "destination -1 is outside"),
     ],
 )
-def test_shardings_out_of_range_are_rejected(make, said):
+def test_shardings_out_of_range_are_rejected(make, text):
     """The error is one line."""
-    with pytest.raises(AssignmentError, match=said) as caught:
+    with pytest.raises(AssignmentError, match=text) as caught:
         make()
     assert "\n" not in str(caught.value)
--- a/tests/assignment/test_snapshot.py
+++ b/tests/assignment/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The table to text and back; anything else is refused with one line."""
+"""The table to text and back; anything else is rejected with one line."""
 
 import json
 from hashlib import blake2b
@@ -15,7 +15,8 @@
 TEXT = encode(STATE, "settings 1")
 
 
-def refusal(text, fingerprint="settings 1"):
+def rejection(text, fingerprint="settings 1"):
+    """Return the error of a text, which is one line."""
     with pytest.raises(AssignmentError) as caught:
         decode(text, fingerprint)
     assert "\n" not in str(caught.value)
@@ -24,10 +25,12 @@
 
 
 def sealed(body):
+    """Return a text with this second line and its checksum."""
     return f"scalefall-assignment 1 {blake2b(body.encode(), digest_size=16).hexdigest()}\n{body}\n"
 
 
 def changed(**fields):
+    """Return the snapshot with other fields, and its checksum."""
     return sealed(json.dumps({**json.loads(TEXT.split("\n")[1]), **fields}))
 
 
@@ -54,15 +57,15 @@
 def test_a_text_torn_or_changed_at_any_byte_is_rejected():
     """Cut off, one bit different, or a byte less."""
     for end in range(len(TEXT)):
-        refusal(TEXT[:end])
-        refusal(TEXT[:end] + chr(ord(TEXT[end]) ^ 1) + TEXT[end + 1 :])
-        refusal(TEXT[:end] + TEXT[end + 1 :])
-    refusal(TEXT + "\n")
-    refusal(TEXT + TEXT)
+        rejection(TEXT[:end])
+        rejection(TEXT[:end] + chr(ord(TEXT[end]) ^ 1) + TEXT[end + 1 :])
+        rejection(TEXT[:end] + TEXT[end + 1 :])
+    rejection(TEXT + "\n")
+    rejection(TEXT + TEXT)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "text_of_error"),
     [
         ("", "does not begin with scalefall-assignment"),
         (TEXT.replace("assignment 1", "assignment 2"), "version '2', not 1"),
@@ -92,6 +95,6 @@
         (changed(fingerprint="settings 2"), "of other settings"),
     ],
 )
-def test_each_rejection_names_what_is_wrong(text, said):
+def test_each_rejection_names_what_is_wrong(text, text_of_error):
     """Also where the checksum fits."""
-    assert said in refusal(text)
+    assert text_of_error in rejection(text)
