--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -13,6 +13,7 @@
 from scalefall.control import snapshot
 from scalefall.control.service import ControlService
 from scalefall.control.transport.state import NUMBERS_PER_BLOCK, StateDirectory, StateDirectoryError
+from scalefall.errors import LeadershipError
 from scalefall.net.checks import log
 
 RESERVE_AHEAD = NUMBERS_PER_BLOCK // 2  # unused numbers at which the next block is reserved: long before they run out
@@ -48,6 +49,15 @@
         """Whether this process is the one that grants."""
         return self._role is Role.LEADER
 
+    def require_leadership(self) -> None:
+        """Check that this process leads, for what only the leader serves.
+
+        Raises:
+            LeadershipError: Another process does; the text is for the client.
+        """
+        if not self.is_leader:
+            raise LeadershipError("another process grants here")
+
     def acquire_leadership(self, now_us: int, wall_us: int) -> bool:
         """Try to become the leader; True if this process is one from now on and was not before.
 
--- a/scalefall/control/transport/load_report_streams.py
+++ b/scalefall/control/transport/load_report_streams.py
@@ -4,16 +4,14 @@
 
 from collections.abc import Iterable
 
-import grpc
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from scalefall.control.service import ControlService
 from scalefall.control.transport import clock
 from scalefall.control.transport.leadership import LeaderState
-from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
+from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.quotas import Quotas
 from scalefall.control.transport.reports import LoadReportIndex
-from scalefall.control.transport.resource_streams import NOT_LEADER
 from scalefall.control.transport.service_driver import ServiceDriver
 from scalefall.control.transport.stream_reader import read_messages
 from scalefall.net.list_stream import Entry
@@ -56,8 +54,7 @@
     async def serve(self, peer: Peer) -> None:
         """Serve one stream."""
         async for message in read_messages(peer, lrs_pb2.LoadStatsRequest):
-            if not self._leader_state.is_leader:
-                raise StreamEndedError(grpc.StatusCode.UNAVAILABLE, NOT_LEADER)
+            self._leader_state.require_leadership()
             if not peer.node:
                 self._peers.identify(peer, message.node.id)
                 peer.send(self._first_answer())
--- a/scalefall/control/transport/peers.py
+++ b/scalefall/control/transport/peers.py
@@ -35,7 +35,7 @@
 
 
 class StreamEndedError(ScalefallError):
-    """The stream is to end with a status: the client broke a rule, or another process has to serve it."""
+    """The stream is to end with a status, as the client broke a rule or asked for too much."""
 
     def __init__(self, status: grpc.StatusCode, reason: str) -> None:
         """Note the status and its text."""
--- a/scalefall/control/transport/quota_streams.py
+++ b/scalefall/control/transport/quota_streams.py
@@ -17,7 +17,6 @@
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
 from scalefall.control.transport.quotas import Quotas
-from scalefall.control.transport.resource_streams import NOT_LEADER
 from scalefall.control.transport.service_driver import ServiceDriver
 from scalefall.control.transport.stream_reader import read_messages
 
@@ -48,8 +47,7 @@
         metadata = _text_metadata(peer.context)
         async for message in read_messages(peer, rlqs_pb2.RateLimitQuotaUsageReports):
             now_us = clock.monotonic_us()
-            if not self._leader_state.is_leader:
-                raise StreamEndedError(grpc.StatusCode.UNAVAILABLE, NOT_LEADER)
+            self._leader_state.require_leadership()
             if not peer.node:
                 self._peers.identify(peer, metadata.get("scalefall-node") or message.domain)
                 self._join(peer, metadata, now_us)
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -8,19 +8,16 @@
 from collections.abc import Callable
 from typing import TypeAlias
 
-import grpc
 from envoy.service.discovery.v3 import discovery_pb2
 
 from scalefall.control.service import ControlService
 from scalefall.control.streams import Request
 from scalefall.control.transport import clock, wire
 from scalefall.control.transport.leadership import LeaderState
-from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
+from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.service_driver import ServiceDriver
 from scalefall.control.transport.stream_reader import read_messages
 
-NOT_LEADER = "another process grants here"  # the status text of what only the leader serves
-
 DiscoveryRequest: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
 
 
@@ -67,8 +64,8 @@
         parse: Callable[[DiscoveryRequest], Request],
     ) -> None:
         async for message in read_messages(peer, new_message):
-            if self._leader_only and not self._leader_state.is_leader:
-                raise StreamEndedError(grpc.StatusCode.UNAVAILABLE, NOT_LEADER)
+            if self._leader_only:
+                self._leader_state.require_leadership()
             self._identify(peer, message)
             self._driver.send(self._service.request(peer.number, parse(message), clock.monotonic_us()))
             peer.repeats_names = self._service.repeats(peer.number)
--- a/scalefall/control/transport/stream_server.py
+++ b/scalefall/control/transport/stream_server.py
@@ -9,6 +9,7 @@
 
 from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEnd, StreamEndedError
 from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.errors import LeadershipError
 from scalefall.net.checks import log
 
 ServeStream = Callable[[Peer], Awaitable[None]]  # reads a stream until the client has sent its last message
@@ -56,6 +57,8 @@
         await serve(peer)
     except StreamEndedError as ended:
         return ended.end
+    except LeadershipError as error:
+        return StreamEnd(grpc.StatusCode.UNAVAILABLE, str(error))  # the client is to try the other processes
     except asyncio.CancelledError:
         if peer.end is None:
             raise  # the server or the client cancelled it, not Peer.close
