--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -6,7 +6,7 @@
 from math import inf
 
 from scalefall.interface import NEVER_RAN, Attempted, Effect, Endpoint, Outcome, Send, Settings
-from scalefall.net.attempts import Attempts, Load, batch_size
+from scalefall.net.attempts import Attempts, MessageInCall, batch_row_size
 from scalefall.net.checks import check, debug, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
@@ -89,7 +89,7 @@
         size = 0
         for number, send in enumerate(calls):
             request = self._open.get(send.id)
-            size += batch_size(request.id, request.key, request.body) if request else 0
+            size += batch_row_size(request.id, request.key, request.body) if request else 0
             alone = request is not None and request.alone
             if number and (size > MAX_BODY_BYTES or alone):
                 return number
@@ -121,7 +121,7 @@
                 continue
             message_class = request.cls
             loads.append(
-                Load(
+                MessageInCall(
                     send.id,
                     request.attempts,
                     now_us + send.timeout_us,
@@ -178,7 +178,7 @@
     def close_unwanted_connections(self) -> None:
         """Close idle connections to endpoints that want nothing new any more."""
         for endpoint_id in self._endpoint_list.left_at:
-            self.attempts.left(self._endpoint_list.entries[endpoint_id])
+            self.attempts.endpoint_left(self._endpoint_list.entries[endpoint_id])
 
     def _settled(self, event: Attempted, unreadable: bool) -> None:
         """Record how an attempt has ended for one message, and report it to the engine.
@@ -207,12 +207,12 @@
         return endpoint.id if self._settings.apart.get(endpoint.kind) else endpoint.destination
 
 
-def _log_begin(entry: Entry, loads: list[Load], ids: list[str], now_us: int) -> None:
+def _log_begin(entry: Entry, loads: list[MessageInCall], ids: list[str], now_us: int) -> None:
     """Log the begin of an attempt for those who follow every message."""
     debug(
         "pass to %s: %s",
         entry.endpoint.id,
-        " ".join(f"{load.id}/{load.attempt} for {(load.until - now_us) // MILLISECOND_US} ms" for load in loads),
+        " ".join(f"{load.id}/{load.attempt} for {(load.ends_at_us - now_us) // MILLISECOND_US} ms" for load in loads),
         ids=ids,
         endpoint=entry.endpoint.id,
         dest=entry.endpoint.destination,
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -43,16 +43,16 @@
 
 
 @dataclass(slots=True)
-class Load:
+class MessageInCall:
     """One message in an attempt: the number of its attempt, and when its sender stops waiting."""
 
     id: str
     attempt: int
-    until: int
+    ends_at_us: int
     key: str | None
     body: bytes
-    once: bool = False  # must not take effect twice: if it may have run, it has failed
-    begin_by: float = math.inf  # its first byte must not go out later: a repeat is dropped only so long
+    not_idempotent: bool = False  # must not take effect twice: if it may have run, it has failed
+    start_by_us: float = math.inf  # its first byte must not go out later: a repeat is dropped only so long
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
 @dataclass(slots=True, eq=False)
 class Attempt:
     entry: Entry
-    loads: list[Load]
+    loads: list[MessageInCall]
     begun: int
     task: Task | None = None
     sock: socket.socket | None = None
@@ -111,10 +111,10 @@
         self._lost = 0.0  # share, of late, of calls on idle connections that were reset with no answer
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return len({id(one) for one in self._out.values()})
 
-    def begin(self, entry: Entry, loads: list[Load]) -> None:
+    def begin(self, entry: Entry, loads: list[MessageInCall]) -> None:
         one = Attempt(entry, loads, self._scheduler.now())
         for load in loads:
             check((load.id, load.attempt) not in self._out, "an attempt is begun once")
@@ -129,8 +129,8 @@
             return
         for load in one.loads:
             if load.id == name:
-                load.until = min(load.until, self._scheduler.now())
-        if all(load.until <= self._scheduler.now() for load in one.loads):
+                load.ends_at_us = min(load.ends_at_us, self._scheduler.now())
+        if all(load.ends_at_us <= self._scheduler.now() for load in one.loads):
             unknown = i.Outcome.CANCELLED if one.written else i.Outcome.CONNECT_FAILED
             self._end(one, Result(unknown))
 
@@ -138,7 +138,7 @@
         for kept in list(self._pools.get(_place(entry), ())):
             self._discard(kept)
 
-    def left(self, entry: Entry) -> None:
+    def endpoint_left(self, entry: Entry) -> None:
         """The endpoint wants nothing new any more, or has gone."""
         self.close_idle(entry)
         self._retention.forget(_place(entry))
@@ -153,7 +153,7 @@
         """The connection used last of those that are idle, have rested and are still up; otherwise a new one. More
         than belongs to an answer may come right behind it, and must not answer the next call."""
         now, idle = self._scheduler.now(), self._pools.get(_place(one.entry), ())
-        wary = self._lost > MOST_LOST and any(load.once for load in one.loads)
+        wary = self._lost > MOST_LOST and any(load.not_idempotent for load in one.loads)
         for kept in [kept for kept in reversed(idle) if kept.rested <= now]:
             one.idled = kept.rested + AGED_US <= now
             if one.idled and wary:
@@ -176,7 +176,7 @@
 
     def _keep(self, one: Attempt) -> None:
         idle_close = one.entry.idle_us or self._set.idle_close_us
-        if not self._retention.span(_place(one.entry), idle_close):
+        if not self._retention.retention_us(_place(one.entry), idle_close):
             one.sock.close()
             one.sock = None
             return
@@ -189,7 +189,7 @@
     def _watch_over(self, kept: Kept) -> None:
         """Close an idle connection in time, and at once when its endpoint does or sends what nobody asked for."""
         span = max(kept.idle_close // 2, kept.idle_close - IDLE_MARGIN_US)
-        span = min(span, REST_US + self._retention.span(kept.place, kept.idle_close))
+        span = min(span, REST_US + self._retention.retention_us(kept.place, kept.idle_close))
         if kept in self._idle:
             why = self._scheduler.pause(self._scheduler.now() + span, kept.sock, READ)
             if why is TIME_UP or kept in self._idle:
@@ -230,8 +230,8 @@
                 self._end(one, Result(i.Outcome.ERROR if one.written else i.Outcome.CONNECT_FAILED))
 
     def _call(self, one: Attempt, reader: http.AnswerReader) -> None:
-        until = max(load.until for load in one.loads)
-        self._retention.begun(_place(one.entry), self._scheduler.now())
+        until = max(load.ends_at_us for load in one.loads)
+        self._retention.call_started(_place(one.entry), self._scheduler.now())
         self._connect(one, until)
         if one.over:
             self._drop(one)
@@ -242,7 +242,12 @@
             return
         now = self._scheduler.now()
         self._leave_out(
-            one, [load for load in one.loads if load.begin_by < now or load.until <= now or not self._wanted(load.id)]
+            one,
+            [
+                load
+                for load in one.loads
+                if load.start_by_us < now or load.ends_at_us <= now or not self._wanted(load.id)
+            ],
         )
         if not one.loads:
             self._keep(one)
@@ -254,7 +259,7 @@
             self._scheduler,
             one.sock,
             self._encode(one),
-            min(end for load in one.loads for end in (load.until, load.begin_by)),
+            min(end for load in one.loads for end in (load.ends_at_us, load.start_by_us)),
         )
         one.written = True
         begun = 0
@@ -275,20 +280,20 @@
         results = self._read(one, reader)
         if one.fresh:
             crowded = isinstance(results, Result) and results.outcome is i.Outcome.CROWDED
-            (self._retention.turned_away if crowded else self._retention.taken)(_place(one.entry))
+            (self._retention.connection_rejected if crowded else self._retention.connection_accepted)(_place(one.entry))
         if reader.keep and not reader.rest and results is not None:
             self._keep(one)
         results = results or Result(i.Outcome.ERROR, read_wait(reader.fields))
         self._end(one, results, reader)
 
-    def _leave_out(self, one: Attempt, late: list[Load]) -> None:
+    def _leave_out(self, one: Attempt, late: list[MessageInCall]) -> None:
         """A dial may take over a second: what might take effect twice by now, or is over, does not go along. A call
         with several waits for the one that has most time."""
         for load in late:
             one.loads.remove(load)
             self._tell(one, load, Result(i.Outcome.NOT_SENT), {})
 
-    def _tell(self, one: Attempt, load: Load, result: Result, report: dict[str, float]) -> None:
+    def _tell(self, one: Attempt, load: MessageInCall, result: Result, report: dict[str, float]) -> None:
         del self._out[load.id, load.attempt]
         self._settle(
             i.Attempted(
@@ -305,9 +310,9 @@
         )
 
     def _encode(self, one: Attempt) -> bytes:
-        left = max(1, max(load.until for load in one.loads) - self._scheduler.now())
+        endpoint_left = max(1, max(load.ends_at_us for load in one.loads) - self._scheduler.now())
         host = one.entry.host or one.entry.endpoint.id
-        deadline = ("X-Deadline", f"{left // MS}m" if left >= 10 * MS else f"{left}u")
+        deadline = ("X-Deadline", f"{endpoint_left // MS}m" if endpoint_left >= 10 * MS else f"{endpoint_left}u")
         if len(one.loads) == 1:
             load = one.loads[0]
             fields = [("X-Request-Id", load.id), deadline, ("Content-Type", "application/octet-stream")]
@@ -414,7 +419,7 @@
     return {"id": name, "body": body} if key is None else {"id": name, "key": key, "body": body}
 
 
-def batch_size(name: str, key: str | None, body: bytes) -> int:
+def batch_row_size(name: str, key: str | None, body: bytes) -> int:
     """What a message takes of the body of a call with several."""
     return len(json.dumps(_row(name, key, ""), separators=(",", ":"))) + 4 * -(-len(body) // 3) + 2
 
--- a/scalefall/net/connection_retention.py
+++ b/scalefall/net/connection_retention.py
@@ -20,21 +20,23 @@
         self._shares: dict[object, float] = {}  # of the span, by place, where it is less than all
         self._gaps: dict[object, tuple[int, float]] = {}  # the last call's begin, and the mean gap, by place
 
-    def begun(self, place: object, now: int) -> None:
+    def call_started(self, place: object, now: int) -> None:
         """A call begins there; now in microseconds."""
         last, gap = self._gaps.get(place, (now, 0.0))
         self._gaps[place] = now, gap + NEWEST * (now - last - gap) if gap else float(now - last)
 
-    def span(self, place: object, idle_close: int) -> int:
+    def retention_us(self, place: object, idle_close: int) -> int:
         """Microseconds for which an idle connection is kept there; the endpoint closes it after idle_close."""
-        span = idle_close / self._senders * self._shares.get(place, 1.0)
+        retention_us = idle_close / self._senders * self._shares.get(place, 1.0)
         _, gap = self._gaps.get(place, (0, 0.0))
-        return int(span) if self._senders == 1 or SURE * gap <= span else 0  # alone it is in nobody's way
+        return (
+            int(retention_us) if self._senders == 1 or SURE * gap <= retention_us else 0
+        )  # alone it is in nobody's way
 
-    def turned_away(self, place: object) -> None:
+    def connection_rejected(self, place: object) -> None:
         self._shares[place] = LESS * self._shares.get(place, 1.0)
 
-    def taken(self, place: object) -> None:
+    def connection_accepted(self, place: object) -> None:
         """A new connection was let in."""
         share = MORE * self._shares.get(place, 1.0)
         if share < 1:
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -79,7 +79,7 @@
         no_attempts_at_us = self.started_at_us + NO_ATTEMPTS_US
         self._admission.close_at(no_attempts_at_us)
         self._rate_keeper.stop()
-        log.info("closing: %d open, %d attempts out", len(self._open), self._attempts.out)
+        log.info("closing: %d open, %d attempts out", len(self._open), self._attempts.in_flight)
         self._events.gather(Closing(no_attempts_at_us))
         self._ingress.close_idle()
         self._scheduler.spawn(self._wind_up)
@@ -97,7 +97,7 @@
             self._scheduler.sleep(LAST_POLL_US)
         self._ingress.end()
         self._scheduler.sleep(LAST_POLL_US)
-        log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.out)
+        log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.in_flight)
         checks.report()
         self._rate_keeper.save_last()
         self._scheduler.stop()
@@ -108,7 +108,7 @@
         if elapsed_us >= END_US:
             return True
         nothing_due = (not self._open and self._delivery_reports.idle) or elapsed_us >= IDLE_END_US
-        return elapsed_us >= LINGER_US and nothing_due and not self._attempts.out and not self._ingress.answering
+        return elapsed_us >= LINGER_US and nothing_due and not self._attempts.in_flight and not self._ingress.answering
 
     def _elapsed_us(self) -> int:
         return self._scheduler.now() - self.started_at_us
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -36,7 +36,7 @@
 from scalefall.control.grants import Grant
 from scalefall.control.streams import Response
 from scalefall.net import http, streams
-from scalefall.net.attempts import Load
+from scalefall.net.attempts import MessageInCall
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import EndpointList, Entry, read_list
 from scalefall.net.front import Front
@@ -284,13 +284,13 @@
 
 def endpoint_calls(world):
     def load(name="m", key="k", span=2 * S, body=b"body", **more):
-        return Load(name, 0, world.now() + span, key, body, **more)
+        return MessageInCall(name, 0, world.now() + span, key, body, **more)
 
     binary = bytes(range(256))
     return {
         "one-with-key": call(world, [load()]),
         "one-without-key": call(world, [load(key=None)]),
-        "one-that-must-not-repeat": call(world, [load(key=None, once=True)]),
+        "one-that-must-not-repeat": call(world, [load(key=None, not_idempotent=True)]),
         "one-with-little-time": call(world, [load(span=9999)]),
         "one-with-just-milliseconds": call(world, [load(span=10 * MS + 999)]),
         "one-empty": call(world, [load(body=b"")]),
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -12,7 +12,7 @@
 from scalefall import interface as i
 from scalefall.net import http, streams
 from scalefall.net.endpoint_list import Entry
-from scalefall.net.attempts import Load, Attempts
+from scalefall.net.attempts import MessageInCall, Attempts
 from scalefall.net.scheduler import READ, READY, Scheduler
 
 MS, S = 1000, 1_000_000
@@ -187,7 +187,7 @@
         )
 
     def load(self, name, attempt=0, span=2 * S, **more):
-        return Load(name, attempt, self.world.now() + span, "k", b"body", **more)
+        return MessageInCall(name, attempt, self.world.now() + span, "k", b"body", **more)
 
     def begin(self, *names, **more):
         self.attempts.begin(self.entry, [self.load(name, **more) for name in names])
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -61,7 +61,7 @@
         sock.send(http.answer(status, [LOAD, *fields], b"whatever"))
         event = calls.outcome("m")
         assert (event.outcome, event.wait_us, event.finished) == (outcome, wait, finished)
-        assert event.report == {"x0": 0.4, "x1": 25} and event.endpoint == "e" and calls.attempts.out == 0
+        assert event.report == {"x0": 0.4, "x1": 25} and event.endpoint == "e" and calls.attempts.in_flight == 0
 
     world.play(play)
 
@@ -381,14 +381,15 @@
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
         calls.attempts.begin(
-            calls.entry, [calls.load("late", begin_by=world.now() - 1), calls.load("fine", begin_by=world.now() + S)]
+            calls.entry,
+            [calls.load("late", start_by_us=world.now() - 1), calls.load("fine", start_by_us=world.now() + S)],
         )
         sock = peer.accept()
         assert peer.read(sock).fields["x-request-id"] == "fine"
         assert calls.outcome("late").outcome is O.NOT_SENT
         sock.send(http.answer(200, []))
         assert calls.outcome("fine").outcome is O.OK
-        calls.attempts.begin(calls.entry, [calls.load("alone", begin_by=world.now() - 1)])
+        calls.attempts.begin(calls.entry, [calls.load("alone", start_by_us=world.now() - 1)])
         assert calls.outcome("alone").outcome is O.NOT_SENT
 
     world.play(play)
@@ -521,20 +522,20 @@
 
         sock = call()
         world.sleep(S)
-        call(sock, once=True)  # no reason for doubt yet
+        call(sock, not_idempotent=True)  # no reason for doubt yet
         for _ in range(2):
             world.sleep(S)
             call(sock, end=reset)
             sock = call()
-        assert call(sock, once=True) is sock  # used a moment ago
+        assert call(sock, not_idempotent=True) is sock  # used a moment ago
         world.sleep(S)
-        other = call(once=True)
+        other = call(not_idempotent=True)
         call(other)  # the one used last
         world.sleep(S)
         for _ in range(40):  # the others use it on, and find it alive
             call(other)
             world.sleep(S)
-        assert call(other, once=True) is other
+        assert call(other, not_idempotent=True) is other
 
     world.play(play)
 
