--- a/scalefall/net/rate_keeper.py
+++ b/scalefall/net/rate_keeper.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from scalefall.interface import Known
 from scalefall.net import learned_rates
 from scalefall.net.scheduler import Scheduler
-from scalefall.policy import Sender as Engine
 
 SECOND_US = 1_000_000  # microseconds in a second
 SAVE_PERIOD_US = SECOND_US  # the least time between two saves: an older copy than this is of little use
@@ -15,17 +16,23 @@
 class RateKeeper:
     """Writes the learned rates into the state folder again and again while the sender runs."""
 
-    def __init__(self, scheduler: Scheduler, engine: Engine, state_folder: str, limit_bytes: int) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        current_rates: Callable[[], list[Known]],
+        state_folder: str,
+        limit_bytes: int,
+    ) -> None:
         """Keep the rates of one engine.
 
         Args:
             scheduler: The clock, and the task that saves.
-            engine: What has learned the rates.
+            current_rates: Returns the rates that the engine has learned so far.
             state_folder: The folder that outlives the process.
             limit_bytes: What the file and the copy that replaces it may take there together.
         """
         self._scheduler = scheduler
-        self._engine = engine
+        self._current_rates = current_rates
         self._state_folder = state_folder
         self._limit_bytes = limit_bytes
         self._stopped = False
@@ -37,7 +44,7 @@
     def keep_saving(self) -> None:
         """Save until stopped, with a pause that grows with the number of rates; runs as a task."""
         while not self._stopped:
-            rates = self._engine.known()
+            rates = self._current_rates()
             learned_rates.save(
                 self._state_folder,
                 self._limit_bytes,
@@ -53,4 +60,4 @@
 
     def save_last(self) -> None:
         """Save at once and without pauses, at the end of the process."""
-        learned_rates.save(self._state_folder, self._limit_bytes, self._engine.known(), self._scheduler.wall())
+        learned_rates.save(self._state_folder, self._limit_bytes, self._current_rates(), self._scheduler.wall())
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -81,7 +81,7 @@
         self._admin_state = Duty(self._maintenance_store.load() if self._maintenance_store else set())
         maintenance_bytes = self._maintenance_store.room if self._maintenance_store else 0
         self.journal = Journal(config.state, config.disk_bytes - rates_bytes - maintenance_bytes)
-        self.rate_keeper = RateKeeper(self._scheduler, self.engine, config.state, rates_bytes)
+        self.rate_keeper = RateKeeper(self._scheduler, self.engine.known, config.state, rates_bytes)
 
     def _connect_delivery(self, max_sockets: int) -> None:
         """Connect what a message passes through, from its submission to its final answer."""
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
+from typing import Protocol
+
 from scalefall.interface import (
     Action,
     Cancel,
     Close,
+    Event,
     Fail,
     Log,
     Message,
@@ -24,7 +27,13 @@
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.transaction import Taken, UnavailableAnswer, Verdict
-from scalefall.policy import Sender as Engine
+
+
+class DecisionEngine(Protocol):
+    """What takes every decision: events in, actions out."""
+
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
+        """Return what is to be done about these events, at this moment (monotonic, microseconds)."""
 
 
 class SenderLoop:
@@ -37,7 +46,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        engine: Engine,
+        engine: DecisionEngine,
         events: EventQueue,
         tracker: DeliveryTracker,
         admission: Admission,
