--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -276,7 +276,7 @@
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
-        early = {"begin_by": world.now() + S} if ends == "a repeat's time" else {"span": S}
+        early = {"start_by_us": world.now() + S} if ends == "a repeat's time" else {"span": S}
         loads = [calls.load("long", span=5 * S), calls.load("early", **{"span": 5 * S} | early)]
         loads[0].body = b"x" * (8 << 20)
         calls.attempts.begin(calls.entry, loads)
