--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -646,7 +646,7 @@
     @invariant()
     def books_agree(self):
         if hasattr(self, "world"):
-            assert self.peer.accepted == self.known and self.calls.attempts.out == len(self.out)
+            assert self.peer.accepted == self.known and self.calls.attempts.in_flight == len(self.out)
             assert len(self.calls.attempts._idle) == len(self.idle)
             told = [(e.id, e.attempt) for e in self.calls.told]
             assert len(told) == len(set(told))
