--- a/scalefall/control/transport/quota_wire.py
+++ b/scalefall/control/transport/quota_wire.py
@@ -16,7 +16,8 @@
 from typing import NamedTuple, TypeAlias
 
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2
-from envoy.type.v3 import ratelimit_strategy_pb2, token_bucket_pb2
+from envoy.type.v3 import token_bucket_pb2
+from envoy.type.v3.ratelimit_strategy_pb2 import RateLimitStrategy
 from google.protobuf import wrappers_pb2
 
 from scalefall.assignment.model import FULL_QUOTA, DestinationLimit, ShardGrant
@@ -29,6 +30,9 @@
 US_PER_SECOND = 1_000_000
 MAX_NUMBER_DIGITS = 18  # fits 64 bits signed
 
+ALLOW_ALL = RateLimitStrategy(blanket_rule=RateLimitStrategy.ALLOW_ALL)  # to be copied from, never changed
+DENY_ALL = RateLimitStrategy(blanket_rule=RateLimitStrategy.DENY_ALL)
+
 # Keys of buckets.
 ROUTE = "route"
 ACKNOWLEDGED_GRANT = "had"
@@ -214,20 +218,19 @@
     action.quota_assignment_action.rate_limit_strategy.CopyFrom(_strategy(amount))
 
 
-def _strategy(amount: int) -> ratelimit_strategy_pb2.RateLimitStrategy:
+def _strategy(amount: int) -> RateLimitStrategy:
     """Return a rate as a bucket that holds one fill, so that nothing is saved up; rounded down.
 
     Args:
         amount: Thousandths of a call a second.
     """
-    strategy = ratelimit_strategy_pb2.RateLimitStrategy
     if amount <= 0:
-        return strategy(blanket_rule=strategy.DENY_ALL)
+        return DENY_ALL
     if amount > MAX_LIMITED:
-        return strategy(blanket_rule=strategy.ALLOW_ALL)
+        return ALLOW_ALL
     tokens = max(1, amount * FILL_US // (UNITS_PER_CALL * US_PER_SECOND))
     fill_interval_us = -(-tokens * UNITS_PER_CALL * US_PER_SECOND // amount)
-    return strategy(
+    return RateLimitStrategy(
         token_bucket=token_bucket_pb2.TokenBucket(
             max_tokens=tokens,
             tokens_per_fill=wrappers_pb2.UInt32Value(value=tokens),
@@ -236,14 +239,14 @@
     )
 
 
-def amount_of(strategy: ratelimit_strategy_pb2.RateLimitStrategy) -> int:
+def amount_of(strategy: RateLimitStrategy) -> int:
     """Return a rate in thousandths of a call a second: the other way, for clients of our own."""
     if strategy.HasField("token_bucket"):
         bucket = strategy.token_bucket
         tokens: int = bucket.tokens_per_fill.value
         interval_us: int = bucket.fill_interval.ToMicroseconds()
         return tokens * UNITS_PER_CALL * US_PER_SECOND // max(1, interval_us)
-    return UNLIMITED if strategy.blanket_rule == ratelimit_strategy_pb2.RateLimitStrategy.ALLOW_ALL else 0
+    return UNLIMITED if strategy.blanket_rule == RateLimitStrategy.ALLOW_ALL else 0
 
 
 def _number(text: str | None) -> int | None:
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -92,12 +92,13 @@
     """
     name = resource_name(destination)
     states, blocked = allocator.endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
-    weights = _Weights(allowances)
+    budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
+    fair_share = _fair_share(allowances)
     zones: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
     for entry in entries:
         endpoint = entry.endpoint
         if endpoint.id in states:
-            row = _endpoint(entry, states[endpoint.id], weights.of(endpoint.id))
+            row = _endpoint(entry, states[endpoint.id], _weight(budgets.get(endpoint.id), fair_share))
             zones.setdefault(endpoint.zone, []).append(row)
     message = endpoint_pb2.ClusterLoadAssignment(
         cluster_name=name,
@@ -120,21 +121,17 @@
 # -- endpoints
 
 
-class _Weights:
-    """Weights of a route's endpoints by what the module allows of each."""
+def _fair_share(allowances: list[i.Allowed]) -> float:
+    """Return one endpoint's part of the route's rate; 0 if no rate is set."""
+    return next((row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf), 0.0)
 
-    def __init__(self, allowances: list[i.Allowed]) -> None:
-        self._budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
-        fair_shares = (row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf)
-        self._fair_share = next(fair_shares, 0.0)  # of the route's rate, for one endpoint
 
-    def of(self, endpoint: str) -> int:
-        """Return an endpoint's weight: its budget over its fair share, rounded down to a step."""
-        budget = self._budgets.get(endpoint)
-        if budget is None or budget == inf:
-            return FULL_WEIGHT
-        weight = FULL_WEIGHT * budget / self._fair_share if self._fair_share > 0 else 1
-        return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
+def _weight(budget: float | None, fair_share: float) -> int:
+    """Return an endpoint's weight: its own budget over its fair share, rounded down to a step."""
+    if budget is None or budget == inf:
+        return FULL_WEIGHT
+    weight = FULL_WEIGHT * budget / fair_share if fair_share > 0 else 1
+    return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
 
 
 def _endpoint(entry: Entry, state: str, weight: int) -> endpoint_components_pb2.LbEndpoint:
--- a/scalefall/control/transport/wire.py
+++ b/scalefall/control/transport/wire.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import NamedTuple
+from typing import TypeAlias
 
 from envoy.service.discovery.v3 import discovery_pb2
 
@@ -52,15 +52,9 @@
 # -- responses
 
 
-class _ResourceSet(NamedTuple):
-    """What the serialized resources of a response depend on."""
-
-    incremental: bool
-    understands_ttl: bool
-    is_heartbeat: bool
-    type: str
-    resources: tuple[Resource, ...]
-    removed: tuple[str, ...]
+# What the serialized resources of a response depend on: the stream's form and whether its client knows times to live;
+# whether it is a heartbeat, the type, the resources and the names removed. A plain tuple, as one is made per response.
+_CacheKey: TypeAlias = tuple[bool, bool, bool, str, tuple[Resource, ...], tuple[str, ...]]
 
 
 class ResponseEncoder:
@@ -68,7 +62,7 @@
 
     def __init__(self) -> None:
         """Start with nothing cached."""
-        self._cache: OrderedDict[_ResourceSet, bytes] = OrderedDict()
+        self._cache: OrderedDict[_CacheKey, bytes] = OrderedDict()
 
     def encode(self, response: Response, incremental: bool, understands_ttl: bool) -> bytes:
         """Return a response as bytes.
@@ -78,9 +72,7 @@
             incremental: Whether the stream is of the incremental form.
             understands_ttl: Whether the client knows resources' times to live.
         """
-        key = _ResourceSet(
-            incremental, understands_ttl, response.is_heartbeat, response.type, response.resources, response.removed
-        )
+        key = (incremental, understands_ttl, response.is_heartbeat, response.type, response.resources, response.removed)
         encoded = self._cache.get(key)
         if encoded is None:
             encoded = self._cache[key] = _encode_resources(response, incremental, understands_ttl)
