--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -28,7 +28,7 @@
 
 
 def judged(world):
-    rows, _ = audit.read(json.dumps(row) for row in world.run())
+    rows, _ = audit.read_log(json.dumps(row) for row in world.run())
     return rows, audit.audit(rows)
 
 
@@ -43,10 +43,10 @@
             counts.update(proxy.counts)
         for found in findings:
             checked[found.rule] += found.checked
-            broken += [f"seed {seed}: {found.rule}: {line}" for line in found.broken]
+            broken += [f"seed {seed}: {found.rule}: {line}" for line in found.violations]
     print(
         f"{title}: {number} runs in {time.perf_counter() - began:.0f} s; "
-        f"{', '.join(f'{rule} {checked[rule]}' for rule in audit.NAMES)} checked, {len(broken)} broken; "
+        f"{', '.join(f'{rule} {checked[rule]}' for rule in audit.RULE_NAMES)} checked, {len(broken)} broken; "
         f"partner fell over {fell} times"
     )
     print("    " + ", ".join(f"{how} {count}" for how, count in sorted(counts.items())))
--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -12,7 +12,8 @@
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.catalog import EDS, Catalog
 from scalefall.control.transport import resources, wire
-from scalefall.control.grants import UNITS_PER_CALL, MIN_GRANT, Ledger
+from scalefall.control.grants import MIN_GRANT, UNITS_PER_CALL
+from scalefall.control.ledger import Ledger
 from scalefall.control.streams import Request, Response, XdsStream
 from scalefall.lab.hollow import configuration
 from scalefall.lab.hollow.clock import SECOND
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -18,7 +18,7 @@
 from __future__ import annotations
 
 from collections import Counter, deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from itertools import chain
 
@@ -26,9 +26,11 @@
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.coordinator import Coordinator
 from scalefall.assignment.model import UNLIMITED, Node, ShardGrant
+from scalefall.control.base_service import BaseControlService, Outgoing
 from scalefall.control.catalog import ResourceKey
+from scalefall.control.grants import QuotaAction
 from scalefall.control.members import MembershipChange, Joined, JoinRejected, MemberState
-from scalefall.control.service import ResourceBuilder, Outgoing, ControlService
+from scalefall.control.resource_builder import ResourceBuilder
 from scalefall.net.config import Fleet
 
 LOADS_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
@@ -36,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ShardGrants:
+class ShardGrants(QuotaAction):
     """All grants that one holder is to be sent now."""
 
     grants: tuple[ShardGrant, ...]
@@ -168,7 +170,7 @@
             del self._by_shard[shard]
 
 
-class ShardedService(ControlService):
+class ShardedService(BaseControlService[ShardGrant]):
     """Streams of resources are told of by their node, quota streams by their process."""
 
     def __init__(
@@ -256,10 +258,6 @@
         super().quota_stream_closed(stream, now)
         self._unacknowledged.pop(stream, None)
 
-    def demand_reported(self, stream: int, route: int, calls: float, had: int, now: int) -> bool:
-        """Nothing is granted by route here."""
-        return False
-
     def acknowledged(self, stream: int, had: int, now: int) -> None:
         """The stream's process has had all grants sent on it up to this number. A stream keeps their order, so one
         number stands for all before it; what was sent on an earlier stream it does not vouch for."""
@@ -319,10 +317,10 @@
                 key for shard in shards for number in self._view.of_shard(shard) for key in self.catalog.keys_of(number)
             ]
             for stream in self._node_streams.get(node, ()):
-                out += [(stream, action) for action in self._streams[stream].changed(keys)]
+                out += [Outgoing(stream, action) for action in self._streams[stream].changed(keys)]
         return out
 
-    def _outgoing_grants(self, grants: list[ShardGrant], now: int) -> list[Outgoing]:
+    def _outgoing_grants(self, grants: Sequence[ShardGrant], now: int) -> list[Outgoing]:
         by_stream: dict[int, list[ShardGrant]] = {}
         for grant in grants:
             stream = self._live_stream(grant.holder)
@@ -330,12 +328,12 @@
                 by_stream.setdefault(stream, []).append(grant)
                 self._unacknowledged[stream].append((grant.number, grant.shard))
                 self._emit_granted(grant, now)
-        return [(stream, ShardGrants(tuple(given))) for stream, given in by_stream.items()]
+        return [Outgoing(stream, ShardGrants(tuple(given))) for stream, given in by_stream.items()]
 
     def _emit_granted(self, grant: ShardGrant, now: int) -> None:
         self._emit(
             "granted",
-            fine=True,
+            is_debug=True,
             clock=now,
             holder=grant.holder,
             shard=grant.shard,
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -197,7 +197,7 @@
                 lines += file.read().splitlines()
         except OSError as error:
             output.cannot_run(f"{path}: {error.strerror}")
-    rows, foreign = audit.read(lines)
+    rows, foreign = audit.read_log(lines)
     findings = audit.audit(rows)
-    click.echo(audit.text(findings, foreign), nl=False)
-    raise SystemExit(1 if any(found.broken for found in findings) else 0)
+    click.echo(audit.format_findings(findings, foreign), nl=False)
+    raise SystemExit(1 if any(found.violations for found in findings) else 0)
--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -2,127 +2,122 @@
 
 No second policy stands here. Each figure is the module's own:
 
-    grant's allowance of a destination   Allowed.rate: the route's pace, or its guard's budget while it is in doubt, for
-                                         all proxies as one sender; nothing while a told wait runs or no endpoint is in
-    an endpoint's state                  in Allowed.endpoints: ready; not there: draining or gone
-    an endpoint's own budget             Allowed.endpoints[id]: its guard's, where its neighbours serve
+    a destination's allowance    Allowed.rate: the route's rate, or the budget of its slow start while it has failures,
+                                 for all proxies as one sender; nothing before Retry-After, or if no endpoint is ready
+    an endpoint's health         in Allowed.endpoints: ready; not there: draining or removed
+    an endpoint's own budget     Allowed.endpoints[id]: that of its slow start, where its neighbours serve
 
-Routes of a kind whose limits stand apart are one destination's; their allowances add up.
+Where each endpoint of a destination has a route of its own, the allowances of the routes add up.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from math import inf
+from typing import Generic
 
 from scalefall import interface as i
-from scalefall.control.grants import UNITS_PER_CALL, Grant, Leases
+from scalefall.control.grants import UNITS_PER_CALL, GrantT, Leases
 from scalefall.policy import Sender
 
-UNLIMITED = 10**12  # thousandths of a call a second, where the module sets no pace
-READY, DRAINING, RESTING = "ready", "draining", "resting"  # what a proxy is told of an endpoint
-MAX_LIMITED = 10**8  # the same where it sets one, however high
+# Amounts are thousandths of a call a second.
+UNLIMITED = 10**12  # the amount of a destination for which the module sets no rate limit
+MAX_LIMITED = 10**8  # the largest amount where it sets one: far below UNLIMITED, however high the rate
 
 
-def endpoint_states(endpoints: Iterable[i.Endpoint], allowed: list[i.Allowed], now: int) -> tuple[dict[str, str], str]:
-    """Each endpoint of a route that isn't gone, by id, as ready, draining, or resting under its guard; and why nothing
-    at all may go out on the route, if nothing may. allowed are the module's rows for it."""
-    budgets: dict[str, float] = {}
-    for row in allowed:
-        budgets |= row.endpoints
-    serving, blocked = [row for row in allowed if row.endpoints], ""
-    if serving and all(row.silent_until > now for row in serving):
-        blocked = "told-wait"
-    elif serving and all(row.rate <= 0 for row in serving):
-        blocked = "guarded"
-    found = {}
-    for end in endpoints:
-        if end.status is i.Status.DRAINING or end.status is i.Status.READY and end.id not in budgets:
-            found[end.id] = DRAINING
-        elif end.status is i.Status.READY:
-            found[end.id] = RESTING if budgets[end.id] <= 0 and not blocked else READY
-    return found, blocked
-
-
-class Allocator:
-    """Work goes by news: a turn asks the module for the destinations that events have touched and for those whose
-    figures may change by time alone (`unsettled`), not for all. Every other destination has no pace, wait or guard,
-    and only an event can give it one."""
-
-    def __init__(self, module: Sender, ledger: Leases) -> None:
-        self._module, self._ledger = module, ledger
-        self.allowed: list[i.Allowed] = []  # rows of the last turn
-        self.log_lines: list[str] = []  # the module's lines of the last turn
-        self.changed_allowances: dict[int, int] = {}  # allowances that the last turn changed
+class Allocator(Generic[GrantT]):
+    """Turns the module's allowances into grants.
+
+    Work is done for what changes: a step asks the module for the destinations that events have touched and for those
+    whose figures may change by time alone (`unsettled`), not for all. Every other destination has no rate limit, no
+    Retry-After and no slow start, and only an event can give it one.
+    """
+
+    def __init__(self, module: Sender, ledger: Leases[GrantT]) -> None:
+        """Stand between a decision module and the ledger that divides its allowances."""
+        self._module = module
+        self._ledger = ledger
+        self.allowed: list[i.Allowed] = []  # the module's rows of the last step
+        self.log_lines: list[str] = []  # the module's lines of the last step
+        self.changed_allowances: dict[int, int] = {}  # amounts that the last step changed, by destination
         self.unsettled: set[int] = set()  # destinations whose figures differ, or may change by time alone
-        self._before: set[int] = set()
-        self._touched: set[int] = set()  # destinations with events since the last turn
-        self._destinations: dict[str, int] = {}  # of each endpoint
+        self._unsettled_before: set[int] = set()
+        self._touched: set[int] = set()  # destinations with events since the last step
+        self._destination_of: dict[str, int] = {}  # by endpoint
 
-    def step(self, now: int, events: list[i.Event]) -> list[Grant]:
-        """Reports and lists to the module, its allowances to the ledger; the grants that follow."""
+    def step(self, now: int, events: list[i.Event]) -> Sequence[GrantT]:
+        """Hand events to the module and its allowances to the ledger; the grants that follow."""
         self.apply(now, events)
-        among, self._touched = self._touched | self.unsettled, set()
-        self.allowed = self.allowances(among)
-        waver = {row.destination for row in self.allowed if _may_change(row, now)}
-        self.unsettled, self._before = waver | self._before, waver
-        sums = dict.fromkeys(among, 0)
-        for row in self.allowed:
-            sums[row.destination] += self._amount(row, now)
-        self.changed_allowances = {
-            destination: min(amount, UNLIMITED)
-            for destination, amount in sums.items()
-            if self._ledger.allow(destination, min(amount, UNLIMITED))
-        }
+        evaluated = self._touched | self.unsettled
+        self._touched = set()
+        self.allowed = self.allowances(evaluated)
+        may_change = {row.destination for row in self.allowed if _may_change(row, now)}
+        self.unsettled = may_change | self._unsettled_before
+        self._unsettled_before = may_change
+        self.changed_allowances = self._set_allowances(evaluated, now)
         return self._ledger.step(now)
 
+    def _set_allowances(self, destinations: set[int], now: int) -> dict[int, int]:
+        """Set the ledger's allowances of these destinations from the module's rows; the amounts that are others now."""
+        amounts = dict.fromkeys(destinations, 0)
+        for row in self.allowed:
+            amounts[row.destination] += self._amount(row, now)
+        changed = {}
+        for destination, total in amounts.items():
+            amount = min(total, UNLIMITED)
+            if self._ledger.allow(destination, amount):
+                changed[destination] = amount
+        return changed
+
     def apply(self, now: int, events: list[i.Event]) -> None:
-        """Events to the module; what follows from them is told at the next turn."""
-        self.log_lines = [action.line for action in self._module.handle(now, events) if isinstance(action, i.Log)]
+        """Hand events to the module; what follows from them is granted at the next step."""
+        actions = self._module.handle(now, events)
+        self.log_lines = [action.line for action in actions if isinstance(action, i.Log)]
         for event in events:
-            self._note(event)
-
-    def _note(self, event: i.Event) -> None:
-        if isinstance(event, i.Listed):
-            for end in event.endpoints:
-                self._listed(end)
-        elif isinstance(event, i.Known):
-            self._touched.add(event.destination)
-        elif isinstance(event, i.Reported) and event.endpoint in self._destinations:
-            self._touched.add(self._destinations[event.endpoint])
-
-    def _listed(self, end: i.Endpoint) -> None:
-        """An endpoint that moves to another destination changes the figures of both."""
-        self._touched |= {end.destination, self._destinations.get(end.id, end.destination)}
-        if end.status is i.Status.GONE:
-            self._destinations.pop(end.id, None)
+            self._touch(event)
+
+    def _touch(self, event: i.Event) -> None:
+        match event:
+            case i.Listed():
+                for endpoint in event.endpoints:
+                    self._touch_endpoint(endpoint)
+            case i.Known():
+                self._touched.add(event.destination)
+            case i.Reported() if event.endpoint in self._destination_of:
+                self._touched.add(self._destination_of[event.endpoint])
+
+    def _touch_endpoint(self, endpoint: i.Endpoint) -> None:
+        """Note a listed endpoint; one that moves to another destination changes the figures of both."""
+        self._touched |= {endpoint.destination, self._destination_of.get(endpoint.id, endpoint.destination)}
+        if endpoint.status is i.Status.GONE:
+            self._destination_of.pop(endpoint.id, None)
         else:
-            self._destinations[end.id] = end.destination
+            self._destination_of[endpoint.id] = endpoint.destination
 
-    def step_ledger(self, now: int) -> list[Grant]:
-        """What follows from news of holders alone; the module isn't asked."""
+    def step_ledger(self, now: int) -> Sequence[GrantT]:
+        """The grants that follow from changes of holders alone; the module is not asked."""
         self.log_lines, self.changed_allowances = [], {}
         return self._ledger.step(now)
 
     def unsettled_allowances(self) -> list[i.Allowed]:
-        """The rows of destinations in which a wait, a pace or a guard is in force: what a restart must not forget."""
+        """The rows of destinations with a rate limit, a Retry-After or a slow start: what outlasts a restart."""
         return self.allowances(self.unsettled)
 
-    def allowances(self, among: set[int] | None = None) -> list[i.Allowed]:
+    def allowances(self, destinations: set[int] | None = None) -> list[i.Allowed]:
         """The module's figures of this moment, of some destinations or of all."""
-        return self._module.allowances(among)
+        return self._module.allowances(destinations)
 
     @staticmethod
     def _amount(row: i.Allowed, now: int) -> int:
         if row.silent_until > now or not row.endpoints:
             return 0
-        own = sum(row.endpoints.values())  # inf as soon as one endpoint is in no doubt
-        rate = min(row.rate, own)
+        budgets = sum(row.endpoints.values())  # inf as soon as one endpoint has no failures
+        rate = min(row.rate, budgets)
         return UNLIMITED if rate == inf else min(MAX_LIMITED, int(rate * UNITS_PER_CALL))
 
 
 def by_destination(allowed: Iterable[i.Allowed]) -> dict[int, list[i.Allowed]]:
-    """Rows of the module, by destination."""
+    """The module's rows, by destination."""
     rows: dict[int, list[i.Allowed]] = {}
     for row in allowed:
         rows.setdefault(row.destination, []).append(row)
@@ -130,5 +125,5 @@
 
 
 def _may_change(row: i.Allowed, now: int) -> bool:
-    """Whether the row's figures may change by time alone: a wait, a pace or a guard is in force."""
-    return row.silent_until > now or row.rate < inf or any(own < inf for own in row.endpoints.values())
+    """Whether the row's figures may change by time alone: a rate limit, Retry-After or slow start is in force."""
+    return row.silent_until > now or row.rate < inf or any(budget < inf for budget in row.endpoints.values())
--- /dev/null
+++ b/scalefall/control/endpoint_health.py
@@ -0,0 +1,64 @@
+"""What a proxy is told of each endpoint, from the decision module's allowances. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from enum import StrEnum
+from typing import NamedTuple
+
+from scalefall import interface as i
+
+
+class EndpointHealth(StrEnum):
+    """The health of an endpoint that is in the list. The values are those of the proxies' logs."""
+
+    READY = "ready"
+    DRAINING = "draining"  # calls in flight may end, and none begins
+    EJECTED = "resting"  # its slow start allows no call yet
+
+
+class BlockReason(StrEnum):
+    """Why nothing at all may be sent on a route. The values are those of the drop category in EDS."""
+
+    NOT_BLOCKED = ""
+    RETRY_AFTER = "told-wait"
+    SLOW_START = "guarded"
+
+
+class RouteHealth(NamedTuple):
+    """The health of a route's endpoints, by endpoint id, and whether the route is blocked."""
+
+    endpoints: dict[str, EndpointHealth]
+    blocked: BlockReason
+
+
+def endpoint_states(endpoints: Iterable[i.Endpoint], allowed: Sequence[i.Allowed], now: int) -> RouteHealth:
+    """The health of each endpoint of a route that is not removed.
+
+    Args:
+        endpoints: the route's endpoints, as its list has them.
+        allowed: the decision module's rows for the route's destination.
+        now: the present time in us.
+    """
+    budgets: dict[str, float] = {}
+    for row in allowed:
+        budgets |= row.endpoints
+    blocked = _block_reason(allowed, now)
+    found = {}
+    for endpoint in endpoints:
+        is_ready = endpoint.status is i.Status.READY
+        if endpoint.status is i.Status.DRAINING or (is_ready and endpoint.id not in budgets):
+            found[endpoint.id] = EndpointHealth.DRAINING
+        elif is_ready:
+            is_ejected = budgets[endpoint.id] <= 0 and not blocked
+            found[endpoint.id] = EndpointHealth.EJECTED if is_ejected else EndpointHealth.READY
+    return RouteHealth(found, blocked)
+
+
+def _block_reason(allowed: Sequence[i.Allowed], now: int) -> BlockReason:
+    serving = [row for row in allowed if row.endpoints]
+    if serving and all(row.silent_until > now for row in serving):
+        return BlockReason.RETRY_AFTER
+    if serving and all(row.rate <= 0 for row in serving):
+        return BlockReason.SLOW_START
+    return BlockReason.NOT_BLOCKED
--- a/scalefall/control/rate_limits.py
+++ b/scalefall/control/rate_limits.py
@@ -1,47 +1,53 @@
-"""What a client may cost: how fast it may speak and open streams. No I/O, no clock."""
+"""What a client may cost: how fast it may send and open streams. No I/O, no clock; times are microseconds."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 
 
 class TokenBucket:
-    """So many at once, then so many a second."""
+    """A burst at once, then a steady rate."""
 
-    def __init__(self, now: int, burst: int, a_second: int) -> None:
-        self._burst, self._gap = burst, SECOND // a_second
-        self._next = now - burst * self._gap  # the moment up to which it is used
+    def __init__(self, now: int, burst: int, per_second: int) -> None:
+        """Start full: `burst` requests may come at once, and `per_second` after it."""
+        self._burst = burst
+        self._interval = SECOND // per_second
+        self._used_until = now - burst * self._interval  # the moment up to which its capacity is used
 
     def consume(self, now: int, cost: int = 1) -> int:
-        """Takes so many; how many us to wait before the next is let through, 0 for at once."""
-        self._next = self._used(now) + self._gap * cost
-        return max(0, self._next - now)
+        """Use so much; how many microseconds to wait before the next request is read, 0 for none."""
+        self._used_until = self._start(now) + self._interval * cost
+        return max(0, self._used_until - now)
 
     def rejects(self, now: int) -> bool:
-        """Takes one if there is one; True if there is none."""
-        if self._used(now) + self._gap > now:
+        """Use one if there is capacity for it; True if there is none."""
+        if self._start(now) + self._interval > now:
             return True
         self.consume(now)
         return False
 
-    def _used(self, now: int) -> int:
-        return max(self._next, now - self._burst * self._gap)
+    def _start(self, now: int) -> int:
+        return max(self._used_until, now - self._burst * self._interval)
 
 
 class ClientRateLimiter:
-    """How often each client opens something. The clients seen longest ago are forgotten beyond `most`."""
+    """How often each client may do something. Beyond `max_clients`, those seen longest ago are forgotten."""
 
-    def __init__(self, burst: int, a_second: int, most: int) -> None:
-        self._burst, self._a_second, self._most = burst, a_second, most
+    def __init__(self, burst: int, per_second: int, max_clients: int) -> None:
+        """Give each client a bucket of `burst` and `per_second`."""
+        self._burst = burst
+        self._per_second = per_second
+        self._max_clients = max_clients
         self._buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
     def rejects(self, client: str, now: int) -> bool:
+        """Use one of the client's capacity if there is any; True if there is none."""
         bucket = self._buckets.get(client)
         if bucket is None:
-            bucket = self._buckets[client] = TokenBucket(now, self._burst, self._a_second)
-            if len(self._buckets) > self._most:
+            bucket = self._buckets[client] = TokenBucket(now, self._burst, self._per_second)
+            if len(self._buckets) > self._max_clients:
                 self._buckets.popitem(last=False)
         self._buckets.move_to_end(client)
         return bucket.rejects(now)
--- a/scalefall/control/snapshot.py
+++ b/scalefall/control/snapshot.py
@@ -1,54 +1,115 @@
-"""What a control service keeps for the one after it, so that a restart forgets neither a guard nor a told wait.
+"""What a control service leaves for the one after it, so that a restart forgets neither failures nor a Retry-After.
 
-No I/O, no clock. What is kept is facts, not the module's insides: which endpoints are in doubt, which waits run and
-which paces and limits are known. The next service tells them to its module as events: an endpoint that was in doubt has
-failed just now, so its guard goes up anew and its ramp begins at the beginning. That is slower than going on, never
-faster. Waits are kept by the wall clock, as the monotonic one may begin anew.
+No I/O, no clock. What is stored is facts, not the module's insides: which endpoints have failed, which Retry-After
+times run and which rates and limits are known. The next service hands them to its module as events: an endpoint that
+had failed has failed just now, so its slow start begins anew. That is slower than going on, never faster. Times are of
+the wall clock, as the monotonic one may begin anew.
+
+The document's keys are a file format (the state directory's `figures`) and stay as they are.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, NamedTuple, TypeAlias, TypedDict, cast
 
 from scalefall import interface as i
+from scalefall.errors import StorageError
 from scalefall.net import learned_rates
 
-FORM = 1
-MOST_WAIT_US = 3_600_000_000  # a wait that ends later than this is no wait but a clock that was set
-DOUBT_US = 600_000_000  # a partner in doubt longer ago than this is as one that is met for the first time
+FORM = 1  # of the document; another one is not read
+MAX_RETRY_AFTER_US = 3_600_000_000  # a time that lies farther ahead is no Retry-After but a clock that was set
+MAX_FAILURE_AGE_US = 600_000_000  # an endpoint that failed longer ago is as one that is met for the first time
+
+Json: TypeAlias = dict[str, "Json"] | list["Json"] | str | int | float | bool | None
+
+
+class SnapshotDocument(TypedDict):
+    """The document as it is written, plain JSON."""
+
+    form: int
+    wall: int  # us of the wall clock: when it was made
+    doubts: list[str]  # endpoints that have failed
+    waits: dict[str, int]  # by an endpoint of the route: us of the wall clock until which its Retry-After runs
+    paces: list[list[Any]]  # rows of learned_rates
 
 
-def capture(allowed: list[i.Allowed], known: list[i.Known], now: int, wall: int) -> dict[str, Any]:
-    """The rows to be kept, as plain JSON."""
-    doubts, waits = [], {}
+class SnapshotError(StorageError, ValueError):
+    """A document that cannot be read; also a ValueError, as its value is not acceptable."""
+
+
+def capture(allowed: Iterable[i.Allowed], known: Iterable[i.Known], now: int, wall: int) -> SnapshotDocument:
+    """Make the document.
+
+    Args:
+        allowed: the module's rows in which something is in force.
+        known: the rates that it has learned.
+        now: the present time of the monotonic clock, us.
+        wall: the same of the wall clock, us.
+    """
+    failed: list[str] = []
+    retry_after: dict[str, int] = {}
     for row in allowed:
-        doubts += [name for name, own in row.endpoints.items() if own < math.inf]  # its guard's, or its route's
+        failed += [endpoint for endpoint, budget in row.endpoints.items() if budget < math.inf]
         if row.silent_until > now and row.endpoints:
-            waits[next(iter(row.endpoints))] = wall + row.silent_until - now
-    return {
-        "form": FORM,
-        "wall": wall,
-        "doubts": sorted(doubts),
-        "waits": waits,
-        "paces": [learned_rates.put(row) for row in known],
-    }
-
-
-def restore(kept: Any, now: int, wall: int) -> list[i.Event]:
-    """Events for a module that has its list of endpoints; ValueError where it can't be read."""
+            retry_after[next(iter(row.endpoints))] = wall + row.silent_until - now
+    return SnapshotDocument(
+        form=FORM,
+        wall=wall,
+        doubts=sorted(failed),
+        waits=retry_after,
+        paces=[learned_rates.put(row) for row in known],
+    )
+
+
+def restore(document: Json, now: int, wall: int) -> list[i.Event]:
+    """The document as events for a module that has its list of endpoints. Times as of `capture`.
+
+    Raises:
+        SnapshotError: the document has another form, or a value is missing or wrong.
+    """
     try:
-        if kept["form"] != FORM:
-            raise ValueError(f"form {kept['form']!r} is not known here")
-        age = wall - kept["wall"]
-        known: list[i.Event] = [learned_rates.get(*row) for row in kept["paces"]]
-        waits = [
-            i.Reported(str(name), now, i.Outcome.NOT_SENT, int(until - wall))
-            for name, until in kept["waits"].items()
-            if 0 < until - wall <= MOST_WAIT_US
-        ]
-        doubts = [i.Reported(str(name), now, i.Outcome.CONNECT_FAILED) for name in kept["doubts"]]
+        parts = _read(cast(SnapshotDocument, document), now, wall)
+    except SnapshotError:
+        raise
+    except ValueError as error:
+        raise SnapshotError(str(error)) from error
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"missing or wrong value ({error!r})") from error
-    fresh = -MOST_WAIT_US < age < learned_rates.FRESH_US
-    return (known if fresh else []) + waits + (doubts if age < DOUBT_US else [])
+        raise SnapshotError(f"missing or wrong value ({error!r})") from error
+    events: list[i.Event] = []
+    if -MAX_RETRY_AFTER_US < parts.age_us < learned_rates.FRESH_US:
+        events += parts.rates
+    events += parts.retry_after
+    if parts.age_us < MAX_FAILURE_AGE_US:
+        events += parts.failures
+    return events
+
+
+class _Parts(NamedTuple):
+    """A document's age and its facts as events."""
+
+    age_us: int
+    rates: list[i.Known]
+    retry_after: list[i.Reported]
+    failures: list[i.Reported]
+
+
+def _read(document: SnapshotDocument, now: int, wall: int) -> _Parts:
+    """Read all parts; what is missing or wrong raises whatever its use raises."""
+    if document["form"] != FORM:
+        raise SnapshotError(f"form {document['form']!r} is not known here")
+    age_us = wall - document["wall"]
+    rates = [learned_rates.get(*row) for row in document["paces"]]
+    retry_after = _retry_after_events(document["waits"], now, wall)
+    failures = [i.Reported(str(endpoint), now, i.Outcome.CONNECT_FAILED) for endpoint in document["doubts"]]
+    return _Parts(age_us, rates, retry_after, failures)
+
+
+def _retry_after_events(waits: dict[str, int], now: int, wall: int) -> list[i.Reported]:
+    events = []
+    for endpoint, until in waits.items():
+        remaining = until - wall
+        if 0 < remaining <= MAX_RETRY_AFTER_US:
+            events.append(i.Reported(str(endpoint), now, i.Outcome.NOT_SENT, int(remaining)))
+    return events
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -35,8 +35,8 @@
 from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
 
 from scalefall import interface as i
-from scalefall.control import allocator
 from scalefall.control.catalog import CDS, EDS, LDS, RDS, ResourceKey, Resource
+from scalefall.control.endpoint_health import EndpointHealth, endpoint_states
 from scalefall.control.service import RouteEntries
 from scalefall.net.config import RouteRules
 from scalefall.net.endpoint_list import Entry
@@ -48,9 +48,9 @@
 WHOLE = 100  # the weight of an endpoint that is in no doubt
 STEPS = (1, 2, 5, 10, 20, 50)  # weights of those in doubt, so that not every turn is a change
 HEALTH = {
-    allocator.READY: health_check_pb2.HEALTHY,
-    allocator.DRAINING: health_check_pb2.DRAINING,
-    allocator.RESTING: health_check_pb2.UNHEALTHY,
+    EndpointHealth.READY: health_check_pb2.HEALTHY,
+    EndpointHealth.DRAINING: health_check_pb2.DRAINING,
+    EndpointHealth.EJECTED: health_check_pb2.UNHEALTHY,
 }
 
 
@@ -80,7 +80,7 @@
 def endpoint_resource(number: int, rows: list[Entry], allowed: list[i.Allowed], now: int, ttl_us: int) -> Resource:
     """The endpoints of a route as they are now; allowed are the module's rows for it."""
     title = name(number)
-    found, blocked = allocator.endpoint_states((entry.endpoint for entry in rows), allowed, now)
+    found, blocked = endpoint_states((entry.endpoint for entry in rows), allowed, now)
     budgets = {named: budget for row in allowed for named, budget in row.endpoints.items()}
     fair = [row.rate / max(1, len(row.endpoints)) for row in allowed if row.rate < inf]
     places: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from scalefall.control.catalog import InconsistentResources
+from scalefall.control.catalog import InconsistentResourcesError
 from scalefall.control.transport.tls import CertificateStore
 from scalefall.control.transport.server import ControlServer, ServerOptions
 from scalefall.control.transport.state import StateDirectory
@@ -69,7 +69,7 @@
         try:
             config = await asyncio.get_running_loop().run_in_executor(None, read_again)
             control.configure(config)
-        except (ConfigError, InconsistentResources) as error:
+        except (ConfigError, InconsistentResourcesError) as error:
             log.error("configuration not taken, the one in force stays: %s", error)
             continue
         for line in config.left:
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -289,7 +289,7 @@
     def _say(self) -> None:
         told, self.service.emitted_events = self.service.emitted_events, []
         for row in told:
-            level = logging.DEBUG if row.fine else logging.INFO
+            level = logging.DEBUG if row.is_debug else logging.INFO
             if log.isEnabledFor(level):
                 log.log(
                     level,
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -19,7 +19,7 @@
 from scalefall.control import snapshot
 from scalefall.control.catalog import EDS, Resource
 from scalefall.control.grants import Grant
-from scalefall.control.allocator import endpoint_states
+from scalefall.control.endpoint_health import endpoint_states
 from scalefall.control.members import Joined
 from scalefall.control.service import ResourceBuilder, ControlService
 from scalefall.control.streams import Request, Response
--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -6,8 +6,9 @@
 from helpers import settings
 
 from scalefall import interface as i
-from scalefall.control.grants import UNITS_PER_CALL, Ledger
 from scalefall.control.allocator import UNLIMITED, Allocator
+from scalefall.control.grants import UNITS_PER_CALL
+from scalefall.control.ledger import Ledger
 from scalefall.policy import Sender
 
 MS, S = 1000, 1_000_000
@@ -95,7 +96,7 @@
     [row] = allocator.allowed
     assert row.endpoints["f"] == inf and row.endpoints["e"] < 5 and row.rate == inf
     allocator.step(9 * S, [listed("f", status=i.Status.DRAINING)])  # now that one's budget is all there is
-    assert allocator.allowed[0].rate == inf and allocator._ledger._destinations[1].allowance < 5 * UNITS_PER_CALL
+    assert allocator.allowed[0].rate == inf and allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
 
 def test_a_report_on_an_endpoint_that_nobody_knows_changes_nothing():
--- a/tests/control/test_catalog.py
+++ b/tests/control/test_catalog.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from scalefall.control.catalog import CDS, EDS, SHARED, Catalog, InconsistentResources, Resource
+from scalefall.control.catalog import CDS, EDS, SHARED, Catalog, InconsistentResourcesError, Resource
 
 
 class Divided:
@@ -32,10 +32,10 @@
 def test_a_part_changes_alone_and_an_inconsistent_one_changes_nothing():
     catalog = Catalog()
     needed, needing = resource(1, CDS), resource(1, EDS, needs=[(CDS, "route-1")])
-    with pytest.raises(InconsistentResources):
+    with pytest.raises(InconsistentResourcesError):
         catalog.update([needing])
     catalog.update([needed, needing, resource(2)])
-    with pytest.raises(InconsistentResources):
+    with pytest.raises(InconsistentResourcesError):
         catalog.update([], removed=[needed.key])
     assert catalog.generation == 1 and set(catalog.keys_of(1)) == {needed.key, needing.key}
     assert catalog.update([resource(2, version="2")]) == {(EDS, "route-2")}
--- a/tests/control/test_grants.py
+++ b/tests/control/test_grants.py
@@ -7,7 +7,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from scalefall.control.grants import UNITS_PER_CALL, MIN_GRANT, Grant, Ledger, fair
+from scalefall.control.fair_shares import max_min_fair
+from scalefall.control.grants import MIN_GRANT, UNITS_PER_CALL, Grant
+from scalefall.control.ledger import Ledger
 
 S = 1_000_000
 LEASE, DELAY = 4 * S, 5 * S
@@ -265,7 +267,7 @@
     ],
 )
 def test_shares_are_max_min_fair(wanted, amount, shares):
-    assert fair(wanted, amount) == shares
+    assert max_min_fair(wanted, amount) == shares
 
 
 def test_a_grant_of_a_lower_number_that_comes_late_is_dropped_by_its_holder():
--- a/tests/control/test_members.py
+++ b/tests/control/test_members.py
@@ -26,8 +26,8 @@
 def test_one_that_reconnects_is_the_same_holder_and_its_old_stream_is_closed():
     m = members((1, "p", "x"))
     assert m.join(2, "p", "x", 5) == Joined("p/x", True, 1, False)
-    assert m.stream_closed(1, 6) is None and m.state("p/x") is MemberState.LIVE  # the old stream's end is no news
-    assert m.stream_closed(2, 7) == MembershipChange("p/x", "p", MemberState.DISCONNECTED)
+    assert m.stream_closed(1) is None and m.state("p/x") is MemberState.LIVE  # the old stream's end is no news
+    assert m.stream_closed(2) == MembershipChange("p/x", "p", MemberState.DISCONNECTED)
     assert m.join(3, "p", "x", 8) == Joined("p/x", True, None, False)
 
 
@@ -35,7 +35,7 @@
     m = members((1, "p", "x"))
     assert m.step(SILENCE - 1) == [] and m.next_deadline(0) == SILENCE
     assert m.step(SILENCE) == [MembershipChange("p/x", "p", MemberState.SILENT)]
-    m.stream_closed(1, FORGET - 1)
+    m.stream_closed(1)
     assert m.step(FORGET - 1) == []
     assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.FORGOTTEN)] and len(m) == 0
     assert m.join(2, "p", "x", FORGET) == Joined("p/x", False, None, False)
@@ -45,7 +45,7 @@
     m = members((1, "p", "x"), (2, "q", "y"))
     m.step(SILENCE)
     m.heartbeat_received(2, FORGET - 2)
-    m.stream_closed(1, FORGET - 1)  # it was last heard long ago, and its place is before the other's
+    m.stream_closed(1)  # it was last heard long ago, and its place is before the other's
     assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.FORGOTTEN)] and m.next_deadline(FORGET) > FORGET
 
 
@@ -59,7 +59,7 @@
 def test_a_restart_and_a_twin_are_holders_of_their_own():
     m = members((1, "p", "x"))
     assert m.join(2, "p", "y", 1) == Joined("p/y", False, None, True)
-    m.stream_closed(1, 2)
+    m.stream_closed(1)
     assert (
         m.join(3, "p", "z", 3).shares_node_id
         and sorted(m.live()) == ["p/y", "p/z"]
@@ -105,7 +105,7 @@
             return
         stream = data.draw(st.sampled_from(sorted(self.streams)))
         if ends:
-            assert self.m.stream_closed(stream, self.now).state is MemberState.DISCONNECTED
+            assert self.m.stream_closed(stream).state is MemberState.DISCONNECTED
             del self.streams[stream]
         else:
             self.m.heartbeat_received(stream, self.now)
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -5,8 +5,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from scalefall.control.catalog import CDS, EDS, LDS, RDS, Catalog, InconsistentResources, Resource
-from scalefall.control.streams import MAX_NAMES, WINDOW, CloseStream, ResponseRejected, Request, Response, XdsStream
+from scalefall.control.catalog import CDS, EDS, LDS, RDS, Catalog, InconsistentResourcesError, Resource
+from scalefall.control.streams import (
+    MAX_NAMES,
+    MAX_UNANSWERED,
+    CloseStream,
+    ResponseRejected,
+    Request,
+    Response,
+    XdsStream,
+)
 
 POISON = "poison"
 
@@ -50,9 +58,9 @@
 def test_a_set_with_a_reference_to_nothing_is_refused_whole():
     catalog, _ = started(True)
     before = catalog.generation
-    with pytest.raises(InconsistentResources, match="r needs gone"):
+    with pytest.raises(InconsistentResourcesError, match="r needs gone"):
         catalog.update([resource(CDS, "d"), resource(RDS, "r", "2", (CDS, "gone"))])
-    with pytest.raises(InconsistentResources, match="r needs c"):
+    with pytest.raises(InconsistentResourcesError, match="r needs c"):
         catalog.update([], [(CDS, "c")])
     assert catalog.get((CDS, "d")) is None and catalog.generation == before
     assert catalog.update(simple()) == set() and catalog.generation == before
@@ -108,7 +116,7 @@
     responses = stream.request(Request(EDS, names=("c",)))
     for version in range(2, 50):
         responses += stream.changed(catalog.update([resource(EDS, "c", str(version))]))
-    assert len(responses) == WINDOW and stream.pending_names == 1
+    assert len(responses) == MAX_UNANSWERED and stream.pending_names == 1
     assert ack(stream, responses[-1:])[0].resources[0].version == "49"
 
 
@@ -167,7 +175,7 @@
     keys = catalog.override("p/x", [resource(EDS, "c", "own")])
     assert [a.resources[0].version for a in stream.changed(keys)] == ["own"] and other.changed(keys) == []
     assert [a.resources[0].version for a in stream.changed(catalog.override("p/x", []))] == ["1"]
-    with pytest.raises(InconsistentResources):
+    with pytest.raises(InconsistentResourcesError):
         catalog.override("p/x", [resource(EDS, "nowhere")])
 
 
@@ -228,7 +236,7 @@
     def whole(self):
         for n, stream in enumerate(getattr(self, "streams", [])):
             assert all(name in self.has[n][kind] for r in self.has[n][RDS].values() for kind, name in r.needs)
-            assert all(len(watch.out) <= WINDOW for watch in stream._watches.values())
+            assert all(len(watch.unanswered) <= MAX_UNANSWERED for watch in stream._watches.values())
 
     def teardown(self):
         if not hasattr(self, "streams"):
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -10,13 +10,13 @@
 
 
 def verdicts(world):
-    rows, foreign = audit.read(json.dumps(row) for row in world.run())
+    rows, foreign = audit.read_log(json.dumps(row) for row in world.run())
     assert not foreign
     return {found.rule: found for found in audit.audit(rows)}
 
 
 def broken(found):
-    return {rule: each.broken[:3] for rule, each in found.items() if each.broken}
+    return {rule: each.violations[:3] for rule, each in found.items() if each.violations}
 
 
 @pytest.mark.parametrize("seed", [*range(8), 5116])  # the last one: two falls within one lease
@@ -62,7 +62,7 @@
     found = [
         verdicts(World(Plan(mistakes=frozenset({"late"}), drains=1.0, faults=0.5), seed))["drain"] for seed in range(20)
     ]
-    assert any(each.broken for each in found)
+    assert any(each.violations for each in found)
 
 
 def test_proxies_whose_grants_do_not_end_flood_a_partner_that_returns_cold():
@@ -70,7 +70,7 @@
         "mistakes": frozenset({"greedy", "unleased", "deaf"}),
         "cuts": ((0, 10 * SECOND, 45 * SECOND), (1, 10 * SECOND, 45 * SECOND)),
     }
-    assert any(verdicts(returning(seed, **more))["fall"].broken for seed in range(5))
+    assert any(verdicts(returning(seed, **more))["fall"].violations for seed in range(5))
 
 
 ROWS = {
@@ -103,26 +103,26 @@
 }
 
 
-@pytest.mark.parametrize("rule", audit.NAMES)
+@pytest.mark.parametrize("rule", audit.RULE_NAMES)
 def test_each_rule_is_told_broken_at_its_edge_and_kept_just_before_it(rule):
     def judge(rows):
-        read, _ = audit.read(json.dumps({"at": 0} | row) for row in rows)
+        read, _ = audit.read_log(json.dumps({"at": 0} | row) for row in rows)
         return {found.rule: found.verdict for found in audit.audit(read)}
 
     rows = ROWS[rule]
-    assert judge(rows) == {name: "broken" if name == rule else "not seen" for name in audit.NAMES} | (
+    assert judge(rows) == {name: "broken" if name == rule else "not seen" for name in audit.RULE_NAMES} | (
         {"answer": "broken"} if rule == "answer" else {}
     )
     assert judge([*rows[:-1], rows[-1] | FINE[rule]])[rule] == "kept"
 
 
 def test_what_a_rule_cannot_judge_is_no_proof_and_foreign_lines_are_counted():
-    rows, foreign = audit.read(['{"event": "granted", "at": 1, "route": 1}', "Traceback", "", "[1]", '{"at": 1}'])
+    rows, foreign = audit.read_log(['{"event": "granted", "at": 1, "route": 1}', "Traceback", "", "[1]", '{"at": 1}'])
     found = {each.rule: each for each in audit.audit(rows)}
-    assert foreign == 3 and "nothing is proved" in found["grants"].broken[0]
-    assert "passed over" in audit.text(list(found.values()), foreign)
+    assert foreign == 3 and "nothing is proved" in found["grants"].violations[0]
+    assert "passed over" in audit.format_findings(list(found.values()), foreign)
 
 
 def test_a_line_of_the_log_counts_by_its_timestamp():
-    rows, _ = audit.read(['{"event": "x", "timestamp": "1970-01-01T00:00:01.500000Z"}'])
+    rows, _ = audit.read_log(['{"event": "x", "timestamp": "1970-01-01T00:00:01.500000Z"}'])
     assert rows[0].at == 1_500_000
--- a/tests/stored_data/write.py
+++ b/tests/stored_data/write.py
@@ -169,13 +169,13 @@
 
     from scalefall.control import audit
 
-    lines, read = [], audit.read
+    lines, read = [], audit.read_log
 
     def keep(given):
         lines.extend(given)
         return read(lines)
 
-    audit.read = keep
+    audit.read_log = keep
     name = "test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back"
     assert pytest.main(["-q", "-p", "no:cacheprovider", f"{ROOT}/tests/transport/test_standins.py::{name}"]) == 0
     return lines
--- a/tests/transport/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -74,9 +74,9 @@
         finally:
             link.kill()
             link.communicate()
-    rows, _ = audit.read([*process.said, *proxy.said, *partner.said])
+    rows, _ = audit.read_log([*process.said, *proxy.said, *partner.said])
     found = {each.rule: each for each in audit.audit(rows)}
-    assert not [each.broken for each in found.values() if each.broken]
+    assert not [each.violations for each in found.values() if each.violations]
     assert found["answer"].checked and found["grants"].checked and found["twice"].checked
 
 
