--- a/tests/assignment/test_snapshot.py
+++ b/tests/assignment/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The table to text and back; anything else is refused with one line."""
+"""The table to text and back; anything else is rejected with one line."""
 
 import json
 from hashlib import blake2b
@@ -7,25 +7,30 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scalefall.assignment.model import AssignmentError, Node
+from scalefall.assignment.model import Node
 from scalefall.assignment.snapshot import TableState, decode, encode
+from scalefall.errors import AssignmentError
 
 STATE = TableState({0: ("n1", "é\n"), 3: ("n1",), 9: ()}, {7: 9}, 12, (Node("n1", "r", "z"), Node("n2")))
 TEXT = encode(STATE, "settings 1")
 
 
-def refusal(text, fingerprint="settings 1"):
+def rejection(text, fingerprint="settings 1"):
+    """Return the error of a text, which is one line."""
     with pytest.raises(AssignmentError) as caught:
         decode(text, fingerprint)
-    assert "\n" not in str(caught.value) and str(caught.value).startswith("snapshot: ")
+    assert "\n" not in str(caught.value)
+    assert str(caught.value).startswith("snapshot: ")
     return str(caught.value)
 
 
 def sealed(body):
+    """Return a text with this second line and its checksum."""
     return f"scalefall-assignment 1 {blake2b(body.encode(), digest_size=16).hexdigest()}\n{body}\n"
 
 
 def changed(**fields):
+    """Return the snapshot with other fields, and its checksum."""
     return sealed(json.dumps({**json.loads(TEXT.split("\n")[1]), **fields}))
 
 
@@ -35,29 +40,32 @@
 
 @given(tables, st.sets(st.integers(0, 10**9)), st.integers(0, 2**70), names)
 @settings(max_examples=100, derandomize=True, deadline=None)
-def test_what_is_written_is_read(table, isolated, generation, fingerprint):
+def test_a_decoded_snapshot_equals_the_encoded_state(table, isolated, generation, fingerprint):
+    """Whatever the names, numbers and the fingerprint are."""
     state = TableState(table, {destination: number for number, destination in enumerate(isolated)}, generation)
     assert decode(encode(state, fingerprint), fingerprint) == state
     assert decode(TEXT, "settings 1") == STATE
 
 
 def test_the_fleet_s_table_is_under_a_megabyte():
+    """At 14,400 shards, 900 senders and 300 isolated destinations."""
     table = {shard: (f"sender-eu-west-1a-{shard % 900:04}",) for shard in range(14_400)}
     table |= {14_400 + k: tuple(f"sender-eu-west-1a-{n:04}" for n in range(900 // (k + 1))) for k in range(300)}
     assert len(encode(TableState(table, {k: 14_400 + k for k in range(300)}, 10**9), "f")) < 1_000_000
 
 
-def test_a_text_torn_or_changed_at_any_byte_is_refused():
+def test_a_text_torn_or_changed_at_any_byte_is_rejected():
+    """Cut off, one bit different, or a byte less."""
     for end in range(len(TEXT)):
-        refusal(TEXT[:end])
-        refusal(TEXT[:end] + chr(ord(TEXT[end]) ^ 1) + TEXT[end + 1 :])
-        refusal(TEXT[:end] + TEXT[end + 1 :])
-    refusal(TEXT + "\n")
-    refusal(TEXT + TEXT)
+        rejection(TEXT[:end])
+        rejection(TEXT[:end] + chr(ord(TEXT[end]) ^ 1) + TEXT[end + 1 :])
+        rejection(TEXT[:end] + TEXT[end + 1 :])
+    rejection(TEXT + "\n")
+    rejection(TEXT + TEXT)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "text_of_error"),
     [
         ("", "does not begin with scalefall-assignment"),
         (TEXT.replace("assignment 1", "assignment 2"), "version '2', not 1"),
@@ -87,5 +95,6 @@
         (changed(fingerprint="settings 2"), "of other settings"),
     ],
 )
-def test_each_refusal_names_what_is_wrong(text, said):
-    assert said in refusal(text)
+def test_each_rejection_names_what_is_wrong(text, text_of_error):
+    """Also where the checksum fits."""
+    assert text_of_error in rejection(text)
