--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -204,10 +204,7 @@
         self._ledger.set_limit(destination, self._sharding.shard_of(destination), amount)
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
-        """Record that a process has received the grant of this number.
-
-        Returns:
-            False if nothing follows: the number is unknown here, or out of use.
+        """Record that a process has received the grant of this number; False if that is unknown here, or out of use.
 
         Raises:
             AssignmentError: The process is unknown.
@@ -275,8 +272,8 @@
 
     def _apply_table(self, table: Table) -> bool:
         """Replace the table; whether anything is different."""
-        changed = [shard for shard in self._table.keys() | table.keys() if self._table.get(shard) != table.get(shard)]
-        for shard in sorted(changed):
+        changed = _changed_shards(self._table, table)
+        for shard in changed:
             before, after = self._table.get(shard, ()), tuple(table.get(shard, ()))
             if after:
                 self._table[shard] = after
@@ -294,12 +291,11 @@
     def _assign(self, shard: int) -> None:
         """Divide a shard evenly among the processes of the nodes that hold it."""
         nodes = self._table.get(shard, ())
-        base, remainder = divmod(FULL_QUOTA, max(1, len(nodes)))
         quotas = {}
-        for position, node in enumerate(nodes):
+        for node, quota in zip(nodes, _even_quotas(len(nodes)), strict=True):
             holder = self._membership.holder(node)
             if holder is not None and self._ledger.knows(holder):
-                quotas[holder] = base + (position < remainder)
+                quotas[holder] = quota
         self._ledger.assign(shard, quotas)
 
     # -- isolation
@@ -350,3 +346,14 @@
         shard = sharding.shard_of(destination)
         loads[shard] = loads.get(shard, 0.0) + load
     return loads
+
+
+def _changed_shards(before: Table, after: Table) -> list[int]:
+    """The shards whose holders, or their order, differ; ascending."""
+    return sorted(shard for shard in before.keys() | after.keys() if before.get(shard) != after.get(shard))
+
+
+def _even_quotas(count: int) -> list[int]:
+    """FULL_QUOTA in so many parts, which differ by one at most; the first are the larger ones."""
+    base, remainder = divmod(FULL_QUOTA, max(1, count))
+    return [base + (position < remainder) for position in range(count)]
--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -116,9 +116,8 @@
         shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, len(nodes)) for shard in wanted
     }
     if not may_move:
-        holder_counts = {
-            shard: max(count, _surviving_holders(table, shard, node_loads)) for shard, count in holder_counts.items()
-        }
+        for shard in wanted:
+            holder_counts[shard] = max(holder_counts[shard], _surviving_holders(table, shard, node_loads))
     lacking = _retain_holders(working, table, weights, holder_counts)
     node_loads.build_heaps()
     _place_lacking(working, table, lacking, holder_counts, {node.name: node.region for node in former_nodes})
--- a/tests/assignment/test_placement.py
+++ b/tests/assignment/test_placement.py
@@ -13,8 +13,12 @@
 from scalefall.assignment.placement import IDLE_FRACTION, PlacementLimits, place
 from scalefall.errors import AssignmentError
 
-FLEET = [Node(f"n{k:02}", f"r{k % 2}", f"z{k // 2 % 4}") for k in range(40)]  # five nodes in each of 2 x 4 zones
-SMALL = [Node(f"n{k:02}", f"r{k % 2}", f"z{k // 2 % 2}") for k in range(16)]  # few zones: replicas crowd them
+FLEET = [
+    Node(f"n{number:02}", f"r{number % 2}", f"z{number // 2 % 4}") for number in range(40)
+]  # five nodes in each of 2 x 4 zones
+SMALL = [
+    Node(f"n{number:02}", f"r{number % 2}", f"z{number // 2 % 2}") for number in range(16)
+]  # few zones: replicas crowd them
 NEAR = 1e-6  # weights are whole numbers inside
 
 
@@ -57,7 +61,7 @@
         )
         zones = [(at[name].region, at[name].zone) for name in holders]
         if len(set(zones)) < len(zones):
-            free = [n for n in nodes if n.region == zones[0][0] and (n.region, n.zone) not in zones]
+            free = [node for node in nodes if node.region == zones[0][0] and (node.region, node.zone) not in zones]
             assert all(found[node.name] + part > cap * (1 - NEAR) for node in free), (shard, holders)
         if len(holders) == 1 and found[holders[0]] > cap * (1 + NEAR):
             assert min(found.values()) + part > cap * (1 - NEAR), (shard, holders)
@@ -84,7 +88,9 @@
         plan = place(table, loads, nodes, limits, shards, former_nodes=SMALL)
         if nodes:
             check(plan, loads, nodes, limits, shards)
-        changed = {s for s in {*table, *plan.table} if set(table.get(s, ())) != set(plan.table.get(s, ()))}
+        changed = {
+            shard for shard in {*table, *plan.table} if set(table.get(shard, ())) != set(plan.table.get(shard, ()))
+        }
         assert plan.moved == changed
         assert plan.forced <= changed
         assert place(plan.table, loads, nodes, limits, shards, former_nodes=SMALL).moved == frozenset()
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -108,7 +108,8 @@
         self.service = ShardedService(0, settings(siblings=1), 3, builder, LEASE, DELAY, LEASE, ASSIGNMENT)
         self.service.become_leader(0, 0)
         entries = [
-            Entry(i.Endpoint(f"e{n}", "a", "one", n, i.Status.READY, 0.0), ("127.0.0.1", n)) for n in DESTINATIONS
+            Entry(i.Endpoint(f"e{number}", "a", "one", number, i.Status.READY, 0.0), ("127.0.0.1", number))
+            for number in DESTINATIONS
         ]
         self.service.configure(Fleet(entries, dict.fromkeys(DESTINATIONS, RULES)), 0)
 
--- a/tests/assignment/test_snapshot.py
+++ b/tests/assignment/test_snapshot.py
@@ -50,8 +50,10 @@
 def test_the_fleet_s_table_is_under_a_megabyte():
     """At 14,400 shards, 900 senders and 300 isolated destinations."""
     table = {shard: (f"sender-eu-west-1a-{shard % 900:04}",) for shard in range(14_400)}
-    table |= {14_400 + k: tuple(f"sender-eu-west-1a-{n:04}" for n in range(900 // (k + 1))) for k in range(300)}
-    assert len(encode(TableState(table, {k: 14_400 + k for k in range(300)}, 10**9), "f")) < 1_000_000
+    isolated = {destination: 14_400 + destination for destination in range(300)}
+    for destination, shard in isolated.items():
+        table[shard] = tuple(f"sender-eu-west-1a-{number:04}" for number in range(900 // (destination + 1)))
+    assert len(encode(TableState(table, isolated, 10**9), "f")) < 1_000_000
 
 
 def test_a_text_torn_or_changed_at_any_byte_is_rejected():
