--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -41,13 +41,32 @@
     """A sender on the sockets: it accepts messages over HTTP and delivers them as the engine decides.
 
     To embed one, call `start()` on a scheduler of your own and `close()` to end it; the scheduler stops when it has
-    ended. Its parts are attributes, for those who put another ingress beside it (`admission`) or watch it.
+    ended. Its parts are public, for those who put another ingress beside it or watch it; only its own code changes
+    what they are.
 
     Attributes:
         config: The configuration that it was made from.
         address: Where clients submit messages; with the true port once started.
         admin_address: Where operators call; None if nowhere.
         wall_offset_us: What to add to monotonic time for wall time, in microseconds.
+        engine: Takes every decision.
+        events: What the engine hears with the next step.
+        loop: Runs the steps.
+        tracker: The messages in flight.
+        deadline_watch: Sees to it that none is open past its deadline.
+        admission: Where an ingress submits and withdraws requests.
+        dispatcher: The attempts, and what stops one from beginning.
+        journal: What outlives the process.
+        recovery: What the last process left.
+        rate_keeper: Saves the learned rates.
+        endpoint_list: The endpoints, from discovery or from the operator's file.
+        routes: The rules of routes from that file.
+        delivery_reports: Tells the platform of messages that were given up.
+        ingress: The clients' connections.
+        admin_server: The operators' connections; None without an address for them.
+        admin_actions: What the operators' calls do; None without an address for them.
+        reloader: Puts a configuration that is read again into force.
+        shutdown: The way to the end.
     """
 
     def __init__(self, scheduler: Scheduler, config: Config) -> None:
@@ -71,7 +90,7 @@
         self._open_state_folder()
         self._connect_delivery(max_sockets)
         bytes_per_client = http.MOST_HEAD + http.MOST_BODY
-        self._connect_life(min(max_sockets, config.memory_bytes // INGRESS_MEMORY_DIVISOR // bytes_per_client))
+        self._connect_lifecycle(min(max_sockets, config.memory_bytes // INGRESS_MEMORY_DIVISOR // bytes_per_client))
 
     def _open_state_folder(self) -> None:
         """Divide the state folder's limit, and open what is kept there."""
@@ -150,7 +169,7 @@
             return LoggedNotices(self.journal.over)
         return Notices(self._scheduler, platform, self.journal.over)
 
-    def _connect_life(self, max_clients: int) -> None:
+    def _connect_lifecycle(self, max_clients: int) -> None:
         """Connect the ingress, and what starts, serves operators and ends."""
         scheduler, settings = self._scheduler, self._settings
         self.ingress = Front(scheduler, settings.classes, max_clients, self.admission.submit, self.admission.withdraw)
@@ -206,7 +225,7 @@
         log.info("ready: %s at %s:%d", self.config.name, *self.address)
         if self.admin_server is not None and self.config.admin is not None:
             self.admin_address = self.admin_server.listen(self.config.admin)
-        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._keep_house)
+        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
         self._scheduler.spawn(self.rate_keeper.keep_saving)
 
     def reload(self, read_again: ReadAgain) -> None:
@@ -223,11 +242,11 @@
         self.events.gather(event)
         self.recovery.release_learned_rates()
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         """Report broken invariants, and forget what is over; every so often."""
         checks.report()
         self.dispatcher.forget_expired_waits()
-        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._keep_house)
+        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
 
 
 def run(config: Config, read_again: ReadAgain | None = None) -> None:
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -50,6 +50,14 @@
         for sock in (self._woken, self._waker) if not self.threads else ():  # a thread may still say that it is done
             sock.close()
 
+    def kill(self):
+        """Forget all that was to go on, as at the death of a process: tasks, timers, and who waits for a socket."""
+        self._ready.clear()
+        for task in list(self._waits.values()):
+            self._poll.unregister(task.fd)
+        self._waits.clear()
+        self._timers.clear()
+
     def now(self):
         return self.clock
 
--- /dev/null
+++ b/tests/test_delivery_tracker.py
@@ -0,0 +1,57 @@
+"""What is in flight, and for how long the id of what has ended is remembered."""
+
+from nethelp import S, World
+
+from scalefall.net.delivery_tracker import BYTES_PER_REMEMBERED_ID, REMEMBER_ID_US, DeliveryTracker
+from scalefall.net.transaction import Taken, Transaction
+
+
+def request(message_id, accepted=True):
+    return Transaction(message_id, "safe", 7, 0, None, b"body", verdict=Taken() if accepted else None)
+
+
+def tracker(world, max_finished=100):
+    return DeliveryTracker(world, max_finished * BYTES_PER_REMEMBERED_ID)
+
+
+def finish(deliveries, message_id, accepted=True):
+    deliveries.add(request(message_id, accepted))
+    return deliveries.finish(message_id)
+
+
+def test_a_request_is_open_until_it_is_finished_and_finished_once():
+    deliveries = tracker(World())
+    deliveries.add(first := request("m"))
+    assert deliveries.open == {"m": first}
+    assert deliveries.finish("m") is first
+    assert deliveries.open == {}
+    assert deliveries.finish("m") is None
+
+
+def test_only_the_ids_of_accepted_messages_are_remembered():
+    deliveries = tracker(World())
+    finish(deliveries, "accepted")
+    finish(deliveries, "not yet", accepted=False)
+    deliveries.add(request("withdrawn"))
+    deliveries.discard("withdrawn")
+    assert list(deliveries.finished) == ["accepted"]
+    assert deliveries.finished["accepted"][1] == request("another id").stands_for()
+
+
+def test_ids_are_forgotten_in_time_the_oldest_first():
+    world = World()
+    deliveries = tracker(world)
+    finish(deliveries, "old")
+    world.clock += REMEMBER_ID_US
+    finish(deliveries, "newer")
+    assert list(deliveries.finished) == ["old", "newer"]
+    world.clock += S
+    finish(deliveries, "newest")
+    assert list(deliveries.finished) == ["newer", "newest"]
+
+
+def test_no_more_ids_are_remembered_than_the_memory_allows():
+    deliveries = tracker(World(), max_finished=2)
+    for message_id in "abc":
+        finish(deliveries, message_id)
+    assert list(deliveries.finished) == ["b", "c"]
--- /dev/null
+++ b/tests/test_event_queue.py
@@ -0,0 +1,53 @@
+"""Events between two steps: their order, and when the step runs that takes them."""
+
+import pytest
+from nethelp import MS, World
+
+from scalefall.interface import Dropped
+from scalefall.net.event_queue import EventQueue
+
+
+def test_a_step_runs_once_at_the_end_of_the_tick_and_takes_events_in_their_order():
+    world = World()
+    queue = EventQueue(world, 5 * MS)
+    taken = []
+    queue.connect(lambda: taken.append((world.now(), queue.take())))
+
+    def steps():
+        world.sleep(MS)
+        began = world.now()
+        first, second = Dropped("first"), Dropped("second")
+        queue.gather(first)
+        world.sleep(MS)
+        queue.gather(second)
+        world.sleep(20 * MS)
+        assert taken == [(began + 4 * MS, [first, second])]
+
+    world.play(steps)
+
+
+def test_an_event_gathered_during_a_step_has_a_step_of_its_own():
+    world = World()
+    queue = EventQueue(world, MS)
+    taken = []
+
+    def step():
+        events = queue.take()
+        taken.append(events)
+        if len(taken) == 1:
+            queue.gather(Dropped("later"))
+
+    queue.connect(step)
+
+    def steps():
+        queue.gather(Dropped("now"))
+        world.sleep(10 * MS)
+        assert taken == [[Dropped("now")], [Dropped("later")]]
+
+    world.play(steps)
+
+
+def test_events_without_a_step_are_an_error():
+    queue = EventQueue(World(), MS)
+    with pytest.raises(RuntimeError):
+        queue.step_now()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -65,11 +65,7 @@
         self.sender.ingress.stop_listening()
         if self.admin:
             self.sender.admin_server.close()
-        self.world._ready.clear()
-        for task in list(self.world._waits.values()):
-            self.world._poll.unregister(task.fd)
-        self.world._waits.clear()
-        self.world._timers.clear()
+        self.world.kill()
 
     def send(self, sock, data):
         streams.send(self.world, sock, data, self.world.now() + S)
