--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 
     def __init__(self, world):
         self.world, self.done = world, []
-        self.out, self.idle, self.answering = 0, True, False
+        self.in_flight, self.idle, self.answering = 0, True, False
 
     def __getattr__(self, name):
         return lambda *arguments: self.done.append((name, self.world.now(), *arguments))
@@ -59,7 +59,7 @@
         ({}, 0, LINGER_US),
         ({}, 3, IDLE_END_US),
         ({"idle": False}, 0, IDLE_END_US),
-        ({"out": 1}, 1, END_US),
+        ({"in_flight": 1}, 1, END_US),
     ],
 )
 def test_it_ends_once_there_is_nothing_left_that_is_worth_waiting_for(busy, open_requests, ends_at_us):
@@ -73,8 +73,8 @@
 
 
 def test_what_finishes_meanwhile_is_not_waited_for_any_longer():
-    play = Play(out=1)
-    assert 2 * S <= play.run((2 * S, lambda: setattr(play.parts, "out", 0))) < 2 * S + SLACK_US
+    play = Play(in_flight=1)
+    assert 2 * S <= play.run((2 * S, lambda: setattr(play.parts, "in_flight", 0))) < 2 * S + SLACK_US
 
 
 def test_its_steps_come_in_an_order_in_which_nobody_loses_an_answer():
@@ -95,6 +95,6 @@
 
 
 def test_a_second_start_does_not_move_the_end():
-    play = Play(out=1)
+    play = Play(in_flight=1)
     assert play.run((S, play.shutdown.start)) < END_US + SLACK_US
     assert [name for name, *_ in play.parts.done].count("close_idle") == 1
