--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -12,7 +12,7 @@
 from scalefall import interface as i
 from scalefall.net import http, streams
 from scalefall.net.endpoint_list import Entry
-from scalefall.net.attempts import Load, Attempts
+from scalefall.net.attempts import MessageInCall, Attempts
 from scalefall.net.scheduler import READ, READY, Scheduler
 
 MS, S = 1000, 1_000_000
@@ -50,6 +50,14 @@
         for sock in (self._woken, self._waker) if not self.threads else ():  # a thread may still say that it is done
             sock.close()
 
+    def kill(self):
+        """Forget all that was to go on, as at the death of a process: tasks, timers, and who waits for a socket."""
+        self._ready.clear()
+        for task in list(self._waits.values()):
+            self._poll.unregister(task.fd)
+        self._waits.clear()
+        self._timers.clear()
+
     def now(self):
         return self.clock
 
@@ -187,7 +195,7 @@
         )
 
     def load(self, name, attempt=0, span=2 * S, **more):
-        return Load(name, attempt, self.world.now() + span, "k", b"body", **more)
+        return MessageInCall(name, attempt, self.world.now() + span, "k", b"body", **more)
 
     def begin(self, *names, **more):
         self.attempts.begin(self.entry, [self.load(name, **more) for name in names])
