--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from enum import Enum
-from typing import Any
 
 from scalefall import interface as i
 from scalefall.control import snapshot
-from scalefall.control.service import ControlService
+from scalefall.control.snapshot import SnapshotDocument
+from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.state import NUMBERS_PER_BLOCK, StateDirectory, StateDirectoryError
 from scalefall.errors import LeadershipError
 from scalefall.net.checks import log
@@ -29,7 +29,7 @@
 class LeaderState:
     """This process's role, and the state that outlives it."""
 
-    def __init__(self, service: ControlService, directory: StateDirectory, quiet_us: int) -> None:
+    def __init__(self, service: AnyControlService, directory: StateDirectory, quiet_us: int) -> None:
         """Stand by.
 
         Args:
@@ -40,7 +40,7 @@
         self._service = service
         self._directory = directory
         self._quiet_us = quiet_us
-        self._saved: dict[str, Any] | None = None  # the snapshot that was written last, without its time
+        self._saved: SnapshotDocument | None = None  # the snapshot that was written last, without its time
         self._saved_generation = 0  # of the assignment that was written last
         self._role = Role.STANDBY
 
@@ -113,9 +113,9 @@
         except StateDirectoryError as error:
             log.error("figures cannot be kept: %s", error)
 
-    def _save_snapshot(self, current: dict[str, Any]) -> None:
+    def _save_snapshot(self, current: SnapshotDocument) -> None:
         """Write the snapshot if it differs, or has rows whose age counts: doubts and waits."""
-        timeless = current | {"wall": 0}
+        timeless: SnapshotDocument = {**current, "wall": 0}
         if timeless != self._saved or current["doubts"] or current["waits"]:
             self._directory.save_snapshot(current)
             self._saved = timeless
--- a/scalefall/control/transport/load_report_streams.py
+++ b/scalefall/control/transport/load_report_streams.py
@@ -6,13 +6,13 @@
 
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from scalefall.control.service import ControlService
 from scalefall.control.transport import clock
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.quotas import Quotas
 from scalefall.control.transport.reports import LoadReportIndex
 from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.stream_reader import read_messages
 from scalefall.net.list_stream import Entry
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        service: ControlService,
+        service: AnyControlService,
         quotas: Quotas,
         peers: PeerRegistry,
         driver: ServiceDriver,
--- a/scalefall/control/transport/quota_streams.py
+++ b/scalefall/control/transport/quota_streams.py
@@ -12,12 +12,12 @@
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2
 
 from scalefall.control.members import JoinRejected
-from scalefall.control.service import ControlService
 from scalefall.control.transport import clock
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
 from scalefall.control.transport.quotas import Quotas
 from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.stream_reader import read_messages
 
 MAX_PLACE_LENGTH = 64  # characters of a region or zone; more is cut off, as it is only kept and compared
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        service: ControlService,
+        service: AnyControlService,
         quotas: Quotas,
         peers: PeerRegistry,
         driver: ServiceDriver,
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -10,12 +10,12 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from scalefall.control.service import ControlService
 from scalefall.control.streams import Request
 from scalefall.control.transport import clock, wire
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.stream_reader import read_messages
 
 DiscoveryRequest: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        service: ControlService,
+        service: AnyControlService,
         peers: PeerRegistry,
         driver: ServiceDriver,
         leader_state: LeaderState,
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -6,7 +6,7 @@
     listener        an api_listener (no socket), its routes from RDS
     routes          see route_configuration.py
     cluster         connect timeout, calls in flight (all endpoints together), and load reports to this service
-    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), resting in slow start: UNHEALTHY;
+    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), ejected by slow start: UNHEALTHY;
                     weights of endpoints in slow start from its budget. Nothing allowed on the whole route
                     (Retry-After, slow start): all calls are dropped at the proxy, which a client that knows no grants
                     keeps too.
@@ -30,8 +30,8 @@
 from google.protobuf import wrappers_pb2
 
 from scalefall import interface as i
-from scalefall.control import allocator
 from scalefall.control.catalog import CDS, EDS, LDS, RDS, Resource, ResourceKey
+from scalefall.control.endpoint_health import BlockReason, EndpointHealth, endpoint_states
 from scalefall.control.service import RouteEntries
 from scalefall.control.transport.protobuf import SerializableMessage, duration, pack
 from scalefall.control.transport.route_configuration import route_configuration
@@ -45,9 +45,9 @@
 FULL_WEIGHT = 100  # of an endpoint at its full rate
 WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # of those in slow start, so that not every step is a change
 HEALTH = {
-    allocator.READY: health_check_pb2.HEALTHY,
-    allocator.DRAINING: health_check_pb2.DRAINING,
-    allocator.RESTING: health_check_pb2.UNHEALTHY,
+    EndpointHealth.READY: health_check_pb2.HEALTHY,
+    EndpointHealth.DRAINING: health_check_pb2.DRAINING,
+    EndpointHealth.EJECTED: health_check_pb2.UNHEALTHY,
 }
 
 
@@ -91,7 +91,7 @@
         ttl_us: The resource's time to live; 0 for none.
     """
     name = resource_name(destination)
-    states, blocked = allocator.endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
+    states, blocked = endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
     budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
     fair_share = _fair_share(allowances)
     zones: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
@@ -134,10 +134,10 @@
     return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
 
 
-def _endpoint(entry: Entry, state: str, weight: int) -> endpoint_components_pb2.LbEndpoint:
+def _endpoint(entry: Entry, health: EndpointHealth, weight: int) -> endpoint_components_pb2.LbEndpoint:
     return endpoint_components_pb2.LbEndpoint(
         endpoint=endpoint_components_pb2.Endpoint(address=_address(*entry.address)),
-        health_status=HEALTH[state],
+        health_status=HEALTH[health],
         load_balancing_weight=wrappers_pb2.UInt32Value(value=weight),
     )
 
@@ -151,8 +151,8 @@
     )
 
 
-def _drop_policy(blocked: str | None) -> endpoint_pb2.ClusterLoadAssignment.Policy:
-    """Return a policy that drops every call for this reason, or none where there is no reason."""
+def _drop_policy(blocked: BlockReason) -> endpoint_pb2.ClusterLoadAssignment.Policy:
+    """Return a policy that drops every call for this reason, if there is one."""
     policy = endpoint_pb2.ClusterLoadAssignment.Policy()
     if blocked:
         every_call = percent_pb2.FractionalPercent(numerator=100, denominator=percent_pb2.FractionalPercent.HUNDRED)
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -75,7 +75,7 @@
 
         Raises:
             ConfigurationError: The configuration has no fleet.
-            InconsistentResources: The fleet's resources contradict each other.
+            InconsistentResourcesError: The fleet's resources contradict each other.
         """
         self._options = options
         self._certificates = certificates
@@ -161,7 +161,7 @@
 
         Raises:
             ConfigurationError: The configuration has no fleet.
-            InconsistentResources: Its resources contradict each other; nothing has changed.
+            InconsistentResourcesError: Its resources contradict each other; nothing has changed.
         """
         fleet = config.fleet
         if fleet is None:
--- a/scalefall/control/transport/service_factory.py
+++ b/scalefall/control/transport/service_factory.py
@@ -12,6 +12,7 @@
 from scalefall.control.transport import resources
 from scalefall.control.transport.options import ServerOptions, ShardingOptions
 from scalefall.control.transport.quotas import Quotas, RouteQuotas, ShardQuotas
+from scalefall.control.transport.services import AnyControlService
 from scalefall.net.config import Config, RouteRules
 from scalefall.net.list_stream import Entry
 
@@ -24,7 +25,7 @@
         quotas: How its quota streams are read and answered.
     """
 
-    service: ControlService
+    service: AnyControlService
     quotas: Quotas
 
 
