--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -6,7 +6,9 @@
 from math import inf
 
 from scalefall.interface import NEVER_RAN, Attempted, Effect, Endpoint, Outcome, Send, Settings
-from scalefall.net.attempts import Attempts, MessageInCall, batch_row_size
+from scalefall.net.attempt_request import batch_row_size
+from scalefall.net.attempt_state import MessageInCall
+from scalefall.net.attempts import Attempts
 from scalefall.net.checks import check, debug, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
--- /dev/null
+++ b/scalefall/net/attempt_request.py
@@ -0,0 +1,66 @@
+"""The HTTP request of an attempt: one message as it is, or several as rows of JSON."""
+
+from __future__ import annotations
+
+import base64
+import json
+
+from scalefall.net import http
+from scalefall.net.attempt_state import Attempt, MessageInCall
+
+MILLISECOND_US = 1000  # microseconds in a millisecond
+WHOLE_MILLISECONDS_FROM_US = 10 * MILLISECOND_US  # a deadline from here on is told in milliseconds: 10 % is near enough
+SINGLE_TARGET = "/v1/messages"  # where the protocol takes one message
+BATCH_TARGET = "/v1/messages:batch"  # and where several
+BASE64_GROUP_BYTES, BASE64_GROUP_CHARACTERS = 3, 4  # RFC 4648: three bytes become four characters
+ROW_SEPARATOR_BYTES = 2  # a row's comma, and its part of the brackets around all
+
+
+def encode_request(attempt: Attempt, now_us: int) -> bytes:
+    """Return the whole request for the messages of an attempt.
+
+    Args:
+        attempt: The attempt; it has at least one message.
+        now_us: Now, in monotonic microseconds; the deadline that the endpoint is told counts from it.
+    """
+    messages = attempt.messages
+    left_us = max(1, max(message.ends_at_us for message in messages) - now_us)
+    if left_us >= WHOLE_MILLISECONDS_FROM_US:
+        deadline = ("X-Deadline", f"{left_us // MILLISECOND_US}m")
+    else:
+        deadline = ("X-Deadline", f"{left_us}u")
+    host = attempt.entry.host or attempt.entry.endpoint.id
+    if len(messages) == 1:
+        return _encode_single(host, messages[0], deadline)
+    return _encode_batch(host, messages, deadline)
+
+
+def batch_row_size(message_id: str, idempotency_key: str | None, body: bytes) -> int:
+    """Return how many bytes a message takes of the body of a call with several."""
+    empty_row = json.dumps(_batch_row(message_id, idempotency_key, ""), separators=(",", ":"))
+    groups = -(-len(body) // BASE64_GROUP_BYTES)  # rounded up: the last one is padded
+    return len(empty_row) + BASE64_GROUP_CHARACTERS * groups + ROW_SEPARATOR_BYTES
+
+
+def _encode_single(host: str, message: MessageInCall, deadline: tuple[str, str]) -> bytes:
+    """Return the request for one message, whose body goes out as it came."""
+    fields = [("X-Request-Id", message.id), deadline, ("Content-Type", "application/octet-stream")]
+    if message.idempotency_key is not None:
+        fields.insert(1, ("Idempotency-Key", message.idempotency_key))
+    return http.request("POST", SINGLE_TARGET, host, fields, message.body)
+
+
+def _encode_batch(host: str, messages: list[MessageInCall], deadline: tuple[str, str]) -> bytes:
+    """Return the request for several messages, each a row with its body in base64."""
+    rows = [
+        _batch_row(message.id, message.idempotency_key, base64.b64encode(message.body).decode()) for message in messages
+    ]
+    body = json.dumps(rows, separators=(",", ":")).encode()
+    return http.request("POST", BATCH_TARGET, host, [deadline, ("Content-Type", "application/json")], body)
+
+
+def _batch_row(message_id: str, idempotency_key: str | None, body: str) -> dict[str, str]:
+    """Return a message's row of a call with several; body is base64."""
+    if idempotency_key is None:
+        return {"id": message_id, "body": body}
+    return {"id": message_id, "key": idempotency_key, "body": body}
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -38,7 +38,7 @@
 from scalefall.control.grants import Grant
 from scalefall.control.streams import Response
 from scalefall.net import http, streams
-from scalefall.net.attempts import MessageInCall
+from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import EndpointList, Entry, read_list
 from scalefall.net.front import Front
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -12,7 +12,8 @@
 from scalefall import interface as i
 from scalefall.net import http, streams
 from scalefall.net.endpoint_list import Entry
-from scalefall.net.attempts import MessageInCall, Attempts
+from scalefall.net.attempt_state import MessageInCall
+from scalefall.net.attempts import Attempts
 from scalefall.net.scheduler import READ, READY, Scheduler
 
 MS, S = 1000, 1_000_000
@@ -186,11 +187,11 @@
             world, settings, most, lambda event, _: self.told.append(event), lambda entry: self.may
         )
 
-    def load(self, name, attempt=0, span=2 * S, **more):
+    def message(self, name, attempt=0, span=2 * S, **more):
         return MessageInCall(name, attempt, self.world.now() + span, "k", b"body", **more)
 
     def begin(self, *names, **more):
-        self.attempts.begin(self.entry, [self.load(name, **more) for name in names])
+        self.attempts.begin(self.entry, [self.message(name, **more) for name in names])
 
     def outcome(self, name, attempt=0):
         """Waits for it; told exactly once."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -161,7 +161,7 @@
         sock.send(sent)
         event = calls.outcome("m")
         assert (event.outcome, event.finished, event.wait_us) == (outcome, outcome is O.OK, 0)
-        assert world.now() - began < 2 * S and closed(world, sock) and not calls.attempts._idle
+        assert world.now() - began < 2 * S and closed(world, sock) and not calls.attempts._pool._idle
 
     world.play(play)
 
@@ -255,9 +255,9 @@
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
         for name, end in (("broken", reset), ("slow", None), ("cancelled", None)):
-            load = calls.load(name)
-            load.body = b"x" * (8 << 20)
-            calls.attempts.begin(calls.entry, [load])
+            message = calls.message(name)
+            message.body = b"x" * (8 << 20)
+            calls.attempts.begin(calls.entry, [message])
             sock = peer.accept()
             world.sleep(10 * MS)
             if end:
@@ -277,9 +277,9 @@
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
         early = {"start_by_us": world.now() + S} if ends == "a repeat's time" else {"span": S}
-        loads = [calls.load("long", span=5 * S), calls.load("early", **{"span": 5 * S} | early)]
-        loads[0].body = b"x" * (8 << 20)
-        calls.attempts.begin(calls.entry, loads)
+        messages = [calls.message("long", span=5 * S), calls.message("early", **{"span": 5 * S} | early)]
+        messages[0].body = b"x" * (8 << 20)
+        calls.attempts.begin(calls.entry, messages)
         sock = peer.accept()
         world.sleep(2 * S)
         reader = http.RequestReader(1 << 24)
@@ -345,7 +345,7 @@
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
-        calls.attempts.begin(calls.entry, [calls.load("short", span=S), calls.load("long", span=3 * S)])
+        calls.attempts.begin(calls.entry, [calls.message("short", span=S), calls.message("long", span=3 * S)])
         sock = peer.accept()
         peer.read(sock)
         world.sleep(2 * S)
@@ -382,14 +382,14 @@
         calls = Calls(world, settings(), peer.address)
         calls.attempts.begin(
             calls.entry,
-            [calls.load("late", start_by_us=world.now() - 1), calls.load("fine", start_by_us=world.now() + S)],
+            [calls.message("late", start_by_us=world.now() - 1), calls.message("fine", start_by_us=world.now() + S)],
         )
         sock = peer.accept()
         assert peer.read(sock).fields["x-request-id"] == "fine"
         assert calls.outcome("late").outcome is O.NOT_SENT
         sock.send(http.answer(200, []))
         assert calls.outcome("fine").outcome is O.OK
-        calls.attempts.begin(calls.entry, [calls.load("alone", start_by_us=world.now() - 1)])
+        calls.attempts.begin(calls.entry, [calls.message("alone", start_by_us=world.now() - 1)])
         assert calls.outcome("alone").outcome is O.NOT_SENT
 
     world.play(play)
@@ -402,9 +402,9 @@
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
-        calls.attempts._wanted = lambda name: name != "withdrawn"
+        calls.attempts._is_wanted = lambda name: name != "withdrawn"
         calls.attempts.begin(
-            calls.entry, [calls.load("over", span=10 * MS), calls.load("withdrawn"), calls.load("fine")]
+            calls.entry, [calls.message("over", span=10 * MS), calls.message("withdrawn"), calls.message("fine")]
         )
         world.clock += 20 * MS  # the connection comes up late
         sock = peer.accept()
@@ -472,7 +472,7 @@
             peer.read(socks[n])
             socks[n].send(http.answer(200, []))
             calls.outcome(str(n))
-        assert closed(world, socks[0]) and len(calls.attempts._idle) == 2
+        assert closed(world, socks[0]) and len(calls.attempts._pool._idle) == 2
 
     world.play(play)
 
@@ -496,7 +496,7 @@
         world.sleep(20 * MS)
         calls.begin("o")
         assert peer.read(new).fields["x-request-id"] == "o" and peer.accepted == 2
-        assert calls.attempts._pools == {}  # nothing is kept for an endpoint with no idle connection
+        assert calls.attempts._pool._idle_by_endpoint == {}  # nothing is kept for an endpoint with no idle connection
 
     world.play(play)
 
@@ -606,9 +606,9 @@
     @rule(data=st.data())
     def cancel(self, data):
         name = data.draw(st.sampled_from(sorted(self.out)))
-        one = self.calls.attempts._out[name, 0]
-        for load in list(one.loads):
-            self.calls.attempts.cancel(load.id, 0)
+        one = self.calls.attempts._in_flight[name, 0]
+        for message in list(one.messages):
+            self.calls.attempts.cancel(message.id, 0)
         sock = self.end(b"", name, O.CANCELLED)
         self.calls.attempts.cancel(name, 0)  # again, when it is over: nothing
         self.step(lambda: closed(self.world, sock) or self.fail())
@@ -647,7 +647,7 @@
     def books_agree(self):
         if hasattr(self, "world"):
             assert self.peer.accepted == self.known and self.calls.attempts.in_flight == len(self.out)
-            assert len(self.calls.attempts._idle) == len(self.idle)
+            assert len(self.calls.attempts._pool._idle) == len(self.idle)
             told = [(e.id, e.attempt) for e in self.calls.told]
             assert len(told) == len(set(told))
 
