--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -30,8 +30,8 @@
 from google.protobuf import wrappers_pb2
 
 from scalefall import interface as i
-from scalefall.control import allocator
 from scalefall.control.catalog import CDS, EDS, LDS, RDS, Resource, ResourceKey
+from scalefall.control.endpoint_health import EndpointHealth, endpoint_states
 from scalefall.control.service import RouteEntries
 from scalefall.control.transport.protobuf import SerializableMessage, duration, pack
 from scalefall.control.transport.route_configuration import route_configuration
@@ -45,9 +45,9 @@
 FULL_WEIGHT = 100  # of an endpoint at its full rate
 WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # of those in slow start, so that not every step is a change
 HEALTH = {
-    allocator.READY: health_check_pb2.HEALTHY,
-    allocator.DRAINING: health_check_pb2.DRAINING,
-    allocator.RESTING: health_check_pb2.UNHEALTHY,
+    EndpointHealth.READY: health_check_pb2.HEALTHY,
+    EndpointHealth.DRAINING: health_check_pb2.DRAINING,
+    EndpointHealth.EJECTED: health_check_pb2.UNHEALTHY,
 }
 
 
@@ -91,7 +91,7 @@
         ttl_us: The resource's time to live; 0 for none.
     """
     name = resource_name(destination)
-    states, blocked = allocator.endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
+    states, blocked = endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
     weights = _Weights(allowances)
     zones: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
     for entry in entries:
@@ -137,7 +137,7 @@
         return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
 
 
-def _endpoint(entry: Entry, state: str, weight: int) -> endpoint_components_pb2.LbEndpoint:
+def _endpoint(entry: Entry, state: EndpointHealth, weight: int) -> endpoint_components_pb2.LbEndpoint:
     return endpoint_components_pb2.LbEndpoint(
         endpoint=endpoint_components_pb2.Endpoint(address=_address(*entry.address)),
         health_status=HEALTH[state],
--- a/scalefall/control/transport/state.py
+++ b/scalefall/control/transport/state.py
@@ -10,8 +10,9 @@
 import json
 import os
 from types import TracebackType
-from typing import Any, Self
+from typing import Self, cast
 
+from scalefall.control.snapshot import Json, SnapshotDocument
 from scalefall.control.transport.file_lock import FileLock
 from scalefall.errors import StorageError
 
@@ -108,7 +109,7 @@
             raise StateDirectoryError(f"{self._file(EPOCH_FILE)}: {error.strerror}") from None
         self.reserved = reserved
 
-    def save_snapshot(self, snapshot: dict[str, Any]) -> None:
+    def save_snapshot(self, snapshot: SnapshotDocument) -> None:
         """Write what the module knows, as JSON (snapshot.py).
 
         Raises:
@@ -116,7 +117,7 @@
         """
         self._save(SNAPSHOT_FILE, json.dumps(snapshot), durable=False)
 
-    def load_snapshot(self) -> Any:
+    def load_snapshot(self) -> Json:
         """Return the saved snapshot as parsed JSON that is not checked yet; None if there is none.
 
         Raises:
@@ -126,7 +127,7 @@
         if text is None:
             return None
         try:
-            return json.loads(text)
+            return cast(Json, json.loads(text))
         except (ValueError, RecursionError) as error:
             raise StateDirectoryError(str(error)) from None
 
