--- a/tests/transport/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -7,7 +7,7 @@
 
 import grpc
 import pytest
-from transporthelp import Raw, Started, control, status
+from transporthelp import DiscoveryStream, ControlProcess, running_control, final_status
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2, rlqs_pb2_grpc
 
 from scalefall.assignment.sharding import Sharding
@@ -31,7 +31,7 @@
     return tmp_path
 
 
-class Sender:
+class ShardHolder:
     """A process of a node that acknowledges whatever it is granted."""
 
     def __init__(self, channel, node, instance="1"):
@@ -78,14 +78,14 @@
         self.call.cancel()
 
 
-def lists(raw, wanted):
+def received_routes(stream, wanted):
     """Routes whose lists the stream has been given, until they are those wanted."""
     found, end = set(), time.monotonic() + LONG
     while found != wanted and time.monotonic() < end:
-        response = raw.next()
+        response = stream.receive()
         found |= {resources.destination_of(row.name) for row in response.resources if row.name != resources.LEASE_NAME}
         found -= {resources.destination_of(name) for name in response.removed_resources}
-        raw.ack(response)
+        stream.acknowledge(response)
     return found
 
 
@@ -94,21 +94,21 @@
 
 
 def test_senders_share_the_shards_get_their_lists_alone_and_a_restart_leaves_them_where_they_are(folder):
-    with control(folder, *FLAGS) as process:
-        with grpc.insecure_channel(process.at) as channel:
-            raw = Raw(channel, incremental=True, node="a")
-            raw.ask(EDS, "*")
-            one, two = Sender(channel, "a"), Sender(channel, "b")
+    with running_control(folder, *FLAGS) as process:
+        with grpc.insecure_channel(process.address) as channel:
+            stream = DiscoveryStream(channel, incremental=True, node="a")
+            stream.request(EDS, "*")
+            one, two = ShardHolder(channel, "a"), ShardHolder(channel, "b")
             one.until(lambda held: len(held) == SHARDS // 2)
             two.until(lambda held: len(held) == SHARDS // 2)
             before, epoch = (one.held(), two.held()), max(one.had, two.had)
             assert not before[0] & before[1]
-            assert lists(raw, routes_of(before[0])) == routes_of(before[0])
+            assert received_routes(stream, routes_of(before[0])) == routes_of(before[0])
             one.end()
             two.end()
         process.end(signal.SIGTERM)
-    with control(folder, *FLAGS) as process, grpc.insecure_channel(process.at) as channel:
-        one, two = Sender(channel, "a", "2"), Sender(channel, "b", "2")
+    with running_control(folder, *FLAGS) as process, grpc.insecure_channel(process.address) as channel:
+        one, two = ShardHolder(channel, "a", "2"), ShardHolder(channel, "b", "2")
         one.until(lambda held: len(held) == SHARDS // 2)
         two.until(lambda held: len(held) == SHARDS // 2)
         assert (one.held(), two.held()) == before
@@ -119,27 +119,28 @@
     "damage", [lambda text: text[: len(text) // 2], lambda text: text.replace("shards 8", "shards 9")]
 )
 def test_a_snapshot_that_cannot_be_taken_is_said_in_one_line_and_grants_go_on(folder, damage):
-    with control(folder, *FLAGS) as process, grpc.insecure_channel(process.at) as channel:
-        Sender(channel, "a").until(lambda held: len(held) == SHARDS)
+    with running_control(folder, *FLAGS) as process, grpc.insecure_channel(process.address) as channel:
+        ShardHolder(channel, "a").until(lambda held: len(held) == SHARDS)
         process.end(signal.SIGTERM)
     kept = folder / "state" / "assignment"
     kept.write_text(damage(kept.read_text()))
-    with control(folder, *FLAGS) as process, grpc.insecure_channel(process.at) as channel:
-        Sender(channel, "a", "2").until(lambda held: len(held) == SHARDS)
-        [line] = [line for line in process.said if "assignment not taken" in line]
-        assert "snapshot: " in line and "Traceback" not in "".join(process.said)
+    with running_control(folder, *FLAGS) as process, grpc.insecure_channel(process.address) as channel:
+        ShardHolder(channel, "a", "2").until(lambda held: len(held) == SHARDS)
+        [line] = [line for line in process.printed if "assignment not taken" in line]
+        assert "snapshot: " in line
+        assert "Traceback" not in "".join(process.printed)
 
 
 def test_a_route_s_bucket_is_abandoned_and_a_standby_turns_lists_away(folder):
-    with control(folder, *FLAGS) as process, grpc.insecure_channel(process.at) as channel:
+    with running_control(folder, *FLAGS) as process, grpc.insecure_channel(process.address) as channel:
         message = rlqs_pb2.RateLimitQuotaUsageReports(domain="n")
         message.bucket_quota_usages.add().bucket_id.bucket.update({quota_wire.ROUTE: "1"})
         call = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel).StreamRateLimitQuotas(iter([message]), timeout=LONG)
         assert next(call).bucket_action[0].HasField("abandon_action")
         call.cancel()
-        other = Started(folder, *FLAGS).ready()
-        with grpc.insecure_channel(other.at) as channel:
-            raw = Raw(channel, incremental=True)
-            raw.ask(EDS, "*")
-            assert status(raw.call)[0] is grpc.StatusCode.UNAVAILABLE
+        other = ControlProcess(folder, *FLAGS).ready()
+        with grpc.insecure_channel(other.address) as channel:
+            stream = DiscoveryStream(channel, incremental=True)
+            stream.request(EDS, "*")
+            assert final_status(stream.call)[0] is grpc.StatusCode.UNAVAILABLE
         other.end()
--- a/tests/transport/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from transporthelp import CLASSES, Logged, control, site
+from transporthelp import CLASSES, LoggedProcess, running_control, write_site
 from test_program import LONG, ROOT
 
 from scalefall.control import audit
@@ -19,7 +19,7 @@
     started = []
 
     def start(*words):
-        started.append(Logged("-u", "-m", *words))
+        started.append(LoggedProcess("-u", "-m", *words))
         return started[-1]
 
     yield start
@@ -30,11 +30,11 @@
 def test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back(tmp_path, children):
     partner = children("scalefall.lab.partner", "--limit", "20", *CLASSES)
     port = partner.event("listening")["port"]
-    site(tmp_path, port, limit="limit 20 per 1s;")
+    write_site(tmp_path, port, limit="limit 20 per 1s;")
     flags = ("--plain-text", "--log-level", "debug", "--report-every", "0.2", "--lease", "1")
-    with control(tmp_path, *flags) as process:
+    with running_control(tmp_path, *flags) as process:
         link = subprocess.Popen(
-            [sys.executable, "-u", "-m", "scalefall.lab.link", process.at],
+            [sys.executable, "-u", "-m", "scalefall.lab.link", process.address],
             cwd=ROOT,
             text=True,
             stdin=subprocess.PIPE,
@@ -65,7 +65,7 @@
             tell("reset")
             tell("heal")
             proxy.event("ended", how="ok")
-            site(tmp_path, port, limit="limit 20 per 1s;", e0="draining")
+            write_site(tmp_path, port, limit="limit 20 per 1s;", e0="draining")
             process.child.send_signal(signal.SIGHUP)
             process.line("configuration read again")
             proxy.event("ended", how="refused")
@@ -74,15 +74,17 @@
         finally:
             link.kill()
             link.communicate()
-    rows, _ = audit.read_log([*process.said, *proxy.said, *partner.said])
+    rows, _ = audit.read_log([*process.printed, *proxy.printed, *partner.printed])
     found = {each.rule: each for each in audit.audit(rows)}
     assert not [each.violations for each in found.values() if each.violations]
-    assert found["answer"].checked and found["grants"].checked and found["twice"].checked
+    assert found["answer"].checked
+    assert found["grants"].checked
+    assert found["twice"].checked
 
 
 def test_without_control_messages_go_over_a_senders_own_front_and_reach_the_partner(tmp_path, children):
     partner = children("scalefall.lab.partner", "--limit", "20", *CLASSES)
-    site(tmp_path, partner.event("listening")["port"], limit="limit 20 per 1s;")
+    write_site(tmp_path, partner.event("listening")["port"], limit="limit 20 per 1s;")
     (tmp_path / "sender").mkdir()
     sender = children(
         "scalefall", "run", "--config", str(tmp_path), "--state", str(tmp_path / "sender"), "--listen", "127.0.0.1:0"
@@ -104,7 +106,8 @@
     )
     name = proxy.event("ended", how="fallback 202")["id"]
     partner.event("effect", id=name)
-    assert proxy.end(signal.SIGTERM) == 0 and not [line for line in proxy.said if '"sent"' in line]
+    assert proxy.end(signal.SIGTERM) == 0
+    assert not [line for line in proxy.printed if '"sent"' in line]
 
 
 def test_a_partner_counts_effects_by_the_classes_it_is_told_of(children):
--- a/tests/transport/transporthelp.py
+++ b/tests/transport/transporthelp.py
@@ -35,7 +35,7 @@
 TTL = "xds.config.supports-resource-ttl"
 
 
-def site(folder, *ports, limit="", **states):
+def write_site(folder, *ports, limit="", **states):
     """Endpoints e0, e1, ... at these ports; states by name, else ready."""
     rows = " ".join(
         f"endpoint e{n} {{ at 127.0.0.1:{port}; state {states.get(f'e{n}', 'ready')} }}" for n, port in enumerate(ports)
@@ -43,17 +43,17 @@
     (folder / "site.scale").write_text(SITE.format(endpoints=rows, limit=limit))
 
 
-class Logged(Process):
+class LoggedProcess(Process):
     """A process whose lines are JSON objects; said has every one of them."""
 
     def __init__(self, *command):
-        self.said, self._whole = [], threading.Event()
+        self.printed, self._whole = [], threading.Event()
         super().__init__(*command)
 
     def _read(self):
         for line in self.child.stdout:
-            self.said.append(line.rstrip("\n"))
-            self.lines.put(self.said[-1])
+            self.printed.append(line.rstrip("\n"))
+            self.lines.put(self.printed[-1])
         self.lines.put(None)
         self._whole.set()
 
@@ -72,7 +72,7 @@
         raise AssertionError(f"no {name} with {fields}")
 
 
-class Started(Logged):
+class ControlProcess(LoggedProcess):
     def __init__(self, folder, *flags, state="state"):
         (folder / state).mkdir(exist_ok=True)
         super().__init__(
@@ -91,13 +91,13 @@
         )
 
     def ready(self):
-        self.at = json.loads(self.line("ready: control"))["listen"]
+        self.address = json.loads(self.line("ready: control"))["listen"]
         return self
 
 
 @contextlib.contextmanager
-def control(folder, *flags, **more):
-    process = Started(folder, *(flags or ("--plain-text",)), **more)
+def running_control(folder, *flags, **more):
+    process = ControlProcess(folder, *(flags or ("--plain-text",)), **more)
     try:
         yield process.ready()
     finally:
@@ -105,7 +105,12 @@
             process.end()
 
 
-def unwrapped(packed):
+def reload_configuration(process):
+    """Ask a control process to read its configuration again; it answers with an event."""
+    process.child.send_signal(signal.SIGHUP)
+
+
+def unwrap(packed):
     """A state-of-the-world resource's body, its time to live in us (0: none) and its name (if that is known)."""
     if packed.Is(discovery_pb2.Resource.DESCRIPTOR):
         wrapped = discovery_pb2.Resource()
@@ -114,7 +119,7 @@
     return packed, 0, ""
 
 
-class Raw:
+class DiscoveryStream:
     """One incremental or whole stream, message by message."""
 
     def __init__(self, channel, incremental=False, node="n", features=(TTL,)):
@@ -126,23 +131,23 @@
         open_ = stub.DeltaAggregatedResources if incremental else stub.StreamAggregatedResources
         self.call = open_(iter(self._more.get, None), timeout=LONG)
 
-    def ask(self, kind, *names, **more):
+    def request(self, kind, *names, **more):
         word = "resource_names_subscribe" if self.incremental else "resource_names"
         node, self.first = (self.node if self.first else None), False
         self._more.put(self.kind(type_url=kind, node=node, **{word: names}, **more))
 
-    def next(self):
+    def receive(self):
         return next(self.call)
 
-    def ack(self, response, *names, **more):
-        self.ask(response.type_url, *names, response_nonce=response.nonce, **more)
+    def acknowledge(self, response, *names, **more):
+        self.request(response.type_url, *names, response_nonce=response.nonce, **more)
 
     def end(self):
         self._more.put(None)
         self.call.cancel()
 
 
-def status(call):
+def final_status(call):
     """How a call ends."""
     with contextlib.suppress(grpc.RpcError):
         for _ in call:
@@ -181,7 +186,7 @@
         )
 
     def _sign(self, subject, public, constraints, names, days):
-        now = datetime.datetime.now(datetime.timezone.utc)
+        now = datetime.datetime.now(datetime.UTC)
         made = (
             x509.CertificateBuilder()
             .subject_name(subject)
@@ -197,7 +202,7 @@
         return made.sign(self.key, hashes.SHA256())
 
 
-STOCK = """
+STOCK_CLIENT = """
 import sys, grpc
 call = grpc.insecure_channel("xds:///route-7").unary_unary("/toy.Toy/Who")
 for line in sys.stdin:
@@ -208,7 +213,7 @@
 """
 
 
-class Stock:
+class StockClient:
     """gRPC's own xDS client, which knows nothing of scalefall."""
 
     def __init__(self, at):
@@ -217,7 +222,7 @@
             "node": {"id": "stock"},
         }
         self.child = subprocess.Popen(
-            [sys.executable, "-c", STOCK],
+            [sys.executable, "-c", STOCK_CLIENT],
             cwd=ROOT,
             text=True,
             stdin=subprocess.PIPE,
