--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -26,8 +26,9 @@
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.coordinator import Coordinator
 from scalefall.assignment.model import UNLIMITED, Node, ShardGrant
-from scalefall.control.base_service import BaseControlService, Outgoing
+from scalefall.control.base_service import BaseControlService
 from scalefall.control.catalog import ResourceKey
+from scalefall.control.client_streams import Outgoing
 from scalefall.control.grants import QuotaAction
 from scalefall.control.members import Joined, JoinRejected, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
@@ -320,7 +321,7 @@
                 for key in self.catalog.keys_of(number)
             ]
             for stream in self._node_streams.get(node, ()):
-                out += [Outgoing(stream, action) for action in self._streams[stream].changed(keys)]
+                out += self._streams.resources_changed(stream, keys)
         return out
 
     def _outgoing_grants(self, grants: Sequence[ShardGrant], now: int) -> list[Outgoing]:
--- a/scalefall/control/audit_grants.py
+++ b/scalefall/control/audit_grants.py
@@ -92,5 +92,5 @@
     """The largest allowance that held at any moment of the last lease and delay."""
     first = bisect_left(allowances, grant.at - _lifetime_us(grant), key=lambda row: row.at)
     after_last = bisect_right(allowances, grant.at, key=lambda row: row.at)
-    held = allowances[max(0, first - 1) : after_last]
-    return max((row.number("amount") for row in held), default=0)
+    in_force = allowances[max(0, first - 1) : after_last]
+    return max((row.number("amount") for row in in_force), default=0)
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -15,19 +15,18 @@
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable, Sequence
-from typing import Generic, NamedTuple
+from typing import Generic
 
 from scalefall import interface as i
 from scalefall.control.allocator import Allocator, by_destination
 from scalefall.control.catalog import EDS, Catalog, DestinationView, ResourceKey
-from scalefall.control.discovery_messages import Request, StreamAction
+from scalefall.control.client_streams import ClientStreams, Outgoing
+from scalefall.control.discovery_messages import Request
 from scalefall.control.fleet_changes import FleetInForce, endpoint_changes
-from scalefall.control.grants import GrantT, Leases, QuotaAction
-from scalefall.control.heartbeat_schedule import HeartbeatSchedule
+from scalefall.control.grants import GrantT, Leases
 from scalefall.control.log_events import FieldValue, LogEvent
 from scalefall.control.members import Joined, JoinRejected, Members, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
-from scalefall.control.streams import XdsStream
 from scalefall.net.config import Fleet
 from scalefall.policy import Sender
 
@@ -36,13 +35,6 @@
 SETTLED_STEP_US = 1_000_000  # between steps otherwise
 
 
-class Outgoing(NamedTuple):
-    """What is to be sent on a stream, or done to it."""
-
-    stream: int
-    action: StreamAction | QuotaAction
-
-
 class BaseControlService(ABC, Generic[GrantT]):
     """A control service; its subclass says how calls are granted."""
 
@@ -80,8 +72,7 @@
         self.emitted_events: list[LogEvent] = []  # that the transport has not written yet
         self._builder = builder
         self._in_force = FleetInForce.of(Fleet([], {}))
-        self._streams: dict[int, XdsStream] = {}
-        self._heartbeats = HeartbeatSchedule()
+        self._streams = ClientStreams(self.catalog)
         self._module_events: list[i.Event] = []  # for the next step
         self._module_step_at = now
         self._step_at = now
@@ -152,22 +143,19 @@
 
     def resource_stream_opened(self, stream: int, node: str, incremental: bool, supports_ttl: bool) -> None:
         """A node has opened a stream of resources; `supports_ttl`: it declares that it knows times to live."""
-        self._streams[stream] = XdsStream(self.catalog, node, incremental, supports_ttl)
+        self._streams.open(stream, node, incremental, supports_ttl)
 
     def repeats(self, stream: int) -> bool:
         """Whether the last request on the stream had the same names as the one before, which costs next to nothing."""
-        return self._streams[stream].repeats
+        return self._streams.repeats(stream)
 
     def request(self, stream: int, request: Request, now: int) -> list[Outgoing]:
         """Take in a request, an acknowledgement or a rejection; what follows from it."""
-        client = self._streams[stream]
-        outgoing = [Outgoing(stream, action) for action in client.request(request)]
-        self._heartbeats.add(stream, client.next_heartbeat(now))
-        return outgoing
+        return self._streams.request(stream, request, now)
 
     def resource_stream_closed(self, stream: int) -> None:
         """A stream is closed; nothing if it was none of resources."""
-        self._streams.pop(stream, None)
+        self._streams.close(stream)
 
     def _resources_changed(self, keys: set[ResourceKey]) -> list[Outgoing]:
         """What each client is sent for it: all endpoints, as a drain may be among them, before anything else."""
@@ -175,7 +163,7 @@
         outgoing: list[Outgoing] = []
         for some in (endpoints, keys - endpoints):
             for stream, of_stream in self._receivers(some):
-                outgoing += [Outgoing(stream, action) for action in self._streams[stream].changed(of_stream)]
+                outgoing += self._streams.resources_changed(stream, of_stream)
         return outgoing
 
     def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
@@ -238,7 +226,7 @@
         for destination, amount in self.allocator.changed_allowances.items():
             self._emit("allowance", is_debug=True, clock=now, route=destination, amount=amount)
         outgoing += self._outgoing_grants(grants, now)
-        outgoing += self._send_heartbeats(now)
+        outgoing += self._streams.heartbeats(now)
         return outgoing
 
     def _step_module(self, now: int) -> Sequence[GrantT]:
@@ -269,19 +257,10 @@
         The others' grants count all the same, as they may be on their way to them.
         """
 
-    def _send_heartbeats(self, now: int) -> list[Outgoing]:
-        outgoing: list[Outgoing] = []
-        for stream in self._heartbeats.pop_due(now):
-            client = self._streams.get(stream)
-            if client is not None:
-                outgoing += [Outgoing(stream, action) for action in client.heartbeats(now)]
-                self._heartbeats.add(stream, client.next_heartbeat(now))
-        return outgoing
-
     def next_deadline(self, now: int) -> int:
         """When `step` has to be called if nothing comes before."""
         times = [self._step_at, self.ledger.next_deadline(now), self.members.next_deadline(now) or self._step_at]
-        heartbeat = self._heartbeats.next_time
+        heartbeat = self._streams.next_heartbeat
         if heartbeat is not None:
             times.append(heartbeat)
         return max(now, min(times))
--- a/scalefall/control/grants.py
+++ b/scalefall/control/grants.py
@@ -33,8 +33,8 @@
     lease_us: int
 
 
-class HeldByOne(Protocol):
-    """A grant of any kind: it has one holder."""
+class LedgerGrant(Protocol):
+    """A grant of any kind of ledger: it has one holder."""
 
     @property
     def holder(self) -> str:
@@ -42,8 +42,8 @@
         ...
 
 
-GrantT = TypeVar("GrantT", bound=HeldByOne)
-GrantT_co = TypeVar("GrantT_co", bound=HeldByOne, covariant=True)
+GrantT = TypeVar("GrantT", bound=LedgerGrant)
+GrantT_co = TypeVar("GrantT_co", bound=LedgerGrant, covariant=True)
 
 
 class Leases(Protocol[GrantT_co]):
--- a/scalefall/control/heartbeat_schedule.py
+++ b/scalefall/control/heartbeat_schedule.py
@@ -23,7 +23,7 @@
             self._scheduled.add(stream)
             heapq.heappush(self._heap, (-(-int(time) // GRID_US) * GRID_US, stream))
 
-    def pop_due(self, now: int) -> Iterator[int]:
+    def pop_ready(self, now: int) -> Iterator[int]:
         """The streams whose time has come, which are scheduled no more; also those that are added meanwhile."""
         while self._heap and self._heap[0][0] <= now:
             _, stream = heapq.heappop(self._heap)
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -11,8 +11,9 @@
 from math import inf
 
 from scalefall import interface as i
-from scalefall.control.base_service import UNSETTLED_STEP_US, BaseControlService, Outgoing
+from scalefall.control.base_service import UNSETTLED_STEP_US, BaseControlService
 from scalefall.control.catalog import DestinationView
+from scalefall.control.client_streams import Outgoing
 from scalefall.control.grants import MIN_GRANT, UNITS_PER_CALL, Grant
 from scalefall.control.ledger import Ledger
 from scalefall.control.log_events import LogEvent
--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -166,13 +166,13 @@
         wildcard = wildcard and WILDCARD not in request.unsubscribed
         names = (watch.names | set(request.names)) - set(request.unsubscribed) - {WILDCARD}
         if is_first:
-            self._take_initial_versions(watch, request)
+            self._read_initial_versions(watch, request)
         self._set_subscription(watch, names, wildcard)
         for name in set(request.names) - {WILDCARD}:
             watch.send_anyway.add(name)
             watch.pending[name] = None
 
-    def _take_initial_versions(self, watch: Watch, request: Request) -> None:
+    def _read_initial_versions(self, watch: Watch, request: Request) -> None:
         """A client that reconnects has resources from before: what differs now is to be sent or removed."""
         for name, version in request.initial_versions:
             resource = self._catalog.get((watch.type, name), self._node)
--- a/scalefall/control/transport/service_driver.py
+++ b/scalefall/control/transport/service_driver.py
@@ -9,7 +9,7 @@
 
 from scalefall.assignment.service import ShardGrants
 from scalefall.control.grants import Grant, QuotaAction
-from scalefall.control.base_service import Outgoing
+from scalefall.control.client_streams import Outgoing
 from scalefall.control.streams import CloseStream, Response, ResponseRejected, StreamAction
 from scalefall.control.transport import clock, event_log, wire
 from scalefall.control.transport.leadership import LeaderState
