--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -6,7 +6,7 @@
     listener        an api_listener (no socket), its routes from RDS
     routes          see route_configuration.py
     cluster         connect timeout, calls in flight (all endpoints together), and load reports to this service
-    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), resting in slow start: UNHEALTHY;
+    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), ejected by slow start: UNHEALTHY;
                     weights of endpoints in slow start from its budget. Nothing allowed on the whole route
                     (Retry-After, slow start): all calls are dropped at the proxy, which a client that knows no grants
                     keeps too.
@@ -31,7 +31,7 @@
 
 from scalefall import interface as i
 from scalefall.control.catalog import CDS, EDS, LDS, RDS, Resource, ResourceKey
-from scalefall.control.endpoint_health import EndpointHealth, endpoint_states
+from scalefall.control.endpoint_health import BlockReason, EndpointHealth, endpoint_states
 from scalefall.control.service import RouteEntries
 from scalefall.control.transport.protobuf import SerializableMessage, duration, pack
 from scalefall.control.transport.route_configuration import route_configuration
@@ -92,12 +92,13 @@
     """
     name = resource_name(destination)
     states, blocked = endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
-    weights = _Weights(allowances)
+    budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
+    fair_share = _fair_share(allowances)
     zones: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
     for entry in entries:
         endpoint = entry.endpoint
         if endpoint.id in states:
-            row = _endpoint(entry, states[endpoint.id], weights.of(endpoint.id))
+            row = _endpoint(entry, states[endpoint.id], _weight(budgets.get(endpoint.id), fair_share))
             zones.setdefault(endpoint.zone, []).append(row)
     message = endpoint_pb2.ClusterLoadAssignment(
         cluster_name=name,
@@ -120,27 +121,23 @@
 # -- endpoints
 
 
-class _Weights:
-    """Weights of a route's endpoints by what the module allows of each."""
+def _fair_share(allowances: list[i.Allowed]) -> float:
+    """Return one endpoint's part of the route's rate; 0 if no rate is set."""
+    return next((row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf), 0.0)
 
-    def __init__(self, allowances: list[i.Allowed]) -> None:
-        self._budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
-        fair_shares = (row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf)
-        self._fair_share = next(fair_shares, 0.0)  # of the route's rate, for one endpoint
 
-    def of(self, endpoint: str) -> int:
-        """Return an endpoint's weight: its budget over its fair share, rounded down to a step."""
-        budget = self._budgets.get(endpoint)
-        if budget is None or budget == inf:
-            return FULL_WEIGHT
-        weight = FULL_WEIGHT * budget / self._fair_share if self._fair_share > 0 else 1
-        return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
+def _weight(budget: float | None, fair_share: float) -> int:
+    """Return an endpoint's weight: its own budget over its fair share, rounded down to a step."""
+    if budget is None or budget == inf:
+        return FULL_WEIGHT
+    weight = FULL_WEIGHT * budget / fair_share if fair_share > 0 else 1
+    return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
 
 
-def _endpoint(entry: Entry, state: EndpointHealth, weight: int) -> endpoint_components_pb2.LbEndpoint:
+def _endpoint(entry: Entry, health: EndpointHealth, weight: int) -> endpoint_components_pb2.LbEndpoint:
     return endpoint_components_pb2.LbEndpoint(
         endpoint=endpoint_components_pb2.Endpoint(address=_address(*entry.address)),
-        health_status=HEALTH[state],
+        health_status=HEALTH[health],
         load_balancing_weight=wrappers_pb2.UInt32Value(value=weight),
     )
 
@@ -154,8 +151,8 @@
     )
 
 
-def _drop_policy(blocked: str | None) -> endpoint_pb2.ClusterLoadAssignment.Policy:
-    """Return a policy that drops every call for this reason, or none where there is no reason."""
+def _drop_policy(blocked: BlockReason) -> endpoint_pb2.ClusterLoadAssignment.Policy:
+    """Return a policy that drops every call for this reason, if there is one."""
     policy = endpoint_pb2.ClusterLoadAssignment.Policy()
     if blocked:
         every_call = percent_pb2.FractionalPercent(numerator=100, denominator=percent_pb2.FractionalPercent.HUNDRED)
