--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -24,7 +24,8 @@
 
 ROLE = Role.SENDER_CONTROL
 LISTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
-# A report of use of more than 490 destinations costs more than its stream may say (SPEAK in control/edge/server.py).
+# A report of use of more than 490 destinations costs more than its stream may say (REQUEST_RATE in
+# control/transport/stream_reader.py).
 GRANTED = {"quick": (100, 200, 400), "full": (120, 240, 480)}
 CHANGES = {"quick": (4, 8, 16), "full": (8, 16, 32)}
 STEADY_US, WINDOW_US = 4 * SECOND, 7 * SECOND
@@ -134,8 +135,8 @@
             configuration.settings(),
             configuration.configuration(destinations),
             1,
-            lambda number: list(range(destinations)),
-            lambda number, random_: independent(table, destinations * calls, random_) if calls else iter(()),
+            lambda _number: list(range(destinations)),
+            lambda _number, random_: independent(table, destinations * calls, random_) if calls else iter(()),
             timer=time.process_time_ns,
         ),
         seed=11,
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -18,7 +18,7 @@
 from __future__ import annotations
 
 from collections import Counter, deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from itertools import chain
 
@@ -26,17 +26,20 @@
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.coordinator import Coordinator
 from scalefall.assignment.model import UNLIMITED, Node, ShardGrant
-from scalefall.control.catalog import Key
-from scalefall.control.members import Change, Joined, Refused, State
-from scalefall.control.service import Builder, Out, Service
+from scalefall.control.base_service import BaseControlService
+from scalefall.control.catalog import ResourceKey
+from scalefall.control.client_streams import Outgoing
+from scalefall.control.grants import QuotaAction
+from scalefall.control.members import Joined, JoinRejected, MembershipChange, MemberState
+from scalefall.control.resource_builder import ResourceBuilder
 from scalefall.net.config import Fleet
 
-LOADS_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
-MOST_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
+LOAD_INTERVAL_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
+MAX_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
 
 
 @dataclass(slots=True, frozen=True)
-class ShardGrants:
+class ShardGrants(QuotaAction):
     """All grants that one holder is to be sent now."""
 
     grants: tuple[ShardGrant, ...]
@@ -49,24 +52,24 @@
     def __init__(self, coordinator: Coordinator, delay_us: int) -> None:
         self._coordinator = coordinator
         self._limited: dict[int, int] = {}  # allowances that are not UNLIMITED
-        self.delay = delay_us
+        self.delay_us = delay_us
 
-    def use(self, coordinator: Coordinator) -> None:
+    def switch_to(self, coordinator: Coordinator) -> None:
         """Another one from now on, which is told all allowances that are not UNLIMITED."""
         coordinator.resume(self._coordinator.number)
         self._coordinator = coordinator
         for destination, amount in self._limited.items():
-            coordinator.allow(destination, amount)
+            coordinator.set_allowance(destination, amount)
 
     @property
     def number(self) -> int:
         return self._coordinator.number
 
-    def stand_by(self) -> None:
-        self._coordinator.stand_by()
+    def step_down(self) -> None:
+        self._coordinator.step_down()
 
-    def begin(self, now: int) -> None:
-        """A coordinator begins by its making: see ShardedService.begin_granting."""
+    def become_leader(self, now: int) -> None:
+        """A coordinator begins by its making: see ShardedService.become_leader."""
 
     def resume(self, number: int) -> None:
         self._coordinator.resume(number)
@@ -78,20 +81,20 @@
             del self._limited[destination]
         else:
             self._limited[destination] = amount
-        self._coordinator.allow(destination, amount)
+        self._coordinator.set_allowance(destination, amount)
         return True
 
     def join(self, holder: str) -> None:
         """See ShardedService."""
 
-    def lost(self, holder: str) -> None:
+    def disconnected(self, holder: str) -> None:
         """See ShardedService."""
 
-    def turn(self, now: int) -> list[ShardGrant]:
-        return self._coordinator.turn(now)
+    def step(self, now: int) -> list[ShardGrant]:
+        return self._coordinator.step(now)
 
-    def next_turn(self, now: int) -> int:
-        return self._coordinator.next_turn(now)
+    def next_deadline(self, now: int) -> int:
+        return self._coordinator.next_deadline(now)
 
 
 class ShardView:
@@ -105,11 +108,11 @@
         self._shards: dict[int, int] = {}  # of each destination
         self._nodes: dict[int, set[str]] = {}  # of each shard
 
-    def use(self, coordinator: Coordinator) -> None:
+    def switch_to(self, coordinator: Coordinator) -> None:
         """Another one from now on."""
         self._coordinator = coordinator
         self._nodes.clear()
-        self.follow_sharding()
+        self.sync_sharding()
 
     def covers(self, node: str, destination: int) -> bool:
         return self._coordinator.serves(node, destination)
@@ -118,7 +121,7 @@
         """The nodes that may have it."""
         return self._nodes.get(self._shards.get(destination, -1), ())
 
-    def follow(self, node: str, shards: Iterable[int]) -> None:
+    def update_node(self, node: str, shards: Iterable[int]) -> None:
         """These shards have come to a node or gone from it."""
         theirs = self._coordinator.shards_of(node)
         for shard in shards:
@@ -127,7 +130,7 @@
             else:
                 self._nodes.get(shard, set()).discard(node)
 
-    def follow_sharding(self) -> None:
+    def sync_sharding(self) -> None:
         """Destinations that have got a shard of their own, or lost it, are of another shard."""
         if self._coordinator.sharding is self._sharding:
             return
@@ -140,12 +143,12 @@
         for destination in moved:
             if destination in self._shards:
                 self._remove(destination)
-                self._put(destination)
+                self._add(destination)
 
     def destinations(self, node: str) -> Iterable[int]:
         return chain.from_iterable(self._by_shard.get(shard, ()) for shard in self._coordinator.shards_of(node))
 
-    def of_shard(self, shard: int) -> Iterable[int]:
+    def destinations_of(self, shard: int) -> Iterable[int]:
         """The destinations of one shard."""
         return self._by_shard.get(shard, ())
 
@@ -155,9 +158,9 @@
         for destination in self._shards.keys() - wanted:
             self._remove(destination)
         for destination in wanted - self._shards.keys():
-            self._put(destination)
+            self._add(destination)
 
-    def _put(self, destination: int) -> None:
+    def _add(self, destination: int) -> None:
         shard = self._shards[destination] = self._coordinator.sharding.shard_of(destination)
         self._by_shard.setdefault(shard, set()).add(destination)
 
@@ -168,7 +171,7 @@
             del self._by_shard[shard]
 
 
-class ShardedService(Service):
+class ShardedService(BaseControlService[ShardGrant]):
     """Streams of resources are told of by their node, quota streams by their process."""
 
     def __init__(
@@ -176,7 +179,7 @@
         now: int,
         settings: i.Settings,
         seed: int,
-        builder: Builder,
+        builder: ResourceBuilder,
         lease_us: int,
         delay_us: int,
         silence_us: int,
@@ -199,15 +202,15 @@
         """Who has which shard."""
         return self._assembly.coordinator
 
-    def begin_granting(self, now: int, number: int, snapshot: str | None = None) -> None:
-        self._assembly, refused = assemble(now, self._assignment, snapshot)
-        if refused:
-            self._tell("assignment not taken", error=refused)
-        self._leases.use(self.coordinator)
+    def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:
+        self._assembly, rejection = assemble(now, self._assignment, snapshot)
+        if rejection:
+            self._emit("assignment not taken", error=rejection)
+        self._leases.switch_to(self.coordinator)
         self._leases.resume(number)
-        self._view.use(self.coordinator)
+        self._view.switch_to(self.coordinator)
         for holder, node in self._nodes.items():
-            self.coordinator.joined(holder, node, now)
+            self.coordinator.holder_joined(holder, node, now)
 
     def generation(self) -> int:
         return self.coordinator.generation
@@ -217,20 +220,20 @@
 
     # -- the fleet
 
-    def configure(self, fleet: Fleet, now: int) -> list[Out]:
+    def configure(self, fleet: Fleet, now: int) -> list[Outgoing]:
         out = super().configure(fleet, now)
         self._view.replace(fleet.routes)
         return out
 
     # -- streams of resources
 
-    def opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
-        super().opened(stream, holder, incremental, leased)
+    def resource_stream_opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
+        super().resource_stream_opened(stream, holder, incremental, leased)
         self._node_streams.setdefault(holder, set()).add(stream)
         self._stream_nodes[stream] = holder
 
-    def ended(self, stream: int) -> None:
-        super().ended(stream)
+    def resource_stream_closed(self, stream: int) -> None:
+        super().resource_stream_closed(stream)
         node = self._stream_nodes.pop(stream, None)
         if node is not None:
             self._node_streams[node].discard(stream)
@@ -239,114 +242,113 @@
 
     # -- processes and their grants
 
-    def joined(
+    def quota_stream_joined(
         self, stream: int, node: str, instance: str, now: int, region: str = "", zone: str = ""
-    ) -> Joined | Refused:
+    ) -> Joined | JoinRejected:
         """A quota stream has named its process, and where it stands."""
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._nodes[answer.holder] = Node(node, region, zone)
-            self._unacknowledged[stream] = deque(maxlen=MOST_UNACKNOWLEDGED)
-            self._enter(answer.holder, now)
-            self._news(now)
-            self._tell("proxy joined", holder=answer.holder, came_back=answer.came_back, twin=answer.twin)
+            self._unacknowledged[stream] = deque(maxlen=MAX_UNACKNOWLEDGED)
+            self._holder_reachable(answer.holder, now)
+            self._schedule_step(now)
+            self._emit("proxy joined", holder=answer.holder, came_back=answer.is_known, twin=answer.shares_node_id)
         return answer
 
-    def left(self, stream: int, now: int) -> None:
-        super().left(stream, now)
+    def quota_stream_closed(self, stream: int, now: int) -> None:
+        super().quota_stream_closed(stream, now)
         self._unacknowledged.pop(stream, None)
 
-    def used(self, stream: int, route: int, calls: float, had: int, now: int) -> bool:
-        """Nothing is granted by route here."""
-        return False
-
     def acknowledged(self, stream: int, had: int, now: int) -> None:
         """The stream's process has had all grants sent on it up to this number. A stream keeps their order, so one
         number stands for all before it; what was sent on an earlier stream it does not vouch for."""
-        holder = self.members.holder(stream)
+        holder = self.members.holder_of(stream)
         if holder is None:
             return
-        if self.members.heard(stream, now) is not None:
-            self._enter(holder, now)
-            self._tell("proxy heard again", holder=holder)
+        if self.members.heartbeat_received(stream, now) is not None:
+            self._holder_reachable(holder, now)
+            self._emit("proxy heard again", holder=holder)
         waiting = self._unacknowledged[stream]
         while waiting and waiting[0][0] <= had:
             number, shard = waiting.popleft()
             self.coordinator.acknowledged(holder, shard, number, now)
-        self._news(now)
+        self._schedule_step(now)
 
-    def _enter(self, holder: str, now: int) -> None:
-        self.coordinator.joined(holder, self._nodes[holder], now)
+    def _holder_reachable(self, holder: str, now: int) -> None:
+        self.coordinator.holder_joined(holder, self._nodes[holder], now)
 
-    def _lost(self, change: Change, now: int) -> None:
-        super()._lost(change, now)
-        if change.state is State.GONE:
+    def _holder_disconnected(self, change: MembershipChange, now: int) -> None:
+        super()._holder_disconnected(change, now)
+        if change.state is MemberState.FORGOTTEN:
             self._nodes.pop(change.holder, None)
         else:
-            self.coordinator.lost(change.holder, now)
+            self.coordinator.holder_lost(change.holder, now)
 
     # -- loads
 
-    def counted(self, calls: Mapping[int, int]) -> None:
+    def calls_counted(self, calls: Mapping[int, int]) -> None:
         """Calls that were made since the last report, by destination."""
         for destination, count in calls.items():
             if count > 0:
                 self._calls[destination] += count
 
-    def _weigh(self, now: int) -> None:
+    def _report_loads(self, now: int) -> None:
         """Calls a second of each destination with traffic, to the coordinator."""
         elapsed = now - self._counted_from
-        if elapsed >= LOADS_US:
+        if elapsed >= LOAD_INTERVAL_US:
             loads = {destination: count * 1_000_000 / elapsed for destination, count in self._calls.items()}
             self._calls.clear()
             self._counted_from = now
-            self.coordinator.loaded(loads, now)
+            self.coordinator.loads_reported(loads, now)
 
     # -- time
 
-    def turn(self, now: int) -> list[Out]:
-        self._weigh(now)
-        out = super().turn(now)
-        return self._follow() + out
+    def step(self, now: int) -> list[Outgoing]:
+        self._report_loads(now)
+        out = super().step(now)
+        return self._follow_changes() + out
 
-    def _follow(self) -> list[Out]:
+    def _follow_changes(self) -> list[Outgoing]:
         """What came to a node's shards or went from them, to its streams of resources."""
-        self._view.follow_sharding()
-        out: list[Out] = []
-        for node, shards in self.coordinator.take_changed().items():
-            self._view.follow(node, shards)
+        self._view.sync_sharding()
+        out: list[Outgoing] = []
+        for node, shards in self.coordinator.drain_changes().items():
+            self._view.update_node(node, shards)
             keys = [
-                key for shard in shards for number in self._view.of_shard(shard) for key in self.catalog.keys_of(number)
+                key
+                for shard in shards
+                for number in self._view.destinations_of(shard)
+                for key in self.catalog.keys_of(number)
             ]
             for stream in self._node_streams.get(node, ()):
-                out += [(stream, action) for action in self._streams[stream].changed(keys)]
+                out += self._streams.resources_changed(stream, keys)
         return out
 
-    def _grants_out(self, grants: list[ShardGrant], now: int) -> list[Out]:
+    def _outgoing_grants(self, grants: Sequence[ShardGrant], now: int) -> list[Outgoing]:
         by_stream: dict[int, list[ShardGrant]] = {}
         for grant in grants:
             stream = self._live_stream(grant.holder)
             if stream is not None and stream in self._unacknowledged:
                 by_stream.setdefault(stream, []).append(grant)
                 self._unacknowledged[stream].append((grant.number, grant.shard))
-                self._tell_granted(grant, now)
-        return [(stream, ShardGrants(tuple(given))) for stream, given in by_stream.items()]
+                self._emit_granted(grant, now)
+        return [Outgoing(stream, ShardGrants(tuple(given))) for stream, given in by_stream.items()]
 
-    def _tell_granted(self, grant: ShardGrant, now: int) -> None:
-        self._tell(
+    def _emit_granted(self, grant: ShardGrant, now: int) -> None:
+        self._emit(
             "granted",
-            fine=True,
+            is_debug=True,
             clock=now,
             holder=grant.holder,
             shard=grant.shard,
             epoch=grant.epoch,
             number=grant.number,
-            share=grant.share,
+            share=grant.quota,
             lease_ms=grant.lease_us // 1000,
-            delay_ms=self.ledger.delay // 1000,
+            delay_ms=self.ledger.delay_us // 1000,
         )
 
-    def _receivers(self, keys: set[Key]) -> Iterable[tuple[int, set[Key]]]:
+    def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
         """Only nodes that hold a destination are told of its resources."""
         return [
             (stream, theirs)
@@ -354,9 +356,9 @@
             for stream in self._node_streams.get(node, ())
         ]
 
-    def _by_node(self, keys: Iterable[Key]) -> dict[str, set[Key]]:
+    def _by_node(self, keys: Iterable[ResourceKey]) -> dict[str, set[ResourceKey]]:
         """The keys that each node with a stream is to be told of; what is gone or shared, all of them."""
-        found: dict[str, set[Key]] = {}
+        found: dict[str, set[ResourceKey]] = {}
         for key in keys:
             destination = self.catalog.destination_of(key)
             for node in self._node_streams if destination is None else self._view.nodes_of(destination):
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -8,7 +8,7 @@
 
 import click
 
-from scalefall.assignment.sharding import MOST_SHARDS
+from scalefall.assignment.sharding import MAX_SHARDS
 from scalefall.cli import logs, output
 from scalefall.cli.output import option
 from scalefall.cli.run import configuration
@@ -96,7 +96,7 @@
 )
 @option(
     "--shards",
-    type=click.IntRange(0, MOST_SHARDS),
+    type=click.IntRange(0, MAX_SHARDS),
     default=0,
     show_default=True,
     help="Divide destinations among senders, in so many shards; 0: every client gets everything.",
@@ -157,8 +157,9 @@
     if plain_text and not ipaddress.ip_address(listen.rpartition(":")[0].strip("[]")).is_loopback:
         raise click.UsageError(f"--plain-text is for loopback only, not for {listen}")
     try:
-        from scalefall.control.edge import keys, run, server
-        from scalefall.control.edge.state import Folder, Unusable
+        from scalefall.control.transport import run, tls
+        from scalefall.control.transport.options import ServerOptions, ShardingOptions
+        from scalefall.control.transport.state import StateDirectory, StateDirectoryError
     except ModuleNotFoundError as error:
         if error.name.startswith("scalefall"):
             raise
@@ -169,13 +170,13 @@
     def tell(line: str, good: bool) -> None:
         log.log(logging.INFO if good else logging.ERROR, "%s", line)
 
-    sharding = server.ShardingOptions(shards, int(move_after * 1_000_000), sender_load) if shards else None
+    sharding = ShardingOptions(shards, int(move_after * 1_000_000), sender_load) if shards else None
     spans = (int(each * 1_000_000) for each in (lease, delay, endpoint_lease, report_every))
-    options = server.Options(listen, *spans, sharding)
+    options = ServerOptions(listen, *spans, sharding)
     try:
-        held = None if plain_text else keys.Keys(keys.Paths(certificate, key, clients), tell)
-        run.run(start.config, options, Folder(state), held, read_again)
-    except (keys.Unusable, Unusable, OSError) as error:
+        held = None if plain_text else tls.CertificateStore(tls.CertificatePaths(certificate, key, clients), tell)
+        run.run(start.config, options, StateDirectory(state), held, read_again)
+    except (tls.CertificateError, StateDirectoryError, OSError) as error:
         output.cannot_run(str(error))
 
 
@@ -197,7 +198,7 @@
                 lines += file.read().splitlines()
         except OSError as error:
             output.cannot_run(f"{path}: {error.strerror}")
-    rows, foreign = audit.read(lines)
+    rows, foreign = audit.read_log(lines)
     findings = audit.audit(rows)
-    click.echo(audit.text(findings, foreign), nl=False)
-    raise SystemExit(1 if any(found.broken for found in findings) else 0)
+    click.echo(audit.format_findings(findings, foreign), nl=False)
+    raise SystemExit(1 if any(found.violations for found in findings) else 0)
--- /dev/null
+++ b/scalefall/control/transport/reports.py
@@ -0,0 +1,164 @@
+"""Load reports as the module's events. No I/O.
+
+By endpoint (upstream_endpoint_stats) where a client gives them, else a zone's totals over its endpoints in turn. What
+is reported by named metrics beside successes and errors, each with its number of calls, says how errors ended:
+
+    scalefall.full, scalefall.timeout, scalefall.reset, scalefall.connect_failed     calls that ended so
+    scalefall.wait_ms       the longest Retry-After of its answers, as of this report
+    x0, x1                  ORCA's named metrics as the endpoint reported them (also as named_metrics.x0): the mean
+
+Errors that nothing says more of are errors. Source: envoy.service.load_stats.v3, gRFC A64, A85.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
+from itertools import cycle
+from math import inf
+from typing import NamedTuple, TypeAlias
+
+from envoy.config.endpoint.v3 import load_report_pb2
+
+from scalefall import interface as i
+from scalefall.control.transport import resources
+from scalefall.net.list_stream import Entry
+
+METRIC_PREFIX = "scalefall."
+RETRY_AFTER_METRIC = METRIC_PREFIX + "wait_ms"
+ORCA_PREFIX = "named_metrics."
+OUTCOME_METRICS = {
+    "full": i.Outcome.FULL,
+    "timeout": i.Outcome.TIMEOUT,
+    "reset": i.Outcome.RESET,
+    "connect_failed": i.Outcome.CONNECT_FAILED,
+}
+NAMED_METRICS = ("x0", "x1")
+MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that become an event each: bounds a step
+MAX_RETRY_AFTER_MS = 3_600_000  # an hour: a longer one is a client's mistake
+MAX_INTERVAL_US = 60_000_000  # a minute between reports, likewise
+
+Stats: TypeAlias = load_report_pb2.UpstreamEndpointStats | load_report_pb2.UpstreamLocalityStats
+
+
+class EndpointAddress(NamedTuple):
+    """Where a load report finds an endpoint."""
+
+    route: int
+    host: str
+    port: int
+
+
+class LoadReportIndex:
+    """The endpoints of a fleet as load reports name them."""
+
+    def __init__(self, entries: Iterable[Entry], max_reported_calls: int = MAX_REPORTED_CALLS) -> None:
+        """Index the endpoints.
+
+        Args:
+            entries: The fleet's endpoints.
+            max_reported_calls: Calls of one endpoint and outcome in one report that become an event each.
+        """
+        self._max_reported_calls = max_reported_calls
+        self._ids: dict[EndpointAddress, str] = {}
+        self._ids_by_zone: dict[tuple[int, str], list[str]] = {}
+        for entry in entries:
+            endpoint = entry.endpoint
+            self._ids[EndpointAddress(endpoint.destination, *entry.address)] = endpoint.id
+            self._ids_by_zone.setdefault((endpoint.destination, endpoint.zone), []).append(endpoint.id)
+
+    @staticmethod
+    def loads(stats: Iterable[load_report_pb2.ClusterStats]) -> dict[int, int]:
+        """Return the calls that were issued, by destination: all of them, however many become an event each."""
+        loads: dict[int, int] = {}
+        for cluster in stats:
+            route = resources.destination_of(cluster.cluster_name)
+            if route is not None:
+                calls = sum(_issued_calls(locality) for locality in cluster.upstream_locality_stats)
+                loads[route] = loads.get(route, 0) + calls
+        return loads
+
+    def events(self, stats: Iterable[load_report_pb2.ClusterStats], now_us: int) -> Iterator[i.Reported]:
+        """Yield an event for each call; what is of no cluster or endpoint of ours says nothing."""
+        for cluster in stats:
+            route = resources.destination_of(cluster.cluster_name)
+            if route is None:
+                continue
+            interval_us = max(0, min(MAX_INTERVAL_US, cluster.load_report_interval.ToMicroseconds()))
+            for locality in cluster.upstream_locality_stats:
+                for endpoints, row in self._rows(route, locality):
+                    yield from _call_events(endpoints, row, now_us, interval_us, self._max_reported_calls)
+
+    def _rows(self, route: int, locality: load_report_pb2.UpstreamLocalityStats) -> Iterator[tuple[list[str], Stats]]:
+        """Yield the endpoints that a row speaks of, with the row: one each, else all of the zone together."""
+        if not locality.upstream_endpoint_stats:
+            endpoints = self._ids_by_zone.get((route, locality.locality.zone))
+            if endpoints:
+                yield endpoints, locality
+            return
+        for row in locality.upstream_endpoint_stats:
+            address = row.address.socket_address
+            endpoint = self._ids.get(EndpointAddress(route, address.address, address.port_value))
+            if endpoint is not None:
+                yield [endpoint], row
+
+
+def _issued_calls(locality: load_report_pb2.UpstreamLocalityStats) -> int:
+    """Return the calls issued; clients that tell no such number tell how those that ended did."""
+    issued: int = locality.total_issued_requests
+    return issued or sum(
+        row.total_issued_requests or row.total_successful_requests + row.total_error_requests
+        for row in locality.upstream_endpoint_stats or (locality,)
+    )
+
+
+@dataclass(slots=True)
+class _Metrics:
+    """What the named metrics of a row say.
+
+    Attributes:
+        failures: Calls that failed, by outcome.
+        load_report: The mean of each named metric of the endpoint.
+        retry_after_us: The longest Retry-After; 0 for none.
+    """
+
+    failures: dict[i.Outcome, int]
+    load_report: dict[str, float]
+    retry_after_us: int = 0
+
+
+def _read_metrics(row: Stats) -> _Metrics:
+    found = _Metrics({}, {})
+    for metric in row.load_metric_stats:
+        name = metric.metric_name.removeprefix(ORCA_PREFIX)
+        count, total = metric.num_requests_finished_with_metric, metric.total_metric_value
+        if not 0 <= total < inf:
+            continue
+        if name in NAMED_METRICS and count:
+            found.load_report[name] = total / count
+        elif name == RETRY_AFTER_METRIC:
+            found.retry_after_us = int(min(total, MAX_RETRY_AFTER_MS) * 1000)
+        elif name.startswith(METRIC_PREFIX) and name.removeprefix(METRIC_PREFIX) in OUTCOME_METRICS:
+            found.failures[OUTCOME_METRICS[name.removeprefix(METRIC_PREFIX)]] = count
+    unexplained = row.total_error_requests - sum(found.failures.values())
+    found.failures[i.Outcome.ERROR] = max(0, unexplained)
+    return found
+
+
+def _call_events(
+    endpoints: list[str], row: Stats, now_us: int, interval_us: int, max_reported_calls: int
+) -> Iterator[i.Reported]:
+    """Yield an event for each call of a row, over its endpoints in turn.
+
+    Failures come last, so that they are not taken back by successes of the same report; successes count as sent at its
+    beginning and failures at its end, which is the cautious side of both.
+    """
+    metrics = _read_metrics(row)
+    in_turn = cycle(endpoints)
+    for _ in range(min(max_reported_calls, row.total_successful_requests)):
+        yield i.Reported(next(in_turn), now_us - interval_us, i.Outcome.OK, 0, metrics.load_report)
+    for outcome, count in metrics.failures.items():
+        for _ in range(min(max_reported_calls, count)):
+            yield i.Reported(next(in_turn), now_us, outcome, metrics.retry_after_us, metrics.load_report)
+    if metrics.retry_after_us and not any(metrics.failures.values()):
+        yield i.Reported(endpoints[0], now_us, i.Outcome.NOT_SENT, metrics.retry_after_us)
--- /dev/null
+++ b/scalefall/control/transport/resources.py
@@ -0,0 +1,220 @@
+"""The fleet and the module's figures as xDS resources, v3, by the published messages. No I/O.
+
+A route N of the configuration is one listener, one route configuration, one cluster and one set of endpoints, all named
+`route-N`, so a client resolves `xds:///route-N`. What stands in them, and whose figure it is:
+
+    listener        an api_listener (no socket), its routes from RDS
+    routes          see route_configuration.py
+    cluster         connect timeout, calls in flight (all endpoints together), and load reports to this service
+    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), ejected by slow start: UNHEALTHY;
+                    weights of endpoints in slow start from its budget. Nothing allowed on the whole route
+                    (Retry-After, slow start): all calls are dropped at the proxy, which a client that knows no grants
+                    keeps too.
+
+Sources: envoy.config.{listener,cluster,endpoint}.v3; gRFC A27, A31, A32 for what gRPC takes.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Iterable
+from math import inf
+
+from envoy.config.cluster.v3 import circuit_breaker_pb2, cluster_pb2
+from envoy.config.core.v3 import address_pb2, base_pb2, config_source_pb2, health_check_pb2
+from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
+from envoy.config.listener.v3 import api_listener_pb2, listener_pb2
+from envoy.extensions.filters.http.router.v3 import router_pb2
+from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
+from envoy.type.v3 import percent_pb2
+from google.protobuf import wrappers_pb2
+
+from scalefall import interface as i
+from scalefall.control.catalog import CDS, EDS, LDS, RDS, Resource, ResourceKey
+from scalefall.control.endpoint_health import BlockReason, EndpointHealth, endpoint_states
+from scalefall.control.service import RouteEntries
+from scalefall.control.transport.protobuf import SerializableMessage, duration, pack
+from scalefall.control.transport.route_configuration import route_configuration
+from scalefall.net.config import RouteRules
+from scalefall.net.list_stream import Entry
+
+LEASE_NAME = "scalefall-lease"  # the resource whose heartbeats stand for those of all endpoint lists
+NAME_PREFIX = "route"
+MAX_ROUTE_DIGITS = 9  # of a route's number in a resource's name
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # of a route without endpoints, where no call is made
+FULL_WEIGHT = 100  # of an endpoint at its full rate
+WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # of those in slow start, so that not every step is a change
+HEALTH = {
+    EndpointHealth.READY: health_check_pb2.HEALTHY,
+    EndpointHealth.DRAINING: health_check_pb2.DRAINING,
+    EndpointHealth.EJECTED: health_check_pb2.UNHEALTHY,
+}
+
+
+def resource_name(destination: int) -> str:
+    """Return the name of a route's resources."""
+    return f"{NAME_PREFIX}-{destination}"
+
+
+def destination_of(name: str) -> int | None:
+    """Return the route of a resource's name, or of a cluster's in a load report; None if it is none of ours."""
+    prefix, _, number = name.rpartition("-")
+    is_ours = prefix == NAME_PREFIX and number.isascii() and number.isdigit() and len(number) <= MAX_ROUTE_DIGITS
+    return int(number) if is_ours else None
+
+
+def static_resources(
+    entries_by_route: RouteEntries, rules_by_route: dict[int, RouteRules], settings: i.Settings
+) -> list[Resource]:
+    """Return listeners, routes and clusters: what follows from the configuration alone."""
+    built = []
+    for destination, rules in rules_by_route.items():
+        name = resource_name(destination)
+        cluster = _cluster(name, entries_by_route[destination])
+        routes = route_configuration(name, rules, settings)
+        built.append(_resource(CDS, destination, cluster, needs=()))
+        built.append(_resource(RDS, destination, routes, needs=((CDS, name),)))
+        built.append(_resource(LDS, destination, _listener(name), needs=((RDS, name),)))
+    return built
+
+
+def endpoint_resource(
+    destination: int, entries: list[Entry], allowances: list[i.Allowed], now_us: int, ttl_us: int
+) -> Resource:
+    """Return the endpoints of a route as they are now.
+
+    Args:
+        destination: The route.
+        entries: Its endpoints.
+        allowances: What the module allows of it.
+        now_us: The monotonic clock.
+        ttl_us: The resource's time to live; 0 for none.
+    """
+    name = resource_name(destination)
+    states, blocked = endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
+    budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
+    fair_share = _fair_share(allowances)
+    zones: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
+    for entry in entries:
+        endpoint = entry.endpoint
+        if endpoint.id in states:
+            row = _endpoint(entry, states[endpoint.id], _weight(budgets.get(endpoint.id), fair_share))
+            zones.setdefault(endpoint.zone, []).append(row)
+    message = endpoint_pb2.ClusterLoadAssignment(
+        cluster_name=name,
+        policy=_drop_policy(blocked),
+        endpoints=[_zone(zone, rows) for zone, rows in sorted(zones.items())],
+    )
+    return _resource(EDS, destination, message, (), ttl_us)
+
+
+def lease_resource(ttl_us: int) -> Resource:
+    """Return an empty list of endpoints under a name of its own, with a time to live.
+
+    Its heartbeats tell a client that all lists which it has are still those in force, so that the lists themselves need
+    none.
+    """
+    body = pack(endpoint_pb2.ClusterLoadAssignment(cluster_name=LEASE_NAME))
+    return Resource(EDS, LEASE_NAME, "1", body, frozenset(), ttl_us)
+
+
+# -- endpoints
+
+
+def _fair_share(allowances: list[i.Allowed]) -> float:
+    """Return one endpoint's part of the route's rate; 0 if no rate is set."""
+    return next((row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf), 0.0)
+
+
+def _weight(budget: float | None, fair_share: float) -> int:
+    """Return an endpoint's weight: its own budget over its fair share, rounded down to a step."""
+    if budget is None or budget == inf:
+        return FULL_WEIGHT
+    weight = FULL_WEIGHT * budget / fair_share if fair_share > 0 else 1
+    return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
+
+
+def _endpoint(entry: Entry, health: EndpointHealth, weight: int) -> endpoint_components_pb2.LbEndpoint:
+    return endpoint_components_pb2.LbEndpoint(
+        endpoint=endpoint_components_pb2.Endpoint(address=_address(*entry.address)),
+        health_status=HEALTH[health],
+        load_balancing_weight=wrappers_pb2.UInt32Value(value=weight),
+    )
+
+
+def _zone(zone: str, rows: list[endpoint_components_pb2.LbEndpoint]) -> endpoint_components_pb2.LocalityLbEndpoints:
+    """Return the endpoints of a zone, which weighs as much as it has of them."""
+    return endpoint_components_pb2.LocalityLbEndpoints(
+        locality=base_pb2.Locality(zone=zone),
+        lb_endpoints=rows,
+        load_balancing_weight=wrappers_pb2.UInt32Value(value=len(rows)),
+    )
+
+
+def _drop_policy(blocked: BlockReason) -> endpoint_pb2.ClusterLoadAssignment.Policy:
+    """Return a policy that drops every call for this reason, if there is one."""
+    policy = endpoint_pb2.ClusterLoadAssignment.Policy()
+    if blocked:
+        every_call = percent_pb2.FractionalPercent(numerator=100, denominator=percent_pb2.FractionalPercent.HUNDRED)
+        policy.drop_overloads.add(category=blocked, drop_percentage=every_call)
+    return policy
+
+
+def _address(host: str, port: int) -> address_pb2.Address:
+    return address_pb2.Address(socket_address=address_pb2.SocketAddress(address=host, port_value=port))
+
+
+# -- clusters and listeners
+
+
+def _cluster(name: str, entries: list[Entry]) -> cluster_pb2.Cluster:
+    cluster = cluster_pb2.Cluster(
+        name=name,
+        type=cluster_pb2.Cluster.EDS,
+        lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
+        connect_timeout=duration(entries[0].dial_us if entries else DEFAULT_CONNECT_TIMEOUT_US),
+        eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_ads()),
+        lrs_server=config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource()),
+    )
+    max_calls = _max_calls(entries)
+    if max_calls:
+        cluster.circuit_breakers.thresholds.append(
+            circuit_breaker_pb2.CircuitBreakers.Thresholds(
+                max_requests=wrappers_pb2.UInt32Value(value=max_calls),
+                max_connections=wrappers_pb2.UInt32Value(value=max_calls),
+            )
+        )
+    return cluster
+
+
+def _max_calls(entries: list[Entry]) -> int:
+    """Return how many calls all endpoints together take at a time; 0 if one of them has no limit."""
+    limits = [entry.endpoint.most_calls for entry in entries]
+    return sum(limits) if all(limits) else 0
+
+
+def _listener(name: str) -> listener_pb2.Listener:
+    router = http_connection_manager_pb2.HttpFilter(
+        name="envoy.filters.http.router", typed_config=pack(router_pb2.Router())
+    )
+    manager = http_connection_manager_pb2.HttpConnectionManager(
+        stat_prefix=name,
+        rds=http_connection_manager_pb2.Rds(config_source=_ads(), route_config_name=name),
+        http_filters=[router],
+    )
+    return listener_pb2.Listener(name=name, api_listener=api_listener_pb2.ApiListener(api_listener=pack(manager)))
+
+
+def _ads() -> config_source_pb2.ConfigSource:
+    return config_source_pb2.ConfigSource(
+        ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
+    )
+
+
+def _resource(
+    kind: str, destination: int, message: SerializableMessage, needs: Iterable[ResourceKey], ttl_us: int = 0
+) -> Resource:
+    """Return a resource of one destination; its version is a hash of its body."""
+    body = pack(message)
+    version = hashlib.blake2b(body.value, digest_size=8).hexdigest()
+    return Resource(kind, resource_name(destination), version, body, frozenset(needs), ttl_us, destination)
--- /dev/null
+++ b/scalefall/control/transport/wire.py
@@ -0,0 +1,128 @@
+"""Discovery messages to and from the types of streams. No I/O.
+
+A response is put together from two serialized messages, which protobuf reads as one: the resources, which are the same
+for every client, and the nonce and version, which are its own. So an endpoint's change is serialized once for all.
+Source: envoy.service.discovery.v3.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from typing import TypeAlias
+
+from envoy.service.discovery.v3 import discovery_pb2
+
+from scalefall.control.catalog import Resource
+from scalefall.control.streams import Request, Response
+from scalefall.control.transport.protobuf import serialize
+
+MAX_CACHED_RESOURCE_SETS = 256  # serialized sets of resources that are kept for the next client
+IDENTIFIER = "scalefall"
+TTL_FEATURE = "xds.config.supports-resource-ttl"  # as the protocol's specification names it
+
+
+# -- requests
+
+
+def request(message: discovery_pb2.DiscoveryRequest) -> Request:
+    """Read a request of the state-of-the-world form."""
+    return Request(message.type_url, message.response_nonce, tuple(message.resource_names), error=_error(message))
+
+
+def delta_request(message: discovery_pb2.DeltaDiscoveryRequest) -> Request:
+    """Read a request of the incremental form."""
+    return Request(
+        message.type_url,
+        message.response_nonce,
+        tuple(message.resource_names_subscribe),
+        tuple(message.resource_names_unsubscribe),
+        tuple(message.initial_resource_versions.items()),
+        _error(message),
+    )
+
+
+def _error(message: discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest) -> str | None:
+    """Return the text of a rejection; None for a request that rejects nothing."""
+    if not message.HasField("error_detail"):
+        return None
+    text: str = message.error_detail.message
+    return text or "no reason given"
+
+
+# -- responses
+
+
+# What the serialized resources of a response depend on: the stream's form and whether its client knows times to live;
+# whether it is a heartbeat, the type, the resources and the names removed. A plain tuple, as one is made per response.
+_CacheKey: TypeAlias = tuple[bool, bool, bool, str, tuple[Resource, ...], tuple[str, ...]]
+
+
+class ResponseEncoder:
+    """Responses as bytes, with a cache of the resources that went out last."""
+
+    def __init__(self) -> None:
+        """Start with nothing cached."""
+        self._cache: OrderedDict[_CacheKey, bytes] = OrderedDict()
+
+    def encode(self, response: Response, incremental: bool, understands_ttl: bool) -> bytes:
+        """Return a response as bytes.
+
+        Args:
+            response: The response.
+            incremental: Whether the stream is of the incremental form.
+            understands_ttl: Whether the client knows resources' times to live.
+        """
+        key = (incremental, understands_ttl, response.is_heartbeat, response.type, response.resources, response.removed)
+        encoded = self._cache.get(key)
+        if encoded is None:
+            encoded = self._cache[key] = _encode_resources(response, incremental, understands_ttl)
+            if len(self._cache) > MAX_CACHED_RESOURCE_SETS:
+                self._cache.popitem(last=False)
+        self._cache.move_to_end(key)
+        return encoded + _encode_stream_fields(response, incremental)
+
+
+def _encode_resources(response: Response, incremental: bool, understands_ttl: bool) -> bytes:
+    """Return what is the same for every client."""
+    if incremental:
+        return serialize(_incremental_message(response, understands_ttl))
+    return serialize(_state_of_the_world_message(response, understands_ttl))
+
+
+def _encode_stream_fields(response: Response, incremental: bool) -> bytes:
+    """Return what is the client's own: the nonce and the version."""
+    if incremental:
+        return serialize(
+            discovery_pb2.DeltaDiscoveryResponse(nonce=response.nonce, system_version_info=response.version)
+        )
+    return serialize(discovery_pb2.DiscoveryResponse(nonce=response.nonce, version_info=response.version))
+
+
+def _state_of_the_world_message(response: Response, understands_ttl: bool) -> discovery_pb2.DiscoveryResponse:
+    message = discovery_pb2.DiscoveryResponse(type_url=response.type)
+    message.control_plane.identifier = IDENTIFIER
+    for resource in response.resources:
+        if resource.ttl_us and understands_ttl:  # wrapped, as only so can it say how long it holds
+            message.resources.add().Pack(_wrapped(resource, response.is_heartbeat, understands_ttl))
+        else:
+            message.resources.append(resource.body)
+    return message
+
+
+def _incremental_message(response: Response, understands_ttl: bool) -> discovery_pb2.DeltaDiscoveryResponse:
+    message = discovery_pb2.DeltaDiscoveryResponse(type_url=response.type, removed_resources=response.removed)
+    message.control_plane.identifier = IDENTIFIER
+    message.resources.extend(
+        _wrapped(resource, response.is_heartbeat, understands_ttl) for resource in response.resources
+    )
+    return message
+
+
+def _wrapped(resource: Resource, is_heartbeat: bool, understands_ttl: bool) -> discovery_pb2.Resource:
+    """Return a resource with its name, version and time to live; a heartbeat has no body."""
+    message = discovery_pb2.Resource(name=resource.name, version=resource.version)
+    if resource.ttl_us and understands_ttl:
+        message.ttl.FromMicroseconds(resource.ttl_us)
+    if not is_heartbeat:
+        message.resource.CopyFrom(resource.body)
+    return message
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from scalefall import interface as i
-from scalefall.control.edge import resources
+from scalefall.control.transport import resources
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, Opening, StreamKind
 from scalefall.lab.hollow.grants import DestinationGrants
@@ -49,7 +49,7 @@
         random_: random.Random,
         stopwatch: Stopwatch,
         traffic: Traffic | None = None,
-        is_down: Callable[[int], bool] = lambda destination: False,
+        is_down: Callable[[int], bool] = lambda _destination: False,
         outcomes: Outcomes | None = None,
     ) -> None:
         """control: the instance that can be reached now, if any. is_down: whether a call to a destination fails.
@@ -130,7 +130,7 @@
 
     def _names(self) -> list[str]:
         """What a new stream of resources asks for."""
-        return [resources.name(route) for route in self._routes]
+        return [resources.resource_name(route) for route in self._routes]
 
     def _open(
         self, control: Control, kind: StreamKind, receive: Callable[[bytes], None]
@@ -165,7 +165,7 @@
             if listed is None:
                 self.contract.beaten()
                 continue
-            route = resources.destination(row.name)
+            route = resources.destination_of(row.name)
             self.contract.listed(route, listed.states, listed.blocked, listed.ttl_us, route in self._first)
             self._first.discard(route)
             self.last_change = self._clock.now
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -8,11 +8,11 @@
 
 from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
-from scalefall.assignment.model import WHOLE
+from scalefall.assignment.model import FULL_QUOTA
 from scalefall.assignment.service import ShardedService
 from scalefall.assignment.sharding import Sharding
-from scalefall.control.edge import resources, wire
-from scalefall.control.service import Builder
+from scalefall.control.transport import quota_wire, resources
+from scalefall.control.service import ResourceBuilder
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, ControlOptions, Opening, StreamKind
 from scalefall.lab.hollow.fleet import Fleet, FleetPlan
@@ -29,10 +29,12 @@
 Counts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # share of each destination, span in us -> calls
 
 
-def factory(assignment: AssignmentSettings) -> Callable[[int, i.Settings, Builder, ControlOptions], ShardedService]:
+def factory(
+    assignment: AssignmentSettings,
+) -> Callable[[int, i.Settings, ResourceBuilder, ControlOptions], ShardedService]:
     """Makes the service of a hollow control instance."""
 
-    def make(now: int, settings: i.Settings, builder: Builder, options: ControlOptions) -> ShardedService:
+    def make(now: int, settings: i.Settings, builder: ResourceBuilder, options: ControlOptions) -> ShardedService:
         return ShardedService(
             now, settings, 3, builder, options.lease_us, options.delay_us, options.lease_us, assignment
         )
@@ -61,12 +63,14 @@
         """The next report, serialized."""
         said, had = self._contract.report(now)
         message = messages.QuotaReport(domain=self._node)
-        message.bucket_quota_usages.add().bucket_id.bucket.update({wire.SAID: f"{said}", wire.HAD: f"{had}"})
+        message.bucket_quota_usages.add().bucket_id.bucket.update(
+            {quota_wire.REPORT_NUMBER: f"{said}", quota_wire.ACKNOWLEDGED_GRANT: f"{had}"}
+        )
         return message.SerializeToString()
 
     def receive(self, data: bytes, now: int) -> None:
         """A message of the quota stream."""
-        grants, heard = wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
+        grants, heard = quota_wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
         self.received += len(grants)
         self._contract.shards_granted(grants, heard if heard is not None else 0)
 
@@ -85,8 +89,8 @@
         shards: int,
         random_: random.Random,
         stopwatch: Stopwatch,
-        counts: Counts = lambda held, span_us: {},
-        is_down: Callable[[int], bool] = lambda destination: False,
+        counts: Counts = lambda _held, _span_us: {},
+        is_down: Callable[[int], bool] = lambda _destination: False,
     ) -> None:
         super().__init__(clock, control, link, node, instance, [], random_, stopwatch, is_down=is_down)
         self.contract = ShardedContract(Sharding(shards).shard_of)
@@ -111,7 +115,7 @@
         for row in response.resources:
             self._on_row(row)
         for name in response.removed_resources:
-            route = resources.destination(name)
+            route = resources.destination_of(name)
             self.contract.removed(route)
             self.addresses.pop(route, None)
         self.contract.answered(self._clock.now)
@@ -121,11 +125,11 @@
         listed = messages.endpoint_states(row)
         if listed is None:
             self.contract.beaten()
-        elif row.name == resources.LEASE:
+        elif row.name == resources.LEASE_NAME:
             self.contract.leased(listed.ttl_us, self._first_lease)
             self._first_lease = False
         else:
-            route = resources.destination(row.name)
+            route = resources.destination_of(row.name)
             self.contract.listed(route, listed.states, listed.blocked, listed.ttl_us, False)
             self.addresses[route] = next(iter(listed.states), "")
             self.last_change = self._clock.now
@@ -134,8 +138,8 @@
         """The calls since the last report."""
         now, span = self._clock.now, self._clock.now - self._loads_at
         self._loads_at = now
-        shares = self.contract.holder.shares(self.addresses, now)
-        held = {route: share / WHOLE for route, share in shares.items() if share}
+        quotas = self.contract.holder.quotas(self.addresses, now)
+        held = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
         served, failed = messages.Call(i.Outcome.OK, now), messages.Call(i.Outcome.CONNECT_FAILED, now)
         return {
             (route, self.addresses[route]): [failed if self._is_down(route) else served] * count
@@ -148,7 +152,7 @@
     """How destinations are divided in a fleet of hollow senders, and what they are called with."""
 
     assignment: AssignmentSettings
-    counts: Counts = lambda held, span_us: {}
+    counts: Counts = lambda _held, _span_us: {}
 
 
 class ShardedFleet(Fleet):
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -25,7 +25,7 @@
 from google.protobuf.message import Message
 
 from scalefall import interface as i
-from scalefall.control.edge import resources
+from scalefall.control.transport import resources
 from scalefall.lab.classes import add_classes, classes_of
 from scalefall.lab.proxy import messages
 from scalefall.lab.proxy.contract import ASK_US, SECOND, Contract, Fall, Refuse, Send, given_up, may_repeat
@@ -92,7 +92,7 @@
 
     async def _ads(self, channel: grpc.aio.Channel) -> None:
         call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources()
-        names, first = [resources.name(route) for route in self._routes], set(self._routes)
+        names, first = [resources.resource_name(route) for route in self._routes], set(self._routes)
         self._contract.opened(_now())
         if self._options.count:
             self.say("opened")
@@ -101,7 +101,7 @@
             kind = Kind.HEARTBEATS if messages.is_heartbeat(response) else Kind.RESOURCES
             self._read(kind, response)
             for row in response.resources:
-                route, listed = resources.destination(row.name), messages.endpoint_states(row)
+                route, listed = resources.destination_of(row.name), messages.endpoint_states(row)
                 if listed is None:
                     self._contract.beaten()
                     continue
@@ -198,7 +198,7 @@
             report = json.loads(fields.get("x-load", "{}"))
         except ConnectionRefusedError:
             outcome = O.CONNECT_FAILED
-        except asyncio.TimeoutError:
+        except TimeoutError:
             outcome = O.TIMEOUT
         except (OSError, ValueError):
             pass
@@ -214,7 +214,7 @@
             fields["Idempotency-Key"] = name
         try:
             return str((await asyncio.wait_for(_post(self._options.sender, f"/{cls.name}", fields), CALL_S))[0])
-        except (OSError, ValueError, asyncio.TimeoutError):
+        except (TimeoutError, OSError, ValueError):
             return "failed"
 
 
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -12,7 +12,8 @@
 from scalefall import interface as i
 from scalefall.net import http, streams
 from scalefall.net.endpoint_list import Entry
-from scalefall.net.attempts import Load, Attempts
+from scalefall.net.attempt_state import MessageInCall
+from scalefall.net.attempts import Attempts
 from scalefall.net.scheduler import READ, READY, Scheduler
 
 MS, S = 1000, 1_000_000
@@ -50,6 +51,14 @@
         for sock in (self._woken, self._waker) if not self.threads else ():  # a thread may still say that it is done
             sock.close()
 
+    def kill(self):
+        """Forget all that was to go on, as at the death of a process: tasks, timers, and who waits for a socket."""
+        self._ready.clear()
+        for task in list(self._waits.values()):
+            self._poll.unregister(task.fd)
+        self._waits.clear()
+        self._timers.clear()
+
     def now(self):
         return self.clock
 
@@ -186,11 +195,11 @@
             world, settings, most, lambda event, _: self.told.append(event), lambda entry: self.may
         )
 
-    def load(self, name, attempt=0, span=2 * S, **more):
-        return Load(name, attempt, self.world.now() + span, "k", b"body", **more)
+    def message(self, name, attempt=0, span=2 * S, **more):
+        return MessageInCall(name, attempt, self.world.now() + span, "k", b"body", **more)
 
     def begin(self, *names, **more):
-        self.attempts.begin(self.entry, [self.load(name, **more) for name in names])
+        self.attempts.begin(self.entry, [self.message(name, **more) for name in names])
 
     def outcome(self, name, attempt=0):
         """Waits for it; told exactly once."""
