--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -1,15 +1,15 @@
-"""The control service where destinations are divided among senders: a sender gets resources and grants of the shards
-that are assigned to it, and of no others.
+"""The control service where destinations are divided among senders.
 
-No I/O, no clock. It is `control.service.Service` with three parts replaced:
+A sender gets resources and grants of the shards that are assigned to it, and of no others. No I/O, no clock. It is a
+control service with its own
 
-    ledger      shares of shards instead of amounts by destination (coordinator.py, ledger.py); an allowance travels
-                with the grants of its destination's shard
-    view        the catalog's answer to which node may have which destinations' resources: those that it holds, or is to
-                hold as soon as the holder before it has let go
-    loads       calls that are reported, by destination, weigh the shards
+    ledger      quotas of shards instead of amounts by destination (shard_leases.py, coordinator.py); an allowance
+                travels with the grants of its destination's shard
+    view        the catalog's answer to which node may have which destinations' resources (shard_view.py): those of the
+                shards that it holds, or is to hold as soon as the holder before it has released them
+    loads       calls that are reported, by destination, are the loads of the shards
 
-A service that begins to grant makes its coordinator anew, from the snapshot of the one before if there is one.
+A service that becomes leader makes its coordinator anew, from the snapshot of the one before if there is one.
 
 What a node may have is no promise of safety: a list of endpoints alone allows no call. Calls need a grant, and the
 rules of grants are the ledger's.
@@ -20,12 +20,13 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
-from itertools import chain
 
 from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.coordinator import Coordinator
-from scalefall.assignment.model import UNLIMITED, Node, ShardGrant
+from scalefall.assignment.model import Node, ShardGrant
+from scalefall.assignment.shard_leases import ShardLeases
+from scalefall.assignment.shard_view import ShardView
 from scalefall.control.base_service import BaseControlService, Outgoing
 from scalefall.control.catalog import ResourceKey
 from scalefall.control.grants import QuotaAction
@@ -33,8 +34,9 @@
 from scalefall.control.resource_builder import ResourceBuilder
 from scalefall.net.config import Fleet
 
-LOAD_INTERVAL_US = 30_000_000  # calls are counted over so long before they weigh the shards: a placement's interval
+LOAD_INTERVAL_US = 30_000_000  # over which calls are counted before they become loads: a placement's interval
 MAX_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
+SECOND_US = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,134 +46,8 @@
     grants: tuple[ShardGrant, ...]
 
 
-class ShardLeases:
-    """The coordinator as the service's ledger (control.grants.Leases). Holders come and go through the service, which
-    knows their nodes."""
-
-    def __init__(self, coordinator: Coordinator, delay_us: int) -> None:
-        self._coordinator = coordinator
-        self._limited: dict[int, int] = {}  # allowances that are not UNLIMITED
-        self.delay_us = delay_us
-
-    def switch_to(self, coordinator: Coordinator) -> None:
-        """Another one from now on, which is told all allowances that are not UNLIMITED."""
-        coordinator.resume(self._coordinator.number)
-        self._coordinator = coordinator
-        for destination, amount in self._limited.items():
-            coordinator.set_allowance(destination, amount)
-
-    @property
-    def number(self) -> int:
-        return self._coordinator.number
-
-    def step_down(self) -> None:
-        self._coordinator.step_down()
-
-    def become_leader(self, now: int) -> None:
-        """A coordinator begins by its making: see ShardedService.become_leader."""
-
-    def resume(self, number: int) -> None:
-        self._coordinator.resume(number)
-
-    def allow(self, destination: int, amount: int) -> bool:
-        if self._limited.get(destination, UNLIMITED) == amount:
-            return False
-        if amount >= UNLIMITED:
-            del self._limited[destination]
-        else:
-            self._limited[destination] = amount
-        self._coordinator.set_allowance(destination, amount)
-        return True
-
-    def join(self, holder: str) -> None:
-        """See ShardedService."""
-
-    def disconnected(self, holder: str) -> None:
-        """See ShardedService."""
-
-    def step(self, now: int) -> list[ShardGrant]:
-        return self._coordinator.step(now)
-
-    def next_deadline(self, now: int) -> int:
-        return self._coordinator.next_deadline(now)
-
-
-class ShardView:
-    """Which destinations' resources a node may have (control.catalog.View)."""
-
-    def __init__(self, coordinator: Coordinator) -> None:
-        self._coordinator = coordinator
-        self._sharding: object = None  # a value: it is another one whenever the isolated destinations are others
-        self._isolated: dict[int, int] = {}
-        self._by_shard: dict[int, set[int]] = {}
-        self._shards: dict[int, int] = {}  # of each destination
-        self._nodes: dict[int, set[str]] = {}  # of each shard
-
-    def switch_to(self, coordinator: Coordinator) -> None:
-        """Another one from now on."""
-        self._coordinator = coordinator
-        self._nodes.clear()
-        self.sync_sharding()
-
-    def covers(self, node: str, destination: int) -> bool:
-        return self._coordinator.serves(node, destination)
-
-    def nodes_of(self, destination: int) -> Iterable[str]:
-        """The nodes that may have it."""
-        return self._nodes.get(self._shards.get(destination, -1), ())
-
-    def update_node(self, node: str, shards: Iterable[int]) -> None:
-        """These shards have come to a node or gone from it."""
-        theirs = self._coordinator.shards_of(node)
-        for shard in shards:
-            if shard in theirs:
-                self._nodes.setdefault(shard, set()).add(node)
-            else:
-                self._nodes.get(shard, set()).discard(node)
-
-    def sync_sharding(self) -> None:
-        """Destinations that have got a shard of their own, or lost it, are of another shard."""
-        if self._coordinator.sharding is self._sharding:
-            return
-        self._sharding = self._coordinator.sharding
-        isolated = self._sharding.isolated
-        moved = [
-            number for number in {**self._isolated, **isolated} if self._isolated.get(number) != isolated.get(number)
-        ]
-        self._isolated = dict(isolated)
-        for destination in moved:
-            if destination in self._shards:
-                self._remove(destination)
-                self._add(destination)
-
-    def destinations(self, node: str) -> Iterable[int]:
-        return chain.from_iterable(self._by_shard.get(shard, ()) for shard in self._coordinator.shards_of(node))
-
-    def destinations_of(self, shard: int) -> Iterable[int]:
-        """The destinations of one shard."""
-        return self._by_shard.get(shard, ())
-
-    def replace(self, destinations: Iterable[int]) -> None:
-        """All destinations that there are from now on."""
-        wanted = set(destinations)
-        for destination in self._shards.keys() - wanted:
-            self._remove(destination)
-        for destination in wanted - self._shards.keys():
-            self._add(destination)
-
-    def _add(self, destination: int) -> None:
-        shard = self._shards[destination] = self._coordinator.sharding.shard_of(destination)
-        self._by_shard.setdefault(shard, set()).add(destination)
-
-    def _remove(self, destination: int) -> None:
-        shard = self._shards.pop(destination)
-        self._by_shard[shard].discard(destination)
-        if not self._by_shard[shard]:
-            del self._by_shard[shard]
-
-
 class ShardedService(BaseControlService[ShardGrant]):
-    """Streams of resources are told of by their node, quota streams by their process."""
+    """A control service that grants shards. Streams of resources go by their node, quota streams by their process."""
 
     def __init__(
         self,
@@ -184,14 +60,26 @@
         silence_us: int,
         assignment: AssignmentSettings,
     ) -> None:
+        """Start without a fleet and without senders.
+
+        Args:
+            now: The time, in microseconds as all others.
+            settings: Of the decision module.
+            seed: Of the decision module's random draws.
+            builder: Makes resources.
+            lease_us: How long a grant may be used after it arrived.
+            delay_us: The longest that a message may be under way.
+            silence_us: A process that sends nothing for so long counts as lost.
+            assignment: How destinations are divided.
+        """
         self._assignment = assignment
-        self._assembly, _ = assemble(now, assignment, None)
+        self._assembly = assemble(now, assignment, None).assembly
         self._view = ShardView(self.coordinator)
         self._nodes: dict[str, Node] = {}  # of each holder
         self._node_streams: dict[str, set[int]] = {}  # resource streams of each node
-        self._stream_nodes: dict[int, str] = {}
-        self._unacknowledged: dict[int, deque[tuple[int, int]]] = {}  # number and shard, by quota stream, in order
-        self._calls: Counter[int] = Counter()  # since they last weighed the shards, by destination
+        self._stream_nodes: dict[int, str] = {}  # node of each resource stream
+        self._unacknowledged: dict[int, deque[tuple[int, int]]] = {}  # (grant number, shard) by quota stream, in order
+        self._calls: Counter[int] = Counter()  # by destination, since loads were last reported
         self._counted_from = now
         self._leases = ShardLeases(self.coordinator, delay_us)
         super().__init__(now, settings, seed, builder, lease_us, delay_us, silence_us, self._leases, self._view)
@@ -202,6 +90,13 @@
         return self._assembly.coordinator
 
     def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:
+        """Grant from now on, after a grace period, with a new coordinator.
+
+        Args:
+            now: The time.
+            number: Grants are numbered above it.
+            snapshot: What the service before left; where it cannot be used all shards are placed anew.
+        """
         self._assembly, rejection = assemble(now, self._assignment, snapshot)
         if rejection:
             self._emit("assignment not taken", error=rejection)
@@ -212,26 +107,31 @@
             self.coordinator.holder_joined(holder, node, now)
 
     def generation(self) -> int:
+        """Return the generation of the table, which grows with each change that a snapshot would show."""
         return self.coordinator.generation
 
     def snapshot(self) -> str | None:
+        """Return the table as text, for the next service."""
         return self._assembly.snapshot()
 
     # -- the fleet
 
     def configure(self, fleet: Fleet, now: int) -> list[Outgoing]:
-        out = super().configure(fleet, now)
+        """Put a fleet in force; see BaseControlService.configure."""
+        outgoing = super().configure(fleet, now)
         self._view.replace(fleet.routes)
-        return out
+        return outgoing
 
     # -- streams of resources
 
-    def resource_stream_opened(self, stream: int, holder: str, incremental: bool, leased: bool) -> None:
-        super().resource_stream_opened(stream, holder, incremental, leased)
-        self._node_streams.setdefault(holder, set()).add(stream)
-        self._stream_nodes[stream] = holder
+    def resource_stream_opened(self, stream: int, node: str, incremental: bool, supports_ttl: bool) -> None:
+        """Record a stream of resources; see BaseControlService.resource_stream_opened."""
+        super().resource_stream_opened(stream, node, incremental, supports_ttl)
+        self._node_streams.setdefault(node, set()).add(stream)
+        self._stream_nodes[stream] = node
 
     def resource_stream_closed(self, stream: int) -> None:
+        """Forget a stream; nothing if it was none of resources."""
         super().resource_stream_closed(stream)
         node = self._stream_nodes.pop(stream, None)
         if node is not None:
@@ -239,12 +139,29 @@
             if not self._node_streams[node]:
                 del self._node_streams[node]
 
+    def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
+        """Only nodes that may have a destination's resources get them."""
+        return [
+            (stream, keys_of_node)
+            for node, keys_of_node in self._by_node(keys).items()
+            for stream in self._node_streams.get(node, ())
+        ]
+
+    def _by_node(self, keys: Iterable[ResourceKey]) -> dict[str, set[ResourceKey]]:
+        """The keys that each node with a stream has to know; those that are removed or of no destination, all nodes."""
+        found: dict[str, set[ResourceKey]] = {}
+        for key in keys:
+            destination = self.catalog.destination_of(key)
+            for node in self._node_streams if destination is None else self._view.nodes_of(destination):
+                found.setdefault(node, set()).add(key)
+        return found
+
     # -- processes and their grants
 
     def quota_stream_joined(
         self, stream: int, node: str, instance: str, now: int, region: str = "", zone: str = ""
     ) -> Joined | JoinRejected:
-        """A quota stream has named its process, and where it stands."""
+        """Record that a quota stream has named its process, and where that stands."""
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._nodes[answer.holder] = Node(node, region, zone)
@@ -255,22 +172,26 @@
         return answer
 
     def quota_stream_closed(self, stream: int, now: int) -> None:
+        """Forget a stream; nothing if it was no holder's."""
         super().quota_stream_closed(stream, now)
         self._unacknowledged.pop(stream, None)
 
-    def acknowledged(self, stream: int, had: int, now: int) -> None:
-        """The stream's process has had all grants sent on it up to this number. A stream keeps their order, so one
-        number stands for all before it; what was sent on an earlier stream it does not vouch for."""
+    def acknowledged(self, stream: int, number: int, now: int) -> None:
+        """Record that the stream's process has received all grants sent on it up to this number.
+
+        A stream preserves their order, so one number stands for all before it. It does not vouch for what was sent on
+        an earlier stream.
+        """
         holder = self.members.holder_of(stream)
         if holder is None:
             return
         if self.members.heartbeat_received(stream, now) is not None:
             self._holder_reachable(holder, now)
             self._emit("proxy heard again", holder=holder)
-        waiting = self._unacknowledged[stream]
-        while waiting and waiting[0][0] <= had:
-            number, shard = waiting.popleft()
-            self.coordinator.acknowledged(holder, shard, number, now)
+        unacknowledged = self._unacknowledged[stream]
+        while unacknowledged and unacknowledged[0][0] <= number:
+            grant_number, shard = unacknowledged.popleft()
+            self.coordinator.acknowledged(holder, shard, grant_number, now)
         self._schedule_step(now)
 
     def _holder_reachable(self, holder: str, now: int) -> None:
@@ -283,19 +204,43 @@
         else:
             self.coordinator.holder_lost(change.holder, now)
 
+    def _outgoing_grants(self, grants: Sequence[ShardGrant], now: int) -> list[Outgoing]:
+        by_stream: dict[int, list[ShardGrant]] = {}
+        for grant in grants:
+            stream = self._live_stream(grant.holder)
+            if stream is not None and stream in self._unacknowledged:
+                by_stream.setdefault(stream, []).append(grant)
+                self._unacknowledged[stream].append((grant.number, grant.shard))
+                self._emit_granted(grant, now)
+        return [Outgoing(stream, ShardGrants(tuple(of_stream))) for stream, of_stream in by_stream.items()]
+
+    def _emit_granted(self, grant: ShardGrant, now: int) -> None:
+        self._emit(
+            "granted",
+            is_debug=True,
+            clock=now,
+            holder=grant.holder,
+            shard=grant.shard,
+            epoch=grant.epoch,
+            number=grant.number,
+            share=grant.quota,  # the field keeps its name: logs are read by machine
+            lease_ms=grant.lease_us // 1000,
+            delay_ms=self.ledger.delay_us // 1000,
+        )
+
     # -- loads
 
     def calls_counted(self, calls: Mapping[int, int]) -> None:
-        """Calls that were made since the last report, by destination."""
+        """Add the calls that were made since the last report, by destination."""
         for destination, count in calls.items():
             if count > 0:
                 self._calls[destination] += count
 
     def _report_loads(self, now: int) -> None:
-        """Calls a second of each destination with traffic, to the coordinator."""
+        """Report the calls per second of each destination with traffic to the coordinator, once an interval."""
         elapsed = now - self._counted_from
         if elapsed >= LOAD_INTERVAL_US:
-            loads = {destination: count * 1_000_000 / elapsed for destination, count in self._calls.items()}
+            loads = {destination: count * SECOND_US / elapsed for destination, count in self._calls.items()}
             self._calls.clear()
             self._counted_from = now
             self.coordinator.loads_reported(loads, now)
@@ -303,63 +248,27 @@
     # -- time
 
     def step(self, now: int) -> list[Outgoing]:
+        """Do what is due; what follows from a change of shards goes out first."""
         self._report_loads(now)
-        out = super().step(now)
-        return self._follow_changes() + out
+        outgoing = super().step(now)
+        return self._send_shard_changes() + outgoing
 
-    def _follow_changes(self) -> list[Outgoing]:
-        """What came to a node's shards or went from them, to its streams of resources."""
+    def _send_shard_changes(self) -> list[Outgoing]:
+        """Send what came to a node's shards, or went from them, on its streams of resources."""
         self._view.sync_sharding()
-        out: list[Outgoing] = []
+        outgoing: list[Outgoing] = []
         for node, shards in self.coordinator.drain_changes().items():
             self._view.update_node(node, shards)
-            keys = [
-                key
-                for shard in shards
-                for number in self._view.destinations_of(shard)
-                for key in self.catalog.keys_of(number)
-            ]
+            keys = self._keys_of(shards)
             for stream in self._node_streams.get(node, ()):
-                out += [Outgoing(stream, action) for action in self._streams[stream].changed(keys)]
-        return out
+                outgoing += [Outgoing(stream, action) for action in self._streams[stream].changed(keys)]
+        return outgoing
 
-    def _outgoing_grants(self, grants: Sequence[ShardGrant], now: int) -> list[Outgoing]:
-        by_stream: dict[int, list[ShardGrant]] = {}
-        for grant in grants:
-            stream = self._live_stream(grant.holder)
-            if stream is not None and stream in self._unacknowledged:
-                by_stream.setdefault(stream, []).append(grant)
-                self._unacknowledged[stream].append((grant.number, grant.shard))
-                self._emit_granted(grant, now)
-        return [Outgoing(stream, ShardGrants(tuple(given))) for stream, given in by_stream.items()]
-
-    def _emit_granted(self, grant: ShardGrant, now: int) -> None:
-        self._emit(
-            "granted",
-            is_debug=True,
-            clock=now,
-            holder=grant.holder,
-            shard=grant.shard,
-            epoch=grant.epoch,
-            number=grant.number,
-            share=grant.quota,
-            lease_ms=grant.lease_us // 1000,
-            delay_ms=self.ledger.delay_us // 1000,
-        )
-
-    def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
-        """Only nodes that hold a destination are told of its resources."""
+    def _keys_of(self, shards: Iterable[int]) -> list[ResourceKey]:
+        """The resources of all destinations of these shards."""
         return [
-            (stream, theirs)
-            for node, theirs in self._by_node(keys).items()
-            for stream in self._node_streams.get(node, ())
+            key
+            for shard in shards
+            for destination in self._view.destinations_of(shard)
+            for key in self.catalog.keys_of(destination)
         ]
-
-    def _by_node(self, keys: Iterable[ResourceKey]) -> dict[str, set[ResourceKey]]:
-        """The keys that each node with a stream is to be told of; what is gone or shared, all of them."""
-        found: dict[str, set[ResourceKey]] = {}
-        for key in keys:
-            destination = self.catalog.destination_of(key)
-            for node in self._node_streams if destination is None else self._view.nodes_of(destination):
-                found.setdefault(node, set()).add(key)
-        return found
--- /dev/null
+++ b/scalefall/assignment/shard_view.py
@@ -0,0 +1,87 @@
+"""Which destinations' resources each node may have. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from itertools import chain
+
+from scalefall.assignment.coordinator import Coordinator
+from scalefall.assignment.sharding import Sharding
+
+
+class ShardView:
+    """The coordinator as control.catalog.DestinationView, and the destinations of each shard."""
+
+    def __init__(self, coordinator: Coordinator) -> None:
+        """Start without destinations."""
+        self._coordinator = coordinator
+        self._sharding: Sharding | None = None  # the one by which destinations are sorted into shards here
+        self._isolated: dict[int, int] = {}  # of that sharding
+        self._by_shard: dict[int, set[int]] = {}  # destinations of each shard
+        self._shards: dict[int, int] = {}  # of each destination
+        self._nodes: dict[int, set[str]] = {}  # of each shard
+
+    def switch_to(self, coordinator: Coordinator) -> None:
+        """Use another coordinator."""
+        self._coordinator = coordinator
+        self._nodes.clear()
+        self.sync_sharding()
+
+    def covers(self, node: str, destination: int) -> bool:
+        """Return whether the node may have the destination's resources."""
+        return self._coordinator.serves(node, destination)
+
+    def nodes_of(self, destination: int) -> Iterable[str]:
+        """Return the nodes that may have the destination's resources."""
+        return self._nodes.get(self._shards.get(destination, -1), ())
+
+    def update_node(self, node: str, shards: Iterable[int]) -> None:
+        """Record that these shards have come to a node or gone from it."""
+        covered = self._coordinator.shards_of(node)
+        for shard in shards:
+            if shard in covered:
+                self._nodes.setdefault(shard, set()).add(node)
+            else:
+                self._nodes.get(shard, set()).discard(node)
+
+    def sync_sharding(self) -> None:
+        """Move destinations that have got a shard of their own, or lost it, to their present shard."""
+        sharding = self._coordinator.sharding
+        if sharding is self._sharding:
+            return  # a sharding is a value: it is another object whenever the isolated destinations differ
+        self._sharding = sharding
+        before, after = self._isolated, sharding.isolated
+        moved = [
+            destination for destination in {**before, **after} if before.get(destination) != after.get(destination)
+        ]
+        self._isolated = dict(after)
+        for destination in moved:
+            if destination in self._shards:
+                self._remove(destination)
+                self._add(destination)
+
+    def destinations(self, node: str) -> Iterable[int]:
+        """Return the destinations whose resources the node may have."""
+        return chain.from_iterable(self._by_shard.get(shard, ()) for shard in self._coordinator.shards_of(node))
+
+    def destinations_of(self, shard: int) -> Iterable[int]:
+        """Return the destinations of one shard."""
+        return self._by_shard.get(shard, ())
+
+    def replace(self, destinations: Iterable[int]) -> None:
+        """Replace the destinations that there are."""
+        wanted = set(destinations)
+        for destination in self._shards.keys() - wanted:
+            self._remove(destination)
+        for destination in wanted - self._shards.keys():
+            self._add(destination)
+
+    def _add(self, destination: int) -> None:
+        shard = self._shards[destination] = self._coordinator.sharding.shard_of(destination)
+        self._by_shard.setdefault(shard, set()).add(destination)
+
+    def _remove(self, destination: int) -> None:
+        shard = self._shards.pop(destination)
+        self._by_shard[shard].discard(destination)
+        if not self._by_shard[shard]:
+            del self._by_shard[shard]
