--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -98,7 +98,7 @@
         limits: How uneven the placement may be.
         shards: All shards of the next table.
         may_move: Whether shards that have their holders may move for balance.
-        former_nodes: Where nodes stood that are lost; the shards of one not among them go to any region.
+        former_nodes: Where lost nodes stood; the shards of one not among them go to any region.
 
     Raises:
         AssignmentError: A node is named twice, or a load is not a finite number above 0.
@@ -116,8 +116,7 @@
         shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, len(nodes)) for shard in wanted
     }
     if not may_move:
-        for shard in wanted:
-            holder_counts[shard] = max(holder_counts[shard], _surviving_holders(table, shard, node_loads))
+        _retain_all_survivors(holder_counts, table, node_loads)
     lacking = _retain_holders(working, table, weights, holder_counts)
     node_loads.build_heaps()
     _place_lacking(working, table, lacking, holder_counts, {node.name: node.region for node in former_nodes})
@@ -158,6 +157,12 @@
     return needed
 
 
+def _retain_all_survivors(holder_counts: dict[int, int], table: Table, loads: NodeLoads) -> None:
+    """Raise each shard's count to the number of its holders that are still nodes, so that none of them goes."""
+    for shard, count in holder_counts.items():
+        holder_counts[shard] = max(count, _surviving_holders(table, shard, loads))
+
+
 def _surviving_holders(table: Table, shard: int, loads: NodeLoads) -> int:
     """How many of a shard's holders are still nodes."""
     return len({name for name in table.get(shard, ()) if name in loads.numbers})
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -27,8 +27,9 @@
 from scalefall.assignment.model import Node, ShardGrant
 from scalefall.assignment.shard_leases import ShardLeases
 from scalefall.assignment.shard_view import ShardView
-from scalefall.control.base_service import BaseControlService, Outgoing
+from scalefall.control.base_service import BaseControlService
 from scalefall.control.catalog import ResourceKey
+from scalefall.control.client_streams import Outgoing
 from scalefall.control.grants import QuotaAction
 from scalefall.control.members import Joined, JoinRejected, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
@@ -261,7 +262,7 @@
             self._view.update_node(node, shards)
             keys = self._keys_of(shards)
             for stream in self._node_streams.get(node, ()):
-                outgoing += [Outgoing(stream, action) for action in self._streams[stream].changed(keys)]
+                outgoing += self._streams.resources_changed(stream, keys)
         return outgoing
 
     def _keys_of(self, shards: Iterable[int]) -> list[ResourceKey]:
