--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -102,15 +102,16 @@
 def read_load_report(fields: dict[str, str]) -> dict[str, float]:
     """Return the load report that an answer carries, figures by name; one that cannot be read is as good as none."""
     text = fields.get("x-load")
+    if not text:
+        return {}
     try:
-        report: dict[str, float] = {name: float(value) for name, value in json.loads(text or "{}").items()}
-        is_valid = all(0 <= value < math.inf for value in report.values())
+        report: dict[str, float] = {name: float(value) for name, value in json.loads(text).items()}
+        if all(0 <= value < math.inf for value in report.values()):
+            return report
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError):
-        is_valid = False
-    if not is_valid:
-        log.warning("load report cannot be read: %.80r", text)
-        return {}
-    return report
+        pass  # not an object of numbers either
+    log.warning("load report cannot be read: %.80r", text)
+    return {}
 
 
 def _read_status(attempt: Attempt, reader: http.AnswerReader, answers_carry_report: bool) -> MessageResult:
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -137,20 +137,21 @@
             http.Malformed: What came is no answer.
         """
         until_us = max(message.ends_at_us for message in attempt.messages)
-        avoid_stale = self._pool.stale_loss > MAX_STALE_LOSS and any(
-            message.not_idempotent for message in attempt.messages
-        )
-        connection = attempt.connection = self._pool.connect(attempt.entry, until_us, avoid_stale)
+        pool = self._pool
+        avoid_stale = pool.stale_loss > MAX_STALE_LOSS and any(message.not_idempotent for message in attempt.messages)
+        connection = attempt.connection = pool.connect(attempt.entry, until_us, avoid_stale)
         if attempt.over:
             self._close_connection(attempt)
             return
         if not self._may_begin(attempt.entry):  # drained, or told to wait, while the connection came up
-            self._release(attempt, connection)
+            pool.release(connection, attempt.entry)
+            attempt.connection = None
             self._end(attempt, MessageResult(Outcome.NOT_SENT))
             return
-        self._leave_out_late(attempt)
+        self._drop_late_messages(attempt)
         if not attempt.messages:
-            self._release(attempt, connection)
+            pool.release(connection, attempt.entry)
+            attempt.connection = None
             attempt.over = True
             return
         request = encode_request(attempt, self._scheduler.now())
@@ -162,8 +163,8 @@
         if self._receive(attempt, connection.sock, reader, until_us):
             self._end_answered(attempt, connection, reader)
 
-    def _leave_out_late(self, attempt: Attempt) -> None:
-        """Leave out messages that might take effect twice by now, or are over.
+    def _drop_late_messages(self, attempt: Attempt) -> None:
+        """Drop messages from the call that might take effect twice by now, or are over.
 
         A dial may take over a second, and a call with several messages waits for the one that has most time.
         """
@@ -215,7 +216,8 @@
         if results is None:
             results = MessageResult(Outcome.ERROR, read_retry_after(reader.fields))
         elif reader.keep and not reader.rest:
-            self._release(attempt, connection)
+            self._pool.release(connection, attempt.entry)
+            attempt.connection = None
         self._end(attempt, results, reader)
 
     def _end_broken(self, attempt: Attempt, reader: http.AnswerReader, error: Exception) -> None:
@@ -251,11 +253,6 @@
         )
         self._report_outcome(event, result.unreadable)
 
-    def _release(self, attempt: Attempt, connection: Connection) -> None:
-        """Give an attempt's connection back to the pool."""
-        self._pool.release(connection, attempt.entry)
-        attempt.connection = None
-
     def _close_connection(self, attempt: Attempt) -> None:
         """Close an attempt's connection, if it has one, and end its task's pause on it."""
         if attempt.task is not None:
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -115,10 +115,10 @@
         now_us = self._scheduler.now()
         key = EndpointKey(entry.endpoint.id, entry.address)
         self.retention.call_started(key, now_us)
-        return self._take_idle(key, now_us, avoid_stale) or self._dial(entry, key, until_us)
+        return self._pop_idle(key, now_us, avoid_stale) or self._dial(entry, key, until_us)
 
     def release(self, connection: Connection, entry: Entry) -> None:
-        """Keep a connection for the next attempts, or close it where none is to be kept.
+        """Keep a connection for the next attempts, or close it where none is to be kept; whoever had it lets go of it.
 
         It rests first: more than belongs to an answer may come right behind it, and must not answer the next call.
         """
@@ -154,10 +154,12 @@
         for idle in list(self._idle):
             self._discard(idle)
 
-    def _take_idle(self, key: EndpointKey, now_us: int, avoid_stale: bool) -> Connection | None:
+    def _pop_idle(self, key: EndpointKey, now_us: int, avoid_stale: bool) -> Connection | None:
         """Return the idle connection used last that has rested and is up; close those found dead on the way."""
-        rested = [idle for idle in reversed(self._idle_by_endpoint.get(key, ())) if idle.reusable_at_us <= now_us]
-        for idle in rested:
+        same_endpoint = self._idle_by_endpoint.get(key)
+        if same_endpoint is None:
+            return None
+        for idle in [idle for idle in reversed(same_endpoint) if idle.reusable_at_us <= now_us]:
             is_stale = idle.reusable_at_us + STALE_AFTER_US <= now_us
             if is_stale and avoid_stale:
                 return None  # the others have been idle for longer
