--- a/scalefall/assignment/holder.py
+++ b/scalefall/assignment/holder.py
@@ -33,6 +33,7 @@
     limits: dict[int, int] = field(default_factory=dict)  # destination -> milli-calls per second
 
     def quota_at(self, now: int) -> int:
+        """Return the quota that may be used at a time."""
         return self.quota if now < self.until else 0
 
 
