--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -21,7 +21,7 @@
 from scalefall.net.sender import Sender
 from scalefall.net.journal import Journal, Owed
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Transaction
+from scalefall.net.delivery_request import Transaction
 from scalefall.policy import Sender as Engine
 
 ROLE = Role.SENDER_MESSAGES
--- a/scalefall/__main__.py
+++ b/scalefall/__main__.py
@@ -5,7 +5,7 @@
 
 
 def sender() -> int:
-    from scalefall.net.checks import log_to_standard_error
+    from scalefall.net.invariants import log_to_standard_error
     from scalefall.net.config import ConfigError, read_config
     from scalefall.net.sender import run
 
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -44,7 +44,7 @@
 from scalefall.assignment.shard_record import NEVER, HolderLease, SentGrant, ShardRecord
 from scalefall.assignment.shard_records import ReleasedShard, ShardRecords
 from scalefall.errors import AssignmentError
-from scalefall.net.checks import check
+from scalefall.net.invariants import check
 
 
 class ShardLedger:
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -15,7 +15,7 @@
 from scalefall.cli.run import folder as state_folder
 from scalefall.control import audit
 from scalefall.lang.files import ROOT_FILE
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.config import ConfigError, read_address
 
 MISSING = "the control service needs {}: pip install 'scalefall[tools,control]'"
--- a/scalefall/cli/run.py
+++ b/scalefall/cli/run.py
@@ -14,7 +14,7 @@
 from scalefall.cli import logs, output, reader
 from scalefall.cli.output import option
 from scalefall.lang.files import ROOT_FILE
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.config import Config, ConfigError, read_address
 from scalefall.net.sender import run as serve
 
--- a/scalefall/control/ledger.py
+++ b/scalefall/control/ledger.py
@@ -36,7 +36,7 @@
 from scalefall.control.grant_accounts import NEVER, DestinationAccount, HolderAccount, OutstandingGrant
 from scalefall.control.grant_division import Headroom
 from scalefall.control.grants import Grant
-from scalefall.net.checks import check
+from scalefall.net.invariants import check
 
 
 class Ledger:
--- a/scalefall/control/members.py
+++ b/scalefall/control/members.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from scalefall.net.checks import check
+from scalefall.net.invariants import check
 
 MAX_INSTANCES_PER_NODE = 8  # that may have grants in use: a client that restarts in a loop cannot fill the memory
 
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -12,7 +12,7 @@
 from scalefall.control.transport.server import ControlServer
 from scalefall.control.transport.state import StateDirectory
 from scalefall.control.transport.tls import CertificateStore
-from scalefall.net.checks import log, report
+from scalefall.net.invariants import log, report
 from scalefall.net.config import Config, ConfigError
 
 PROCESSING_MARGIN_MS = 500  # for a report's way through this process: the audit adds it to when a wait must be known
--- a/scalefall/control/transport/service_driver.py
+++ b/scalefall/control/transport/service_driver.py
@@ -16,7 +16,7 @@
 from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.quotas import Quotas
 from scalefall.control.transport.services import AnyControlService
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 
 
 class ServiceDriver:
--- a/scalefall/net/operators.py
+++ b/scalefall/net/admin.py
@@ -13,7 +13,7 @@
 from urllib.parse import unquote
 
 from scalefall.net import http, streams
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.journal import BLOCK
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
 
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -6,7 +6,7 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.operators import Duty, OutFile
+from scalefall.net.admin import Duty, OutFile
 from scalefall.net.scheduler import Scheduler
 
 OUTAGE_SEEN_US = 2_000_000  # an endpoint back from maintenance counts as seen down for so long already
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -5,7 +5,7 @@
 import logging
 
 from scalefall.interface import Dropped, Message, Settings
-from scalefall.net.checks import debug, log
+from scalefall.net.invariants import debug, log
 from scalefall.net.deadline_watch import DeadlineWatch
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
@@ -13,7 +13,7 @@
 from scalefall.net.journal import RETURNED, Journal, Owed
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Conflict, Failed, NotCarried, Taken, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import Conflict, Failed, NotCarried, Taken, Transaction, UnavailableAnswer
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 RETRY_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -9,14 +9,14 @@
 from scalefall.net.attempt_request import batch_row_size
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
-from scalefall.net.checks import check, debug, log
+from scalefall.net.invariants import check, debug, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.journal import Journal
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Transaction
+from scalefall.net.delivery_request import Transaction
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 DRAIN_MARGIN_US = 200 * MILLISECOND_US  # an attempt whose first byte would go out later than the drain's grace less
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -15,7 +15,7 @@
 from scalefall.interface import Outcome
 from scalefall.net import http, streams
 from scalefall.net.attempt_state import Attempt
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 
 SECOND_US = 1_000_000  # microseconds in a second
 SECONDS = re.compile(r"\d{1,9}(\.\d{0,9})?\Z")  # a Retry-After: decimals are the protocol's own, HTTP has none
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -21,7 +21,7 @@
     read_retry_after,
 )
 from scalefall.net.attempt_state import Attempt, MessageInCall
-from scalefall.net.checks import check, log
+from scalefall.net.invariants import check, log
 from scalefall.net.connection_pool import MAX_STALE_LOSS, Connection, ConnectionPool
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
--- a/scalefall/net/deadline_watch.py
+++ b/scalefall/net/deadline_watch.py
@@ -6,11 +6,11 @@
 from collections.abc import Mapping
 
 from scalefall.interface import Dropped
-from scalefall.net.checks import check, log
+from scalefall.net.invariants import check, log
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.scheduler import Scheduler, Timer
-from scalefall.net.transaction import Transaction
+from scalefall.net.delivery_request import Transaction
 
 OVERDUE_US = 50_000  # microseconds past its deadline after which a message that the engine has not ended is failed:
 # long enough for the engine's own timer and the step that follows it
--- a/scalefall/net/notices.py
+++ b/scalefall/net/delivery_reports.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from scalefall.net import http, streams
-from scalefall.net.checks import debug, log
+from scalefall.net.invariants import debug, log
 from scalefall.net.scheduler import Scheduler, Task
 
 MS = 1000
--- a/scalefall/net/delivery_tracker.py
+++ b/scalefall/net/delivery_tracker.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Taken, Transaction
+from scalefall.net.delivery_request import Taken, Transaction
 
 SECOND_US = 1_000_000  # microseconds in a second
 REMEMBER_ID_US = 30 * SECOND_US  # a repeat of a finished id comes within this time, or not at all
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -10,7 +10,7 @@
 
 from scalefall import interface as i
 from scalefall.net import http, streams
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.list_stream import Entry, ObjectStream, ListUpdate, read_list
 from scalefall.net.scheduler import Scheduler, Task
 
--- a/scalefall/net/final_answers.py
+++ b/scalefall/net/final_answers.py
@@ -4,12 +4,12 @@
 
 import logging
 
-from scalefall.net.checks import debug, log
+from scalefall.net.invariants import debug, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.journal import FAILED, RETURNED, Journal
-from scalefall.net.notices import LoggedNotices, Notices
+from scalefall.net.delivery_reports import LoggedNotices, Notices
 from scalefall.net.route_table import RouteTable
-from scalefall.net.transaction import Failed, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import Failed, Transaction, UnavailableAnswer
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 
--- a/scalefall/net/front.py
+++ b/scalefall/net/front.py
@@ -11,9 +11,9 @@
 
 from scalefall.interface import Effect, MessageClass
 from scalefall.net import http, streams
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
-from scalefall.net.transaction import Conflict, Failed, NotCarried, Taken, Transaction, Verdict
+from scalefall.net.delivery_request import Conflict, Failed, NotCarried, Taken, Transaction, Verdict
 
 SECOND = 1_000_000
 REQUEST_US = 2 * SECOND  # from a request's first byte to its last, and to a connection's first byte
--- a/scalefall/net/http.py
+++ b/scalefall/net/http.py
@@ -4,7 +4,7 @@
 
 import re
 
-from scalefall.net.checks import check
+from scalefall.net.invariants import check
 
 MOST_HEAD = 16 * 1024
 MOST_BODY = 64 * 1024
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from scalefall.interface import Effect
-from scalefall.net.checks import check, log
+from scalefall.net.invariants import check, log
 
 HEAD = struct.Struct("<II")  # length of the record's body, its CRC-32
 TAKEN = struct.Struct("<qiIqBB")  # due, destination, attempts, ran at (0: not), flags, state of the end
--- a/scalefall/net/learned_rates.py
+++ b/scalefall/net/learned_rates.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from scalefall.interface import Known
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.journal import BLOCK
 
 LEAST_BYTES, PART = 32 * 1024, 16  # of the folder's limit, for the file and the copy that takes its place
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -6,13 +6,13 @@
 from dataclasses import replace
 
 from scalefall.interface import Known, Message, MessageClass
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.deadline_watch import DeadlineWatch
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.journal import FAILED, RETURNED, Journal, Owed
-from scalefall.net.notices import LoggedNotices, Notices
-from scalefall.net.transaction import Taken, Transaction
+from scalefall.net.delivery_reports import LoggedNotices, Notices
+from scalefall.net.delivery_request import Taken, Transaction
 
 
 class Recovery:
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -7,10 +7,10 @@
 from typing import Protocol
 
 from scalefall.interface import Settings
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.config import Config, ConfigError, Fleet
 from scalefall.net.endpoint_list import EndpointList
-from scalefall.net.notices import LoggedNotices, Notices
+from scalefall.net.delivery_reports import LoggedNotices, Notices
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.static_list import StaticList
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -15,7 +15,7 @@
 
 from greenlet import getcurrent, greenlet
 
-from scalefall.net.checks import check, log
+from scalefall.net.invariants import check, log
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 THREAD_DONE = 255  # a byte to the waker that is no signal's number
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 
 from scalefall.interface import Listed
-from scalefall.net import checks, http, learned_rates
+from scalefall.net import invariants, http, learned_rates
 from scalefall.net.admin_actions import AdminActions
 from scalefall.net.admission import Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.config import Address, Config
 from scalefall.net.deadline_watch import DeadlineWatch
 from scalefall.net.delivery_tracker import DeliveryTracker
@@ -19,8 +19,8 @@
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.front import Front
 from scalefall.net.journal import Journal
-from scalefall.net.notices import LoggedNotices, Notices
-from scalefall.net.operators import Duty, Operators, OutFile
+from scalefall.net.delivery_reports import LoggedNotices, Notices
+from scalefall.net.admin import Duty, Operators, OutFile
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.recovery import Recovery
 from scalefall.net.reloader import FleetReloader, ReadAgain, Reloader, SettingsReloader, forget_endpoints_after_us
@@ -244,7 +244,7 @@
 
     def _run_housekeeping(self) -> None:
         """Report broken invariants, and forget what is over; every so often."""
-        checks.report()
+        invariants.report()
         self.dispatcher.forget_expired_waits()
         self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
 
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -20,13 +20,13 @@
 )
 from scalefall.net.admission import RETRY_WHEN_FULL_US, Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
-from scalefall.net.checks import check, log
+from scalefall.net.invariants import check, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Taken, UnavailableAnswer, Verdict
+from scalefall.net.delivery_request import Taken, UnavailableAnswer, Verdict
 
 
 class DecisionEngine(Protocol):
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -5,14 +5,14 @@
 from collections.abc import Sized
 
 from scalefall.interface import Closing
-from scalefall.net import checks
+from scalefall.net import invariants
 from scalefall.net.admission import Admission
 from scalefall.net.attempts import Attempts
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.notices import LoggedNotices, Notices
-from scalefall.net.operators import Operators
+from scalefall.net.delivery_reports import LoggedNotices, Notices
+from scalefall.net.admin import Operators
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.scheduler import Scheduler
 
@@ -98,7 +98,7 @@
         self._ingress.end()
         self._scheduler.sleep(LAST_POLL_US)
         log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.in_flight)
-        checks.report()
+        invariants.report()
         self._rate_keeper.save_last()
         self._scheduler.stop()
 
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -42,8 +42,8 @@
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import EndpointList, Entry, read_list
 from scalefall.net.front import Front
-from scalefall.net.notices import Notices
-from scalefall.net.transaction import Conflict, Failed, NotCarried, Taken, UnavailableAnswer
+from scalefall.net.delivery_reports import Notices
+from scalefall.net.delivery_request import Conflict, Failed, NotCarried, Taken, UnavailableAnswer
 
 Bytes = dict[str, bytes]
 LOCAL = ("127.0.0.1", 0)
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -15,7 +15,7 @@
 from scalefall.control.transport.state import StateDirectory
 from scalefall.interface import Effect
 from scalefall.net import journal, learned_rates
-from scalefall.net.operators import OutFile
+from scalefall.net.admin import OutFile
 
 DISK_BYTES = 4_000_000  # the sender's limit for its state folder
 REPEAT = {"not recorded": None, "freely": Effect.SAFE, "with key": Effect.KEYED, "never": Effect.UNSAFE}
--- a/tests/test_operators.py
+++ b/tests/test_admin.py
@@ -8,7 +8,7 @@
 from test_sender import Firm
 
 from scalefall.net import http
-from scalefall.net.operators import MOST_CALLERS, Duty, OutFile
+from scalefall.net.admin import MOST_CALLERS, Duty, OutFile
 
 
 @pytest.fixture
--- a/tests/test_delivery_tracker.py
+++ b/tests/test_delivery_tracker.py
@@ -3,7 +3,7 @@
 from nethelp import S, World
 
 from scalefall.net.delivery_tracker import BYTES_PER_REMEMBERED_ID, REMEMBER_ID_US, DeliveryTracker
-from scalefall.net.transaction import Taken, Transaction
+from scalefall.net.delivery_request import Taken, Transaction
 
 
 def request(message_id, accepted=True):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -9,7 +9,7 @@
 from scalefall import interface as i
 from scalefall.net import http
 from scalefall.net.endpoint_list import EndpointList, read_list
-from scalefall.net.notices import Notices
+from scalefall.net.delivery_reports import Notices
 from scalefall.net.scheduler import READY
 
 HERE = ("127.0.0.1", 1)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -8,7 +8,7 @@
 
 from scalefall.net import http
 from scalefall.net.front import Front
-from scalefall.net.transaction import Failed, Taken, UnavailableAnswer
+from scalefall.net.delivery_request import Failed, Taken, UnavailableAnswer
 
 HEAD = {"X-Request-Id": "id1", "X-Deadline": "480m", "X-Route-To": "dest=7"}
 
--- a/tests/test_front_crossings.py
+++ b/tests/test_front_crossings.py
@@ -8,7 +8,7 @@
 
 from scalefall.net import http
 from scalefall.net.front import IDLE_US, MOST_LINGER, YOUNG_US
-from scalefall.net.transaction import Taken
+from scalefall.net.delivery_request import Taken
 
 ENDS = {
     "the process ends": lambda desk: desk.front.close_idle(),
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -7,7 +7,7 @@
 import pytest
 from nethelp import MS, S, World
 
-from scalefall.net import checks
+from scalefall.net import invariants
 from scalefall.net.scheduler import READ, READY, TIME_UP, Scheduler
 
 
@@ -90,11 +90,11 @@
 
 
 def test_an_invariant_is_asserted_in_debug_and_logged_once_counted(caplog, monkeypatch):
-    assert checks.check(True, "fine")
+    assert invariants.check(True, "fine")
     with pytest.raises(AssertionError, match="this breaks"):
-        checks.check(False, "this breaks")
-    monkeypatch.setitem(checks.broken, "this breaks", 2)
-    checks.report()
+        invariants.check(False, "this breaks")
+    monkeypatch.setitem(invariants.broken, "this breaks", 2)
+    invariants.report()
     assert "invariant broken: this breaks, 2 times" in caplog.text
 
 
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -9,7 +9,7 @@
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.sender_loop import SenderLoop
-from scalefall.net.transaction import Taken, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import Taken, Transaction, UnavailableAnswer
 
 
 class Engine:
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -13,7 +13,7 @@
 from scalefall.net.endpoint_list import Entry, ListUpdate
 from scalefall.net.sender import Sender
 from scalefall.net.static_list import StaticList
-from scalefall.net.transaction import NotCarried, Taken, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import NotCarried, Taken, Transaction, UnavailableAnswer
 
 SITE = b"""
 sender { listen 127.0.0.1:0 }
