--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -19,9 +19,9 @@
 from scalefall.lab.hollow import configuration
 from scalefall.net.config import Config
 from scalefall.net.sender import Sender
-from scalefall.net.journal import Journal, Owed
+from scalefall.net.journal import Journal, PendingDelivery
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Transaction
+from scalefall.net.delivery_request import DeliveryRequest
 from scalefall.policy import Sender as Engine
 
 ROLE = Role.SENDER_MESSAGES
@@ -83,7 +83,7 @@
     }
     for count in HELD[mode]:
         with tempfile.TemporaryDirectory() as folder:
-            transactions: list[Transaction] = []
+            transactions: list[DeliveryRequest] = []
             module, book = _module(count), Journal(folder, DISK)
             found["transaction"].add(count, memory_of(_make, transactions, count))
             found["module"].add(count, memory_of(_hand_in, module, transactions))
@@ -102,11 +102,11 @@
             book, path = Journal(folder, DISK), os.path.join(folder, "journal")
             transactions = [_transaction(number) for number in range(count)]
             for transaction in transactions:
-                book.take_on(_owed(transaction))
+                book.record_accepted(_owed(transaction))
             owed.add(count, os.path.getsize(path))
             for transaction in transactions:
-                book.pass_begun([transaction.id], DUE_US, "zone-1")
-                book.over(transaction.id)
+                book.record_attempt_started([transaction.id], DUE_US, "zone-1")
+                book.record_finished(transaction.id)
             written.add(count, os.path.getsize(path))
             book.close()
     return [written, owed]
@@ -136,35 +136,35 @@
     return module
 
 
-def _make(transactions: list[Transaction], count: int) -> None:
+def _make(transactions: list[DeliveryRequest], count: int) -> None:
     transactions.extend(_transaction(number) for number in range(count))
 
 
-def _hand_in(module: Engine, transactions: list[Transaction]) -> None:
+def _hand_in(module: Engine, transactions: list[DeliveryRequest]) -> None:
     module.handle(0, [_message(transaction) for transaction in transactions])
 
 
-def _take_on(journal_: Journal, transactions: list[Transaction]) -> None:
+def _take_on(journal_: Journal, transactions: list[DeliveryRequest]) -> None:
     for transaction in transactions:
-        journal_.take_on(_owed(transaction))
+        journal_.record_accepted(_owed(transaction))
 
 
-def _transaction(number: int) -> Transaction:
+def _transaction(number: int) -> DeliveryRequest:
     body = f"{number:08}".encode() + bytes(BODY - 8)
-    return Transaction(f"message-{number:08}", CLASS, number % HELD_DESTINATIONS, DUE_US, None, body)
+    return DeliveryRequest(f"message-{number:08}", CLASS, number % HELD_DESTINATIONS, DUE_US, None, body)
 
 
-def _message(transaction: Transaction) -> i.Message:
-    return i.Message(transaction.id, transaction.destination, transaction.class_name, transaction.due, restored=True)
+def _message(transaction: DeliveryRequest) -> i.Message:
+    return i.Message(transaction.id, transaction.destination, transaction.class_name, transaction.due_us, restored=True)
 
 
-def _owed(transaction: Transaction) -> Owed:
-    return Owed(
+def _owed(transaction: DeliveryRequest) -> PendingDelivery:
+    return PendingDelivery(
         transaction.id,
         transaction.class_name,
         transaction.destination,
         DUE_US,
-        transaction.key,
+        transaction.idempotency_key,
         transaction.body,
-        effect=i.Effect.SAFE,
+        idempotency=i.Effect.SAFE,
     )
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -44,7 +44,7 @@
 from scalefall.assignment.shard_record import NEVER, HolderLease, SentGrant, ShardRecord
 from scalefall.assignment.shard_records import ReleasedShard, ShardRecords
 from scalefall.errors import AssignmentError
-from scalefall.net.invariants import check
+from scalefall.net.invariants import assert_invariant
 
 
 class ShardLedger:
@@ -194,7 +194,7 @@
             record.forget_limits()
             for holder, quota in record.decide_grants(now, self._live, self._renewal):
                 grants.append(self._grant(record, holder, quota, now))
-            check(record.in_use(now) <= FULL_QUOTA, "quotas in use add up to no more than the full quota")
+            assert_invariant(record.in_use(now) <= FULL_QUOTA, "quotas in use add up to no more than the full quota")
             self._records.schedule(record, record.next_evaluation(now, self._live, self._renewal))
         return grants
 
@@ -212,8 +212,8 @@
         if not lease.epoch:
             lease.epoch, lease.acknowledged_version = self._number, 0
         epoch, version = lease.epoch, record.limits.version
-        check(epoch <= self._number and lease.acknowledged_version <= version, "a tenure is of the past")
-        check(not record.blocked, "nothing is granted on a blocked shard")
+        assert_invariant(epoch <= self._number and lease.acknowledged_version <= version, "a tenure is of the past")
+        assert_invariant(not record.blocked, "nothing is granted on a blocked shard")
         until = now + self._delay + self._lease
         lease.sent.append(SentGrant(self._number, epoch, quota, version, until))
         lease.renewed_at = now
--- a/scalefall/control/ledger.py
+++ b/scalefall/control/ledger.py
@@ -36,7 +36,7 @@
 from scalefall.control.grant_accounts import NEVER, DestinationAccount, HolderAccount, OutstandingGrant
 from scalefall.control.grant_division import Headroom
 from scalefall.control.grants import Grant
-from scalefall.net.invariants import check
+from scalefall.net.invariants import assert_invariant
 
 
 class Ledger:
@@ -81,7 +81,7 @@
 
     def allow(self, destination: int, amount: int) -> bool:
         """Set the allowance of a destination for all holders together; whether it is another one than before."""
-        check(amount >= 0, "an allowance is no debt")
+        assert_invariant(amount >= 0, "an allowance is no debt")
         if not self._account(destination).set_allowance(amount, self._number):
             return False
         self._changed.add(destination)
@@ -197,7 +197,7 @@
         """First the grants that are less than before, then those that are more, or renewals, as the headroom allows."""
         rotation_us = 2 * (self.lease_us + self.delay_us)
         targets = grant_division.targets(account, self._live, now, rotation_us)
-        check(sum(targets.values()) <= account.allowance, "targets are no more than the allowance")
+        assert_invariant(sum(targets.values()) <= account.allowance, "targets are no more than the allowance")
         before = account.in_use()
         account.date_decreases(now, self.lease_us + self.delay_us)
         headroom = Headroom(account)
@@ -212,7 +212,7 @@
             amount = headroom.limit(holder, targets[name])
             if grant_division.must_be_raised(holder, amount, now >= holder.sent_at + self.lease_us // 2):
                 grants.append(self._grant(destination, name, holder, amount, headroom, now))
-        check(account.in_use() <= max(before, account.allowance), "a raise uses headroom only")
+        assert_invariant(account.in_use() <= max(before, account.allowance), "a raise uses headroom only")
         return grants
 
     def _grant(
--- a/scalefall/control/members.py
+++ b/scalefall/control/members.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from scalefall.net.invariants import check
+from scalefall.net.invariants import assert_invariant
 
 MAX_INSTANCES_PER_NODE = 8  # that may have grants in use: a client that restarts in a loop cannot fill the memory
 
@@ -106,7 +106,7 @@
 
     def __init__(self, silence_us: int, forget_us: int) -> None:
         """Set after how long without a heartbeat a holder is silent, and after how long it is forgotten."""
-        check(0 < silence_us <= forget_us, "silence comes before forgetting")
+        assert_invariant(0 < silence_us <= forget_us, "silence comes before forgetting")
         self._silence_us = silence_us
         self._forget_us = forget_us
         self._members: OrderedDict[str, Member] = OrderedDict()
@@ -174,7 +174,7 @@
                 changes.append(MembershipChange(member.holder, member.node, member.state))
             if member.state is not MemberState.LIVE and member.last_heartbeat <= now - self._forget_us:
                 changes.append(self._forget(member))
-        check(not self._members or self._next_deadline_is_after(now), "what was due is done")
+        assert_invariant(not self._members or self._next_deadline_is_after(now), "what was due is done")
         return changes
 
     def next_deadline(self, now: int) -> int | None:
--- a/scalefall/control/snapshot.py
+++ b/scalefall/control/snapshot.py
@@ -59,7 +59,7 @@
         wall=wall,
         doubts=sorted(failed),
         waits=retry_after,
-        paces=[learned_rates.put(row) for row in known],
+        paces=[learned_rates.to_row(row) for row in known],
     )
 
 
@@ -78,7 +78,7 @@
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise SnapshotError(f"missing or wrong value ({error!r})") from error
     events: list[i.Event] = []
-    if -MAX_RETRY_AFTER_US < parts.age_us < learned_rates.FRESH_US:
+    if -MAX_RETRY_AFTER_US < parts.age_us < learned_rates.MAX_AGE_US:
         events += parts.rates
     events += parts.retry_after
     if parts.age_us < MAX_FAILURE_AGE_US:
@@ -100,7 +100,7 @@
     if document["form"] != FORM:
         raise SnapshotError(f"form {document['form']!r} is not known here")
     age_us = wall - document["wall"]
-    rates = [learned_rates.get(*row) for row in document["paces"]]
+    rates = [learned_rates.from_row(*row) for row in document["paces"]]
     retry_after = _retry_after_events(document["waits"], now, wall)
     failures = [i.Reported(str(endpoint), now, i.Outcome.CONNECT_FAILED) for endpoint in document["doubts"]]
     return _Parts(age_us, rates, retry_after, failures)
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -12,7 +12,7 @@
 from scalefall.control.transport.server import ControlServer
 from scalefall.control.transport.state import StateDirectory
 from scalefall.control.transport.tls import CertificateStore
-from scalefall.net.invariants import log, report
+from scalefall.net.invariants import log, log_violations
 from scalefall.net.config import Config, ConfigError
 
 PROCESSING_MARGIN_MS = 500  # for a report's way through this process: the audit adds it to when a wait must be known
@@ -67,7 +67,7 @@
     reloads.cancel()
     await server.stop()
     log.info("ended")
-    report()
+    log_violations()
 
 
 async def _reload(server: ControlServer, wanted: asyncio.Event, read_again: Callable[[], Config]) -> None:
--- a/scalefall/net/admin.py
+++ b/scalefall/net/admin.py
@@ -21,19 +21,19 @@
 READ_US = 2 * SECOND  # from a connection's begin to its call's last byte
 WRITE_US = SECOND
 BACKLOG = 64  # in the listener's queue
-MOST_CALLERS = 16  # at a time; the one that has been there longest with no call gives way
+MAX_CALLERS = 16  # at a time; the one that has been there longest with no call gives way
 MOST_BODY = 4096  # calls need none
 OUT_PART, LEAST_ROOM = 32, 8 * 1024  # of the folder's limit, for the names of what is out and the file's next copy
 
 
-class Duty:
+class AdminState:
     """What the operators have asked for and what that means: endpoints in maintenance, and whether the sender drains.
 
     A call that takes an endpoint out may come twice, and one call back undoes both; the same holds for a drain.
     """
 
     def __init__(self, out: set[str]) -> None:
-        self.out, self.draining = set(out), False
+        self.in_maintenance, self.draining = set(out), False
 
     def call(self, method: str, path: str, ready: bool, known: Callable[[str], bool]) -> tuple[int, str]:
         """The status that the call deserves, and what is to be done before it is answered: 'out ID', 'back ID',
@@ -46,7 +46,7 @@
         if len(words) == 3 and words[0] == "endpoints" and words[2] in ("maint", "ready"):
             if method != "PUT":
                 return 405, ""
-            if not (known(words[1]) or words[1] in self.out):
+            if not (known(words[1]) or words[1] in self.in_maintenance):
                 return 404, ""
             return 200, ("out " if words[2] == "maint" else "back ") + words[1]
         if words in (["healthcheck", "fail"], ["healthcheck", "ok"]):
@@ -58,24 +58,24 @@
         verb, _, name = what.partition(" ")
         match verb:
             case "out":
-                self.out.add(name)
+                self.in_maintenance.add(name)
             case "back":
-                self.out.discard(name)
+                self.in_maintenance.discard(name)
             case "drain" | "resume":
                 self.draining = verb == "drain"
 
 
-class OutFile:
+class MaintenanceStore:
     """Which endpoints are out, kept in the lasting folder: it binds across a restart, unlike the learned rates."""
 
     def __init__(self, folder: str, disk_bytes: int) -> None:
-        self.room = max(LEAST_ROOM, disk_bytes // OUT_PART)
+        self.reserved_bytes = max(LEAST_ROOM, disk_bytes // OUT_PART)
         self._path = os.path.join(folder, "maintenance")
 
     def load(self) -> set[str]:
         try:
             with open(self._path, encoding="utf-8") as file:
-                names = json.loads(file.read(self.room))
+                names = json.loads(file.read(self.reserved_bytes))
             if isinstance(names, list) and all(isinstance(name, str) for name in names):
                 return set(names)
             raise ValueError("no list of names")
@@ -88,7 +88,7 @@
     def save(self, names: set[str]) -> bool:
         """False, and all is as it was, if it has no room or can't be written."""
         data = json.dumps(sorted(names)).encode()
-        if len(data) > self.room // 2 - BLOCK:
+        if len(data) > self.reserved_bytes // 2 - BLOCK:
             log.error("maintenance: no room for %d names", len(names))
             return False
         try:
@@ -101,7 +101,7 @@
         return True
 
 
-class Operators:
+class AdminServer:
     """The listener. decide(method, path) gives the status; it is asked in the caller's own turn."""
 
     def __init__(self, scheduler: Scheduler, decide: Callable[[str, str], int]) -> None:
@@ -133,7 +133,7 @@
                 self._scheduler.sleep(SECOND // 10)
                 continue
             sock.setblocking(False)
-            if len(self._callers) >= MOST_CALLERS:
+            if len(self._callers) >= MAX_CALLERS:
                 self._scheduler.wake(next(iter(self._callers.values())), streams.Interrupted("others call"))
             self._callers[sock] = self._scheduler.spawn(self._serve, sock)
 
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -6,7 +6,7 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.admin import Duty, OutFile
+from scalefall.net.admin import AdminState, MaintenanceStore
 from scalefall.net.scheduler import Scheduler
 
 OUTAGE_SEEN_US = 2_000_000  # an endpoint back from maintenance counts as seen down for so long already
@@ -25,8 +25,8 @@
         self,
         scheduler: Scheduler,
         tick_us: int,
-        state: Duty,
-        store: OutFile,
+        state: AdminState,
+        store: MaintenanceStore,
         events: EventQueue,
         endpoint_list: EndpointList,
         ingress: Front,
@@ -52,7 +52,7 @@
 
     def resume_maintenance(self) -> None:
         """Take out the endpoints that were in maintenance when the last process ended."""
-        self._endpoint_list.take_out(self.state.out)
+        self._endpoint_list.take_out(self.state.in_maintenance)
 
     def handle(self, method: str, target: str) -> int:
         """Carry out a call, and return its HTTP status: success only once it is done and kept."""
@@ -61,13 +61,13 @@
         verb, _, endpoint = command.partition(" ")
         match verb:
             case "out":
-                if not self._keep(self.state.out | {endpoint}):
+                if not self._keep(self.state.in_maintenance | {endpoint}):
                     return INSUFFICIENT_STORAGE
                 self._endpoint_list.take_out({endpoint})
             case "back":
-                if not self._keep(self.state.out - {endpoint}):
+                if not self._keep(self.state.in_maintenance - {endpoint}):
                     return INSUFFICIENT_STORAGE
-                if endpoint in self.state.out:
+                if endpoint in self.state.in_maintenance:
                     self._endpoint_list.put_back(endpoint)
                     self._report_restarted(endpoint)
             case "drain" | "resume":
@@ -77,7 +77,7 @@
 
     def _keep(self, in_maintenance: set[str]) -> bool:
         """Store which endpoints are in maintenance, if that changes; False if it could not be written."""
-        return in_maintenance == self.state.out or self.store.save(in_maintenance)
+        return in_maintenance == self.state.in_maintenance or self.store.save(in_maintenance)
 
     def _report_restarted(self, endpoint: str) -> None:
         """Have an endpoint that is back from maintenance met as after an outage that others have seen.
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -5,15 +5,15 @@
 import logging
 
 from scalefall.interface import Dropped, Message, Settings
-from scalefall.net.invariants import debug, log
+from scalefall.net.invariants import debug_event, log
 from scalefall.net.deadline_watch import DeadlineWatch
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.journal import RETURNED, Journal, Owed
+from scalefall.net.journal import RETURNED, Journal, PendingDelivery
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Conflict, Failed, NotCarried, Taken, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import Conflict, GivenUp, NotServed, Accepted, DeliveryRequest, Rejected
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 RETRY_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
@@ -68,89 +68,89 @@
         """Reject every new message from a moment on (monotonic, microseconds)."""
         self._closes_at_us = at_us
 
-    def submit(self, request: Transaction) -> None:
+    def submit(self, request: DeliveryRequest) -> None:
         """Decide on a request, or hand it to the engine, whose answer comes with its next step.
 
         Ids are fresh: under one that was used before, no other message is delivered.
         """
         message_id = request.id
-        pending = self._journal.owed.get(message_id)
+        pending = self._journal.pending.get(message_id)
         if message_id in self._open:
             self._submit_repeated(request)
         elif message_id in self._tracker.finished:
-            same = self._tracker.finished[message_id][1] == request.stands_for()
-            request.decide(Taken() if same else Conflict())
+            same = self._tracker.finished[message_id][1] == request.fingerprint()
+            request.decide(Accepted() if same else Conflict())
         elif pending is not None:  # ended, and its delivery report on the way: the same answer here
-            returned = pending.end == RETURNED
-            request.decide(UnavailableAnswer(pending.after_ms * MILLISECOND_US) if returned else Failed())
+            returned = pending.final_answer == RETURNED
+            request.decide(Rejected(pending.retry_after_ms * MILLISECOND_US) if returned else GivenUp())
         elif self._closes_at_us is not None and self._scheduler.now() >= self._closes_at_us:
-            request.decide(UnavailableAnswer(RETRY_WHEN_CLOSING_US, True))
+            request.decide(Rejected(RETRY_WHEN_CLOSING_US, True))
         elif not self._routes.carries(request.destination, request.class_name):
-            request.decide(NotCarried())
+            request.decide(NotServed())
         elif (
             not self._endpoint_list.serves(request.destination)
             or len(self._open) >= self._settings.max_held
-            or not self._journal.room(len(request.body))
+            or not self._journal.has_capacity(len(request.body))
         ):
-            request.decide(UnavailableAnswer(RETRY_WHEN_FULL_US, True))
+            request.decide(Rejected(RETRY_WHEN_FULL_US, True))
         else:
             self._tracker.add(request)
-            request.cls = self._settings.classes.get(request.class_name)
-            self._events.gather(Message(message_id, request.destination, request.class_name, request.due))
+            request.message_class = self._settings.classes.get(request.class_name)
+            self._events.gather(Message(message_id, request.destination, request.class_name, request.due_us))
 
-    def withdraw(self, request: Transaction) -> None:
+    def withdraw(self, request: DeliveryRequest) -> None:
         """Forget a request whose client went before it had its answer: nothing is owed any more."""
-        if self._open.get(request.id) is request and not request.promised:
+        if self._open.get(request.id) is request and not request.repeat_accepted:
             self._tracker.discard(request.id)
-            self._journal.over(request.id)
+            self._journal.record_finished(request.id)
             self._events.gather(Dropped(request.id))
 
-    def accept(self, request: Transaction) -> None:
+    def accept(self, request: DeliveryRequest) -> None:
         """Write a message that the engine keeps into the journal, before its answer goes out.
 
         What the journal cannot hold after all is rejected.
         """
         if log.isEnabledFor(logging.DEBUG):
             self._log_accepted(request)
-        pending = Owed(
+        pending = PendingDelivery(
             request.id,
             request.class_name,
             request.destination,
-            request.due + self._wall_offset_us,
-            request.key,
+            request.due_us + self._wall_offset_us,
+            request.idempotency_key,
             request.body,
         )
-        message_class = request.cls
+        message_class = request.message_class
         if message_class is not None:
-            pending.effect = message_class.effect
+            pending.idempotency = message_class.effect
             pending.key_scope_zone = message_class.key_scope_zone
             pending.key_ttl_us = message_class.key_ttl_us
-        if self._journal.take_on(pending):
+        if self._journal.record_accepted(pending):
             self._deadline_watch.watch(request)
         else:
-            request.decide(UnavailableAnswer(RETRY_WHEN_FULL_US, True))
+            request.decide(Rejected(RETRY_WHEN_FULL_US, True))
             self.withdraw(request)
 
-    def _submit_repeated(self, request: Transaction) -> None:
+    def _submit_repeated(self, request: DeliveryRequest) -> None:
         """Decide on the id of an open request submitted once more.
 
         What is open stays as it was submitted, whoever asks: otherwise another's body would be delivered under its id,
         and that client's leaving would withdraw it.
         """
         first = self._open[request.id]
-        if first.stands_for() == request.stands_for() and isinstance(first.verdict, Taken):
-            first.promised = True
-            request.decide(Taken())
+        if first.fingerprint() == request.fingerprint() and isinstance(first.admission, Accepted):
+            first.repeat_accepted = True
+            request.decide(Accepted())
         else:
             request.decide(Conflict())
 
-    def _log_accepted(self, request: Transaction) -> None:
-        debug(
+    def _log_accepted(self, request: DeliveryRequest) -> None:
+        debug_event(
             "taken on %s: %s for %d, %d ms left",
             request.id,
             request.class_name,
             request.destination,
-            (request.due - self._scheduler.now()) // MILLISECOND_US,
+            (request.due_us - self._scheduler.now()) // MILLISECOND_US,
             id=request.id,
             class_=request.class_name,
             dest=request.destination,
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -9,14 +9,14 @@
 from scalefall.net.attempt_request import batch_row_size
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
-from scalefall.net.invariants import check, debug, log
+from scalefall.net.invariants import assert_invariant, debug_event, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.journal import Journal
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Transaction
+from scalefall.net.delivery_request import DeliveryRequest
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 DRAIN_MARGIN_US = 200 * MILLISECOND_US  # an attempt whose first byte would go out later than the drain's grace less
@@ -77,7 +77,7 @@
         for endpoint_id, calls in sends.items():
             entry = self._endpoint_list.entries.get(endpoint_id)
             if entry is None:
-                check(False, "the module sends to endpoints that the list has")
+                assert_invariant(False, "the module sends to endpoints that the list has")
                 self._report_unsent(endpoint_id, calls)
                 continue
             max_messages = self._settings.per_call.get(entry.endpoint.kind, 1)
@@ -91,8 +91,8 @@
         size = 0
         for number, send in enumerate(calls):
             request = self._open.get(send.id)
-            size += batch_row_size(request.id, request.key, request.body) if request else 0
-            alone = request is not None and request.alone
+            size += batch_row_size(request.id, request.idempotency_key, request.body) if request else 0
+            alone = request is not None and request.send_alone
             if number and (size > MAX_BODY_BYTES or alone):
                 return number
             if alone:
@@ -121,13 +121,13 @@
             if request is None:  # not accepted after all: the attempt ends unsent
                 self._events.gather(Attempted(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
                 continue
-            message_class = request.cls
+            message_class = request.message_class
             loads.append(
                 MessageInCall(
                     send.id,
                     request.attempts,
                     now_us + send.timeout_us,
-                    request.key,
+                    request.idempotency_key,
                     request.body,
                     message_class is not None and message_class.effect is Effect.UNSAFE,
                     self._begin_by(request),
@@ -139,7 +139,7 @@
             return
         if log.isEnabledFor(logging.DEBUG):
             _log_begin(entry, loads, ids, now_us)
-        if self._journal.pass_begun(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
+        if self._journal.record_attempt_started(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
             self.attempts.begin(entry, loads)
         else:
             for load in loads:
@@ -147,15 +147,20 @@
 
     def _due_us(self, send: Send) -> int:
         """Return the deadline of a send's message; 0 if it is no longer open."""
-        return self._open[send.id].due if send.id in self._open else 0
+        return self._open[send.id].due_us if send.id in self._open else 0
 
-    def _begin_by(self, request: Transaction) -> float:
+    def _begin_by(self, request: DeliveryRequest) -> float:
         """Return until when the endpoints drop a repeat of a request, if an attempt with its key may have run."""
-        message_class = request.cls
-        pending = self._journal.owed.get(request.id)
-        if message_class is None or message_class.effect is not Effect.KEYED or pending is None or not pending.ran_wall:
+        message_class = request.message_class
+        pending = self._journal.pending.get(request.id)
+        if (
+            message_class is None
+            or message_class.effect is not Effect.KEYED
+            or pending is None
+            or not pending.may_have_run_wall_us
+        ):
             return inf
-        return pending.ran_wall - self._wall_offset_us + message_class.key_ttl_us
+        return pending.may_have_run_wall_us - self._wall_offset_us + message_class.key_ttl_us
 
     # -- results
 
@@ -189,7 +194,7 @@
         now on.
         """
         if unreadable and event.id in self._open:
-            self._open[event.id].alone = True
+            self._open[event.id].send_alone = True
         if log.isEnabledFor(logging.DEBUG):
             _log_outcome(event)
         if event.wait_us and event.endpoint in self._endpoint_list.entries:
@@ -197,10 +202,10 @@
             until_us = self._scheduler.now() + event.wait_us
             self._retry_after_until[scope] = max(self._retry_after_until.get(scope, 0), until_us)
         if event.finished:
-            self._journal.over(event.id)
+            self._journal.record_finished(event.id)
             self._tracker.finish(event.id)
         else:
-            self._journal.outcome(event.id, event.outcome not in NEVER_RAN)
+            self._journal.record_attempt_finished(event.id, event.outcome not in NEVER_RAN)
             event.finished = event.id not in self._open
         self._events.gather(event)
 
@@ -211,7 +216,7 @@
 
 def _log_begin(entry: Entry, loads: list[MessageInCall], ids: list[str], now_us: int) -> None:
     """Log the begin of an attempt for those who follow every message."""
-    debug(
+    debug_event(
         "pass to %s: %s",
         entry.endpoint.id,
         " ".join(f"{load.id}/{load.attempt} for {(load.ends_at_us - now_us) // MILLISECOND_US} ms" for load in loads),
@@ -223,7 +228,7 @@
 
 def _log_outcome(event: Attempted) -> None:
     """Log the outcome of an attempt for one message, for those who follow every one."""
-    debug(
+    debug_event(
         "outcome %s/%d at %s: %s after %d ms, wait %d ms, told %s",
         event.id,
         event.attempt,
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -21,7 +21,7 @@
     read_retry_after,
 )
 from scalefall.net.attempt_state import Attempt, MessageInCall
-from scalefall.net.invariants import check, log
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.connection_pool import MAX_STALE_LOSS, Connection, ConnectionPool
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
@@ -71,7 +71,7 @@
         """Begin an attempt with these messages, at least one; it goes on as a task of its own."""
         attempt = Attempt(entry, messages, self._scheduler.now())
         for message in messages:
-            check((message.id, message.attempt) not in self._in_flight, "an attempt is begun once")
+            assert_invariant((message.id, message.attempt) not in self._in_flight, "an attempt is begun once")
             self._in_flight[message.id, message.attempt] = attempt
         attempt.task = self._scheduler.spawn(self._run, attempt)
 
--- a/scalefall/net/deadline_watch.py
+++ b/scalefall/net/deadline_watch.py
@@ -6,11 +6,11 @@
 from collections.abc import Mapping
 
 from scalefall.interface import Dropped
-from scalefall.net.invariants import check, log
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.scheduler import Scheduler, Timer
-from scalefall.net.delivery_request import Transaction
+from scalefall.net.delivery_request import DeliveryRequest
 
 OVERDUE_US = 50_000  # microseconds past its deadline after which a message that the engine has not ended is failed:
 # long enough for the engine's own timer and the step that follows it
@@ -25,7 +25,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        open_requests: Mapping[str, Transaction],
+        open_requests: Mapping[str, DeliveryRequest],
         events: EventQueue,
         final_answers: FinalAnswers,
     ) -> None:
@@ -44,10 +44,10 @@
         self._deadlines: list[tuple[int, str]] = []  # a heap: when a message has to have ended, and its id
         self._timer: Timer | None = None
 
-    def watch(self, request: Transaction) -> None:
+    def watch(self, request: DeliveryRequest) -> None:
         """Watch the deadline of an accepted message."""
-        heapq.heappush(self._deadlines, (request.due, request.id))
-        self._set_timer(request.due)
+        heapq.heappush(self._deadlines, (request.due_us, request.id))
+        self._set_timer(request.due_us)
 
     def _set_timer(self, due_us: int) -> None:
         """Have the timer fire for this deadline, unless it fires for an earlier one."""
@@ -70,7 +70,7 @@
             self._deadlines[0][0] + OVERDUE_US <= now_us or self._deadlines[0][1] not in self._open
         ):
             request = self._open.get(heapq.heappop(self._deadlines)[1])
-            if request is not None and request.due + OVERDUE_US <= now_us:
+            if request is not None and request.due_us + OVERDUE_US <= now_us:
                 failed.append(request.id)
                 self._final_answers.fail(request.id)
                 self._events.gather(Dropped(request.id))
@@ -78,4 +78,4 @@
             self._set_timer(self._deadlines[0][0])
         if failed:
             log.error("open past their time, and failed: %s", " ".join(failed))
-        check(not failed, "the module ends every message in its time")
+        assert_invariant(not failed, "the module ends every message in its time")
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from scalefall.net import http, streams
-from scalefall.net.invariants import debug, log
+from scalefall.net.invariants import debug_event, log
 from scalefall.net.scheduler import Scheduler, Task
 
 MS = 1000
@@ -27,7 +27,7 @@
 SAID_US = 1000 * MS  # failures are logged so often
 
 
-class LoggedNotices:
+class LoggedDeliveryReports:
     """Where no platform hears notices: each is a line in the log, and that was its end."""
 
     idle = True
@@ -35,11 +35,11 @@
     def __init__(self, delivered: Callable[[str], None]) -> None:
         self._delivered = delivered
 
-    def failed(self, name: str, due: int = 0) -> None:
+    def report_failed(self, name: str, due: int = 0) -> None:
         log.warning("notice: %s failed", name, extra={"fields": {"id": name, "state": "failed"}})
         self._delivered(name)
 
-    def returned(self, name: str, after_ms: int, due: int = 0) -> None:
+    def report_returned(self, name: str, after_ms: int, due: int = 0) -> None:
         log.warning(
             "notice: %s returned, to come back after %d ms",
             name,
@@ -66,7 +66,7 @@
     alone: bool  # no other was out when it began
 
 
-class Notices:
+class DeliveryReports:
     def __init__(self, scheduler: Scheduler, platform: tuple[str, int], delivered: Callable[[str], None]) -> None:
         self._scheduler, self._platform, self._delivered = scheduler, platform, delivered
         self._due: dict[str, Notice] = {}
@@ -88,11 +88,11 @@
     def idle(self) -> bool:
         return not self._due
 
-    def failed(self, name: str, due: int = 0) -> None:
+    def report_failed(self, name: str, due: int = 0) -> None:
         """due: when the message's time is up, monotonic microseconds; what is due first goes first."""
         self._add(due, {"id": name, "state": "failed"})
 
-    def returned(self, name: str, after_ms: int, due: int = 0) -> None:
+    def report_returned(self, name: str, after_ms: int, due: int = 0) -> None:
         self._add(due, {"id": name, "state": "returned", "after_ms": after_ms})
 
     def _add(self, due: int, notice: dict[str, Any]) -> None:
@@ -130,7 +130,7 @@
             status = self._post(one, b"".join(self._due[name].line for name in one.names if name in self._due))
         finally:
             del self._tries[one]
-        debug("notices: %s after %d ms: %d", " ".join(one.names), (self._scheduler.now() - begun) // MS, status)
+        debug_event("notices: %s after %d ms: %d", " ".join(one.names), (self._scheduler.now() - begun) // MS, status)
         if status == 204:
             self._pause, self._most = FIRST_PAUSE_US, MOST_LINES
             for name in one.names:
--- a/scalefall/net/delivery_request.py
+++ b/scalefall/net/delivery_request.py
@@ -9,20 +9,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Taken:
+class Accepted:
     """Taken on: the sender owes the message its end."""
 
 
 @dataclass(slots=True, frozen=True)
-class UnavailableAnswer:
+class Rejected:
     """Refused: handing it in again is harmless. By the module, or before it (turned away: no room, or closing)."""
 
     retry_after_us: int
-    turned_away: bool = False
+    unavailable: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Failed:
+class GivenUp:
     """Given up, with no promise about its effect."""
 
 
@@ -32,34 +32,34 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NotCarried:
+class NotServed:
     """Its route carries no messages of its class: nothing is done with it, now or later."""
 
 
-Verdict = Taken | UnavailableAnswer | Failed | Conflict | NotCarried
+AdmissionResult = Accepted | Rejected | GivenUp | Conflict | NotServed
 
 
 @dataclass(slots=True, eq=False)
-class Transaction:
+class DeliveryRequest:
     id: str
     class_name: str
     destination: int
-    due: int  # monotonic, microseconds
-    key: str | None
+    due_us: int  # monotonic, microseconds
+    idempotency_key: str | None
     body: bytes
     attempts: int = 0
-    verdict: Verdict | None = None
-    promised: bool = False  # a second client has been told that it is taken on
-    alone: bool = False  # must not share a call with others
-    cls: MessageClass | None = None  # the rules that it was taken on under
-    told: Callable[[], object] | None = None  # called once the verdict is there
+    admission: AdmissionResult | None = None
+    repeat_accepted: bool = False  # a second client has been told that it is taken on
+    send_alone: bool = False  # must not share a call with others
+    message_class: MessageClass | None = None  # the rules that it was taken on under
+    on_decided: Callable[[], object] | None = None  # called once the verdict is there
 
-    def stands_for(self) -> int:
+    def fingerprint(self) -> int:
         """The same number for what was handed in alike, whoever did; holds for this process only."""
-        return hash((self.class_name, self.destination, self.key, self.body))
+        return hash((self.class_name, self.destination, self.idempotency_key, self.body))
 
-    def decide(self, verdict: Verdict) -> None:
-        if self.verdict is None:
-            self.verdict = verdict
-            if self.told is not None:
-                self.told()
+    def decide(self, admission: AdmissionResult) -> None:
+        if self.admission is None:
+            self.admission = admission
+            if self.on_decided is not None:
+                self.on_decided()
--- a/scalefall/net/delivery_tracker.py
+++ b/scalefall/net/delivery_tracker.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Taken, Transaction
+from scalefall.net.delivery_request import Accepted, DeliveryRequest
 
 SECOND_US = 1_000_000  # microseconds in a second
 REMEMBER_ID_US = 30 * SECOND_US  # a repeat of a finished id comes within this time, or not at all
@@ -30,12 +30,12 @@
         """
         self._scheduler = scheduler
         self._max_finished = memory_bytes // BYTES_PER_REMEMBERED_ID
-        self._open: dict[str, Transaction] = {}
+        self._open: dict[str, DeliveryRequest] = {}
         self._finished: dict[str, tuple[int, int]] = {}
-        self.open: Mapping[str, Transaction] = self._open
+        self.open: Mapping[str, DeliveryRequest] = self._open
         self.finished: Mapping[str, tuple[int, int]] = self._finished
 
-    def add(self, request: Transaction) -> None:
+    def add(self, request: DeliveryRequest) -> None:
         """Track a request from now on."""
         self._open[request.id] = request
 
@@ -43,15 +43,15 @@
         """Forget an open request that nothing is owed for any more, together with its id."""
         del self._open[message_id]
 
-    def finish(self, message_id: str) -> Transaction | None:
+    def finish(self, message_id: str) -> DeliveryRequest | None:
         """End a message for the engine, and return its request, or None if it is not open.
 
         The id of an accepted message is remembered for as long as a repeat of it may be on its way.
         """
         request = self._open.pop(message_id, None)
-        if request is not None and isinstance(request.verdict, Taken):
+        if request is not None and isinstance(request.admission, Accepted):
             finished, now_us = self._finished, self._scheduler.now()
-            finished[message_id] = now_us, request.stands_for()
+            finished[message_id] = now_us, request.fingerprint()
             while len(finished) > self._max_finished or next(iter(finished.values()))[0] < now_us - REMEMBER_ID_US:
                 del finished[next(iter(finished))]
         return request
--- a/scalefall/net/final_answers.py
+++ b/scalefall/net/final_answers.py
@@ -4,12 +4,12 @@
 
 import logging
 
-from scalefall.net.invariants import debug, log
+from scalefall.net.invariants import debug_event, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.journal import FAILED, RETURNED, Journal
-from scalefall.net.delivery_reports import LoggedNotices, Notices
+from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
 from scalefall.net.route_table import RouteTable
-from scalefall.net.delivery_request import Failed, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import GivenUp, DeliveryRequest, Rejected
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 
@@ -22,7 +22,11 @@
     """
 
     def __init__(
-        self, tracker: DeliveryTracker, journal: Journal, delivery_reports: Notices | LoggedNotices, routes: RouteTable
+        self,
+        tracker: DeliveryTracker,
+        journal: Journal,
+        delivery_reports: DeliveryReports | LoggedDeliveryReports,
+        routes: RouteTable,
     ) -> None:
         """Give answers for the messages of this tracker.
 
@@ -45,12 +49,12 @@
         retry_after_us = self._routes.cap_retry_after(request.destination, retry_after_us)
         if log.isEnabledFor(logging.DEBUG):
             _log_end("refused %s", request)
-        if request.verdict is None:
-            request.decide(UnavailableAnswer(retry_after_us))
+        if request.admission is None:
+            request.decide(Rejected(retry_after_us))
             return
         retry_after_ms = -(-retry_after_us // MILLISECOND_US)
-        self._journal.ended(message_id, RETURNED, retry_after_ms)
-        self._delivery_reports.returned(message_id, retry_after_ms, request.due)
+        self._journal.record_final_answer(message_id, RETURNED, retry_after_ms)
+        self._delivery_reports.report_returned(message_id, retry_after_ms, request.due_us)
 
     def fail(self, message_id: str) -> None:
         """Give a message up, with no promise about its effect."""
@@ -59,13 +63,13 @@
             return
         if log.isEnabledFor(logging.DEBUG):
             _log_end("failed %s", request)
-        if request.verdict is None:
-            request.decide(Failed())
+        if request.admission is None:
+            request.decide(GivenUp())
             return
-        self._journal.ended(message_id, FAILED, 0)
-        self._delivery_reports.failed(message_id, request.due)
+        self._journal.record_final_answer(message_id, FAILED, 0)
+        self._delivery_reports.report_failed(message_id, request.due_us)
 
 
-def _log_end(text: str, request: Transaction) -> None:
+def _log_end(text: str, request: DeliveryRequest) -> None:
     """Log the end of a message for those who follow every one."""
-    debug(text, request.id, id=request.id, class_=request.class_name, dest=request.destination)
+    debug_event(text, request.id, id=request.id, class_=request.class_name, dest=request.destination)
--- a/scalefall/net/front.py
+++ b/scalefall/net/front.py
@@ -13,7 +13,7 @@
 from scalefall.net import http, streams
 from scalefall.net.invariants import log
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
-from scalefall.net.delivery_request import Conflict, Failed, NotCarried, Taken, Transaction, Verdict
+from scalefall.net.delivery_request import Conflict, GivenUp, NotServed, Accepted, DeliveryRequest, AdmissionResult
 
 SECOND = 1_000_000
 REQUEST_US = 2 * SECOND  # from a request's first byte to its last, and to a connection's first byte
@@ -68,7 +68,7 @@
 
 def read_transaction(
     reader: http.RequestReader, classes: dict[str, MessageClass], began: int, unread: int = 0, lag: int = 0
-) -> Transaction:
+) -> DeliveryRequest:
     """The request as a transaction; Malformed says what it lacks, and with which status. Its first byte was read at
     began and may have come so much earlier as unread says, and turns are late by lag, in microseconds."""
     path = re.sub(r"\Ahttp://[^/?]*", "", reader.target).partition("?")[0]
@@ -92,21 +92,21 @@
     left = min(int(float(f"{deadline[1]}.{deadline[2] or 0}") * UNITS[deadline[3]]), cls.deadline_us)
     unread = min(UNREAD_US, left // UNREAD_MOST, max(unread, cls.deadline_us // UNREAD_PART))
     left -= unread + min(left // LAG_PART, LAG_STEPS * lag)
-    return Transaction(ident, name, int(route[0]), began + left, key, bytes(reader.body))
+    return DeliveryRequest(ident, name, int(route[0]), began + left, key, bytes(reader.body))
 
 
-def write_verdict(verdict: Verdict, keep: bool) -> bytes:
-    if isinstance(verdict, Taken):
+def write_verdict(verdict: AdmissionResult, keep: bool) -> bytes:
+    if isinstance(verdict, Accepted):
         return http.answer(202, [], keep=keep)
-    if isinstance(verdict, Failed):
+    if isinstance(verdict, GivenUp):
         return http.answer(500, [], b"given up\n", keep)
     if isinstance(verdict, Conflict):
         return http.answer(409, [], b"the id of another message that is open\n", keep)
-    if isinstance(verdict, NotCarried):
+    if isinstance(verdict, NotServed):
         return http.answer(404, [], b"the route carries no messages of this class\n", keep)
     seconds = f"{-(-verdict.retry_after_us // 1000) / 1000:.3f}"
     fields = [("Retry-After", seconds)] if verdict.retry_after_us > 0 else []
-    return http.answer(503 if verdict.turned_away else 429, fields, keep=keep)
+    return http.answer(503 if verdict.unavailable else 429, fields, keep=keep)
 
 
 class Front:
@@ -115,8 +115,8 @@
         scheduler: Scheduler,
         classes: dict[str, MessageClass],
         most: int,
-        offer: Callable[[Transaction], object],
-        withdraw: Callable[[Transaction], object],
+        offer: Callable[[DeliveryRequest], object],
+        withdraw: Callable[[DeliveryRequest], object],
     ) -> None:
         self._scheduler, self._classes, self._most = scheduler, classes, most
         self._offer, self._withdraw = offer, withdraw
@@ -279,7 +279,7 @@
             self._hand_in(client, transaction)
             keep = reader.keep and not self.leaving and not self._crowded
             try:
-                self._answer(client, write_verdict(transaction.verdict, keep))
+                self._answer(client, write_verdict(transaction.admission, keep))
             except OSError:
                 self._withdraw(transaction)
                 raise
@@ -328,13 +328,13 @@
                 self._answer(client, b"HTTP/1.1 100 Continue\r\n\r\n")
         return began
 
-    def _hand_in(self, client: Client, transaction: Transaction) -> None:
+    def _hand_in(self, client: Client, transaction: DeliveryRequest) -> None:
         """Offer it to the module and wait for its verdict; a client that goes meanwhile withdraws it."""
-        transaction.told = lambda: self._scheduler.wake(client.task, None)
+        transaction.on_decided = lambda: self._scheduler.wake(client.task, None)
         self._offer(transaction)
-        while transaction.verdict is None:
+        while transaction.admission is None:
             why = self._scheduler.pause(None, client.sock, READ)
-            if why is READY and transaction.verdict is None:
+            if why is READY and transaction.admission is None:
                 data = _receive_now(client.sock)
                 if data == b"":
                     self._withdraw(transaction)
--- a/scalefall/net/http.py
+++ b/scalefall/net/http.py
@@ -4,7 +4,7 @@
 
 import re
 
-from scalefall.net.invariants import check
+from scalefall.net.invariants import assert_invariant
 
 MOST_HEAD = 16 * 1024
 MOST_BODY = 64 * 1024
@@ -172,7 +172,7 @@
         del self.rest[: len(piece)]
         self.body += piece
         self._left -= len(piece)
-        check(self._left >= 0, "a piece is no longer than told")
+        assert_invariant(self._left >= 0, "a piece is no longer than told")
         return self._left == 0
 
     def _read_length(self) -> bool:
--- a/scalefall/net/invariants.py
+++ b/scalefall/net/invariants.py
@@ -7,28 +7,28 @@
 from collections import Counter
 
 log = logging.getLogger("scalefall")
-broken: Counter[str] = Counter()
+violations: Counter[str] = Counter()
 
 
-def check(condition: object, name: str) -> bool:
+def assert_invariant(condition: object, name: str) -> bool:
     """True if the invariant holds. If not: an AssertionError in debug, a count under its name in release."""
     if condition:
         return True
     if __debug__:
         raise AssertionError(name)
-    broken[name] += 1
+    violations[name] += 1
     return False
 
 
-def debug(text: str, *args: object, **fields: object) -> None:
+def debug_event(text: str, *args: object, **fields: object) -> None:
     """A line on one message; its fields (id, class_, dest, endpoint) stand beside the text for who reads by machine."""
     if log.isEnabledFor(logging.DEBUG):
         log.debug(text, *args, extra={"fields": fields})
 
 
-def report() -> None:
+def log_violations() -> None:
     """Log every non-zero count; the caller chooses when."""
-    for name, count in sorted(broken.items()):
+    for name, count in sorted(violations.items()):
         log.warning("invariant broken: %s, %d times since the start", name, count)
 
 
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 
 from scalefall.interface import Effect
-from scalefall.net.invariants import check, log
+from scalefall.net.invariants import assert_invariant, log
 
 HEAD = struct.Struct("<II")  # length of the record's body, its CRC-32
 TAKEN = struct.Struct("<qiIqBB")  # due, destination, attempts, ran at (0: not), flags, state of the end
 OUT, ZONED = 1, 8  # of the flags; between them the effect: 0 where the record does not say
-EFFECTS = (None, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+IDEMPOTENCIES = (None, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
 BLOCK = 512  # files are counted in whole blocks of this size
 SPARE = 64 * 1024  # kept free for the small records between two compactions, where there is room
 ZONES = 128  # room in a copy for the zones that a transaction's history may name
@@ -27,24 +27,24 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class PendingDelivery:
     """A transaction as the journal knows it: not over yet, or over with its notice still to be delivered."""
 
     id: str
     class_name: str
     destination: int
-    due_wall: int  # microseconds since the epoch
-    key: str | None
+    due_wall_us: int  # microseconds since the epoch
+    idempotency_key: str | None
     body: bytes
     attempts: int = 0
-    ran_wall: int = 0  # begin of the first pass that may have run
-    ran_zone: str = ""
-    out: bool = False  # an attempt has begun and has no outcome yet
-    out_wall: int = 0
-    out_zone: str = ""
-    end: int = 0  # FAILED or RETURNED: a notice is owed
-    after_ms: int = 0
-    effect: Effect | None = None  # its class's, as it was when it was taken on; None: the record does not say
+    may_have_run_wall_us: int = 0  # begin of the first pass that may have run
+    may_have_run_zone: str = ""
+    in_flight: bool = False  # an attempt has begun and has no outcome yet
+    attempt_started_wall_us: int = 0
+    attempt_zone: str = ""
+    final_answer: int = 0  # FAILED or RETURNED: a notice is owed
+    retry_after_ms: int = 0
+    idempotency: Effect | None = None  # its class's, as it was when it was taken on; None: the record does not say
     key_scope_zone: bool = False
     key_ttl_us: int = 0
     size: int = field(default=0, repr=False)
@@ -74,60 +74,64 @@
     return values, at
 
 
-def _snapshot(owed: Owed) -> bytes:
+def _snapshot(owed: PendingDelivery) -> bytes:
     """One record that holds all of a transaction; its begin, and its history after a compaction."""
-    flags = OUT * owed.out | EFFECTS.index(owed.effect) << 1 | ZONED * owed.key_scope_zone
-    head = TAKEN.pack(owed.due_wall, owed.destination, owed.attempts, owed.ran_wall, flags, owed.end)
-    span = owed.after_ms if owed.end else min(owed.key_ttl_us // 1000, 0xFFFFFFFF)  # each is of use to one alone
-    tail = struct.pack("<Iq", span, owed.out_wall)
+    flags = OUT * owed.in_flight | IDEMPOTENCIES.index(owed.idempotency) << 1 | ZONED * owed.key_scope_zone
+    head = TAKEN.pack(
+        owed.due_wall_us, owed.destination, owed.attempts, owed.may_have_run_wall_us, flags, owed.final_answer
+    )
+    span = (
+        owed.retry_after_ms if owed.final_answer else min(owed.key_ttl_us // 1000, 0xFFFFFFFF)
+    )  # each is of use to one alone
+    tail = struct.pack("<Iq", span, owed.attempt_started_wall_us)
     return (
         b"T"
         + head
         + tail
-        + _text(owed.id, owed.class_name, owed.key, owed.ran_zone, owed.out_zone)
-        + (b"" if owed.end else owed.body)
+        + _text(owed.id, owed.class_name, owed.idempotency_key, owed.may_have_run_zone, owed.attempt_zone)
+        + (b"" if owed.final_answer else owed.body)
     )
 
 
 class Journal:
     def __init__(self, folder: str, most_bytes: int) -> None:
         self._path, self._new = os.path.join(folder, "journal"), os.path.join(folder, "journal.new")
-        self._most, self.owed = most_bytes, {}
+        self._most, self.pending = most_bytes, {}
         self._spare = min(SPARE, most_bytes // 8)
         self._live = 0  # bytes that a fresh copy would take
         self._remove_new()
         self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         self._size = self._read()
         if self._size != len(MARK) + self._live:
-            self._compact()
+            self.compact()
 
     # -- what is written
 
-    def room(self, length: int) -> bool:
+    def has_capacity(self, length: int) -> bool:
         """Whether one more with a body so long would fit; take_on has the last word."""
         return self._fits(self._live + length + 4 * BLOCK)
 
-    def take_on(self, owed: Owed) -> bool:
+    def record_accepted(self, owed: PendingDelivery) -> bool:
         """False, and nothing is taken on, if it would not fit or can't be written."""
         size = HEAD.size + len(_snapshot(owed)) + ZONES
         if not self._fits(self._live + size) or not self._append(_snapshot(owed), size):
             return False
-        check(owed.id not in self.owed, "an id is taken on once")
+        assert_invariant(owed.id not in self.pending, "an id is taken on once")
         owed.size = size
-        self.owed[owed.id] = owed
+        self.pending[owed.id] = owed
         self._live += size
         return True
 
-    def pass_begun(self, ids: list[str], wall: int, zone: str) -> bool:
+    def record_attempt_started(self, ids: list[str], wall: int, zone: str) -> bool:
         """False if it can't be written, or a copy would no longer fit: then the attempt must not begin."""
-        ids = [name for name in ids if name in self.owed]
-        wider = sum(max(0, self._zones(zone) - self.owed[name].zones) for name in ids)
+        ids = [name for name in ids if name in self.pending]
+        wider = sum(max(0, self._zones(zone) - self.pending[name].zones) for name in ids)
         if wider and not self._fits(self._live, wider):
             return False
         if not self._append(b"P" + struct.pack("<qH", wall, len(ids)) + _text(zone, *ids)):
             return False
         for name in ids:
-            self._begin(self.owed[name], wall, zone)
+            self._begin(self.pending[name], wall, zone)
         return True
 
     @staticmethod
@@ -135,49 +139,49 @@
         """A copy may have to name it twice: as that of the first pass that may have run, and of the one out."""
         return 2 * len(zone.encode())
 
-    def _widen(self, owed: Owed, zone: str) -> None:
+    def _widen(self, owed: PendingDelivery, zone: str) -> None:
         more = self._zones(zone) - owed.zones
         if more > 0:
             owed.zones += more
             owed.size += more
             self._live += more
 
-    def outcome(self, name: str, may_have_run: bool) -> None:
+    def record_attempt_finished(self, name: str, may_have_run: bool) -> None:
         """How the attempt that is out ended; a delivery is told by over()."""
-        if name in self.owed:
+        if name in self.pending:
             self._append(b"O" + bytes([may_have_run]) + _text(name))
-            self._settle(self.owed[name], may_have_run)
+            self._settle(self.pending[name], may_have_run)
 
-    def over(self, name: str) -> None:
+    def record_finished(self, name: str) -> None:
         """Delivered, withdrawn, or its notice has arrived: nothing more is owed."""
-        if name in self.owed:
+        if name in self.pending:
             self._append(b"E" + _text(name))
-            self._live -= self.owed.pop(name).size
+            self._live -= self.pending.pop(name).size
 
-    def ended(self, name: str, end: int, after_ms: int) -> None:
+    def record_final_answer(self, name: str, final_answer: int, retry_after_ms: int) -> None:
         """Ended by the module; the platform is owed a notice."""
-        if name in self.owed:
-            self._append(b"N" + struct.pack("<BI", end, after_ms) + _text(name))
-            self._end(self.owed[name], end, after_ms)
+        if name in self.pending:
+            self._append(b"N" + struct.pack("<BI", final_answer, retry_after_ms) + _text(name))
+            self._end(self.pending[name], final_answer, retry_after_ms)
 
     def close(self) -> None:
         os.close(self._file)
 
     # -- what the records do to what is owed
 
-    def _begin(self, owed: Owed, wall: int, zone: str) -> None:
+    def _begin(self, owed: PendingDelivery, wall: int, zone: str) -> None:
         self._widen(owed, zone)
         owed.attempts += 1
-        owed.out, owed.out_wall, owed.out_zone = True, wall, zone
+        owed.in_flight, owed.attempt_started_wall_us, owed.attempt_zone = True, wall, zone
 
     @staticmethod
-    def _settle(owed: Owed, may_have_run: bool) -> None:
-        if may_have_run and not owed.ran_wall:
-            owed.ran_wall, owed.ran_zone = owed.out_wall, owed.out_zone
-        owed.out = False
+    def _settle(owed: PendingDelivery, may_have_run: bool) -> None:
+        if may_have_run and not owed.may_have_run_wall_us:
+            owed.may_have_run_wall_us, owed.may_have_run_zone = owed.attempt_started_wall_us, owed.attempt_zone
+        owed.in_flight = False
 
-    def _end(self, owed: Owed, end: int, after_ms: int) -> None:
-        owed.end, owed.after_ms = end, after_ms
+    def _end(self, owed: PendingDelivery, final_answer: int, retry_after_ms: int) -> None:
+        owed.final_answer, owed.retry_after_ms = final_answer, retry_after_ms
         self._live -= len(owed.body)
         owed.size -= len(owed.body)
         owed.body = b""
@@ -190,7 +194,7 @@
 
     def _append(self, record: bytes, grows: int = 0) -> bool:
         framed = HEAD.pack(len(record), zlib.crc32(record)) + record
-        if self._size + len(framed) + self._live + grows + 4 * BLOCK > self._most and not self._compact():
+        if self._size + len(framed) + self._live + grows + 4 * BLOCK > self._most and not self.compact():
             return False
         try:
             written = 0
@@ -209,12 +213,12 @@
         except OSError as error:
             log.error("journal: cannot cut (%s)", error)
 
-    def _compact(self) -> bool:
+    def compact(self) -> bool:
         try:
             new = os.open(self._new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
             try:
                 size = os.write(new, MARK)
-                for owed in self.owed.values():
+                for owed in self.pending.values():
                     record = _snapshot(owed)
                     data = HEAD.pack(len(record), zlib.crc32(record)) + record
                     while data:
@@ -269,10 +273,10 @@
     def _replay(self, record: bytes) -> None:
         kind = record[:1]
         if kind == b"T":
-            due, destination, attempts, ran_wall, flags, end = TAKEN.unpack_from(record, 1)
-            span, out_wall = struct.unpack_from("<Iq", record, 1 + TAKEN.size)
+            due, destination, attempts, may_have_run_wall_us, flags, final_answer = TAKEN.unpack_from(record, 1)
+            span, attempt_started_wall_us = struct.unpack_from("<Iq", record, 1 + TAKEN.size)
             texts, at = _untext(record, 1 + TAKEN.size + 12, 5)
-            owed = Owed(
+            owed = PendingDelivery(
                 texts[0] or "",
                 texts[1] or "",
                 destination,
@@ -280,38 +284,38 @@
                 texts[2],
                 record[at:],
                 attempts,
-                ran_wall,
+                may_have_run_wall_us,
                 texts[3] or "",
                 bool(flags & OUT),
-                out_wall,
+                attempt_started_wall_us,
                 texts[4] or "",
-                end,
-                span if end else 0,
-                EFFECTS[flags >> 1 & 3],
+                final_answer,
+                span if final_answer else 0,
+                IDEMPOTENCIES[flags >> 1 & 3],
                 bool(flags & ZONED),
-                0 if end else span * 1000,
+                0 if final_answer else span * 1000,
             )
             owed.size = HEAD.size + len(record) + ZONES
-            self.owed[owed.id] = owed
+            self.pending[owed.id] = owed
             self._live += owed.size
         elif kind == b"P":
             wall, number = struct.unpack_from("<qH", record, 1)
             texts, _ = _untext(record, 11, number + 1)
             for name in texts[1:]:
-                if name in self.owed:
-                    self._begin(self.owed[name], wall, texts[0] or "")
+                if name in self.pending:
+                    self._begin(self.pending[name], wall, texts[0] or "")
         elif kind == b"O":
             name = _untext(record, 2, 1)[0][0]
-            if name in self.owed:
-                self._settle(self.owed[name], bool(record[1]))
+            if name in self.pending:
+                self._settle(self.pending[name], bool(record[1]))
         elif kind == b"E":
             name = _untext(record, 1, 1)[0][0]
-            if name in self.owed:
-                self._live -= self.owed.pop(name).size
+            if name in self.pending:
+                self._live -= self.pending.pop(name).size
         elif kind == b"N":
-            end, after_ms = struct.unpack_from("<BI", record, 1)
+            final_answer, retry_after_ms = struct.unpack_from("<BI", record, 1)
             name = _untext(record, 6, 1)[0][0]
-            if name in self.owed:
-                self._end(self.owed[name], end, after_ms)
+            if name in self.pending:
+                self._end(self.pending[name], final_answer, retry_after_ms)
         else:
             raise ValueError(f"unknown record {kind!r}")
--- a/scalefall/net/learned_rates.py
+++ b/scalefall/net/learned_rates.py
@@ -18,10 +18,10 @@
 MOST_BYTES = 4 * 1024 * 1024
 ROW = 64  # bytes that a row takes at most, but for long names
 SLICE = 128  # rows written in one turn
-FRESH_US = 60_000_000  # what is older tells nothing of now
+MAX_AGE_US = 60_000_000  # what is older tells nothing of now
 
 
-def room(disk_bytes: int) -> int:
+def reserved_bytes(disk_bytes: int) -> int:
     """Bytes of the folder that are kept for this: 3 MB have some 2,500 rows."""
     return min(max(LEAST_BYTES, disk_bytes // PART), MOST_BYTES, disk_bytes // 3)
 
@@ -32,7 +32,7 @@
     if len(rows) * ROW > most // 2:
         rows = sorted(rows, key=lambda row: -row.part)
     for number, row in enumerate(rows, 1):
-        lines.append(json.dumps(put(row)))
+        lines.append(json.dumps(to_row(row)))
         if number % SLICE == 0:
             rest()
         size += len(lines[-1]) + 1
@@ -51,9 +51,9 @@
     try:
         with open(os.path.join(folder, "paces"), encoding="ascii") as file:
             first, *lines = file.read(most).splitlines()
-        if not 0 <= wall - int(first) < FRESH_US:
+        if not 0 <= wall - int(first) < MAX_AGE_US:
             return []
-        return [get(*json.loads(line)) for line in lines]
+        return [from_row(*json.loads(line)) for line in lines]
     except FileNotFoundError:
         return []
     except (OSError, ValueError, TypeError, RecursionError) as error:
@@ -61,12 +61,12 @@
         return []
 
 
-def put(row: Known) -> list:
+def to_row(row: Known) -> list:
     """As plain JSON."""
     return [row.destination, row.route, round(row.part, 3), round(row.limit, 3)]
 
 
-def get(destination: int, route: str, part: float, limit: float) -> Known:
+def from_row(destination: int, route: str, part: float, limit: float) -> Known:
     """The same back; ValueError or TypeError if it is none."""
     if not (
         isinstance(destination, int)
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -10,9 +10,9 @@
 from scalefall.net.deadline_watch import DeadlineWatch
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.journal import FAILED, RETURNED, Journal, Owed
-from scalefall.net.delivery_reports import LoggedNotices, Notices
-from scalefall.net.delivery_request import Taken, Transaction
+from scalefall.net.journal import FAILED, RETURNED, Journal, PendingDelivery
+from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
+from scalefall.net.delivery_request import Accepted, DeliveryRequest
 
 
 class Recovery:
@@ -29,7 +29,7 @@
         tracker: DeliveryTracker,
         deadline_watch: DeadlineWatch,
         journal: Journal,
-        delivery_reports: Notices | LoggedNotices,
+        delivery_reports: DeliveryReports | LoggedDeliveryReports,
         wall_offset_us: int,
     ) -> None:
         """Recover into these parts.
@@ -65,33 +65,33 @@
     def restore(self) -> None:
         """Hand on all that the journal holds."""
         restored = 0
-        for pending in list(self._journal.owed.values()):
-            due_us = pending.due_wall - self._wall_offset_us
-            if pending.end == RETURNED:
-                self._delivery_reports.returned(pending.id, pending.after_ms, due_us)
-            elif pending.end == FAILED:
-                self._delivery_reports.failed(pending.id, due_us)
+        for pending in list(self._journal.pending.values()):
+            due_us = pending.due_wall_us - self._wall_offset_us
+            if pending.final_answer == RETURNED:
+                self._delivery_reports.report_returned(pending.id, pending.retry_after_ms, due_us)
+            elif pending.final_answer == FAILED:
+                self._delivery_reports.report_failed(pending.id, due_us)
             else:
                 restored += 1
                 self._restore_open(pending, due_us)
-        if self._journal.owed:
-            log.info("restored: %d open, %d with a notice to deliver", restored, len(self._journal.owed) - restored)
+        if self._journal.pending:
+            log.info("restored: %d open, %d with a notice to deliver", restored, len(self._journal.pending) - restored)
 
-    def _restore_open(self, pending: Owed, due_us: int) -> None:
+    def _restore_open(self, pending: PendingDelivery, due_us: int) -> None:
         """Hand on one message that is still to be delivered."""
-        if pending.out:  # its attempt was out when the process died: it may have run
-            self._journal.outcome(pending.id, True)
+        if pending.in_flight:  # its attempt was out when the process died: it may have run
+            self._journal.record_attempt_finished(pending.id, True)
         message_class = self._class_when_accepted(pending)
-        request = Transaction(
+        request = DeliveryRequest(
             id=pending.id,
             class_name=pending.class_name,
             destination=pending.destination,
-            due=due_us,
-            key=pending.key,
+            due_us=due_us,
+            idempotency_key=pending.idempotency_key,
             body=pending.body,
             attempts=pending.attempts,
-            verdict=Taken(),
-            cls=message_class,
+            admission=Accepted(),
+            message_class=message_class,
         )
         self._tracker.add(request)
         self._deadline_watch.watch(request)
@@ -102,25 +102,25 @@
                 class_name=pending.class_name,
                 due_us=due_us,
                 attempts=pending.attempts,
-                ran_us=pending.ran_wall - self._wall_offset_us if pending.ran_wall else None,
-                ran_zone=pending.ran_zone,
+                ran_us=pending.may_have_run_wall_us - self._wall_offset_us if pending.may_have_run_wall_us else None,
+                ran_zone=pending.may_have_run_zone,
                 restored=True,
                 cls=message_class,
             )
         )
 
-    def _class_when_accepted(self, pending: Owed) -> MessageClass | None:
+    def _class_when_accepted(self, pending: PendingDelivery) -> MessageClass | None:
         """Return a message's class as the settings have it now, but with the rules of its acceptance for repeats.
 
         Whether, where and for how long it may be repeated must not follow settings that have changed since: it may
         have run under the old ones.
         """
         message_class = self._classes.get(pending.class_name)
-        if message_class is None or pending.effect is None:
+        if message_class is None or pending.idempotency is None:
             return message_class
         return replace(
             message_class,
-            effect=pending.effect,
+            effect=pending.idempotency,
             key_scope_zone=pending.key_scope_zone,
             key_ttl_us=pending.key_ttl_us,
         )
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -10,7 +10,7 @@
 from scalefall.net.invariants import log
 from scalefall.net.config import Config, ConfigError, Fleet
 from scalefall.net.endpoint_list import EndpointList
-from scalefall.net.delivery_reports import LoggedNotices, Notices
+from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.static_list import StaticList
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, settings: Settings, endpoint_list: EndpointList, delivery_reports: Notices | LoggedNotices
+        self, settings: Settings, endpoint_list: EndpointList, delivery_reports: DeliveryReports | LoggedDeliveryReports
     ) -> None:
         """Reload into these parts.
 
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -15,7 +15,7 @@
 
 from greenlet import getcurrent, greenlet
 
-from scalefall.net.invariants import check, log
+from scalefall.net.invariants import assert_invariant, log
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 THREAD_DONE = 255  # a byte to the waker that is no signal's number
@@ -115,11 +115,11 @@
     def pause(self, until: int | None = None, sock: socket.socket | None = None, mask: int = 0) -> Any:
         """Lay the running task aside until the socket is ready, the time is up or somebody wakes it."""
         task = getcurrent()
-        check(isinstance(task, Task) and not task.paused, "only a running task pauses")
+        assert_invariant(isinstance(task, Task) and not task.paused, "only a running task pauses")
         task.paused = True
         if sock is not None:
             task.fd = sock.fileno()
-            check(task.fd not in self._waits, "one task waits for a socket")
+            assert_invariant(task.fd not in self._waits, "one task waits for a socket")
             self._waits[task.fd] = task
             self._poll.register(task.fd, mask)
         if until is not None:
@@ -209,7 +209,7 @@
         for fd, _ in found:
             if fd == self._woken.fileno():
                 signalled = True
-            elif check(fd in self._waits, "a polled socket has its task"):
+            elif assert_invariant(fd in self._waits, "a polled socket has its task"):
                 self.wake(self._waits[fd], READY)
         if signalled:  # last: what a signal wakes may be among what was found
             self._take_signals()
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -19,8 +19,8 @@
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.front import Front
 from scalefall.net.journal import Journal
-from scalefall.net.delivery_reports import LoggedNotices, Notices
-from scalefall.net.admin import Duty, Operators, OutFile
+from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
+from scalefall.net.admin import AdminState, AdminServer, MaintenanceStore
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.recovery import Recovery
 from scalefall.net.reloader import FleetReloader, ReadAgain, Reloader, SettingsReloader, forget_endpoints_after_us
@@ -95,10 +95,10 @@
     def _open_state_folder(self) -> None:
         """Divide the state folder's limit, and open what is kept there."""
         config = self.config
-        rates_bytes = learned_rates.room(config.disk_bytes)
-        self._maintenance_store = OutFile(config.state, config.disk_bytes) if config.admin else None
-        self._admin_state = Duty(self._maintenance_store.load() if self._maintenance_store else set())
-        maintenance_bytes = self._maintenance_store.room if self._maintenance_store else 0
+        rates_bytes = learned_rates.reserved_bytes(config.disk_bytes)
+        self._maintenance_store = MaintenanceStore(config.state, config.disk_bytes) if config.admin else None
+        self._admin_state = AdminState(self._maintenance_store.load() if self._maintenance_store else set())
+        maintenance_bytes = self._maintenance_store.reserved_bytes if self._maintenance_store else 0
         self.journal = Journal(config.state, config.disk_bytes - rates_bytes - maintenance_bytes)
         self.rate_keeper = RateKeeper(self._scheduler, self.engine.known, config.state, rates_bytes)
 
@@ -162,12 +162,12 @@
         reloader.apply_routes(config.fleet)
         return static_list, reloader
 
-    def _make_delivery_reports(self) -> Notices | LoggedNotices:
+    def _make_delivery_reports(self) -> DeliveryReports | LoggedDeliveryReports:
         """Make what tells the platform of messages that were given up; without a platform that is the log."""
         platform = self.config.discovery or self.config.reports
         if platform is None:
-            return LoggedNotices(self.journal.over)
-        return Notices(self._scheduler, platform, self.journal.over)
+            return LoggedDeliveryReports(self.journal.record_finished)
+        return DeliveryReports(self._scheduler, platform, self.journal.record_finished)
 
     def _connect_lifecycle(self, max_clients: int) -> None:
         """Connect the ingress, and what starts, serves operators and ends."""
@@ -183,7 +183,7 @@
             self.wall_offset_us,
         )
         self.admin_actions: AdminActions | None = None
-        self.admin_server: Operators | None = None
+        self.admin_server: AdminServer | None = None
         if self._maintenance_store is not None:
             self.admin_actions = AdminActions(
                 scheduler,
@@ -194,7 +194,7 @@
                 self.endpoint_list,
                 self.ingress,
             )
-            self.admin_server = Operators(scheduler, self.admin_actions.handle)
+            self.admin_server = AdminServer(scheduler, self.admin_actions.handle)
         self.shutdown = Shutdown(
             scheduler,
             open_requests=self.tracker.open,
@@ -244,7 +244,7 @@
 
     def _run_housekeeping(self) -> None:
         """Report broken invariants, and forget what is over; every so often."""
-        invariants.report()
+        invariants.log_violations()
         self.dispatcher.forget_expired_waits()
         self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
 
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -20,13 +20,13 @@
 )
 from scalefall.net.admission import RETRY_WHEN_FULL_US, Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
-from scalefall.net.invariants import check, log
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Taken, UnavailableAnswer, Verdict
+from scalefall.net.delivery_request import Accepted, Rejected, AdmissionResult
 
 
 class DecisionEngine(Protocol):
@@ -84,21 +84,21 @@
         submitted = [
             event.id
             for event in events
-            if isinstance(event, Message) and event.id in self._open and self._open[event.id].verdict is None
+            if isinstance(event, Message) and event.id in self._open and self._open[event.id].admission is None
         ]
-        verdict: Verdict
+        admission: AdmissionResult
         try:
             self._perform(self._engine.handle(self._scheduler.now(), events), submitted)
-            verdict = Taken()
+            admission = Accepted()
         except Exception:  # noqa: BLE001 - nothing was promised yet: what came in this step goes elsewhere
             log.exception("the module failed in a turn")
-            check(False, "the module failed in a turn")
-            verdict = UnavailableAnswer(RETRY_WHEN_FULL_US, True)
+            assert_invariant(False, "the module failed in a turn")
+            admission = Rejected(RETRY_WHEN_FULL_US, True)
         for message_id in submitted:
             request = self._open.get(message_id)
             if request is not None:
-                request.decide(verdict)
-                if not isinstance(verdict, Taken):
+                request.decide(admission)
+                if not isinstance(admission, Accepted):
                     self._admission.withdraw(request)
 
     def _perform(self, actions: list[Action], submitted: list[str]) -> None:
@@ -134,4 +134,4 @@
             case Log(line=line):
                 log.info("module: %s", line)
             case _:
-                check(False, f"the module asks only for what is allowed here, not {type(action).__name__}")
+                assert_invariant(False, f"the module asks only for what is allowed here, not {type(action).__name__}")
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -11,8 +11,8 @@
 from scalefall.net.invariants import log
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.delivery_reports import LoggedNotices, Notices
-from scalefall.net.admin import Operators
+from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
+from scalefall.net.admin import AdminServer
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.scheduler import Scheduler
 
@@ -43,9 +43,9 @@
         admission: Admission,
         ingress: Front,
         attempts: Attempts,
-        delivery_reports: Notices | LoggedNotices,
+        delivery_reports: DeliveryReports | LoggedDeliveryReports,
         rate_keeper: RateKeeper,
-        admin_server: Operators | None,
+        admin_server: AdminServer | None,
     ) -> None:
         """Shut these parts down, once asked to.
 
@@ -98,7 +98,7 @@
         self._ingress.end()
         self._scheduler.sleep(LAST_POLL_US)
         log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.in_flight)
-        invariants.report()
+        invariants.log_violations()
         self._rate_keeper.save_last()
         self._scheduler.stop()
 
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -42,8 +42,8 @@
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import EndpointList, Entry, read_list
 from scalefall.net.front import Front
-from scalefall.net.delivery_reports import Notices
-from scalefall.net.delivery_request import Conflict, Failed, NotCarried, Taken, UnavailableAnswer
+from scalefall.net.delivery_reports import DeliveryReports
+from scalefall.net.delivery_request import Conflict, GivenUp, NotServed, Accepted, Rejected
 
 Bytes = dict[str, bytes]
 LOCAL = ("127.0.0.1", 0)
@@ -99,16 +99,16 @@
 # -- HTTP to clients
 
 VERDICTS = {
-    "accepted": Taken(),
-    "failed": Failed(),
+    "accepted": Accepted(),
+    "failed": GivenUp(),
     "conflict": Conflict(),
-    "not-carried": NotCarried(),
-    "rejected": UnavailableAnswer(0),
-    "rejected-in-1us": UnavailableAnswer(1),
-    "rejected-in-1250ms": UnavailableAnswer(1250 * MS),
-    "rejected-in-61s": UnavailableAnswer(61 * S),
-    "turned-away": UnavailableAnswer(0, True),
-    "turned-away-for-500ms": UnavailableAnswer(500 * MS, True),
+    "not-carried": NotServed(),
+    "rejected": Rejected(0),
+    "rejected-in-1us": Rejected(1),
+    "rejected-in-1250ms": Rejected(1250 * MS),
+    "rejected-in-61s": Rejected(61 * S),
+    "turned-away": Rejected(0, True),
+    "turned-away-for-500ms": Rejected(500 * MS, True),
 }
 CHUNKED = head("Transfer-Encoding: chunked")
 LIMITED = http.MOST_BODY
@@ -183,12 +183,12 @@
     found = {}
     for name, verdict in VERDICTS.items():
         found[name] = desk.decided(verdict)
-    found["accepted-last-by-request"] = desk.decided(Taken(), request(Connection="close"))
+    found["accepted-last-by-request"] = desk.decided(Accepted(), request(Connection="close"))
     old = b"POST /safe HTTP/1.0\r\n" + request().partition(b"\r\n")[2]
-    found["accepted-1.0"] = desk.decided(Taken(), old)
-    found["accepted-with-key"] = desk.decided(Taken(), request(target="/keyed", Idempotency_Key="k"))
-    found["accepted-chunked"] = desk.decided(Taken(), CHUNKED + b"4\r\nbody\r\n0\r\n\r\n")
-    found["accepted-draining"] = desk.decided(Taken(), closing=lambda: desk.front.drain(True))
+    found["accepted-1.0"] = desk.decided(Accepted(), old)
+    found["accepted-with-key"] = desk.decided(Accepted(), request(target="/keyed", Idempotency_Key="k"))
+    found["accepted-chunked"] = desk.decided(Accepted(), CHUNKED + b"4\r\nbody\r\n0\r\n\r\n")
+    found["accepted-draining"] = desk.decided(Accepted(), closing=lambda: desk.front.drain(True))
     desk.front.drain(False)
     for name, verdict in VERDICTS.items():
         found[f"{name}-closing"] = desk.decided(verdict, closing=desk.front.close_idle)
@@ -200,7 +200,7 @@
     data = streams.receive(desk.world, sock, desk.world.now() + S)
     desk.say(b"body", sock)
     desk.world.until(lambda: desk.offered)
-    desk.offered[0].decide(Taken())
+    desk.offered[0].decide(Accepted())
     return {"continue-then-accepted": data + answer(desk.world, sock)}
 
 
@@ -332,7 +332,7 @@
 
     def steps():
         peer, delivered = Peer(world), []
-        told = Notices(world, peer.address, delivered.append)
+        told = DeliveryReports(world, peer.address, delivered.append)
 
         def post(name):
             sock = peer.accept()
@@ -341,13 +341,13 @@
             world.until(lambda: told.idle)
 
         found = {}
-        told.failed("m1")
+        told.report_failed("m1")
         post("failed")
-        told.returned("m2", 1500)
+        told.report_returned("m2", 1500)
         post("returned")
-        told.returned("m3", 0, 30)
-        told.failed('m"4\\\u00e9', 10)
-        told.returned("m5", 20, 20)
+        told.report_returned("m3", 0, 30)
+        told.report_failed('m"4\\\u00e9', 10)
+        told.report_returned("m5", 20, 20)
         post("several")
         return found
 
@@ -424,7 +424,7 @@
         say(f"{number:02} {method} {path}", http.request(method, path, "s", []))
     for name, data in OPERATED_BADLY.items():
         say(name, data)
-    firm.sender.admin_actions.store.room = 0
+    firm.sender.admin_actions.store.reserved_bytes = 0
     say("no-room", http.request("PUT", "/endpoints/e/maint", "s", []))
     firm.sender.close()
     say("closing", http.request("GET", "/healthcheck", "s", []))
--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -17,7 +17,7 @@
 
 from scalefall.interface import Effect, Known
 from scalefall.net import learned_rates
-from scalefall.net.journal import Journal, Owed
+from scalefall.net.journal import Journal, PendingDelivery
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "example" / "config.json").read_text())
@@ -45,26 +45,28 @@
 def fill_state(folder):
     """Take on messages until the folder takes no more, and write attempts until the file is as long as it may be: each
     has one or more that may have run, some have one that is out. Gives back how many messages."""
-    room, wall = learned_rates.room(DISK_BYTES), time.time_ns() // 1000
+    room, wall = learned_rates.reserved_bytes(DISK_BYTES), time.time_ns() // 1000
     learned_rates.save(folder, room, [Known(number, "", 1.0, 5.0) for number in range(LIST)], wall)
     journal, taken = Journal(str(folder), DISK_BYTES - room), 0
-    while journal.take_on(_message(taken, wall)):
+    while journal.record_accepted(_message(taken, wall)):
         taken += 1
-    for name in cycle(list(journal.owed)):
+    for name in cycle(list(journal.pending)):
         if journal._size + journal._live + SPARE > journal._most:
             break
-        if journal.owed[name].out:
-            journal.outcome(name, True)
-        journal.pass_begun([name], wall, "here")
+        if journal.pending[name].in_flight:
+            journal.record_attempt_finished(name, True)
+        journal.record_attempt_started([name], wall, "here")
     journal.close()
     return taken
 
 
 def _message(number, wall):
-    name, effect = CLASSES[number % len(CLASSES)]
-    key = f"k{number}" if effect is Effect.KEYED else None
-    ttl = 6_000_000 if effect is Effect.KEYED else 0
-    return Owed(f"m{number}", name, number % LIST, wall + TIME_US, key, b"body", effect=effect, key_ttl_us=ttl)
+    name, idempotency = CLASSES[number % len(CLASSES)]
+    key = f"k{number}" if idempotency is Effect.KEYED else None
+    ttl = 6_000_000 if idempotency is Effect.KEYED else 0
+    return PendingDelivery(
+        f"m{number}", name, number % LIST, wall + TIME_US, key, b"body", idempotency=idempotency, key_ttl_us=ttl
+    )
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -15,12 +15,12 @@
 from scalefall.control.transport.state import StateDirectory
 from scalefall.interface import Effect
 from scalefall.net import journal, learned_rates
-from scalefall.net.admin import OutFile
+from scalefall.net.admin import MaintenanceStore
 
 DISK_BYTES = 4_000_000  # the sender's limit for its state folder
 REPEAT = {"not recorded": None, "freely": Effect.SAFE, "with key": Effect.KEYED, "never": Effect.UNSAFE}
 ENDS = {"none": 0, "failed": journal.FAILED, "returned": journal.RETURNED}
-LATEST = {"rates": learned_rates.FRESH_US}  # us from which on what is stored is too old
+LATEST = {"rates": learned_rates.MAX_AGE_US}  # us from which on what is stored is too old
 OUTCOMES = {"not sent": interface.Outcome.NOT_SENT, "cannot connect": interface.Outcome.CONNECT_FAILED}
 
 
@@ -40,29 +40,29 @@
     """Do to a journal what one line of the stored operations says; True unless it was refused."""
     match operation:
         case ["accept", row]:
-            return opened.take_on(delivery(row))
+            return opened.record_accepted(delivery(row))
         case ["start attempt", ids, wall_us, zone]:
-            return opened.pass_begun(ids, wall_us, zone)
+            return opened.record_attempt_started(ids, wall_us, zone)
         case ["finish attempt", name, may_have_run]:
-            opened.outcome(name, may_have_run)
+            opened.record_attempt_finished(name, may_have_run)
         case ["finish", name]:
-            opened.over(name)
+            opened.record_finished(name)
         case ["owe notice", name, end, after_ms]:
-            opened.ended(name, ENDS[end], after_ms)
+            opened.record_final_answer(name, ENDS[end], after_ms)
         case _:
             raise ValueError(operation)
     return True
 
 
 def delivery(row):
-    return journal.Owed(
+    return journal.PendingDelivery(
         id=row["id"],
         class_name=row["class"],
         destination=row["destination"],
-        due_wall=row["due_us"],
-        key=row["key"],
+        due_wall_us=row["due_us"],
+        idempotency_key=row["key"],
         body=bytes.fromhex(row["body"]),
-        effect=REPEAT[row["repeat"]],
+        idempotency=REPEAT[row["repeat"]],
         key_scope_zone=row["key holds in one zone"],
         key_ttl_us=row["key_lifetime_us"],
     )
@@ -75,22 +75,22 @@
             "id": row.id,
             "class": row.class_name,
             "destination": row.destination,
-            "due_us": row.due_wall,
-            "key": row.key,
+            "due_us": row.due_wall_us,
+            "key": row.idempotency_key,
             "body": row.body.hex(),
             "attempts": row.attempts,
-            "may_have_run_at_us": row.ran_wall,
-            "may_have_run_in": row.ran_zone,
-            "attempt_open": row.out,
-            "last_attempt_at_us": row.out_wall,
-            "last_attempt_in": row.out_zone,
-            "owes": _named(ENDS, row.end),
-            "after_ms": row.after_ms,
-            "repeat": _named(REPEAT, row.effect),
+            "may_have_run_at_us": row.may_have_run_wall_us,
+            "may_have_run_in": row.may_have_run_zone,
+            "attempt_open": row.in_flight,
+            "last_attempt_at_us": row.attempt_started_wall_us,
+            "last_attempt_in": row.attempt_zone,
+            "owes": _named(ENDS, row.final_answer),
+            "after_ms": row.retry_after_ms,
+            "repeat": _named(REPEAT, row.idempotency),
             "key holds in one zone": row.key_scope_zone,
             "key_lifetime_us": row.key_ttl_us,
         }
-        for row in opened.owed.values()
+        for row in opened.pending.values()
     ]
 
 
@@ -98,11 +98,11 @@
 
 
 def save_rates(folder, rows, wall_us):
-    learned_rates.save(str(folder), learned_rates.room(DISK_BYTES), [rate(row) for row in rows], wall_us)
+    learned_rates.save(str(folder), learned_rates.reserved_bytes(DISK_BYTES), [rate(row) for row in rows], wall_us)
 
 
 def load_rates(folder, wall_us):
-    return [rate_row(row) for row in learned_rates.load(str(folder), learned_rates.room(DISK_BYTES), wall_us)]
+    return [rate_row(row) for row in learned_rates.load(str(folder), learned_rates.reserved_bytes(DISK_BYTES), wall_us)]
 
 
 def rate(row):
@@ -121,11 +121,11 @@
 
 
 def save_maintenance(folder, names):
-    return OutFile(str(folder), DISK_BYTES).save(set(names))
+    return MaintenanceStore(str(folder), DISK_BYTES).save(set(names))
 
 
 def load_maintenance(folder):
-    return sorted(OutFile(str(folder), DISK_BYTES).load())
+    return sorted(MaintenanceStore(str(folder), DISK_BYTES).load())
 
 
 # -- control's state folder
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,7 +8,7 @@
 from test_sender import Firm
 
 from scalefall.net import http
-from scalefall.net.admin import MOST_CALLERS, Duty, OutFile
+from scalefall.net.admin import MAX_CALLERS, AdminState, MaintenanceStore
 
 
 @pytest.fixture
@@ -57,7 +57,7 @@
         firm.die()
         firm.start()
         firm.watched()
-        assert not firm.sender.admin_actions.state.out
+        assert not firm.sender.admin_actions.state.in_maintenance
         firm.world.until(lambda: "e" not in firm.sender.endpoint_list.left_at)
 
     play(firm, steps)
@@ -130,7 +130,7 @@
 
 def test_a_call_that_takes_out_cannot_be_kept_is_no_yes(firm, monkeypatch):
     def steps():
-        monkeypatch.setattr(OutFile, "save", lambda self, names: False)
+        monkeypatch.setattr(MaintenanceStore, "save", lambda self, names: False)
         assert call(firm, "PUT", "/endpoints/e/maint") == 507
         firm.taken("a")
         assert firm.call()[1].fields["x-request-id"] == "a"
@@ -159,7 +159,7 @@
 def test_a_call_gets_the_status_that_it_deserves(firm, method, path, status):
     def steps():
         assert call(firm, method, path) == status
-        assert firm.sender.admin_actions.state.out == set()
+        assert firm.sender.admin_actions.state.in_maintenance == set()
         firm.taken("a")
 
     play(firm, steps)
@@ -208,10 +208,10 @@
 
 def test_callers_that_send_nothing_or_half_a_call_keep_nobody_out(firm):
     def steps():
-        idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MOST_CALLERS)]
+        idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_CALLERS)]
         firm.world.sleep(10 * MS)
         assert call(firm, "GET", "/healthcheck") == 200
-        assert len(firm.sender.admin_server._callers) <= MOST_CALLERS
+        assert len(firm.sender.admin_server._callers) <= MAX_CALLERS
         firm.world.sleep(3 * S)
         assert not firm.sender.admin_server._callers
         for sock in idle:
@@ -221,7 +221,7 @@
 
 
 def test_the_names_of_what_is_out_have_room_for_1024_and_a_torn_file_stops_no_start(tmp_path):
-    file, names = OutFile(tmp_path, 3_000_000), {f"s-{n:08x}" for n in range(1024)}
+    file, names = MaintenanceStore(tmp_path, 3_000_000), {f"s-{n:08x}" for n in range(1024)}
     assert file.load() == set() and file.save(names) and file.load() == names
     assert not file.save({"x" * 255 + str(n) for n in range(1024)}) and file.load() == names
     for torn in (b"", b"[", b"{}", b"[7]", b"\xff", b"[" * 5000):
@@ -230,10 +230,10 @@
 
 
 def test_duty_changes_only_once_a_call_is_carried_out():
-    duty = Duty(set())
+    duty = AdminState(set())
     assert duty.call("PUT", "/endpoints/a%20b/maint", True, lambda name: name == "a b") == (200, "out a b")
-    assert duty.out == set()
+    assert duty.in_maintenance == set()
     duty.done("out a b")
     assert duty.call("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == (200, "back a b")  # gone
     duty.done("back a b")
-    assert duty.out == set() and duty.call("GET", "/healthcheck", False, bool) == (503, "")
+    assert duty.in_maintenance == set() and duty.call("GET", "/healthcheck", False, bool) == (503, "")
--- a/tests/test_delivery_tracker.py
+++ b/tests/test_delivery_tracker.py
@@ -3,11 +3,11 @@
 from nethelp import S, World
 
 from scalefall.net.delivery_tracker import BYTES_PER_REMEMBERED_ID, REMEMBER_ID_US, DeliveryTracker
-from scalefall.net.delivery_request import Taken, Transaction
+from scalefall.net.delivery_request import Accepted, DeliveryRequest
 
 
 def request(message_id, accepted=True):
-    return Transaction(message_id, "safe", 7, 0, None, b"body", verdict=Taken() if accepted else None)
+    return DeliveryRequest(message_id, "safe", 7, 0, None, b"body", admission=Accepted() if accepted else None)
 
 
 def tracker(world, max_finished=100):
@@ -35,7 +35,7 @@
     deliveries.add(request("withdrawn"))
     deliveries.discard("withdrawn")
     assert list(deliveries.finished) == ["accepted"]
-    assert deliveries.finished["accepted"][1] == request("another id").stands_for()
+    assert deliveries.finished["accepted"][1] == request("another id").fingerprint()
 
 
 def test_ids_are_forgotten_in_time_the_oldest_first():
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -9,7 +9,7 @@
 from scalefall import interface as i
 from scalefall.net import http
 from scalefall.net.endpoint_list import EndpointList, read_list
-from scalefall.net.delivery_reports import Notices
+from scalefall.net.delivery_reports import DeliveryReports
 from scalefall.net.scheduler import READY
 
 HERE = ("127.0.0.1", 1)
@@ -325,9 +325,9 @@
 
     def play():
         peer, done = Peer(world), []
-        notices = Notices(world, peer.address, done.append)
-        notices.failed("a")
-        notices.returned("b", 250)
+        notices = DeliveryReports(world, peer.address, done.append)
+        notices.report_failed("a")
+        notices.report_returned("b", 250)
         for said in (b"", http.answer(503, []), b"junk\r\n", http.answer(500, [], keep=False)):
             sock = peer.accept()
             while True:
@@ -346,7 +346,7 @@
         peer.read(sock)
         sock.send(http.answer(204, []))
         world.until(lambda: done == ["a", "b"])
-        notices.failed("c")  # over the connection that is kept
+        notices.report_failed("c")  # over the connection that is kept
         assert b'"c"' in peer.read(sock).body and notices.idle is False
         reset(sock)  # which has gone: at once over a new one
         sock = peer.accept()
@@ -360,9 +360,9 @@
 
     def play():
         peer, done = Peer(world), []
-        notices = Notices(world, peer.address, done.append)
+        notices = DeliveryReports(world, peer.address, done.append)
         for name in "abc":
-            notices.failed(name)
+            notices.report_failed(name)
         sock = peer.accept()
         while "c" not in done:
             bad = b'"a"' in peer.read(sock).body
@@ -378,7 +378,7 @@
 
     def play():
         peer, done = Peer(world), []
-        Notices(world, peer.address, done.append).failed("a")
+        DeliveryReports(world, peer.address, done.append).report_failed("a")
         sock = peer.accept()
         peer.read(sock)
         assert closed(world, sock)
@@ -401,19 +401,19 @@
 
     def play():
         peer, done = Peer(world), []
-        notices = Notices(world, peer.address, done.append)
-        notices.failed("a")
+        notices = DeliveryReports(world, peer.address, done.append)
+        notices.report_failed("a")
         kept = peer.accept()
         told(peer, kept)
         world.until(lambda: done == ["a"])
         began = world.now()
-        notices.failed("b")
+        notices.report_failed("b")
         peer.read(kept)  # and no answer
         told(peer, peer.accept())
         world.until(lambda: done == ["a", "b"])
         assert world.now() - began < 200 * MS
         reset(kept)
-        notices.failed("c")
+        notices.report_failed("c")
         end, silent = world.now() + 6 * S, []
         while world.now() < end:
             silent.append(peer.accept())
@@ -434,11 +434,11 @@
 
     def play():
         peer, done = Peer(world), []
-        notices = Notices(world, peer.address, done.append)
+        notices = DeliveryReports(world, peer.address, done.append)
         now = world.now()
         for n in range(300):
-            notices.returned(f"n{n}", 5, now + (300 - n) * S)
-        notices.failed("late", now - S)
+            notices.report_returned(f"n{n}", 5, now + (300 - n) * S)
+        notices.report_failed("late", now - S)
         sock, told = peer.accept(), []
         while "late" not in done:
             told.append([json.loads(line)["id"] for line in bytes(peer.read(sock).body).splitlines()])
@@ -446,7 +446,7 @@
             world.sleep(MS)
         assert sum(told, []) == [f"n{299 - n}" for n in range(300)] + ["late"] and len(told) == 4
         for n in range(300):  # as many as a body may hold, whatever their ids
-            notices.failed(f"{n:0>199}", now)
+            notices.report_failed(f"{n:0>199}", now)
         size = 0
         while not notices.idle:
             size = max(size, len(peer.read(sock).body))
@@ -464,12 +464,12 @@
     def play():
         peer, endpoint_list, told = watched(world)
         new, done = Peer(world), []
-        notices = Notices(world, peer.address, done.append)
+        notices = DeliveryReports(world, peer.address, done.append)
         endpoint_list.subscribe()
         old = peer.accept()
         peer.read(old)
         old.send(STREAM + chunk(None))
-        notices.failed("a")
+        notices.report_failed("a")
         post = peer.accept()
         peer.read(post)
         for part in (endpoint_list, notices):
@@ -574,9 +574,9 @@
 
     def play():
         peer, new, done = Peer(world), Peer(world), []
-        notices = Notices(world, peer.address, done.append)
+        notices = DeliveryReports(world, peer.address, done.append)
         peer.listener.close()
-        notices.failed("a")
+        notices.report_failed("a")
         world.sleep(5 * S)
         began = world.now()
         notices.move(new.address)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -8,7 +8,7 @@
 
 from scalefall.net import http
 from scalefall.net.front import Front
-from scalefall.net.delivery_request import Failed, Taken, UnavailableAnswer
+from scalefall.net.delivery_request import GivenUp, Accepted, Rejected
 
 HEAD = {"X-Request-Id": "id1", "X-Deadline": "480m", "X-Route-To": "dest=7"}
 
@@ -41,7 +41,7 @@
 
 
 def test_a_message_is_handed_in_and_the_connection_is_kept():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock, began = desk.dial(), desk.world.now()
@@ -51,8 +51,8 @@
             desk.ask(sock, "/keyed/more?x=1", X_Request_Id=f"id{n}", Idempotency_Key="key", X_Deadline=span)
             assert desk.answer(sock).status == 202
             one = desk.offered[n]
-            assert (one.id, one.class_name, one.destination, one.key) == (f"id{n}", "keyed", 7, "key")
-            assert one.body == b"body" and one.due == began + left
+            assert (one.id, one.class_name, one.destination, one.idempotency_key) == (f"id{n}", "keyed", 7, "key")
+            assert one.body == b"body" and one.due_us == began + left
         desk.ask(sock, "/healthz", "GET", None)
         assert desk.answer(sock).status == 200
 
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("kept", [False, True])
 def test_what_a_request_has_waited_unread_is_gone_of_its_time_as_far_as_its_client_waits(busy, kept):
     """Counted from when it was read, its end came up to 400 ms after its time: lost, though it was answered."""
-    desk = Desk(verdict=Taken(), classes={"safe": message_class(deadline_us=7 * S // 10)})
+    desk = Desk(verdict=Accepted(), classes={"safe": message_class(deadline_us=7 * S // 10)})
 
     def play():
         sock = desk.dial()
@@ -76,18 +76,18 @@
         desk.world.clock += busy  # the turn that is on takes so long
         desk.answer(sock)
         unread = min(240 * MS, max(busy, 35 * MS))
-        assert desk.offered[-1].due == handed_in + busy + 480 * MS - unread
+        assert desk.offered[-1].due_us == handed_in + busy + 480 * MS - unread
         desk.world.sleep(S)  # a look that had to wait found it when it came
         desk.ask(sock, X_Deadline="480m")
         desk.answer(sock)
-        assert desk.offered[-1].due == desk.world.now() + 445 * MS
+        assert desk.offered[-1].due_us == desk.world.now() + 445 * MS
 
     desk.world.play(play)
 
 
 def test_where_turns_are_late_messages_end_so_much_earlier():
     """With no more than a small share of a core, the turn, the notice and its answer each come late."""
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock, world = desk.dial(), desk.world
@@ -97,13 +97,13 @@
             world.sleep(0)
             desk.ask(sock, X_Deadline="7000m")
             desk.answer(sock)
-            assert abs(desk.offered[-1].due - world.now() - left * MS) < 4 * MS
+            assert abs(desk.offered[-1].due_us - world.now() - left * MS) < 4 * MS
         for _ in range(40):
             world.sleep(S)
         sock = desk.dial()
         desk.ask(sock, X_Deadline="7000m")
         desk.answer(sock)
-        assert abs(desk.offered[-1].due - world.now() - 6600 * MS) < 4 * MS
+        assert abs(desk.offered[-1].due_us - world.now() - 6600 * MS) < 4 * MS
 
     desk.world.play(play)
 
@@ -112,14 +112,14 @@
 def test_what_lay_unread_while_the_process_started_is_over_in_time_though_no_clock_shows_it(left):
     """Seen on a herd day: 743 ms left, read 0.4 s after it was handed in with the start's time unseen by the process,
     refused 0.29 s late and told after that. 11 of 6,986 were lost so."""
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         for _ in range(3):  # at the start and whenever
             sock = desk.dial()
             desk.ask(sock, X_Deadline=f"{left}m")
             desk.answer(sock)
-            assert desk.offered[-1].due - desk.world.now() + 400 * MS <= left * MS + 290 * MS
+            assert desk.offered[-1].due_us - desk.world.now() + 400 * MS <= left * MS + 290 * MS
             desk.world.sleep(S)
 
     desk.world.play(play)
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize(
     "verdict, status, after",
-    [(UnavailableAnswer(250_000), 429, "0.250"), (UnavailableAnswer(1, True), 503, "0.001"), (Failed(), 500, None)],
+    [(Rejected(250_000), 429, "0.250"), (Rejected(1, True), 503, "0.001"), (GivenUp(), 500, None)],
 )
 def test_final_answers_say_when_to_come_back(verdict, status, after):
     desk = Desk(verdict=verdict)
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("changes, status", BAD)
 def test_a_bad_request_gets_its_status_is_not_offered_and_ends_the_connection_alone(changes, status):
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock, other = desk.dial(), desk.dial()
@@ -177,7 +177,7 @@
 
 
 def test_bytes_that_are_not_http_get_400_and_half_a_request_408():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         for data, status in (
@@ -227,7 +227,7 @@
         assert desk.answer(sock).status == 400 and desk.withdrawn == desk.offered
         assert len(desk.offered) == int(apart)
         sock = desk.dial()
-        desk.verdict = Taken()
+        desk.verdict = Accepted()
         for _ in range(2):  # line ends behind a body are nobody's request
             sock.send(data + b"\r\n")
             assert desk.answer(sock).status == 202
@@ -236,7 +236,7 @@
 
 
 def test_a_body_with_a_length_and_a_coding_is_never_passed_on_nor_what_follows_it():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         for coding in ("chunked", "Chunked", "x, chunked", "identity"):
@@ -253,7 +253,7 @@
 
 def test_silent_and_slow_clients_are_gone_in_time_also_if_bytes_keep_coming():
     """They kept their descriptors for 5 to 60 s."""
-    desk = Desk(most=50, verdict=Taken())
+    desk = Desk(most=50, verdict=Accepted())
 
     def play():
         began = desk.world.now()
@@ -275,7 +275,7 @@
 
 def test_a_client_that_floods_is_cut_off_and_the_others_have_their_turn():
     """What came after a rejected request was read with no pause and no end: nobody else was served meanwhile."""
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         flood, usual = desk.dial(), desk.dial()
@@ -296,7 +296,7 @@
 
 def test_many_silent_clients_do_not_keep_out_one_that_asks():
     """And those that ask for the same again and again don't close the connections of those that keep theirs."""
-    desk = Desk(most=8, verdict=Taken())
+    desk = Desk(most=8, verdict=Accepted())
 
     def play():
         usual = desk.dial()
@@ -320,7 +320,7 @@
 def test_clients_that_ask_for_health_once_and_stay_do_not_keep_out_those_that_hand_in():
     """250 of them a second filled all places; new ones waited in the queue as long as any other was young and silent,
     and the usual ones with them: four fifths of the messages were refused."""
-    desk = Desk(most=20, verdict=Taken())
+    desk = Desk(most=20, verdict=Accepted())
 
     def play():
         usual, waits, crowd = desk.dial(), [], []
@@ -346,7 +346,7 @@
 
 
 def test_rejections_are_logged_one_by_one_only_up_to_a_number(caplog):
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
     caplog.set_level("INFO")
 
     def play():
@@ -363,7 +363,7 @@
 
 
 def test_expect_continue_is_met_and_no_other_expectation():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock = desk.dial()
@@ -380,7 +380,7 @@
 
 
 def test_before_the_end_idle_connections_close_and_every_request_is_answered_with_close():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         idle, busy = desk.dial(), desk.dial()
@@ -402,7 +402,7 @@
 
 
 def test_room_for_a_new_client_comes_from_the_one_that_has_been_idle_longest():
-    desk = Desk(most=8, verdict=Taken())
+    desk = Desk(most=8, verdict=Accepted())
 
     def play():
         idle = [desk.dial() for _ in range(3)]
@@ -420,7 +420,7 @@
         desk.ask(late)
         desk.world.sleep(S)
         assert len(desk.offered) == 11 and len(desk.front._clients) == 8
-        desk.offered[5].decide(Taken())
+        desk.offered[5].decide(Accepted())
         desk.world.until(lambda: len(desk.offered) == 12)
 
     desk.world.play(play)
@@ -430,7 +430,7 @@
 def test_when_half_of_the_room_is_taken_connections_end_with_their_answer_and_silent_ones_soon(silent):
     """Connections that were kept for good and silent ones filled the clients' own share of descriptors, which is less
     than ours: they could open no more, and a third of the messages were refused with no word from here."""
-    desk = Desk(most=20, verdict=Taken())
+    desk = Desk(most=20, verdict=Accepted())
 
     def play():
         first = desk.dial()
--- a/tests/test_front_crossings.py
+++ b/tests/test_front_crossings.py
@@ -8,7 +8,7 @@
 
 from scalefall.net import http
 from scalefall.net.front import IDLE_US, MOST_LINGER, YOUNG_US
-from scalefall.net.delivery_request import Taken
+from scalefall.net.delivery_request import Accepted
 
 ENDS = {
     "the process ends": lambda desk: desk.front.close_idle(),
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("why", ENDS)
 def test_a_request_that_has_come_as_its_resting_connection_is_ended_is_answered(why):
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock = resting(desk)
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("why", ENDS)
 def test_a_request_that_comes_after_its_resting_connection_was_ended_is_never_taken_on(why):
     """Its client sees the end with no answer, as it may between requests, and sends it once more, elsewhere."""
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock = resting(desk)
@@ -82,7 +82,7 @@
         desk.world.until(lambda: desk.offered)
         desk.front.close_idle()
         woken(desk.world)
-        desk.offered[0].decide(Taken())  # the client's task is woken, and goes on in this very turn
+        desk.offered[0].decide(Accepted())  # the client's task is woken, and goes on in this very turn
         sock.send(behind)
         desk.world.sleep(10 * MS)
         sock.shutdown(socket.SHUT_WR)
@@ -95,7 +95,7 @@
 
 
 def test_a_client_that_never_closes_is_closed_in_the_end():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock = resting(desk)
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("rest", [False, True])
 def test_who_waits_in_the_listeners_queue_as_it_closes_is_answered(rest):
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         woken(desk.world)  # nobody accepts before the listener closes
@@ -129,7 +129,7 @@
 
 
 def test_at_the_end_of_the_process_what_was_answered_arrives_whole():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     def play():
         sock = desk.dial()
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("asks", [False, True])
 def test_room_is_not_made_by_ending_a_connection_to_which_a_request_has_come(asks):
-    desk = Desk(most=4, verdict=Taken())
+    desk = Desk(most=4, verdict=Accepted())
     desk.front._most = 8  # not crowded while they come
     socks = []
 
@@ -165,7 +165,7 @@
 
 
 def test_who_floods_does_not_hold_up_the_end_of_the_process():
-    desk = Desk(verdict=Taken())
+    desk = Desk(verdict=Accepted())
 
     class Endless:
         """A client's side that is never read empty."""
@@ -198,7 +198,7 @@
 def test_room_is_not_made_by_ending_a_connection_whose_request_is_whole_but_not_read(begun):
     """New, or with half a request read, for longer than the young are spared; the rest has come in this very moment.
     A connection that is ended with no answer once its request has been written has lost it."""
-    desk = Desk(most=4, verdict=Taken())
+    desk = Desk(most=4, verdict=Accepted())
 
     def play():
         sock = desk.dial()
@@ -226,7 +226,7 @@
         if leaves == "before its verdict":
             sock.close()
             desk.world.sleep(MS)
-        desk.offered[0].decide(Taken())
+        desk.offered[0].decide(Accepted())
         if leaves == "after its answer":
             desk.world.sleep(MS)
         sock.close()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -16,17 +16,17 @@
 MOST = 400_000
 
 
-def owed(name, body=b"body", key=None, effect=None):
-    return j.Owed(
+def owed(name, body=b"body", key=None, idempotency=None):
+    return j.PendingDelivery(
         name,
         "fee-order",
         7,
         10**15,
         key,
         body,
-        effect=effect,
-        key_scope_zone=effect is Effect.KEYED,
-        key_ttl_us=6_000_000 * (effect is Effect.KEYED),
+        idempotency=idempotency,
+        key_scope_zone=idempotency is Effect.KEYED,
+        key_ttl_us=6_000_000 * (idempotency is Effect.KEYED),
     )
 
 
@@ -39,15 +39,15 @@
     return {
         name: (
             o.attempts,
-            bool(o.ran_wall) and (o.ran_wall, o.ran_zone),
-            o.out,
-            o.end,
-            o.after_ms,
+            bool(o.may_have_run_wall_us) and (o.may_have_run_wall_us, o.may_have_run_zone),
+            o.in_flight,
+            o.final_answer,
+            o.retry_after_ms,
             o.body,
-            o.key,
-            o.effect,
+            o.idempotency_key,
+            o.idempotency,
             o.key_scope_zone,
-            not o.end and o.key_ttl_us,
+            not o.final_answer and o.key_ttl_us,
         )
         for name, o in book.items()
     }
@@ -68,47 +68,56 @@
     @rule(
         size=st.sampled_from([0, 10, 3000, 65536]),
         key=st.sampled_from([None, "", "k"]),
-        effect=st.sampled_from(j.EFFECTS),
+        idempotency=st.sampled_from(j.IDEMPOTENCIES),
     )
-    def take_on(self, size, key, effect):
+    def record_accepted(self, size, key, idempotency):
         self.number += 1
         name, body = f"m{self.number}", os.urandom(size)
-        if self.journal.take_on(owed(name, body, key, effect)):
-            self.model[name] = owed(name, body, key, effect)
+        if self.journal.record_accepted(owed(name, body, key, idempotency)):
+            self.model[name] = owed(name, body, key, idempotency)
         else:
             assert sum(len(o.body) for o in self.model.values()) + size > MOST // 2 - 100_000, "there was room"
 
     @rule(data=st.data(), zone=st.sampled_from(["a", "zone-b"]))
     def begin(self, data, zone):
-        name = self.some(data, out=False, end=0)
+        name = self.some(data, in_flight=False, final_answer=0)
         if name:
             self.number += 1
-            assert self.journal.pass_begun([name], self.number, zone)
+            assert self.journal.record_attempt_started([name], self.number, zone)
             one = self.model[name]
-            one.attempts, one.out, one.out_wall, one.out_zone = one.attempts + 1, True, self.number, zone
+            one.attempts, one.in_flight, one.attempt_started_wall_us, one.attempt_zone = (
+                one.attempts + 1,
+                True,
+                self.number,
+                zone,
+            )
 
     @rule(data=st.data(), ran=st.booleans())
     def outcome(self, data, ran):
-        name = self.some(data, out=True)
+        name = self.some(data, in_flight=True)
         if name:
-            self.journal.outcome(name, ran)
+            self.journal.record_attempt_finished(name, ran)
             one = self.model[name]
-            one.out = False
-            if ran and not one.ran_wall:
-                one.ran_wall, one.ran_zone = one.out_wall, one.out_zone
+            one.in_flight = False
+            if ran and not one.may_have_run_wall_us:
+                one.may_have_run_wall_us, one.may_have_run_zone = one.attempt_started_wall_us, one.attempt_zone
 
-    @rule(data=st.data(), end=st.sampled_from([j.FAILED, j.RETURNED]))
-    def ended(self, data, end):
-        name = self.some(data, end=0)
+    @rule(data=st.data(), final_answer=st.sampled_from([j.FAILED, j.RETURNED]))
+    def ended(self, data, final_answer):
+        name = self.some(data, final_answer=0)
         if name:
-            self.journal.ended(name, end, 250)
-            self.model[name].end, self.model[name].after_ms, self.model[name].body = end, 250, b""
+            self.journal.record_final_answer(name, final_answer, 250)
+            self.model[name].final_answer, self.model[name].retry_after_ms, self.model[name].body = (
+                final_answer,
+                250,
+                b"",
+            )
 
     @rule(data=st.data())
     def over(self, data):
         name = self.some(data)
         if name:
-            self.journal.over(name)
+            self.journal.record_finished(name)
             del self.model[name]
 
     @precondition(lambda self: hasattr(self, "journal"))
@@ -126,7 +135,7 @@
     @invariant()
     def all_is_kept_within_the_limit(self):
         if hasattr(self, "journal"):
-            assert plain(self.journal.owed) == plain(self.model) and used(self.folder) <= MOST
+            assert plain(self.journal.pending) == plain(self.model) and used(self.folder) <= MOST
 
     def teardown(self):
         if hasattr(self, "journal"):
@@ -142,45 +151,45 @@
     book = j.Journal(str(tmp_path), MOST)
     sizes = []
     for name in ("a", "b"):
-        book.take_on(owed(name))
+        book.record_accepted(owed(name))
         sizes.append(os.path.getsize(tmp_path / "journal"))
     book.close()
     data = (tmp_path / "journal").read_bytes()
     for length in range(len(data)):
         (tmp_path / "journal").write_bytes(data[:length])
         again = j.Journal(str(tmp_path), MOST)
-        assert sorted(again.owed) == [n for n, size in zip("ab", sizes) if size <= length]
-        assert again.take_on(owed("next"))
+        assert sorted(again.pending) == [n for n, size in zip("ab", sizes) if size <= length]
+        assert again.record_accepted(owed("next"))
         again.close()
 
 
 def test_a_flipped_bit_ends_what_can_be_trusted(tmp_path):
     book = j.Journal(str(tmp_path), MOST)
-    book.take_on(owed("a"))
+    book.record_accepted(owed("a"))
     size = os.path.getsize(tmp_path / "journal")
-    book.take_on(owed("b"))
+    book.record_accepted(owed("b"))
     book.close()
     data = bytearray((tmp_path / "journal").read_bytes())
     data[size + 12] ^= 1
     (tmp_path / "journal").write_bytes(data)
-    assert list(j.Journal(str(tmp_path), MOST).owed) == ["a"]
+    assert list(j.Journal(str(tmp_path), MOST).pending) == ["a"]
 
 
 @pytest.mark.parametrize("most", [100_000, 3_000_000])
 def test_what_would_not_fit_is_refused_and_the_rest_is_still_written(tmp_path, most):
     book = j.Journal(str(tmp_path), most)
-    taken = [n for n in range(200) if book.room(60_000) and book.take_on(owed(str(n), b"x" * 60_000))]
+    taken = [n for n in range(200) if book.has_capacity(60_000) and book.record_accepted(owed(str(n), b"x" * 60_000))]
     assert len(taken) < 200 and used(tmp_path) <= most
-    for name in list(book.owed) * 20:
-        assert book.pass_begun([name], 5, "a")
-        book.outcome(name, True)
+    for name in list(book.pending) * 20:
+        assert book.record_attempt_started([name], 5, "a")
+        book.record_attempt_finished(name, True)
         assert used(tmp_path) <= most
     assert len(taken) == (0 if most == 100_000 else 24)
 
 
 def test_a_journal_that_cannot_be_written_takes_nothing_on(tmp_path, monkeypatch):
     book = j.Journal(str(tmp_path), MOST)
-    book.take_on(owed("a"))
+    book.record_accepted(owed("a"))
     whole = (tmp_path / "journal").read_bytes()
     real = os.write
 
@@ -192,34 +201,38 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "write", half)
-    assert not book.take_on(owed("b")) and not book.pass_begun(["a"], 1, "a") and list(book.owed) == ["a"]
+    assert (
+        not book.record_accepted(owed("b"))
+        and not book.record_attempt_started(["a"], 1, "a")
+        and list(book.pending) == ["a"]
+    )
     assert (tmp_path / "journal").read_bytes() == whole
 
 
 def test_long_names_of_zones_have_their_room_before_a_pass_begins(tmp_path):
     """128 bytes were kept for both; with longer ones the copy that takes the file's place went over the limit."""
     book, most = j.Journal(tmp_path, 100_000), 100_000
-    taken = [f"m{n}" for n in range(100) if book.take_on(owed(f"m{n}", b"x" * 50))]
-    begun = [name for name in taken for _ in range(3) if book.pass_begun([name], 1, "z" * 250)]
+    taken = [f"m{n}" for n in range(100) if book.record_accepted(owed(f"m{n}", b"x" * 50))]
+    begun = [name for name in taken for _ in range(3) if book.record_attempt_started([name], 1, "z" * 250)]
     assert taken and begun and len(begun) < 3 * len(taken)  # what would not fit does not begin
     for name in begun:
-        book.outcome(name, True)
-        book.pass_begun([name], 2, "y" * 250)
+        book.record_attempt_finished(name, True)
+        book.record_attempt_started([name], 2, "y" * 250)
         assert used(tmp_path) <= most
-    assert book._compact() and used(tmp_path) <= most
+    assert book.compact() and used(tmp_path) <= most
     book.close()
-    assert plain(j.Journal(tmp_path, most).owed) == plain(book.owed)
+    assert plain(j.Journal(tmp_path, most).pending) == plain(book.pending)
 
 
 def test_paces_are_kept_for_the_next_process_while_they_are_fresh_and_within_their_room(tmp_path, caplog):
     """A restart in an outage forgot what its partners had taken, and gave them almost nothing once they were back."""
     rows = [Known(7, "", 12.5, 40.0), Known(8, "e-1", 0.25, 0.0)]
-    room = learned_rates.room(3_000_000)
+    room = learned_rates.reserved_bytes(3_000_000)
     assert learned_rates.load(tmp_path, room, 0) == []
     learned_rates.save(tmp_path, room, rows, 10**15)
     assert learned_rates.load(tmp_path, room, 10**15 + 10**6) == rows and caplog.text == ""
     assert (
-        learned_rates.load(tmp_path, room, 10**15 + learned_rates.FRESH_US)
+        learned_rates.load(tmp_path, room, 10**15 + learned_rates.MAX_AGE_US)
         == learned_rates.load(tmp_path, room, 10**15 - 1)
         == []
     )
@@ -227,7 +240,7 @@
     learned_rates.save(tmp_path, room, many, 10**15)
     assert learned_rates.load(tmp_path, room, 10**15) == many
     for disk in (100_000, 3_000_000):
-        room = learned_rates.room(disk)
+        room = learned_rates.reserved_bytes(disk)
         learned_rates.save(tmp_path, room, many * 5, 10**15)
         assert (tmp_path / "paces").stat().st_size <= room // 2
         kept = learned_rates.load(tmp_path, room, 10**15)
@@ -250,18 +263,18 @@
 def test_a_record_of_the_version_before_is_read_and_one_of_this_version_is_no_less_careful_there(tmp_path):
     """It had 0 or 1 where the flags stand, whether an attempt was out, and read any other value as one that was."""
     book = j.Journal(str(tmp_path), MOST)
-    for number, out in enumerate((False, True)):
+    for number, in_flight in enumerate((False, True)):
         before = owed(f"m{number}")
-        before.out = out
-        assert book.take_on(before)
-    assert book.take_on(owed("n", effect=Effect.UNSAFE))
+        before.in_flight = in_flight
+        assert book.record_accepted(before)
+    assert book.record_accepted(owed("n", idempotency=Effect.UNSAFE))
     data = (tmp_path / "journal").read_bytes()
     book.close()
     names = b"m0", b"m1", b"\1\0n"
     flags = [data[data.index(name) - 2 * (name[0] != 1) - 12 - 2] for name in names]  # a span, a time, a length
     assert flags[:2] == [0, 1] and flags[2] & ~1
     again = j.Journal(str(tmp_path), MOST)
-    assert [(one.out, one.effect) for one in again.owed.values()] == [
+    assert [(one.in_flight, one.idempotency) for one in again.pending.values()] == [
         (False, None),
         (True, None),
         (False, Effect.UNSAFE),
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -26,7 +26,7 @@
         firm.handed_in = firm.world.now()
         firm.taken("m", cls="keyed", key="k")
         firm.call()
-        firm.began = firm.sender.journal.owed["m"].out_wall - firm.sender.wall_offset_us
+        firm.began = firm.sender.journal.pending["m"].attempt_started_wall_us - firm.sender.wall_offset_us
         firm.die()
 
     play(firm, steps)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -100,7 +100,7 @@
     )  # another zone than before
     for _ in range(restarts - 1):  # what was read is written anew
         firm.start()
-        firm.sender.journal._compact()
+        firm.sender.journal.compact()
         firm.die()
     firm.start()
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -90,11 +90,11 @@
 
 
 def test_an_invariant_is_asserted_in_debug_and_logged_once_counted(caplog, monkeypatch):
-    assert invariants.check(True, "fine")
+    assert invariants.assert_invariant(True, "fine")
     with pytest.raises(AssertionError, match="this breaks"):
-        invariants.check(False, "this breaks")
-    monkeypatch.setitem(invariants.broken, "this breaks", 2)
-    invariants.report()
+        invariants.assert_invariant(False, "this breaks")
+    monkeypatch.setitem(invariants.violations, "this breaks", 2)
+    invariants.log_violations()
     assert "invariant broken: this breaks, 2 times" in caplog.text
 
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -11,7 +11,7 @@
 from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
 from scalefall.net.endpoint_list import read_list
-from scalefall.net.journal import Owed
+from scalefall.net.journal import PendingDelivery
 from scalefall.net.sender import Sender
 from scalefall.policy import Sender as Engine
 
@@ -96,12 +96,12 @@
         return [json.loads(line) for line in request.body.splitlines()]
 
     def owed(self):
-        return sorted(self.sender.journal.owed)
+        return sorted(self.sender.journal.pending)
 
 
 def owed(firm, name, cls):
     """A record as of a message that was just taken on."""
-    return Owed(name, cls, 7, firm.world.wall() + 8 * S, "k" if cls in ("keyed", "zoned") else None, b"body")
+    return PendingDelivery(name, cls, 7, firm.world.wall() + 8 * S, "k" if cls in ("keyed", "zoned") else None, b"body")
 
 
 @pytest.fixture
@@ -118,7 +118,7 @@
         firm.taken("m")
         assert firm.owed() == ["m"]
         sock, request = firm.call()
-        assert request.fields["x-request-id"] == "m" and firm.sender.journal.owed["m"].out
+        assert request.fields["x-request-id"] == "m" and firm.sender.journal.pending["m"].in_flight
         sock.send(http.answer(200, []))
         firm.world.until(lambda: firm.owed() == [])
 
@@ -266,7 +266,7 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        firm.world.until(lambda: not firm.sender.journal.owed["m"].out)
+        firm.world.until(lambda: not firm.sender.journal.pending["m"].in_flight)
         firm.die()
 
     play(firm, steps)
@@ -275,7 +275,9 @@
     def again():
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        assert firm.notices() == [{"id": "m", "state": "returned", "after_ms": firm.sender.journal.owed["m"].after_ms}]
+        assert firm.notices() == [
+            {"id": "m", "state": "returned", "after_ms": firm.sender.journal.pending["m"].retry_after_ms}
+        ]
 
     play(firm, again)
 
@@ -297,9 +299,9 @@
         gone("terminating")  # so nothing goes out before the death
         firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         for name in names:
-            firm.sender.journal.take_on(owed(firm, name, cls))
+            firm.sender.journal.record_accepted(owed(firm, name, cls))
             if ran:
-                firm.sender.journal.pass_begun([name], firm.world.wall(), "a")
+                firm.sender.journal.record_attempt_started([name], firm.world.wall(), "a")
         firm.die()
 
     play(firm, steps)
@@ -383,7 +385,9 @@
 
 def test_a_module_that_fails_in_a_turn_refuses_what_came_and_the_rest_carries_on(firm, monkeypatch):
     counted, handle = [], firm.sender.engine.handle
-    monkeypatch.setattr(sender_loop, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(
+        sender_loop, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
+    )
 
     def fails(now, events):
         if any(isinstance(event, i.Message) for event in events):
@@ -405,7 +409,9 @@
 def test_what_the_module_never_ends_has_its_notice_all_the_same(firm, monkeypatch, restart):
     """Its end hung on the module's own book alone: lost from it, a message taken on stayed open for good."""
     counted = []
-    monkeypatch.setattr(deadline_watch, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(
+        deadline_watch, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
+    )
 
     def steps():
         firm.taken("m")
@@ -440,7 +446,9 @@
 
 def test_a_send_to_an_endpoint_that_no_list_has_costs_that_attempt_and_not_the_turn(firm, monkeypatch):
     counted, handle, outcomes = [], firm.sender.engine.handle, []
-    monkeypatch.setattr(attempt_dispatcher, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(
+        attempt_dispatcher, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
+    )
 
     def strays(now, events):
         outcomes.extend(event for event in events if isinstance(event, i.Attempted))
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -9,7 +9,7 @@
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.sender_loop import SenderLoop
-from scalefall.net.delivery_request import Taken, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import Accepted, DeliveryRequest, Rejected
 
 
 class Engine:
@@ -41,7 +41,7 @@
 
     def shed(self, message_id, retry_after_us):
         self.asked.append(("shed", message_id, retry_after_us))
-        self.tracker.finish(message_id).decide(UnavailableAnswer(retry_after_us))
+        self.tracker.finish(message_id).decide(Rejected(retry_after_us))
 
     def fail(self, message_id):
         self.asked.append(("fail", message_id))
@@ -71,10 +71,10 @@
         self.events.connect(self.loop.step)
 
     def submit(self, *message_ids):
-        requests = [Transaction(name, "safe", 7, self.world.now() + S, None, b"body") for name in message_ids]
+        requests = [DeliveryRequest(name, "safe", 7, self.world.now() + S, None, b"body") for name in message_ids]
         for request in requests:
             self.tracker.add(request)
-            self.events.gather(Message(request.id, 7, "safe", request.due))
+            self.events.gather(Message(request.id, 7, "safe", request.due_us))
         return requests
 
 
@@ -88,7 +88,7 @@
         ("accept", "kept"),
         ("dispatch", {"e": [Send("kept", "e", S)]}),
     ]
-    assert (kept.verdict, shed.verdict) == (Taken(), UnavailableAnswer(100 * MS))
+    assert (kept.admission, shed.admission) == (Accepted(), Rejected(100 * MS))
 
 
 def test_sends_are_grouped_by_endpoint_in_the_engines_order():
@@ -128,7 +128,7 @@
 
 def test_an_action_that_a_sender_does_not_perform_breaks_an_invariant(monkeypatch):
     broken = []
-    monkeypatch.setattr(sender_loop, "check", lambda condition, name: broken.append(name))
+    monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: broken.append(name))
     loop = Loop()
     loop.submit("m")
     loop.engine.actions = [Probe("e")]
@@ -138,15 +138,15 @@
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_step_that_fails_rejects_what_was_submitted_and_leaves_what_had_its_answer(monkeypatch, answered):
-    monkeypatch.setattr(sender_loop, "check", lambda condition, name: None)
+    monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: None)
     loop = Loop()
     (request,) = loop.submit("m")
     if answered:
-        request.decide(Taken())
+        request.decide(Accepted())
     loop.engine.actions = None
     loop.loop.step()
     assert loop.parts.asked == ([] if answered else [("withdraw", "m")])
-    assert request.verdict == (Taken() if answered else UnavailableAnswer(S, True))
+    assert request.admission == (Accepted() if answered else Rejected(S, True))
 
 
 def test_without_events_the_engine_is_not_asked():
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -238,7 +238,7 @@
 
 def test_what_is_owed_of_a_class_that_the_next_settings_have_no_more_is_failed_at_once(firm):
     def steps():
-        firm.sender.journal.take_on(owed(firm, "m", "keyed"))
+        firm.sender.journal.record_accepted(owed(firm, "m", "keyed"))
         firm.die()
 
     play(firm, steps)
@@ -253,7 +253,7 @@
     firm = Firm(tmp_path, disk=150_000, max_held=5000, slots=50)
 
     def steps():
-        while firm.sender.journal.take_on(owed(firm, f"m{len(firm.owed())}", cls)):
+        while firm.sender.journal.record_accepted(owed(firm, f"m{len(firm.owed())}", cls)):
             pass
         firm.die()
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -72,7 +72,7 @@
         firm.watched()
         firm.world.sleep(3 * S)
         firm.die()
-        kept = learned_rates.load(firm.folder, learned_rates.room(firm.disk), firm.world.wall())
+        kept = learned_rates.load(firm.folder, learned_rates.reserved_bytes(firm.disk), firm.world.wall())
         assert {(row.destination, row.route) for row in kept} == {(n, f"s-{n:08x}") for n in range(SIZE)}
 
     firm.world.play(play)
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -13,7 +13,7 @@
 from scalefall.net.endpoint_list import Entry, ListUpdate
 from scalefall.net.sender import Sender
 from scalefall.net.static_list import StaticList
-from scalefall.net.delivery_request import NotCarried, Taken, Transaction, UnavailableAnswer
+from scalefall.net.delivery_request import NotServed, Accepted, DeliveryRequest, Rejected
 
 SITE = b"""
 sender { listen 127.0.0.1:0 }
@@ -103,10 +103,10 @@
 
 
 def hand_in(world, sender, name, cls="fee", dest=7, span=5 * S):
-    transaction = Transaction(name, cls, dest, world.now() + span, None, b"body")
+    transaction = DeliveryRequest(name, cls, dest, world.now() + span, None, b"body")
     sender.admission.submit(transaction)
-    world.until(lambda: transaction.verdict is not None)
-    return transaction.verdict
+    world.until(lambda: transaction.admission is not None)
+    return transaction.admission
 
 
 def serve(world, peer, sock):
@@ -132,12 +132,12 @@
     def play():
         peer = Peer(world)
         sender = started(world, tmp_path, at(peer), 4, b"3s", b"classes fee")
-        assert hand_in(world, sender, "m1") == Taken()
+        assert hand_in(world, sender, "m1") == Accepted()
         assert serve(world, peer, peer.accept()).fields["host"] == "%s:%d" % peer.address
-        assert hand_in(world, sender, "m2", "note") == NotCarried()
-        assert isinstance(hand_in(world, sender, "m3", dest=8), UnavailableAnswer)
+        assert hand_in(world, sender, "m2", "note") == NotServed()
+        assert isinstance(hand_in(world, sender, "m3", dest=8), Rejected)
         reload(world, sender, lambda: read(SITE % (at(peer), 4, b"3s", b"classes every"), tmp_path))
-        assert hand_in(world, sender, "m4", "note") == Taken()
+        assert hand_in(world, sender, "m4", "note") == Accepted()
 
     world.play(play)
 
@@ -153,7 +153,7 @@
         old.read(out)  # m1 is out there when the file changes, and may end
         reload(world, sender, lambda: read(SITE % (at(new), 4, b"3s", b""), tmp_path))
         for n in range(3):
-            assert hand_in(world, sender, f"n{n}") == Taken()
+            assert hand_in(world, sender, f"n{n}") == Accepted()
             serve(world, new, new.accept() if n == 0 or new.accepted == n else None)
             world.sleep(S)
         out.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -177,7 +177,7 @@
 
         reload(world, sender, broken)
         assert (dict(sender.endpoint_list.entries), sender.routes.rules, sender.endpoint_list.seq) == before
-        assert hand_in(world, sender, "m1") == Taken()
+        assert hand_in(world, sender, "m1") == Accepted()
         serve(world, peer, peer.accept())
 
     world.play(play)
@@ -200,7 +200,7 @@
 
         sender.reload(slow)
         sender.reload(slow)
-        assert hand_in(world, sender, "m1") == Taken()  # while the thread reads
+        assert hand_in(world, sender, "m1") == Accepted()  # while the thread reads
         serve(world, peer, peer.accept())
         assert sender.routes.rules[7].attempts == 4
         sender.reload(slow)
@@ -227,9 +227,9 @@
 
     def play():
         sender = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"3s", b"")
-        assert hand_in(world, sender, "m1", span=2 * S) == Taken()
+        assert hand_in(world, sender, "m1", span=2 * S) == Accepted()
         world.until(lambda: not sender.tracker.open)
-        assert not sender.journal.owed
+        assert not sender.journal.pending
 
     world.play(play)
     assert [r.fields["id"] for r in caplog.records if r.getMessage().startswith("notice: m1 returned")] == ["m1"]
