--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -20,7 +20,7 @@
 from scalefall.control.service import ResourceBuilder
 from scalefall.lab.hollow.control import ControlOptions, make_service
 from scalefall.net.config import Fleet
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 ROLE = Role.CONTROL
 OPTIONS = ControlOptions()
--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -20,7 +20,7 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.list_stream import ListUpdate, read_list
 from scalefall.net.scheduler import Scheduler
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 ROLE = Role.SENDER_CONTROL
 LISTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -22,7 +22,7 @@
 from scalefall.net.journal import Journal, PendingDelivery
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.delivery_request import DeliveryRequest
-from scalefall.policy import Sender as Engine
+from scalefall.policy.engine import Sender as Engine
 
 ROLE = Role.SENDER_MESSAGES
 BODY = 200  # bytes of a message
--- a/scalefall/adapter.py
+++ b/scalefall/adapter.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from scalefall import interface as i
-from scalefall.policy import Sender
-from scalefall.settings import ms, read_settings, us
+from scalefall.policy.engine import Sender
+from scalefall.settings_reader import ms, read_settings, us
 
 OUTCOMES = {
     "done": i.Outcome.OK,
--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -18,7 +18,7 @@
 
 from scalefall import interface as i
 from scalefall.control.grants import UNITS_PER_CALL, GrantT, Leases
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 # Amounts are thousandths of a call a second.
 UNLIMITED = 10**12  # the amount of a destination for which the module sets no rate limit
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -28,7 +28,7 @@
 from scalefall.control.members import Joined, JoinRejected, Members, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
 from scalefall.net.config import Fleet
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 SETTLE_US = 10_000  # from the first change to the step that acts on it: changes that come together cost one step
 UNSETTLED_STEP_US = 100_000  # between steps while a rate limit, Retry-After or slow start may end by itself
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -15,8 +15,8 @@
 from scalefall.lang.wire import settings_table
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry, ListUpdate
-from scalefall.policy import DEPTH_US
-from scalefall.settings import read_settings
+from scalefall.policy.engine import DEPTH_US
+from scalefall.settings_reader import read_settings
 
 STATES = {"ready": i.Status.READY, "draining": i.Status.DRAINING}
 LIVE = {"pool", "policy", "route"}  # whatever changes in these takes effect at once
--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -18,7 +18,7 @@
 from scalefall.lang.text import Problems, listed
 from scalefall.net.config import read_address
 from scalefall.net.endpoint_list import ListUpdate, read_list
-from scalefall.settings import read_settings
+from scalefall.settings_reader import read_settings
 
 EFFECTS = {"never": "unsafe", "keyed": "keyed", "freely": "safe"}
 HEALTH = {"ready": "in_service", "draining": "terminating"}
@@ -46,7 +46,7 @@
 
 
 def settings_table(site: Site) -> dict[str, Any]:
-    """The settings object, as scalefall.settings reads it."""
+    """The settings object, as scalefall.settings_reader reads it."""
     sender, rules, policy = site.sender, site.rules, _default_policy(site)
     kinds, zones = _names(site, "kind"), _names(site, "zone")
     index, siblings = sender.get("number")
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -10,7 +10,7 @@
 
 from scalefall.interface import Settings
 from scalefall.net.endpoint_list import Entry, ListUpdate, read_list
-from scalefall.settings import read_settings
+from scalefall.settings_reader import read_settings
 
 Address = tuple[str, int]
 LIMITS = {"sockets": (1024, 64), "disk_mb": (3, 0.1), "memory_mb": (192, 16)}  # where it is missing; the least
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -29,7 +29,7 @@
 from scalefall.net.sender_loop import SenderLoop
 from scalefall.net.shutdown import Shutdown
 from scalefall.net.static_list import StaticList
-from scalefall.policy import Sender as Engine
+from scalefall.policy.engine import Sender as Engine
 
 HOUSEKEEPING_US = 10_000_000  # microseconds between two reports of broken invariants, and clean-ups
 OWN_SOCKETS = 24  # descriptors that are neither a client's nor an endpoint's
--- a/tests/characterization/mapping.py
+++ b/tests/characterization/mapping.py
@@ -10,8 +10,8 @@
 from typing import Any, Callable
 
 from scalefall import interface
-from scalefall.policy import Sender
-from scalefall.settings import read_settings
+from scalefall.policy.engine import Sender
+from scalefall.settings_reader import read_settings
 
 SettingsError = ValueError  # what read_settings raises
 
--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -25,7 +25,7 @@
 import helpers
 from characterization import mapping, recording
 from scalefall import interface
-from scalefall.settings import read_settings
+from scalefall.settings_reader import read_settings
 
 MS, S = 1000, 1_000_000
 REVISION = "1d28f5d"
--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -9,7 +9,7 @@
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.grants import UNITS_PER_CALL
 from scalefall.control.ledger import Ledger
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 MS, S = 1000, 1_000_000
 LEASE, DELAY = 2 * S, S // 2
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from scalefall import interface as i
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 MS, S = 1000, 1_000_000
 
--- a/tests/lang/test_meaning.py
+++ b/tests/lang/test_meaning.py
@@ -8,8 +8,8 @@
 from scalefall import interface as i
 from scalefall.lang import diff, explain, load, render, sender, wire
 from scalefall.lang.units import Rate
-from scalefall.policy import DEPTH_US
-from scalefall.settings import read_settings
+from scalefall.policy.engine import DEPTH_US
+from scalefall.settings_reader import read_settings
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 SITE = """
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -125,7 +125,7 @@
     ],
 )
 def test_impossible_settings_name_their_key(path, value):
-    from scalefall.settings import read_settings
+    from scalefall.settings_reader import read_settings
 
     config = copy.deepcopy(CONFIG)
     *above, last = path.split(".")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -116,7 +116,7 @@
     call("import", EXAMPLE / "config.json", "-o", text)
     call("check", "--strict", text)
     call("compile", text, "-o", out)
-    from scalefall.settings import read_settings
+    from scalefall.settings_reader import read_settings
 
     was, now = (json.loads(path.read_text()) for path in (EXAMPLE / "config.json", out))
     assert read_settings(was["settings"]) == read_settings(now["settings"])
@@ -132,7 +132,7 @@
 def test_the_deployments_file_is_clean_and_has_the_classes_of_the_platforms_settings(tmp_path):
     call("check", "--strict", ROOT / "deploy" / "site.scale")
     call("compile", ROOT / "deploy" / "site.scale", "-o", tmp_path / "config.json")
-    from scalefall.settings import read_settings
+    from scalefall.settings_reader import read_settings
 
     was, now = (
         read_settings(json.loads(path.read_text())["settings"])
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -10,7 +10,7 @@
 from helpers import COLD, FALL, MS, Fleet, Outage, S, cold_budget
 
 from scalefall import interface as i
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 BACK = 20 * S  # Outage's end
 
--- a/tests/test_fleet_failback.py
+++ b/tests/test_fleet_failback.py
@@ -11,7 +11,7 @@
 from helpers import COLD, FALL, MS, Fleet, Outage, S, cold_budget
 
 from scalefall import interface as i
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 SEEDS = range(8)
 BACKLOG = 10  # messages of each sender beside those that come all the time, for as long as the play lasts
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -4,7 +4,7 @@
 from helpers import MS, Drive, S, message_class, settings
 
 from scalefall import interface as i
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 O = i.Outcome  # noqa: E741
 
--- a/tests/test_lmac.py
+++ b/tests/test_lmac.py
@@ -4,7 +4,7 @@
 from helpers import MS, Drive, S, message_class
 
 from scalefall import interface as i
-from scalefall.policy import BIN_US, FREE_COMPLETIONS, TAUS, WINDOW_US, Envelope
+from scalefall.policy.engine import BIN_US, FREE_COMPLETIONS, TAUS, WINDOW_US, Envelope
 
 
 def filled(counts):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from scalefall import interface as i
-from scalefall.policy import Sender
+from scalefall.policy.engine import Sender
 
 RESTS = {i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED}
 ENDPOINTS = [
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -13,7 +13,7 @@
 from scalefall.net.endpoint_list import read_list
 from scalefall.net.journal import PendingDelivery
 from scalefall.net.sender import Sender
-from scalefall.policy import Sender as Engine
+from scalefall.policy.engine import Sender as Engine
 
 
 class Firm:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,7 +10,7 @@
 
 def test_policy_keeps_its_line_limits():
     files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert "scalefall/policy.py" in files
+    assert "scalefall/policy/engine.py" in files
     lines = [line for file in files for line in (ROOT / file).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 780
     assert [n for n, line in enumerate(lines, 1) if len(line) > 110] == []
@@ -69,7 +69,7 @@
 
 
 def test_policy_speaks_only_interface_types():
-    tree = ast.parse((ROOT / "scalefall" / "policy.py").read_text())
+    tree = ast.parse((ROOT / "scalefall" / "policy" / "engine.py").read_text())
     ours = [n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom) and n.module.startswith("scalefall")]
     assert ours == ["scalefall.interface"]
 
