--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -8,19 +8,19 @@
 from benchmarks.scaling.figures import Quantity, Role
 from benchmarks.scaling.processor import memory_of, steps_of
 from benchmarks.scaling.series import Series
-from scalefall import interface as i
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.catalog import EDS, Catalog
-from scalefall.control.transport import quota_wire, resources, wire
 from scalefall.control.grants import MIN_GRANT, UNITS_PER_CALL
 from scalefall.control.ledger import Ledger
+from scalefall.control.service import ResourceBuilder
 from scalefall.control.streams import Request, Response, XdsStream
+from scalefall.control.transport import quota_wire, resources, wire
 from scalefall.lab.hollow import configuration
 from scalefall.lab.hollow.clock import SECOND
-from scalefall.control.service import ResourceBuilder
 from scalefall.lab.hollow.control import ControlOptions, make_service
 from scalefall.net.config import Fleet
-from scalefall.policy.engine import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import EndpointListUpdate, EndpointReport, EndpointStatus, ListUpdateKind, Outcome
 
 ROLE = Role.CONTROL
 OPTIONS = ControlOptions()
@@ -151,16 +151,16 @@
 
 def _allocator(count: int) -> Allocator:
     """After what is down was told of, and the first turn in which the ledger looks at all destinations."""
-    module, ledger = Sender(configuration.settings(), 1), Ledger(0, OPTIONS.lease_us, OPTIONS.delay_us)
+    module, ledger = Engine(configuration.settings(), 1), Ledger(0, OPTIONS.lease_us, OPTIONS.delay_us)
     made = Allocator(module, ledger)
     endpoints = [configuration.entry(number).endpoint for number in range(count)]
     failed = [
-        i.Reported(configuration.endpoint_id(number), at, i.Outcome.CONNECT_FAILED)
+        EndpointReport(configuration.endpoint_id(number), at, Outcome.CONNECT_FAILED)
         for number in range(count)
         if configuration.is_down(number)
         for at in (1, 2)
     ]
-    made.step(0, [i.Listed(i.ListKind.WHOLE, endpoints)])
+    made.step(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
     made.step(SECOND // 2, failed)
     made.step(QUIET_US, [])
     return made
@@ -209,7 +209,7 @@
     return catalog_
 
 
-def _endpoints(number: int, status: i.Status = i.Status.READY) -> object:
+def _endpoints(number: int, status: EndpointStatus = EndpointStatus.READY) -> object:
     return resources.endpoint_resource(number, [configuration.entry(number, status)], [], 0, TTL_US)
 
 
--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -20,7 +20,7 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.list_stream import ListUpdate, read_list
 from scalefall.net.scheduler import Scheduler
-from scalefall.policy.engine import Sender
+from scalefall.policy.engine import Engine
 
 ROLE = Role.SENDER_CONTROL
 LISTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
@@ -51,7 +51,7 @@
         events: list = []
         kept = EndpointList(Scheduler(), None, ListUpdate(0, True, []), events.append)
         parts["entries"].add(count, memory_of(_learn, kept, count))
-        module = Sender(configuration.settings(), 1)
+        module = Engine(configuration.settings(), 1)
         parts["module"].add(count, memory_of(_tell, module, events))
     return list(parts.values())
 
@@ -60,7 +60,7 @@
     """One changed endpoint in lists of several lengths: the list and the module take it in."""
     series = Series(ROLE, "list, one changed", Quantity.TIME, "steps an endpoint of the list", "endpoints")
     for count in LISTED[mode]:
-        module, events = Sender(configuration.settings(), 1), []
+        module, events = Engine(configuration.settings(), 1), []
         kept = EndpointList(Scheduler(), None, ListUpdate(0, True, []), events.append)
         _learn(kept, count)
         _tell(module, events)
@@ -118,13 +118,13 @@
     kept._learn(read_list(lists.whole(count)))
 
 
-def _learn_change(kept: EndpointList, module: Sender, events: list, versions: Iterator[int]) -> None:
+def _learn_change(kept: EndpointList, module: Engine, events: list, versions: Iterator[int]) -> None:
     events.clear()
     kept._learn(read_list(lists.change(1) | {"seq": next(versions)}))
     _tell(module, events)
 
 
-def _tell(module: Sender, events: list) -> None:
+def _tell(module: Engine, events: list) -> None:
     module.handle(0, events)
 
 
--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -14,15 +14,16 @@
 from benchmarks.scaling.figures import Quantity, Role
 from benchmarks.scaling.processor import Steps, memory_of
 from benchmarks.scaling.series import Series
-from scalefall import interface as i
 from scalefall.cli.run import configuration as configuration_on_file
 from scalefall.lab.hollow import configuration
 from scalefall.net.config import Config
-from scalefall.net.sender import Sender
+from scalefall.net.delivery_request import DeliveryRequest
 from scalefall.net.journal import Journal, PendingDelivery
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import DeliveryRequest
-from scalefall.policy.engine import Sender as Engine
+from scalefall.net.sender import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import EndpointListUpdate, ListUpdateKind, Message, MessageWithdrawn
+from scalefall.policy.settings import Idempotency
 
 ROLE = Role.SENDER_MESSAGES
 BODY = 200  # bytes of a message
@@ -126,13 +127,13 @@
 
 def _module(count: int) -> Engine:
     """A module with destinations that take nothing more, so that what comes is held."""
-    module = Engine(replace(configuration.settings(), max_held=2 * count, slots=1), 1)
+    module = Engine(replace(configuration.settings(), max_queued=2 * count, call_slots=1), 1)
     endpoints = [configuration.entry(number).endpoint for number in range(HELD_DESTINATIONS)]
-    module.handle(0, [i.Listed(i.ListKind.WHOLE, endpoints)])
-    first = [i.Message(f"first-{number}", number, CLASS, DUE_US, restored=True) for number in range(HELD_DESTINATIONS)]
+    module.handle(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
+    first = [Message(f"first-{number}", number, CLASS, DUE_US, restored=True) for number in range(HELD_DESTINATIONS)]
     module.handle(0, first)
     for message in first:
-        module.handle(0, [i.Dropped(message.id)])
+        module.handle(0, [MessageWithdrawn(message.id)])
     return module
 
 
@@ -154,8 +155,8 @@
     return DeliveryRequest(f"message-{number:08}", CLASS, number % HELD_DESTINATIONS, DUE_US, None, body)
 
 
-def _message(transaction: DeliveryRequest) -> i.Message:
-    return i.Message(transaction.id, transaction.destination, transaction.class_name, transaction.due_us, restored=True)
+def _message(transaction: DeliveryRequest) -> Message:
+    return Message(transaction.id, transaction.destination, transaction.class_name, transaction.due_us, restored=True)
 
 
 def _owed(transaction: DeliveryRequest) -> PendingDelivery:
@@ -166,5 +167,5 @@
         DUE_US,
         transaction.idempotency_key,
         transaction.body,
-        idempotency=i.Effect.SAFE,
+        idempotency=Idempotency.IDEMPOTENT,
     )
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -57,10 +57,10 @@
     from helpers import settings
 
     from scalefall.net.config import Config
-    from scalefall.net.rate_keeper import TIME_PER_RATE_US
-    from scalefall.net.sender import Sender
     from scalefall.net.list_stream import read_list
+    from scalefall.net.rate_keeper import TIME_PER_RATE_US
     from scalefall.net.scheduler import Scheduler
+    from scalefall.net.sender import Sender
 
     class Timed(Scheduler):
         longest, spent = 0, 0
@@ -95,7 +95,7 @@
             512,
             3_000_000,
             64_000_000,
-            settings(ask=False, siblings=number),
+            settings(polls_endpoint_list=False, replica_count=number),
             known,
         )
         scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * TIME_PER_RATE_US
--- a/scalefall/adapter.py
+++ b/scalefall/adapter.py
@@ -6,19 +6,43 @@
 import sys
 from typing import Any
 
-from scalefall import interface as i
-from scalefall.policy.engine import Sender
+from scalefall.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Probe,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import (
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ListUpdateKind,
+    Message,
+    MessageWithdrawn,
+    Outcome,
+    ProbeFinished,
+    TimerFired,
+)
 from scalefall.settings_reader import ms, read_settings, us
 
 OUTCOMES = {
-    "done": i.Outcome.OK,
-    "err": i.Outcome.ERROR,
-    "busy": i.Outcome.FULL,
-    "etimedout": i.Outcome.TIMEOUT,
-    "econnrefused": i.Outcome.CONNECT_FAILED,
-    "econnreset": i.Outcome.RESET,
-    "ecanceled": i.Outcome.CANCELLED,
-    "skipped": i.Outcome.NOT_SENT,
+    "done": Outcome.OK,
+    "err": Outcome.ERROR,
+    "busy": Outcome.OVERLOADED,
+    "etimedout": Outcome.TIMEOUT,
+    "econnrefused": Outcome.CONNECT_FAILED,
+    "econnreset": Outcome.RESET,
+    "ecanceled": Outcome.CANCELLED,
+    "skipped": Outcome.NOT_SENT,
 }
 
 
@@ -30,10 +54,10 @@
     """The instances of this process and the numbered lists that they are told of."""
 
     def __init__(self) -> None:
-        self.senders: dict[str, Sender] = {}
+        self.senders: dict[str, Engine] = {}
         self.fields: dict[str, list[str]] = {}
         self.tenants: dict[str, list[str]] = {}
-        self.sheets: dict[int, list[i.Endpoint]] = {}
+        self.sheets: dict[int, list[Endpoint]] = {}
         self.next_attempt: dict[str, dict[str, int]] = {}
 
     def batch(self, clock: float, inbox: list[Any]) -> list[list[Any]]:
@@ -53,7 +77,7 @@
             self._handle(now, sender_id, events, reply)
         return reply
 
-    def _handle(self, now: int, sender_id: str, events: dict[str, list[i.Event]], reply: list[list[Any]]) -> None:
+    def _handle(self, now: int, sender_id: str, events: dict[str, list[Event]], reply: list[list[Any]]) -> None:
         sender, waiting = self.senders.get(sender_id), events.pop(sender_id, [])
         if sender is None or not waiting:
             return
@@ -62,16 +86,18 @@
         except Exception as error:  # the wire's word for a module that failed
             reply.append(["fault", sender_id, f"{type(error).__name__}: {error}"])
 
-    def _take(self, now: int, row: Any, events: dict[str, list[i.Event]], reply: list[list[Any]]) -> None:
+    def _take(self, now: int, row: Any, events: dict[str, list[Event]], reply: list[list[Any]]) -> None:
         if not isinstance(row, list) or not row:
             raise WireError(f"event is not a list with a name: {str(row)[:80]}")
         name = row[0]
         if name == "inventory":
-            self.sheets[row[1]] = [i.Endpoint(e[0], e[1], e[2], e[3], i.Status(e[4]), float(e[5] or 0)) for e in row[2]]
+            self.sheets[row[1]] = [
+                Endpoint(e[0], e[1], e[2], e[3], EndpointStatus(e[4]), float(e[5] or 0)) for e in row[2]
+            ]
         elif name == "openInstance":
             events.pop(row[1], None)
             settings = read_settings(row[3])
-            self.fields[row[1]], self.senders[row[1]] = settings.report_fields, Sender(settings, int(row[2]))
+            self.fields[row[1]], self.senders[row[1]] = settings.report_fields, Engine(settings, int(row[2]))
             self.tenants[row[1]] = list(settings.tenants)
         elif name == "teardown":
             events.pop(row[1], None)
@@ -80,11 +106,11 @@
             event = self._event(name, row)
             events.setdefault(row[1], []).append(event)
 
-    def _event(self, name: str, row: list[Any]) -> i.Event:
+    def _event(self, name: str, row: list[Any]) -> Event:
         if name == "ingress":
-            return i.Message(row[2], row[9], row[6], us(row[4]), self._tenant(row[1], row[3]), row[8])
+            return Message(row[2], row[9], row[6], us(row[4]), self._tenant(row[1], row[3]), row[8])
         if name == "settled":
-            return i.Attempted(
+            return AttemptFinished(
                 row[2],
                 row[3],
                 row[4],
@@ -95,14 +121,14 @@
                 self._report(row[1], row[9]),
             )
         if name == "pong":
-            return i.Probed(row[2], OUTCOMES[row[3]], us(row[4]), 0, self._report(row[1], row[5]))
+            return ProbeFinished(row[2], OUTCOMES[row[3]], us(row[4]), 0, self._report(row[1], row[5]))
         if name == "timer":
-            return i.Timer(int(row[2]))
+            return TimerFired(int(row[2]))
         if name == "dropped":
-            return i.Dropped(row[2])
+            return MessageWithdrawn(row[2])
         if name == "backendsChanged":
-            kind = i.ListKind(row[2])
-            return i.Listed(kind, [] if kind is i.ListKind.FAILED else list(self.sheets[row[4]]))
+            kind = ListUpdateKind(row[2])
+            return EndpointListUpdate(kind, [] if kind is ListUpdateKind.FAILED else list(self.sheets[row[4]]))
         raise WireError(f"unknown event {str(name)[:80]!r}")
 
     def _tenant(self, sender_id: str, value: Any) -> str | None:
@@ -115,26 +141,26 @@
         return dict(zip(self.fields.get(sender_id, []), row)) if row else {}
 
 
-def write_action(sender_id: str, action: i.Action) -> list[Any]:
+def write_action(sender_id: str, action: Action) -> list[Any]:
     """One action as the wire's row."""
     match action:
-        case i.Send(id=message, endpoint=endpoint, timeout_us=timeout):
+        case Send(id=message, endpoint=endpoint, timeout_us=timeout):
             return ["deliver", sender_id, message, ms(timeout), endpoint]
-        case i.SetTimer(token=token, delay_us=delay):
+        case SetTimer(token=token, delay_us=delay):
             return ["schedule", sender_id, token, ms(delay)]
-        case i.Refuse(id=message, retry_after_us=after):
+        case Shed(id=message, retry_after_us=after):
             return ["shed", sender_id, message, ms(after)]
-        case i.Fail(id=message):
+        case Fail(id=message):
             return ["giveUp", sender_id, message]
-        case i.Cancel(id=message, attempt=attempt):
+        case CancelAttempt(id=message, attempt=attempt):
             return ["stopAttempt", sender_id, message, attempt]
-        case i.Probe(endpoint=endpoint):
+        case Probe(endpoint=endpoint):
             return ["check", sender_id, endpoint]
-        case i.Close(endpoint=endpoint):
+        case CloseIdleConnections(endpoint=endpoint):
             return ["release", sender_id, endpoint]
-        case i.Subscribe(on=on):
+        case PollEndpointList(on=on):
             return ["tail", sender_id, on]
-        case i.Log(line=line):
+        case LogLine(line=line):
             return ["debug", sender_id, line]
     raise TypeError(f"unknown action {action!r}")
 
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -21,7 +21,6 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.coordinator import Coordinator
 from scalefall.assignment.model import Node, ShardGrant
@@ -34,6 +33,7 @@
 from scalefall.control.members import Joined, JoinRejected, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
 from scalefall.net.config import Fleet
+from scalefall.policy.settings import Settings
 
 LOAD_INTERVAL_US = 30_000_000  # over which calls are counted before they become loads: a placement's interval
 MAX_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
@@ -53,7 +53,7 @@
     def __init__(
         self,
         now: int,
-        settings: i.Settings,
+        settings: Settings,
         seed: int,
         builder: ResourceBuilder,
         lease_us: int,
--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -16,9 +16,10 @@
 from math import inf
 from typing import Generic
 
-from scalefall import interface as i
 from scalefall.control.grants import UNITS_PER_CALL, GrantT, Leases
-from scalefall.policy.engine import Sender
+from scalefall.policy.actions import LogLine, RouteAllowance
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointReport, EndpointStatus, Event, LearnedRate
 
 # Amounts are thousandths of a call a second.
 UNLIMITED = 10**12  # the amount of a destination for which the module sets no rate limit
@@ -33,11 +34,11 @@
     Retry-After and no slow start, and only an event can give it one.
     """
 
-    def __init__(self, module: Sender, ledger: Leases[GrantT]) -> None:
+    def __init__(self, module: Engine, ledger: Leases[GrantT]) -> None:
         """Stand between a decision module and the ledger that divides its allowances."""
         self._module = module
         self._ledger = ledger
-        self.allowed: list[i.Allowed] = []  # the module's rows of the last step
+        self.allowed: list[RouteAllowance] = []  # the module's rows of the last step
         self.log_lines: list[str] = []  # the module's lines of the last step
         self.changed_allowances: dict[int, int] = {}  # amounts that the last step changed, by destination
         self.unsettled: set[int] = set()  # destinations whose figures differ, or may change by time alone
@@ -45,7 +46,7 @@
         self._touched: set[int] = set()  # destinations with events since the last step
         self._destination_of: dict[str, int] = {}  # by endpoint
 
-    def step(self, now: int, events: list[i.Event]) -> Sequence[GrantT]:
+    def step(self, now: int, events: list[Event]) -> Sequence[GrantT]:
         """Hand events to the module and its allowances to the ledger; the grants that follow."""
         self.apply(now, events)
         evaluated = self._touched | self.unsettled
@@ -69,27 +70,27 @@
                 changed[destination] = amount
         return changed
 
-    def apply(self, now: int, events: list[i.Event]) -> None:
+    def apply(self, now: int, events: list[Event]) -> None:
         """Hand events to the module; what follows from them is granted at the next step."""
         actions = self._module.handle(now, events)
-        self.log_lines = [action.line for action in actions if isinstance(action, i.Log)]
+        self.log_lines = [action.line for action in actions if isinstance(action, LogLine)]
         for event in events:
             self._touch(event)
 
-    def _touch(self, event: i.Event) -> None:
+    def _touch(self, event: Event) -> None:
         match event:
-            case i.Listed():
+            case EndpointListUpdate():
                 for endpoint in event.endpoints:
                     self._touch_endpoint(endpoint)
-            case i.Known():
+            case LearnedRate():
                 self._touched.add(event.destination)
-            case i.Reported() if event.endpoint in self._destination_of:
+            case EndpointReport() if event.endpoint in self._destination_of:
                 self._touched.add(self._destination_of[event.endpoint])
 
-    def _touch_endpoint(self, endpoint: i.Endpoint) -> None:
+    def _touch_endpoint(self, endpoint: Endpoint) -> None:
         """Note a listed endpoint; one that moves to another destination changes the figures of both."""
         self._touched |= {endpoint.destination, self._destination_of.get(endpoint.id, endpoint.destination)}
-        if endpoint.status is i.Status.GONE:
+        if endpoint.status is EndpointStatus.GONE:
             self._destination_of.pop(endpoint.id, None)
         else:
             self._destination_of[endpoint.id] = endpoint.destination
@@ -99,31 +100,31 @@
         self.log_lines, self.changed_allowances = [], {}
         return self._ledger.step(now)
 
-    def unsettled_allowances(self) -> list[i.Allowed]:
+    def unsettled_allowances(self) -> list[RouteAllowance]:
         """The rows of destinations with a rate limit, a Retry-After or a slow start: what outlasts a restart."""
         return self.allowances(self.unsettled)
 
-    def allowances(self, destinations: set[int] | None = None) -> list[i.Allowed]:
+    def allowances(self, destinations: set[int] | None = None) -> list[RouteAllowance]:
         """The module's figures of this moment, of some destinations or of all."""
         return self._module.allowances(destinations)
 
     @staticmethod
-    def _amount(row: i.Allowed, now: int) -> int:
-        if row.silent_until > now or not row.endpoints:
+    def _amount(row: RouteAllowance, now: int) -> int:
+        if row.retry_after_until > now or not row.endpoints:
             return 0
         budgets = sum(row.endpoints.values())  # inf as soon as one endpoint has no failures
         rate = min(row.rate, budgets)
         return UNLIMITED if rate == inf else min(MAX_LIMITED, int(rate * UNITS_PER_CALL))
 
 
-def by_destination(allowed: Iterable[i.Allowed]) -> dict[int, list[i.Allowed]]:
+def by_destination(allowed: Iterable[RouteAllowance]) -> dict[int, list[RouteAllowance]]:
     """The module's rows, by destination."""
-    rows: dict[int, list[i.Allowed]] = {}
+    rows: dict[int, list[RouteAllowance]] = {}
     for row in allowed:
         rows.setdefault(row.destination, []).append(row)
     return rows
 
 
-def _may_change(row: i.Allowed, now: int) -> bool:
+def _may_change(row: RouteAllowance, now: int) -> bool:
     """Whether the row's figures may change by time alone: a rate limit, Retry-After or slow start is in force."""
-    return row.silent_until > now or row.rate < inf or any(budget < inf for budget in row.endpoints.values())
+    return row.retry_after_until > now or row.rate < inf or any(budget < inf for budget in row.endpoints.values())
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -17,7 +17,6 @@
 from collections.abc import Iterable, Sequence
 from typing import Generic
 
-from scalefall import interface as i
 from scalefall.control.allocator import Allocator, by_destination
 from scalefall.control.catalog import EDS, Catalog, DestinationView, ResourceKey
 from scalefall.control.client_streams import ClientStreams, Outgoing
@@ -28,7 +27,9 @@
 from scalefall.control.members import Joined, JoinRejected, Members, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
 from scalefall.net.config import Fleet
-from scalefall.policy.engine import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import EndpointListUpdate, EndpointReport, Event, ListUpdateKind
+from scalefall.policy.settings import Settings
 
 SETTLE_US = 10_000  # from the first change to the step that acts on it: changes that come together cost one step
 UNSETTLED_STEP_US = 100_000  # between steps while a rate limit, Retry-After or slow start may end by itself
@@ -41,7 +42,7 @@
     def __init__(
         self,
         now: int,
-        settings: i.Settings,
+        settings: Settings,
         seed: int,
         builder: ResourceBuilder,
         lease_us: int,
@@ -64,7 +65,7 @@
             view: which node may have which destinations' resources, where not all may.
         """
         settings.probes = False
-        self.module = Sender(settings, seed)
+        self.module = Engine(settings, seed)
         self.ledger = ledger
         self.allocator = Allocator(self.module, ledger)
         self.catalog = Catalog(view)
@@ -73,7 +74,7 @@
         self._builder = builder
         self._in_force = FleetInForce.of(Fleet([], {}))
         self._streams = ClientStreams(self.catalog)
-        self._module_events: list[i.Event] = []  # for the next step
+        self._module_events: list[Event] = []  # for the next step
         self._module_step_at = now
         self._step_at = now
         self._step_scheduled = False
@@ -134,9 +135,9 @@
                 was=change.before,
                 now=change.after,
             )
-        events: list[i.Event] = []
+        events: list[Event] = []
         if changes.endpoints:
-            events.append(i.Listed(i.ListKind.CHANGES, changes.endpoints))
+            events.append(EndpointListUpdate(ListUpdateKind.CHANGES, changes.endpoints))
         self.allocator.apply(now, events)
 
     # -- resource streams
@@ -201,11 +202,11 @@
 
     # -- reports
 
-    def calls_reported(self, calls: Iterable[i.Reported], now: int) -> None:
+    def calls_reported(self, calls: Iterable[EndpointReport], now: int) -> None:
         """Holders have made these calls."""
         self.restore(calls, now)
 
-    def restore(self, events: Iterable[i.Event], now: int) -> None:
+    def restore(self, events: Iterable[Event], now: int) -> None:
         """Take in what the service before this one knew, as events (snapshot.py)."""
         self._module_events += events
         self._schedule_step(now)
--- a/scalefall/control/endpoint_health.py
+++ b/scalefall/control/endpoint_health.py
@@ -6,7 +6,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from scalefall import interface as i
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.events import Endpoint, EndpointStatus
 
 
 class EndpointHealth(StrEnum):
@@ -32,7 +33,7 @@
     blocked: BlockReason
 
 
-def endpoint_states(endpoints: Iterable[i.Endpoint], allowed: Sequence[i.Allowed], now: int) -> RouteHealth:
+def endpoint_states(endpoints: Iterable[Endpoint], allowed: Sequence[RouteAllowance], now: int) -> RouteHealth:
     """The health of each endpoint of a route that is not removed.
 
     Args:
@@ -46,8 +47,8 @@
     blocked = _block_reason(allowed, now)
     found = {}
     for endpoint in endpoints:
-        is_ready = endpoint.status is i.Status.READY
-        if endpoint.status is i.Status.DRAINING or (is_ready and endpoint.id not in budgets):
+        is_ready = endpoint.status is EndpointStatus.READY
+        if endpoint.status is EndpointStatus.DRAINING or (is_ready and endpoint.id not in budgets):
             found[endpoint.id] = EndpointHealth.DRAINING
         elif is_ready:
             is_ejected = budgets[endpoint.id] <= 0 and not blocked
@@ -55,9 +56,9 @@
     return RouteHealth(found, blocked)
 
 
-def _block_reason(allowed: Sequence[i.Allowed], now: int) -> BlockReason:
+def _block_reason(allowed: Sequence[RouteAllowance], now: int) -> BlockReason:
     serving = [row for row in allowed if row.endpoints]
-    if serving and all(row.silent_until > now for row in serving):
+    if serving and all(row.retry_after_until > now for row in serving):
         return BlockReason.RETRY_AFTER
     if serving and all(row.rate <= 0 for row in serving):
         return BlockReason.SLOW_START
--- a/scalefall/control/fleet_changes.py
+++ b/scalefall/control/fleet_changes.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from scalefall import interface as i
 from scalefall.control.resource_builder import RouteEntries
 from scalefall.net.config import Fleet, RouteRules
+from scalefall.policy.events import Endpoint, EndpointStatus
 
 NO_STATUS = "none"  # the status in the log of an endpoint that is not in the list
 
@@ -41,7 +41,7 @@
 class StatusChange:
     """An endpoint is in another state than before."""
 
-    endpoint: i.Endpoint
+    endpoint: Endpoint
     address: str
     before: str  # the state's name, or NO_STATUS
     after: str
@@ -51,7 +51,7 @@
 class EndpointChanges:
     """The endpoints that are new, changed or removed, and those whose state differs."""
 
-    endpoints: list[i.Endpoint]
+    endpoints: list[Endpoint]
     status_changes: list[StatusChange]
 
 
@@ -60,12 +60,12 @@
     old = {entry.endpoint.id: entry.endpoint for entry in before.entries}
     new = {entry.endpoint.id: entry.endpoint for entry in after.entries}
     changed = [endpoint for name, endpoint in new.items() if old.get(name) != endpoint]
-    changed += [replace(endpoint, status=i.Status.GONE) for name, endpoint in old.items() if name not in new]
+    changed += [replace(endpoint, status=EndpointStatus.GONE) for name, endpoint in old.items() if name not in new]
     return EndpointChanges(changed, list(_status_changes(changed, old, before, after)))
 
 
 def _status_changes(
-    changed: list[i.Endpoint], old: dict[str, i.Endpoint], before: Fleet, after: Fleet
+    changed: list[Endpoint], old: dict[str, Endpoint], before: Fleet, after: Fleet
 ) -> Iterable[StatusChange]:
     ids = {endpoint.id for endpoint in changed}
     entries = (*before.entries, *after.entries)
@@ -77,5 +77,5 @@
             yield StatusChange(endpoint, f"{host}:{port}", was, now)
 
 
-def _status(endpoint: i.Endpoint | None) -> str:
+def _status(endpoint: Endpoint | None) -> str:
     return endpoint.status.name.lower() if endpoint is not None else NO_STATUS
--- a/scalefall/control/resource_builder.py
+++ b/scalefall/control/resource_builder.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from scalefall import interface as i
 from scalefall.control.catalog import Resource
 from scalefall.net.config import RouteRules
 from scalefall.net.list_stream import Entry
+from scalefall.policy.actions import RouteAllowance
 
 RouteEntries = dict[int, list[Entry]]  # the endpoints of each route
 
@@ -21,4 +21,4 @@
     fixed: Callable[[RouteEntries, dict[int, RouteRules]], list[Resource]]
 
     # From a route, its endpoints, the module's rows for it and the time in us: its endpoints as they are now.
-    endpoints: Callable[[int, list[Entry], list[i.Allowed], int], Resource]
+    endpoints: Callable[[int, list[Entry], list[RouteAllowance], int], Resource]
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -10,7 +10,6 @@
 from collections.abc import Sequence
 from math import inf
 
-from scalefall import interface as i
 from scalefall.control.base_service import UNSETTLED_STEP_US, BaseControlService
 from scalefall.control.catalog import DestinationView
 from scalefall.control.client_streams import Outgoing
@@ -19,6 +18,7 @@
 from scalefall.control.log_events import LogEvent
 from scalefall.control.members import Joined, JoinRejected
 from scalefall.control.resource_builder import ResourceBuilder, RouteEntries
+from scalefall.policy.settings import Settings
 
 __all__ = [
     "UNSETTLED_STEP_US",
@@ -40,7 +40,7 @@
     def __init__(
         self,
         now: int,
-        settings: i.Settings,
+        settings: Settings,
         seed: int,
         builder: ResourceBuilder,
         lease_us: int,
--- a/scalefall/control/snapshot.py
+++ b/scalefall/control/snapshot.py
@@ -14,9 +14,10 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple, TypeAlias, TypedDict, cast
 
-from scalefall import interface as i
 from scalefall.errors import StorageError
 from scalefall.net import learned_rates
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.events import EndpointReport, Event, LearnedRate, Outcome
 
 FORM = 1  # of the document; another one is not read
 MAX_RETRY_AFTER_US = 3_600_000_000  # a time that lies farther ahead is no Retry-After but a clock that was set
@@ -39,7 +40,7 @@
     """A document that cannot be read; also a ValueError, as its value is not acceptable."""
 
 
-def capture(allowed: Iterable[i.Allowed], known: Iterable[i.Known], now: int, wall: int) -> SnapshotDocument:
+def capture(allowed: Iterable[RouteAllowance], known: Iterable[LearnedRate], now: int, wall: int) -> SnapshotDocument:
     """Make the document.
 
     Args:
@@ -52,8 +53,8 @@
     retry_after: dict[str, int] = {}
     for row in allowed:
         failed += [endpoint for endpoint, budget in row.endpoints.items() if budget < math.inf]
-        if row.silent_until > now and row.endpoints:
-            retry_after[next(iter(row.endpoints))] = wall + row.silent_until - now
+        if row.retry_after_until > now and row.endpoints:
+            retry_after[next(iter(row.endpoints))] = wall + row.retry_after_until - now
     return SnapshotDocument(
         form=FORM,
         wall=wall,
@@ -63,7 +64,7 @@
     )
 
 
-def restore(document: Json, now: int, wall: int) -> list[i.Event]:
+def restore(document: Json, now: int, wall: int) -> list[Event]:
     """The document as events for a module that has its list of endpoints. Times as of `capture`.
 
     Raises:
@@ -77,7 +78,7 @@
         raise SnapshotError(str(error)) from error
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise SnapshotError(f"missing or wrong value ({error!r})") from error
-    events: list[i.Event] = []
+    events: list[Event] = []
     if -MAX_RETRY_AFTER_US < parts.age_us < learned_rates.MAX_AGE_US:
         events += parts.rates
     events += parts.retry_after
@@ -90,9 +91,9 @@
     """A document's age and its facts as events."""
 
     age_us: int
-    rates: list[i.Known]
-    retry_after: list[i.Reported]
-    failures: list[i.Reported]
+    rates: list[LearnedRate]
+    retry_after: list[EndpointReport]
+    failures: list[EndpointReport]
 
 
 def _read(document: SnapshotDocument, now: int, wall: int) -> _Parts:
@@ -102,14 +103,14 @@
     age_us = wall - document["wall"]
     rates = [learned_rates.from_row(*row) for row in document["paces"]]
     retry_after = _retry_after_events(document["waits"], now, wall)
-    failures = [i.Reported(str(endpoint), now, i.Outcome.CONNECT_FAILED) for endpoint in document["doubts"]]
+    failures = [EndpointReport(str(endpoint), now, Outcome.CONNECT_FAILED) for endpoint in document["doubts"]]
     return _Parts(age_us, rates, retry_after, failures)
 
 
-def _retry_after_events(waits: dict[str, int], now: int, wall: int) -> list[i.Reported]:
+def _retry_after_events(waits: dict[str, int], now: int, wall: int) -> list[EndpointReport]:
     events = []
     for endpoint, until in waits.items():
         remaining = until - wall
         if 0 < remaining <= MAX_RETRY_AFTER_US:
-            events.append(i.Reported(str(endpoint), now, i.Outcome.NOT_SENT, int(remaining)))
+            events.append(EndpointReport(str(endpoint), now, Outcome.NOT_SENT, int(remaining)))
     return events
--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -8,13 +8,13 @@
 
 from enum import Enum
 
-from scalefall import interface as i
 from scalefall.control import snapshot
 from scalefall.control.snapshot import SnapshotDocument
 from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.state import NUMBERS_PER_BLOCK, StateDirectory, StateDirectoryError
 from scalefall.errors import LeadershipError
 from scalefall.net.invariants import log
+from scalefall.policy.events import Event
 
 RESERVE_AHEAD = NUMBERS_PER_BLOCK // 2  # unused numbers at which the next block is reserved: long before they run out
 
@@ -85,7 +85,7 @@
         )
         return True
 
-    def _load_events(self, now_us: int, wall_us: int) -> list[i.Event]:
+    def _load_events(self, now_us: int, wall_us: int) -> list[Event]:
         """What the last leader knew, as events; nothing where it cannot be read."""
         try:
             saved = self._directory.load_snapshot()
@@ -106,7 +106,9 @@
         if not self.is_leader:
             return
         service = self._service
-        current = snapshot.capture(service.allocator.unsettled_allowances(), service.module.known(), now_us, wall_us)
+        current = snapshot.capture(
+            service.allocator.unsettled_allowances(), service.module.learned_rates(), now_us, wall_us
+        )
         try:
             self._save_snapshot(current)
             self._save_assignment()
--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -20,18 +20,18 @@
 
 from envoy.config.endpoint.v3 import load_report_pb2
 
-from scalefall import interface as i
 from scalefall.control.transport import resources
 from scalefall.net.list_stream import Entry
+from scalefall.policy.events import EndpointReport, Outcome
 
 METRIC_PREFIX = "scalefall."
 RETRY_AFTER_METRIC = METRIC_PREFIX + "wait_ms"
 ORCA_PREFIX = "named_metrics."
 OUTCOME_METRICS = {
-    "full": i.Outcome.FULL,
-    "timeout": i.Outcome.TIMEOUT,
-    "reset": i.Outcome.RESET,
-    "connect_failed": i.Outcome.CONNECT_FAILED,
+    "full": Outcome.OVERLOADED,
+    "timeout": Outcome.TIMEOUT,
+    "reset": Outcome.RESET,
+    "connect_failed": Outcome.CONNECT_FAILED,
 }
 NAMED_METRICS = ("x0", "x1")
 MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that become an event each: bounds a step
@@ -78,7 +78,7 @@
                 loads[route] = loads.get(route, 0) + calls
         return loads
 
-    def events(self, stats: Iterable[load_report_pb2.ClusterStats], now_us: int) -> Iterator[i.Reported]:
+    def events(self, stats: Iterable[load_report_pb2.ClusterStats], now_us: int) -> Iterator[EndpointReport]:
         """Yield an event for each call; what is of no cluster or endpoint of ours says nothing."""
         for cluster in stats:
             route = resources.destination_of(cluster.cluster_name)
@@ -122,7 +122,7 @@
         retry_after_us: The longest Retry-After; 0 for none.
     """
 
-    failures: dict[i.Outcome, int]
+    failures: dict[Outcome, int]
     load_report: dict[str, float]
     retry_after_us: int = 0
 
@@ -141,13 +141,13 @@
         elif name.startswith(METRIC_PREFIX) and name.removeprefix(METRIC_PREFIX) in OUTCOME_METRICS:
             found.failures[OUTCOME_METRICS[name.removeprefix(METRIC_PREFIX)]] = count
     unexplained = row.total_error_requests - sum(found.failures.values())
-    found.failures[i.Outcome.ERROR] = max(0, unexplained)
+    found.failures[Outcome.ERROR] = max(0, unexplained)
     return found
 
 
 def _call_events(
     endpoints: list[str], row: Stats, now_us: int, interval_us: int, max_reported_calls: int
-) -> Iterator[i.Reported]:
+) -> Iterator[EndpointReport]:
     """Yield an event for each call of a row, over its endpoints in turn.
 
     Failures come last, so that they are not taken back by successes of the same report; successes count as sent at its
@@ -156,9 +156,9 @@
     metrics = _read_metrics(row)
     in_turn = cycle(endpoints)
     for _ in range(min(max_reported_calls, row.total_successful_requests)):
-        yield i.Reported(next(in_turn), now_us - interval_us, i.Outcome.OK, 0, metrics.load_report)
+        yield EndpointReport(next(in_turn), now_us - interval_us, Outcome.OK, 0, metrics.load_report)
     for outcome, count in metrics.failures.items():
         for _ in range(min(max_reported_calls, count)):
-            yield i.Reported(next(in_turn), now_us, outcome, metrics.retry_after_us, metrics.load_report)
+            yield EndpointReport(next(in_turn), now_us, outcome, metrics.retry_after_us, metrics.load_report)
     if metrics.retry_after_us and not any(metrics.failures.values()):
-        yield i.Reported(endpoints[0], now_us, i.Outcome.NOT_SENT, metrics.retry_after_us)
+        yield EndpointReport(endpoints[0], now_us, Outcome.NOT_SENT, metrics.retry_after_us)
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -29,7 +29,6 @@
 from envoy.type.v3 import percent_pb2
 from google.protobuf import wrappers_pb2
 
-from scalefall import interface as i
 from scalefall.control.catalog import CDS, EDS, LDS, RDS, Resource, ResourceKey
 from scalefall.control.endpoint_health import BlockReason, EndpointHealth, endpoint_states
 from scalefall.control.service import RouteEntries
@@ -37,6 +36,8 @@
 from scalefall.control.transport.route_configuration import route_configuration
 from scalefall.net.config import RouteRules
 from scalefall.net.list_stream import Entry
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.settings import Settings
 
 LEASE_NAME = "scalefall-lease"  # the resource whose heartbeats stand for those of all endpoint lists
 NAME_PREFIX = "route"
@@ -64,7 +65,7 @@
 
 
 def static_resources(
-    entries_by_route: RouteEntries, rules_by_route: dict[int, RouteRules], settings: i.Settings
+    entries_by_route: RouteEntries, rules_by_route: dict[int, RouteRules], settings: Settings
 ) -> list[Resource]:
     """Return listeners, routes and clusters: what follows from the configuration alone."""
     built = []
@@ -79,7 +80,7 @@
 
 
 def endpoint_resource(
-    destination: int, entries: list[Entry], allowances: list[i.Allowed], now_us: int, ttl_us: int
+    destination: int, entries: list[Entry], allowances: list[RouteAllowance], now_us: int, ttl_us: int
 ) -> Resource:
     """Return the endpoints of a route as they are now.
 
@@ -121,7 +122,7 @@
 # -- endpoints
 
 
-def _fair_share(allowances: list[i.Allowed]) -> float:
+def _fair_share(allowances: list[RouteAllowance]) -> float:
     """Return one endpoint's part of the route's rate; 0 if no rate is set."""
     return next((row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf), 0.0)
 
@@ -189,7 +190,7 @@
 
 def _max_calls(entries: list[Entry]) -> int:
     """Return how many calls all endpoints together take at a time; 0 if one of them has no limit."""
-    limits = [entry.endpoint.most_calls for entry in entries]
+    limits = [entry.endpoint.max_calls for entry in entries]
     return sum(limits) if all(limits) else 0
 
 
--- a/scalefall/control/transport/route_configuration.py
+++ b/scalefall/control/transport/route_configuration.py
@@ -21,9 +21,9 @@
 from envoy.config.route.v3 import route_components_pb2, route_pb2
 from google.protobuf import wrappers_pb2
 
-from scalefall import interface as i
 from scalefall.control.transport.protobuf import duration
 from scalefall.net.config import RouteRules
+from scalefall.policy.settings import Idempotency, MessageClass, Settings
 
 KEY_HEADER = "idempotency-key"
 RETRY_NOT_SENT = "connect-failure"
@@ -47,21 +47,21 @@
 ONE_ATTEMPT = RetryAllowance(1, 0)
 
 
-def retry_allowance(message_class: i.MessageClass, attempts: int) -> RetryAllowance:
+def retry_allowance(message_class: MessageClass, attempts: int) -> RetryAllowance:
     """Return how often a class may be tried on a route that allows so many attempts.
 
     The last attempt of a keyed message begins within the lifetime of its key, counted from the first one's beginning.
     """
-    if message_class.effect is i.Effect.SAFE:
+    if message_class.idempotency is Idempotency.IDEMPOTENT:
         return RetryAllowance(attempts, 0)
-    if message_class.effect is i.Effect.UNSAFE or message_class.key_scope_zone or attempts < 2:
+    if message_class.idempotency is Idempotency.NOT_IDEMPOTENT or message_class.key_scope_zone or attempts < 2:
         return ONE_ATTEMPT
     if message_class.key_ttl_us >= message_class.deadline_us:
         return RetryAllowance(attempts, 0)
     return RetryAllowance(2, message_class.key_ttl_us // 2)  # a pause of MAX_BACKOFF_US at most, then the second one
 
 
-def route_configuration(name: str, rules: RouteRules, settings: i.Settings) -> route_pb2.RouteConfiguration:
+def route_configuration(name: str, rules: RouteRules, settings: Settings) -> route_pb2.RouteConfiguration:
     """Return the route configuration of a route, under its resource name."""
     routes = []
     for word, message_class in settings.classes.items():
@@ -75,11 +75,11 @@
 
 
 def _class_routes(
-    name: str, message_class: i.MessageClass, allowance: RetryAllowance, word: str
+    name: str, message_class: MessageClass, allowance: RetryAllowance, word: str
 ) -> list[route_components_pb2.Route]:
     """Return a class's routes; a keyed class has one more for calls with a key, which may be tried again."""
     routes = []
-    if allowance.attempts > 1 and message_class.effect is i.Effect.KEYED:
+    if allowance.attempts > 1 and message_class.idempotency is Idempotency.WITH_KEY:
         has_key = route_components_pb2.HeaderMatcher(name=KEY_HEADER, present_match=True)
         action = _route_action(name, message_class.deadline_us, allowance)
         routes += [_route(match, headers=[has_key], route=action) for match in _matches(word)]
--- a/scalefall/control/transport/service_factory.py
+++ b/scalefall/control/transport/service_factory.py
@@ -4,7 +4,6 @@
 
 from typing import NamedTuple
 
-from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
 from scalefall.assignment.service import ShardedService
 from scalefall.control.catalog import Resource
@@ -15,6 +14,8 @@
 from scalefall.control.transport.services import AnyControlService
 from scalefall.net.config import Config, RouteRules
 from scalefall.net.list_stream import Entry
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.settings import Settings
 
 
 class BuiltService(NamedTuple):
@@ -69,7 +70,7 @@
     return BuiltService(service, ShardQuotas(service))
 
 
-def _resource_builder(settings: i.Settings, options: ServerOptions) -> ResourceBuilder:
+def _resource_builder(settings: Settings, options: ServerOptions) -> ResourceBuilder:
     """Return the builder of resources.
 
     Where destinations are divided, endpoints have no time to live of their own: one lease resource stands for all.
@@ -78,7 +79,7 @@
     is_divided = options.sharding is not None
     endpoint_ttl_us = 0 if is_divided else ttl_us
 
-    def build_endpoints(route: int, entries: list[Entry], allowances: list[i.Allowed], now_us: int) -> Resource:
+    def build_endpoints(route: int, entries: list[Entry], allowances: list[RouteAllowance], now_us: int) -> Resource:
         return resources.endpoint_resource(route, entries, allowances, now_us, endpoint_ttl_us)
 
     def build_static(entries: RouteEntries, rules: dict[int, RouteRules]) -> list[Resource]:
--- a/scalefall/lab/classes.py
+++ b/scalefall/lab/classes.py
@@ -4,23 +4,23 @@
 
 import argparse
 
-from scalefall import interface as i
+from scalefall.policy.settings import Idempotency, MessageClass
 
 SECOND = 1_000_000
-REPEAT = {i.Effect.UNSAFE: "never", i.Effect.KEYED: "keyed", i.Effect.SAFE: "freely"}
+REPEAT = {Idempotency.NOT_IDEMPOTENT: "never", Idempotency.WITH_KEY: "keyed", Idempotency.IDEMPOTENT: "freely"}
 EFFECT = {word: effect for effect, word in REPEAT.items()}
 WINDOW_S = 6  # for which a partner knows a repeat, where the word does not say
 
 
-def read_class(word: str) -> i.MessageClass:
+def read_class(word: str) -> MessageClass:
     """A ValueError, which argparse tells, for what is no such word."""
     name, _, rest = word.partition("=")
     repeat, _, window = rest.partition(":")
     if not name or repeat not in EFFECT:
         raise ValueError(word)
     effect = EFFECT[repeat]
-    span = int(float(window or WINDOW_S) * SECOND) if effect is i.Effect.KEYED else 0
-    return i.MessageClass(name, 3 * SECOND, 24 * SECOND, 1.0, 0.3, effect, False, span, False)
+    span = int(float(window or WINDOW_S) * SECOND) if effect is Idempotency.WITH_KEY else 0
+    return MessageClass(name, 3 * SECOND, 24 * SECOND, 1.0, 0.3, effect, False, span, False)
 
 
 ANY = {cls.name: cls for cls in map(read_class, ("once=never", "keyed=keyed", "often=freely"))}
@@ -37,5 +37,5 @@
     )
 
 
-def classes_of(options: argparse.Namespace) -> dict[str, i.MessageClass]:
+def classes_of(options: argparse.Namespace) -> dict[str, MessageClass]:
     return {cls.name: cls for cls in options.classes} if options.classes else ANY
--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -4,11 +4,12 @@
 
 from collections.abc import Collection
 
-from scalefall import interface as i
 from scalefall.lab.classes import ANY
 from scalefall.lab.world import settings as world_settings
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry
+from scalefall.policy.events import Endpoint, EndpointStatus
+from scalefall.policy.settings import Settings
 
 DOWN_EVERY = 91  # one destination of so many is down: 1.1%
 DOWN_FIRST = 2  # and it is not the one that Zipf traffic has the most of
@@ -17,7 +18,7 @@
 RULES = RouteRules(frozenset(ANY), ATTEMPTS, MOST_WAIT_US)
 
 
-def settings() -> i.Settings:
+def settings() -> Settings:
     return world_settings(ANY)
 
 
@@ -25,8 +26,8 @@
     return destination % DOWN_EVERY == DOWN_FIRST
 
 
-def entry(destination: int, status: i.Status = i.Status.READY) -> Entry:
-    endpoint = i.Endpoint(endpoint_id(destination), ZONE, KIND, destination, status, 0.0)
+def entry(destination: int, status: EndpointStatus = EndpointStatus.READY) -> Entry:
+    endpoint = Endpoint(endpoint_id(destination), ZONE, KIND, destination, status, 0.0)
     return Entry(endpoint, address(destination))
 
 
@@ -42,6 +43,7 @@
 def configuration(destinations: int, drained: Collection[int] = ()) -> Fleet:
     """Destinations from 0, each with one endpoint; those of drained drain."""
     entries = [
-        entry(number, i.Status.DRAINING if number in drained else i.Status.READY) for number in range(destinations)
+        entry(number, EndpointStatus.DRAINING if number in drained else EndpointStatus.READY)
+        for number in range(destinations)
     ]
     return Fleet(entries, dict.fromkeys(range(destinations), RULES))
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -11,21 +11,22 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from scalefall import interface as i
-from scalefall.control.rate_limits import TokenBucket
 from scalefall.assignment.service import ShardGrants
-from scalefall.control.transport import reports, resources, wire
-from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
-from scalefall.control.transport.stream_reader import BYTES_PER_REPEATED_REQUEST, BYTES_PER_REQUEST, REQUEST_RATE
 from scalefall.control.grants import Grant
 from scalefall.control.members import JoinRejected
-from scalefall.control.service import ResourceBuilder, Outgoing, RouteEntries, ControlService
+from scalefall.control.rate_limits import TokenBucket
+from scalefall.control.service import ControlService, Outgoing, ResourceBuilder, RouteEntries
 from scalefall.control.streams import CloseStream, Response
+from scalefall.control.transport import reports, resources, wire
+from scalefall.control.transport.quotas import Quotas, QuotaSession, RouteQuotas, ShardQuotas
+from scalefall.control.transport.stream_reader import BYTES_PER_REPEATED_REQUEST, BYTES_PER_REQUEST, REQUEST_RATE
 from scalefall.lab.hollow.clock import Timer, VirtualClock
 from scalefall.lab.hollow.stopwatch import Stopwatch
 from scalefall.lab.proxy import messages
 from scalefall.lab.proxy.meter import Kind
 from scalefall.net.config import Fleet, RouteRules
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.settings import Settings
 
 TIMER_LATE_US = 500  # by which an event loop's timer comes late: epoll waits in whole milliseconds, rounded up
 
@@ -77,10 +78,10 @@
     quota: QuotaSession = field(default_factory=QuotaSession)
 
 
-ServiceFactory = Callable[[int, i.Settings, ResourceBuilder, ControlOptions], ControlService]
+ServiceFactory = Callable[[int, Settings, ResourceBuilder, ControlOptions], ControlService]
 
 
-def make_service(now: int, settings: i.Settings, builder: ResourceBuilder, options: ControlOptions) -> ControlService:
+def make_service(now: int, settings: Settings, builder: ResourceBuilder, options: ControlOptions) -> ControlService:
     """A service without an assignment: grants by destination."""
     return ControlService(now, settings, 3, builder, options.lease_us, options.delay_us, options.lease_us)
 
@@ -89,7 +90,7 @@
     def __init__(
         self,
         clock: VirtualClock,
-        settings: i.Settings,
+        settings: Settings,
         fleet: Fleet,
         options: ControlOptions,
         stopwatch: Stopwatch,
@@ -107,7 +108,7 @@
         self._armed = 0
         self.stopped = False
 
-        def endpoints(number: int, rows: list, allowed: list[i.Allowed], now: int) -> object:
+        def endpoints(number: int, rows: list, allowed: list[RouteAllowance], now: int) -> object:
             return resources.endpoint_resource(
                 number, rows, allowed, now, 0 if options.divided else options.endpoint_lease_us
             )
--- a/scalefall/lab/hollow/fleet.py
+++ b/scalefall/lab/hollow/fleet.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from scalefall import interface as i
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, ControlOptions, ServiceFactory, make_service
 from scalefall.lab.hollow.link import Link
@@ -18,6 +17,7 @@
 from scalefall.lab.hollow.stopwatch import Stopwatch, no_timer
 from scalefall.lab.proxy.meter import Meter
 from scalefall.net.config import Fleet as Configuration
+from scalefall.policy.settings import Settings
 
 REGIONS, ZONES = 2, 4  # zones of each region
 MACHINE, RACK = 2, 10  # senders of a machine, of a rack
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class FleetPlan:
-    settings: i.Settings
+    settings: Settings
     configuration: Configuration
     senders: int
     routes: Callable[[int], list[int]]  # destinations that the sender of this number asks for
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -12,7 +12,6 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from scalefall import interface as i
 from scalefall.control.transport import resources
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, Opening, StreamKind
@@ -22,6 +21,7 @@
 from scalefall.lab.proxy import messages
 from scalefall.lab.proxy.contract import Contract, Fall, Send
 from scalefall.lab.proxy.meter import Direction, Kind
+from scalefall.policy.events import Outcome
 
 AGAIN_US, AGAIN_SPREAD_US = 300_000, 700_000  # until a stream is opened anew: the stand-in's pause and its backoff
 
@@ -223,7 +223,7 @@
         now = self._clock.now
         chosen = self.contract.choose(destination, now)
         if isinstance(chosen, Send):
-            outcome = i.Outcome.CONNECT_FAILED if self._is_down(destination) else i.Outcome.OK
+            outcome = Outcome.CONNECT_FAILED if self._is_down(destination) else Outcome.OK
             self._calls[destination, chosen.endpoint].append(messages.Call(outcome, now))
             self.outcomes.sent += 1
         elif isinstance(chosen, Fall):
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -6,13 +6,12 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
 
-from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
 from scalefall.assignment.model import FULL_QUOTA
 from scalefall.assignment.service import ShardedService
 from scalefall.assignment.sharding import Sharding
-from scalefall.control.transport import quota_wire, resources
 from scalefall.control.service import ResourceBuilder
+from scalefall.control.transport import quota_wire, resources
 from scalefall.lab.hollow.clock import VirtualClock
 from scalefall.lab.hollow.control import Control, ControlOptions, Opening, StreamKind
 from scalefall.lab.hollow.fleet import Fleet, FleetPlan
@@ -22,6 +21,8 @@
 from scalefall.lab.proxy import messages
 from scalefall.lab.proxy.meter import Kind
 from scalefall.lab.proxy.sharded import ShardedContract
+from scalefall.policy.events import Outcome
+from scalefall.policy.settings import Settings
 
 REPORT_US = 500_000  # between reports of use: four in a lease of 2 s
 ALL = "*"  # every list that this node is to have
@@ -31,10 +32,10 @@
 
 def factory(
     assignment: AssignmentSettings,
-) -> Callable[[int, i.Settings, ResourceBuilder, ControlOptions], ShardedService]:
+) -> Callable[[int, Settings, ResourceBuilder, ControlOptions], ShardedService]:
     """Makes the service of a hollow control instance."""
 
-    def make(now: int, settings: i.Settings, builder: ResourceBuilder, options: ControlOptions) -> ShardedService:
+    def make(now: int, settings: Settings, builder: ResourceBuilder, options: ControlOptions) -> ShardedService:
         return ShardedService(
             now, settings, 3, builder, options.lease_us, options.delay_us, options.lease_us, assignment
         )
@@ -140,7 +141,7 @@
         self._loads_at = now
         quotas = self.contract.holder.quotas(self.addresses, now)
         held = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
-        served, failed = messages.Call(i.Outcome.OK, now), messages.Call(i.Outcome.CONNECT_FAILED, now)
+        served, failed = messages.Call(Outcome.OK, now), messages.Call(Outcome.CONNECT_FAILED, now)
         return {
             (route, self.addresses[route]): [failed if self._is_down(route) else served] * count
             for route, count in self._counts(held, span).items()
--- a/scalefall/lab/partner/__main__.py
+++ b/scalefall/lab/partner/__main__.py
@@ -12,9 +12,9 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-from scalefall.interface import Outcome
 from scalefall.lab.classes import REPEAT, add_classes, classes_of
 from scalefall.lab.partner.model import SECOND, Partner, Shape
+from scalefall.policy.events import Outcome
 
 LOOK_S = 0.1
 
@@ -63,12 +63,12 @@
                 if partner.fell > fell:
                     say("fell")
                 if partner.effects[name] > before:
-                    say("effect", id=name, repeat=REPEAT[classes[cls].effect] if cls in classes else "never")
+                    say("effect", id=name, repeat=REPEAT[classes[cls].idempotency] if cls in classes else "never")
             time.sleep(answer.after_us / SECOND)
             if answer.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
                 self.close_connection = True
                 return
-            self.send_response(429 if answer.outcome is Outcome.FULL else 200)
+            self.send_response(429 if answer.outcome is Outcome.OVERLOADED else 200)
             if answer.wait_us:
                 self.send_header("Retry-After", f"{answer.wait_us / SECOND:.3f}")
             self.send_header("X-Load", json.dumps(answer.report))
--- a/scalefall/lab/partner/model.py
+++ b/scalefall/lab/partner/model.py
@@ -11,7 +11,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from scalefall.interface import Outcome
+from scalefall.policy.events import Outcome
 
 SECOND = 1_000_000
 
@@ -82,7 +82,7 @@
         self._at = now
         report = {"x0": max(0.0, self._tokens - 1) / 2, "x1": capacity}
         if self._tokens < 1:
-            return Answer(Outcome.FULL, 1000, int((1 - self._tokens) / capacity * SECOND), report)
+            return Answer(Outcome.OVERLOADED, 1000, int((1 - self._tokens) / capacity * SECOND), report)
         self._tokens -= 1
         self.effects[name] += 1
         after = int(min(10 * shape.service_us, self._random.lognormvariate(0, 0.5) * shape.service_us))
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -24,7 +24,6 @@
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2_grpc
 from google.protobuf.message import Message
 
-from scalefall import interface as i
 from scalefall.control.transport import resources
 from scalefall.lab.classes import add_classes, classes_of
 from scalefall.lab.proxy import messages
@@ -32,8 +31,10 @@
 from scalefall.lab.proxy.meter import Direction, Kind, Meter
 from scalefall.lab.sizes import deep_size
 from scalefall.net import http
+from scalefall.policy.events import Outcome
+from scalefall.policy.settings import Idempotency, MessageClass
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 CALL_S = 5
 READ = 65536
 AGAIN_S = 0.3
@@ -188,12 +189,12 @@
         self._open -= 1
         self.say("ended", id=name, how=how)
 
-    async def _call(self, name: str, cls: i.MessageClass, route: int, place: str) -> i.Outcome:
+    async def _call(self, name: str, cls: MessageClass, route: int, place: str) -> Outcome:
         self.say("sent", id=name, route=route, endpoint=place)
         outcome, wait, report = O.RESET, 0.0, {}
         try:
             status, fields = await asyncio.wait_for(_post(place, f"/{cls.name}", {"X-Request-Id": name}), CALL_S)
-            outcome = O.OK if status < 300 else O.FULL if status == 429 else O.ERROR
+            outcome = O.OK if status < 300 else O.OVERLOADED if status == 429 else O.ERROR
             wait = float(fields.get("retry-after", 0))
             report = json.loads(fields.get("x-load", "{}"))
         except ConnectionRefusedError:
@@ -208,9 +209,9 @@
         self.say("answered", id=name, route=route, endpoint=place, outcome=outcome.value, wait_ms=wait * 1000)
         return outcome
 
-    async def _hand_over(self, name: str, cls: i.MessageClass, route: int) -> str:
+    async def _hand_over(self, name: str, cls: MessageClass, route: int) -> str:
         fields = {"X-Request-Id": name, "X-Deadline": f"{cls.deadline_us // 1000}m", "X-Route-To": f"dest={route}"}
-        if cls.effect is i.Effect.KEYED:
+        if cls.idempotency is Idempotency.WITH_KEY:
             fields["Idempotency-Key"] = name
         try:
             return str((await asyncio.wait_for(_post(self._options.sender, f"/{cls.name}", fields), CALL_S))[0])
--- a/scalefall/lab/proxy/contract.py
+++ b/scalefall/lab/proxy/contract.py
@@ -16,7 +16,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from scalefall.interface import NEVER_RAN, Effect, MessageClass, Outcome
+from scalefall.policy.events import NEVER_RAN, Outcome
+from scalefall.policy.settings import Idempotency, MessageClass
 
 SECOND = 1_000_000
 CALLS = 1000
@@ -169,9 +170,9 @@
     """Whether a message goes out again after a call that ended so. first_us: when its first call began."""
     if tries >= ATTEMPTS:
         return False
-    if outcome in NEVER_RAN or cls.effect is Effect.SAFE:
+    if outcome in NEVER_RAN or cls.idempotency is Idempotency.IDEMPOTENT:
         return True
-    return cls.effect is Effect.KEYED and not cls.key_scope_zone and now < first_us + cls.key_ttl_us
+    return cls.idempotency is Idempotency.WITH_KEY and not cls.key_scope_zone and now < first_us + cls.key_ttl_us
 
 
 def given_up(outcome: Outcome) -> str:
--- a/scalefall/lab/proxy/messages.py
+++ b/scalefall/lab/proxy/messages.py
@@ -13,9 +13,9 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2
 
-from scalefall import interface as i
 from scalefall.control.catalog import EDS
 from scalefall.control.transport import quota_wire, reports, resources, wire
+from scalefall.policy.events import Outcome
 
 USAGE_SPAN_S = 1000  # a rate is told as so many thousandths of calls over this span, as calls are whole numbers
 STATES = {health: word for word, health in resources.HEALTH.items()}
@@ -50,7 +50,7 @@
 class Call:
     """A call that has ended, for a load report."""
 
-    outcome: i.Outcome
+    outcome: Outcome
     wait_until_us: int  # until when its answer told to wait, or when it ended
     figures: dict[str, float] = field(default_factory=dict)
 
@@ -138,8 +138,8 @@
     stats.load_report_interval.FromMicroseconds(span_us)
     host, _, port = place.rpartition(":")
     end = stats.upstream_locality_stats.add().upstream_endpoint_stats.add(
-        total_successful_requests=sum(row.outcome is i.Outcome.OK for row in rows),
-        total_error_requests=sum(row.outcome is not i.Outcome.OK for row in rows),
+        total_successful_requests=sum(row.outcome is Outcome.OK for row in rows),
+        total_error_requests=sum(row.outcome is not Outcome.OK for row in rows),
         total_issued_requests=len(rows),
     )
     end.address.socket_address.address, end.address.socket_address.port_value = host, int(port)
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -15,19 +15,21 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from scalefall import interface as i
 from scalefall.control import snapshot
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.grants import Grant
 from scalefall.control.endpoint_health import endpoint_states
+from scalefall.control.grants import Grant
 from scalefall.control.members import Joined
-from scalefall.control.service import ResourceBuilder, ControlService
+from scalefall.control.service import ControlService, ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.lab.classes import ANY, REPEAT
 from scalefall.lab.partner.model import Partner, Shape
 from scalefall.lab.proxy.contract import ASK_US, ATTEMPTS, Contract, Fall, Refuse, Send, given_up, may_repeat
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.events import Endpoint, EndpointReport, EndpointStatus, Outcome
+from scalefall.policy.settings import MessageClass, Settings
 
 MS, SECOND = 1000, 1_000_000
 ROUTE = 7
@@ -55,23 +57,23 @@
     at_end: str = "fallback"
     forget: bool = False  # a restart that forgets what the module knew, as a fault to be caught
     mistakes: frozenset[str] = frozenset()  # that the proxies make, to be caught: see _Proxy
-    classes: dict[str, i.MessageClass] = field(default_factory=lambda: ANY)
+    classes: dict[str, MessageClass] = field(default_factory=lambda: ANY)
 
 
-def settings(classes: dict[str, i.MessageClass]) -> i.Settings:
-    return i.Settings(
-        index=0,
-        siblings=1,
+def settings(classes: dict[str, MessageClass]) -> Settings:
+    return Settings(
+        replica_index=0,
+        replica_count=1,
         classes=classes,
         tenants={},
-        over_share_worth=0.1,
-        slots=10,
-        per_call={"one": 1},
-        apart={"one": False},
-        zone_fee={"a": 0.0},
-        halving=False,
+        over_quota_priority_weight=0.1,
+        call_slots=10,
+        messages_per_call={"one": 1},
+        route_per_endpoint={"one": False},
+        zone_cost={"a": 0.0},
+        halves_after_objective=False,
         max_attempts=6,
-        max_held=100,
+        max_queued=100,
         cancelling=True,
         probes=False,
         retry_after=True,
@@ -79,17 +81,17 @@
         idle_close_us=5 * SECOND,
         dial_timeout_us=SECOND,
         streams=1,
-        ask=False,
-        ask_within_us=10 * SECOND,
+        polls_endpoint_list=False,
+        poll_within_us=10 * SECOND,
         weights="none",
         report_fields=["x0", "x1"],
         answer_slack_us=20 * MS,
-        cold_from=0.25,
-        cold_us=12 * SECOND,
+        slow_start_from=0.25,
+        slow_start_us=12 * SECOND,
         drain_grace_us=SECOND,
-        fall_us=3 * SECOND,
-        fall_multiple=1.5,
-        turn_gap_us=300 * MS,
+        overload_window_us=3 * SECOND,
+        overload_multiple=1.5,
+        ordering_gap_us=300 * MS,
         tick_us=5 * MS,
     )
 
@@ -99,7 +101,7 @@
         self.plan, self.random, self.now = plan, random.Random(seed), 0
         self.rows: list[dict[str, Any]] = []
         self.partner = Partner(plan.shape, seed)
-        self.states = {f"e{n}": i.Status.READY for n in range(plan.endpoints)}
+        self.states = {f"e{n}": EndpointStatus.READY for n in range(plan.endpoints)}
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._count = self.ids = 0
         self._kept: tuple[int, dict | None] = (0, None)  # what the last control left
@@ -143,8 +145,8 @@
     def _drain(self) -> None:
         """An endpoint drains, or is back; often a link fails within the same instants."""
         name = self.random.choice(list(self.states))
-        ready = self.states[name] is i.Status.READY
-        self.states[name] = i.Status.DRAINING if ready else i.Status.READY
+        ready = self.states[name] is EndpointStatus.READY
+        self.states[name] = EndpointStatus.DRAINING if ready else EndpointStatus.READY
         if ready and self.random.random() < 0.7:
             proxy = self.random.choice(self.proxies)
             self.after(self.random.choice([0, 0, 1, 20 * MS, 60 * MS]), proxy.link.fail)
@@ -199,7 +201,7 @@
             self.service.restore(snapshot.restore(kept, world.now, world.now), world.now)
         self.plan()
 
-    def _endpoints(self, number: int, rows: list[Entry], allowed: list[i.Allowed], now: int) -> Resource:
+    def _endpoints(self, number: int, rows: list[Entry], allowed: list[RouteAllowance], now: int) -> Resource:
         found, blocked = endpoint_states((entry.endpoint for entry in rows), allowed, now)
         return Resource(
             EDS, f"route-{number}", f"{found}{blocked}", (found, bool(blocked)), frozenset(), self._world.plan.ttl_us
@@ -207,7 +209,7 @@
 
     def configure(self) -> None:
         entries = [
-            Entry(i.Endpoint(name, "a", "one", ROUTE, status, 0.0), ("127.0.0.1", 1))
+            Entry(Endpoint(name, "a", "one", ROUTE, status, 0.0), ("127.0.0.1", 1))
             for name, status in self._world.states.items()
         ]
         rules = {ROUTE: RouteRules(frozenset(self._world.plan.classes), 6, 2 * SECOND)}
@@ -216,7 +218,10 @@
 
     def keep(self) -> tuple[int, dict]:
         return self.service.ledger.number, snapshot.capture(
-            self.service.allocator.unsettled_allowances(), self.service.module.known(), self._world.now, self._world.now
+            self.service.allocator.unsettled_allowances(),
+            self.service.module.learned_rates(),
+            self._world.now,
+            self._world.now,
         )
 
     def plan(self) -> None:
@@ -265,7 +270,7 @@
             self.service.demand_reported(stream, route, calls, had, self._world.now)
         self.plan()
 
-    def reported(self, calls: list[i.Reported]) -> None:
+    def reported(self, calls: list[EndpointReport]) -> None:
         self.service.calls_reported(calls, self._world.now)
         self.plan()
 
@@ -368,7 +373,7 @@
         self.heard: dict[tuple[int, int], int] = {}  # by stream and route: the last report that control has
         self._ads = self._quota = 0
         self._first = True
-        self._reports: list[i.Reported] = []
+        self._reports: list[EndpointReport] = []
         self._ids = 0
         self.counts = {"sent": 0, "fallback": 0, "refused": 0, "ok": 0, "failed": 0}
 
@@ -450,7 +455,7 @@
         self._try(name, cls, 0, -1)
         self._next_message()
 
-    def _try(self, name: str, cls: i.MessageClass, tries: int, first: int) -> None:
+    def _try(self, name: str, cls: MessageClass, tries: int, first: int) -> None:
         world, now = self._world, self._world.now
         chosen = self.contract.choose(ROUTE, now)
         if isinstance(chosen, Send):
@@ -462,7 +467,7 @@
             if world.partner.fell > fell:
                 world.log("partner", "fell", partner="p")
             if world.partner.effects[name] > before:
-                world.log("partner", "effect", id=name, repeat=REPEAT[cls.effect])
+                world.log("partner", "effect", id=name, repeat=REPEAT[cls.idempotency])
             first = now if first < 0 else first
             world.after(
                 answer.after_us, lambda: self._answered(name, cls, tries + 1, first, chosen.endpoint, now, answer)
@@ -473,10 +478,10 @@
             self._end(name, "refused")
 
     def _answered(
-        self, name: str, cls: i.MessageClass, tries: int, first: int, endpoint: str, sent: int, answer: Any
+        self, name: str, cls: MessageClass, tries: int, first: int, endpoint: str, sent: int, answer: Any
     ) -> None:
         world = self._world
-        self._reports.append(i.Reported(endpoint, sent, answer.outcome, answer.wait_us, answer.report))
+        self._reports.append(EndpointReport(endpoint, sent, answer.outcome, answer.wait_us, answer.report))
         if answer.wait_us and "deaf" not in world.plan.mistakes:
             self.contract.told_wait(ROUTE, world.now + answer.wait_us)
         world.log(
@@ -489,7 +494,7 @@
             outcome=answer.outcome.value,
             wait_ms=answer.wait_us / 1000,
         )
-        if answer.outcome is i.Outcome.OK:
+        if answer.outcome is Outcome.OK:
             self._end(name, "ok")
         elif ("eager" in world.plan.mistakes and tries < ATTEMPTS) or may_repeat(
             cls, answer.outcome, first, world.now, tries
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -8,7 +8,6 @@
 
 from typing import Any
 
-from scalefall import interface as i
 from scalefall.lang.model import Def, Endpoint, Site
 from scalefall.lang.schema import BLOCKS
 from scalefall.lang.units import SECOND, Rate
@@ -16,9 +15,11 @@
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry, ListUpdate
 from scalefall.policy.engine import DEPTH_US
+from scalefall.policy.events import Endpoint as PolicyEndpoint
+from scalefall.policy.events import EndpointStatus
 from scalefall.settings_reader import read_settings
 
-STATES = {"ready": i.Status.READY, "draining": i.Status.DRAINING}
+STATES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
 LIVE = {"pool", "policy", "route"}  # whatever changes in these takes effect at once
 
 
@@ -26,7 +27,7 @@
     """A complete sender, with no platform: its list of endpoints is the file's. The seed counts if it has none."""
     sender, settings = site.sender, read_settings(settings_table(site))
     seed = int(sender.get("seed"), 16) if "seed" in sender.values else seed
-    settings.ask, settings.weights = False, "told"
+    settings.polls_endpoint_list, settings.weights = False, "told"
     fleet = Fleet(entries(site), routes(site))
     return Config(
         name=sender.get("name"),
@@ -53,7 +54,7 @@
         idle, limit = site.idle_close(pool).value, pool.get("limit")
         most, weight = pool.get("connections") or 0, pace(limit) if limit is not None else 0.0
         for each in site.endpoints.get(pool.name, ()):
-            end = i.Endpoint(
+            end = PolicyEndpoint(
                 endpoint_id(each), each.zone, pool.get("kind"), int(route.name), STATES[each.state], weight, most
             )
             host, _, port = each.address.rpartition(":")
--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -10,7 +10,6 @@
 from decimal import Decimal
 from typing import Any
 
-from scalefall import interface as i
 from scalefall.lang import syntax, units
 from scalefall.lang.format import layout
 from scalefall.lang.model import DEFAULT, Def, Endpoint, Site
@@ -18,6 +17,8 @@
 from scalefall.lang.text import Problems, listed
 from scalefall.net.config import read_address
 from scalefall.net.endpoint_list import ListUpdate, read_list
+from scalefall.policy.events import EndpointStatus
+from scalefall.policy.settings import MessageClass, Settings
 from scalefall.settings_reader import read_settings
 
 EFFECTS = {"never": "unsafe", "keyed": "keyed", "freely": "safe"}
@@ -224,9 +225,11 @@
     ]
     for cls in settings.classes.values():
         rows += _block("class", cls.name, _class(cls))
-    for name, per_call in settings.per_call.items():
-        rows += _block("kind", name, {"per-call": per_call, "limits": "apart" if settings.apart[name] else "together"})
-    for name, fee in settings.zone_fee.items():
+    for name, per_call in settings.messages_per_call.items():
+        rows += _block(
+            "kind", name, {"per-call": per_call, "limits": "apart" if settings.route_per_endpoint[name] else "together"}
+        )
+    for name, fee in settings.zone_cost.items():
         rows += _block("zone", name, {"fee": _decimal(fee)})
     for tenant in settings.tenants.values():
         rows += _block("tenant", tenant.name, {"quota": _rate(tenant.quota_per_s)})
@@ -235,7 +238,7 @@
     return layout(syntax.parse("\n".join(rows), "imported", Problems())), dropped
 
 
-def _sender(table: dict[str, Any], limits: dict[str, Any], s: i.Settings) -> dict[str, Any]:
+def _sender(table: dict[str, Any], limits: dict[str, Any], s: Settings) -> dict[str, Any]:
     values: dict[str, Any] = {}
     if table.get("name"):
         values["name"] = str(table["name"])
@@ -244,7 +247,7 @@
             host, port = read_address(table[word], word)
             values[word] = f"{host}:{port}"
     values["seed"] = str(table.get("seed", "0"))
-    values["number"] = (s.index, s.siblings)
+    values["number"] = (s.replica_index, s.replica_count)
     for word, key in (("cores", "cores"), ("sockets", "sockets")):
         if key in limits:
             values[word] = _decimal(limits[key]) if word == "cores" else int(limits[key])
@@ -252,57 +255,57 @@
         if key in limits:
             values[word] = int(_decimal(limits[key]) * 10**6)
     return values | {
-        "slots": s.slots,
-        "hold": s.max_held,
+        "slots": s.call_slots,
+        "hold": s.max_queued,
         "idle-close": s.idle_close_us,
         "tick": s.tick_us,
-        "late": "halving" if s.halving else "linear",
+        "late": "halving" if s.halves_after_objective else "linear",
         "cancel": s.cancelling,
         "probe": s.probes,
         "tell-wait": s.retry_after,
         "streams": s.streams,
-        "list": "ask" if s.ask else "push",
+        "list": "ask" if s.polls_endpoint_list else "push",
         "weights": s.weights,
         "load-report": tuple(s.report_fields),
-        "over-share": _decimal(s.over_share_worth),
-        "turn-gap": s.turn_gap_us,
+        "over-share": _decimal(s.over_quota_priority_weight),
+        "turn-gap": s.ordering_gap_us,
     }
 
 
-def _rules(s: i.Settings) -> dict[str, Any]:
+def _rules(s: Settings) -> dict[str, Any]:
     return {
         "drain-grace": s.drain_grace_us,
-        "cold": s.cold_us,
-        "cold-from": _decimal(s.cold_from),
-        "fall": s.fall_us,
-        "fall-multiple": _decimal(s.fall_multiple),
-        "ask-within": s.ask_within_us,
+        "cold": s.slow_start_us,
+        "cold-from": _decimal(s.slow_start_from),
+        "fall": s.overload_window_us,
+        "fall-multiple": _decimal(s.overload_multiple),
+        "ask-within": s.poll_within_us,
         "answer-slack": s.answer_slack_us,
     }
 
 
-def _class(cls: i.MessageClass) -> dict[str, Any]:
-    effect = next(word for word, effect in EFFECTS.items() if effect == cls.effect.value)
+def _class(cls: MessageClass) -> dict[str, Any]:
+    effect = next(word for word, effect in EFFECTS.items() if effect == cls.idempotency.value)
     return {
-        "aim": cls.aim_us,
+        "aim": cls.latency_objective_us,
         "deadline": cls.deadline_us,
         "repeat": Repeat(effect, cls.key_ttl_us if effect == "keyed" else 0, cls.key_scope_zone),
-        "worth": _decimal(cls.worth),
-        "late-worth": _decimal(cls.late_worth),
-        "in-order": cls.in_order,
+        "worth": _decimal(cls.priority_weight),
+        "late-worth": _decimal(cls.late_priority_weight),
+        "in-order": cls.ordered,
     }
 
 
 def _pools(known: ListUpdate) -> Iterator[str]:
     """A pool and a route for each destination that the list names."""
-    states = {i.Status.READY: "ready", i.Status.DRAINING: "draining"}
+    states = {EndpointStatus.READY: "ready", EndpointStatus.DRAINING: "draining"}
     pools: dict[tuple[int, str], list[str]] = {}
     for entry in known.entries:
         end = entry.endpoint
         if end.status not in states:
             continue
         weight = "" if end.weight == 1 else f"weight {units.plain(_decimal(end.weight))}; "
-        state = "" if end.status is i.Status.READY else "state draining; "
+        state = "" if end.status is EndpointStatus.READY else "state draining; "
         host, port = entry.address
         pools.setdefault((end.destination, end.kind), []).append(
             f"endpoint {_named(end.id)} {{ at {host}:{port}; {weight}{state}zone {_named(end.zone)} }}"
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from scalefall.interface import Outcome, Reported
+from scalefall.net.admin import AdminState, MaintenanceStore
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.admin import AdminState, MaintenanceStore
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import EndpointReport, Outcome
 
 OUTAGE_SEEN_US = 2_000_000  # an endpoint back from maintenance counts as seen down for so long already
 INSUFFICIENT_STORAGE = 507  # the status of a call that could not be kept
@@ -89,4 +89,4 @@
             now_us = self._scheduler.now()
             # The second call counts as sent after the moment at which the engine hears of the first.
             for sent_us in (now_us - OUTAGE_SEEN_US, now_us + 2 * self._tick_us):
-                self._events.gather(Reported(endpoint, sent_us, Outcome.CONNECT_FAILED))
+                self._events.gather(EndpointReport(endpoint, sent_us, Outcome.CONNECT_FAILED))
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -4,16 +4,17 @@
 
 import logging
 
-from scalefall.interface import Dropped, Message, Settings
-from scalefall.net.invariants import debug_event, log
 from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.delivery_request import Accepted, Conflict, DeliveryRequest, GivenUp, NotServed, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
+from scalefall.net.invariants import debug_event, log
 from scalefall.net.journal import RETURNED, Journal, PendingDelivery
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Conflict, GivenUp, NotServed, Accepted, DeliveryRequest, Rejected
+from scalefall.policy.events import Message, MessageWithdrawn
+from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 RETRY_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
@@ -89,7 +90,7 @@
             request.decide(NotServed())
         elif (
             not self._endpoint_list.serves(request.destination)
-            or len(self._open) >= self._settings.max_held
+            or len(self._open) >= self._settings.max_queued
             or not self._journal.has_capacity(len(request.body))
         ):
             request.decide(Rejected(RETRY_WHEN_FULL_US, True))
@@ -103,7 +104,7 @@
         if self._open.get(request.id) is request and not request.repeat_accepted:
             self._tracker.discard(request.id)
             self._journal.record_finished(request.id)
-            self._events.gather(Dropped(request.id))
+            self._events.gather(MessageWithdrawn(request.id))
 
     def accept(self, request: DeliveryRequest) -> None:
         """Write a message that the engine keeps into the journal, before its answer goes out.
@@ -122,7 +123,7 @@
         )
         message_class = request.message_class
         if message_class is not None:
-            pending.idempotency = message_class.effect
+            pending.idempotency = message_class.idempotency
             pending.key_scope_zone = message_class.key_scope_zone
             pending.key_ttl_us = message_class.key_ttl_us
         if self._journal.record_accepted(pending):
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -5,18 +5,20 @@
 import logging
 from math import inf
 
-from scalefall.interface import NEVER_RAN, Attempted, Effect, Endpoint, Outcome, Send, Settings
 from scalefall.net.attempt_request import batch_row_size
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
-from scalefall.net.invariants import assert_invariant, debug_event, log
+from scalefall.net.delivery_request import DeliveryRequest
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
+from scalefall.net.invariants import assert_invariant, debug_event, log
 from scalefall.net.journal import Journal
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import DeliveryRequest
+from scalefall.policy.actions import Send
+from scalefall.policy.events import NEVER_RAN, AttemptFinished, Endpoint, Outcome
+from scalefall.policy.settings import Idempotency, Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 DRAIN_MARGIN_US = 200 * MILLISECOND_US  # an attempt whose first byte would go out later than the drain's grace less
@@ -80,7 +82,7 @@
                 assert_invariant(False, "the module sends to endpoints that the list has")
                 self._report_unsent(endpoint_id, calls)
                 continue
-            max_messages = self._settings.per_call.get(entry.endpoint.kind, 1)
+            max_messages = self._settings.messages_per_call.get(entry.endpoint.kind, 1)
             while calls:
                 number = self._count_that_fit(calls[:max_messages])
                 self._begin(entry, calls[:number])
@@ -106,7 +108,7 @@
             attempt = request.attempts if request else 0
             if request:
                 request.attempts += 1
-            self._events.gather(Attempted(send.id, attempt, endpoint_id, Outcome.NOT_SENT, 0))
+            self._events.gather(AttemptFinished(send.id, attempt, endpoint_id, Outcome.NOT_SENT, 0))
 
     def _begin(self, entry: Entry, calls: list[Send]) -> None:
         """Begin one attempt with the messages of these sends.
@@ -119,7 +121,7 @@
         for send in sorted(calls, key=self._due_us, reverse=True):
             request = self._open.get(send.id)
             if request is None:  # not accepted after all: the attempt ends unsent
-                self._events.gather(Attempted(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
+                self._events.gather(AttemptFinished(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
                 continue
             message_class = request.message_class
             loads.append(
@@ -129,7 +131,7 @@
                     now_us + send.timeout_us,
                     request.idempotency_key,
                     request.body,
-                    message_class is not None and message_class.effect is Effect.UNSAFE,
+                    message_class is not None and message_class.idempotency is Idempotency.NOT_IDEMPOTENT,
                     self._begin_by(request),
                 )
             )
@@ -143,7 +145,7 @@
             self.attempts.begin(entry, loads)
         else:
             for load in loads:
-                self._events.gather(Attempted(load.id, load.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0))
+                self._events.gather(AttemptFinished(load.id, load.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0))
 
     def _due_us(self, send: Send) -> int:
         """Return the deadline of a send's message; 0 if it is no longer open."""
@@ -155,7 +157,7 @@
         pending = self._journal.pending.get(request.id)
         if (
             message_class is None
-            or message_class.effect is not Effect.KEYED
+            or message_class.idempotency is not Idempotency.WITH_KEY
             or pending is None
             or not pending.may_have_run_wall_us
         ):
@@ -187,7 +189,7 @@
         for endpoint_id in self._endpoint_list.left_at:
             self.attempts.endpoint_left(self._endpoint_list.entries[endpoint_id])
 
-    def _settled(self, event: Attempted, unreadable: bool) -> None:
+    def _settled(self, event: AttemptFinished, unreadable: bool) -> None:
         """Record how an attempt has ended for one message, and report it to the engine.
 
         In an attempt with several messages that could not be read, one may spoil the others: each goes alone from
@@ -197,9 +199,9 @@
             self._open[event.id].send_alone = True
         if log.isEnabledFor(logging.DEBUG):
             _log_outcome(event)
-        if event.wait_us and event.endpoint in self._endpoint_list.entries:
+        if event.retry_after_us and event.endpoint in self._endpoint_list.entries:
             scope = self._wait_scope(self._endpoint_list.entries[event.endpoint].endpoint)
-            until_us = self._scheduler.now() + event.wait_us
+            until_us = self._scheduler.now() + event.retry_after_us
             self._retry_after_until[scope] = max(self._retry_after_until.get(scope, 0), until_us)
         if event.finished:
             self._journal.record_finished(event.id)
@@ -211,7 +213,7 @@
 
     def _wait_scope(self, endpoint: Endpoint) -> int | str:
         """Return what a wait that an endpoint told holds for: its destination, or the endpoint on its own."""
-        return endpoint.id if self._settings.apart.get(endpoint.kind) else endpoint.destination
+        return endpoint.id if self._settings.route_per_endpoint.get(endpoint.kind) else endpoint.destination
 
 
 def _log_begin(entry: Entry, loads: list[MessageInCall], ids: list[str], now_us: int) -> None:
@@ -226,7 +228,7 @@
     )
 
 
-def _log_outcome(event: Attempted) -> None:
+def _log_outcome(event: AttemptFinished) -> None:
     """Log the outcome of an attempt for one message, for those who follow every one."""
     debug_event(
         "outcome %s/%d at %s: %s after %d ms, wait %d ms, told %s",
@@ -235,12 +237,12 @@
         event.endpoint,
         event.outcome.value,
         event.latency_us // MILLISECOND_US,
-        event.wait_us // MILLISECOND_US,
-        event.report,
+        event.retry_after_us // MILLISECOND_US,
+        event.load_report,
         id=event.id,
         attempt=event.attempt,
         endpoint=event.endpoint,
         outcome=event.outcome.value,
         latency_us=event.latency_us,
-        told=event.report,
+        told=event.load_report,
     )
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-from scalefall.interface import Outcome
 from scalefall.net import http, streams
 from scalefall.net.attempt_state import Attempt
 from scalefall.net.invariants import log
+from scalefall.policy.events import Outcome
 
 SECOND_US = 1_000_000  # microseconds in a second
 SECONDS = re.compile(r"\d{1,9}(\.\d{0,9})?\Z")  # a Retry-After: decimals are the protocol's own, HTTP has none
 STATE_OUTCOMES = {  # the protocol's states of one message in an answer for several
     "accepted": Outcome.OK,
     "fault": Outcome.ERROR,
-    "deferred": Outcome.FULL,
+    "deferred": Outcome.OVERLOADED,
     "expired": Outcome.NOT_SENT,
     "no_more": Outcome.NOT_SENT,
 }
@@ -153,7 +153,7 @@
         and answers_carry_report
         and "x-load" not in reader.fields
     )
-    return Outcome.CROWDED if is_connection_rejected else Outcome.FULL
+    return Outcome.CONNECTIONS_EXHAUSTED if is_connection_rejected else Outcome.OVERLOADED
 
 
 def _read_batch(attempt: Attempt, reader: http.AnswerReader) -> dict[str, MessageResult] | None:
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -9,7 +9,6 @@
 import socket
 from collections.abc import Callable
 
-from scalefall.interface import Attempted, Outcome, Settings
 from scalefall.net import http, streams
 from scalefall.net.attempt_request import encode_request
 from scalefall.net.attempt_result import (
@@ -21,10 +20,12 @@
     read_retry_after,
 )
 from scalefall.net.attempt_state import Attempt, MessageInCall
-from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.connection_pool import MAX_STALE_LOSS, Connection, ConnectionPool
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import AttemptFinished, Outcome
+from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 MAX_ANSWER_US = 1000 * MILLISECOND_US  # from an answer's first byte to its last: a retry needs the rest of the time
@@ -39,7 +40,7 @@
         scheduler: Scheduler,
         settings: Settings,
         max_sockets: int,
-        report_outcome: Callable[[Attempted, bool], None],
+        report_outcome: Callable[[AttemptFinished, bool], None],
         may_begin: Callable[[Entry], bool],
         is_wanted: Callable[[str], bool] = lambda _: True,
     ) -> None:
@@ -207,9 +208,9 @@
     def _end_answered(self, attempt: Attempt, connection: Connection, reader: http.AnswerReader) -> None:
         """End an attempt with its whole answer, and keep its connection if it can serve another."""
         self._pool.record_use(connection, was_lost=False)
-        results = read_answer(attempt, reader, self._settings.answers_report)
+        results = read_answer(attempt, reader, self._settings.answers_carry_report)
         if connection.is_new:
-            if isinstance(results, MessageResult) and results.outcome is Outcome.CROWDED:
+            if isinstance(results, MessageResult) and results.outcome is Outcome.CONNECTIONS_EXHAUSTED:
                 self._pool.retention.connection_rejected(connection.key)
             else:
                 self._pool.retention.connection_accepted(connection.key)
@@ -222,7 +223,7 @@
 
     def _end_broken(self, attempt: Attempt, reader: http.AnswerReader, error: Exception) -> None:
         """End an attempt to which no whole answer came."""
-        result = read_broken_answer(attempt, reader, error, self._settings.answers_report)
+        result = read_broken_answer(attempt, reader, error, self._settings.answers_carry_report)
         if attempt.written and attempt.connection is not None:
             self._pool.record_use(attempt.connection, was_lost=result.outcome is Outcome.RESET)
         self._end(attempt, result, reader)
@@ -241,7 +242,7 @@
     ) -> None:
         """Report how the attempt has ended for one message."""
         del self._in_flight[message.id, message.attempt]
-        event = Attempted(
+        event = AttemptFinished(
             message.id,
             message.attempt,
             attempt.entry.endpoint.id,
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from scalefall.interface import Settings
 from scalefall.net.endpoint_list import Entry, ListUpdate, read_list
+from scalefall.policy.settings import Settings
 from scalefall.settings_reader import read_settings
 
 Address = tuple[str, int]
@@ -124,16 +124,20 @@
     one, the larger is taken, as a part that is too small harms nobody."""
     if not settings.classes:
         raise ValueError("settings: grades names no class")
-    doubts, number = [], settings.siblings
+    doubts, number = [], settings.replica_count
     if peers is not None and not (isinstance(peers, list) and all(isinstance(peer, str) for peer in peers)):
         doubts.append("peers is no list of addresses and is left aside")
     elif peers and len(peers) != number:
         number = max(number, len(peers))
-        doubts.append(f"settings.siblings is {settings.siblings}, but peers names {len(peers)}: {number} senders it is")
-    if settings.index >= settings.siblings:
-        number = max(number, settings.index + 1)
-        doubts.append(f"settings.index is {settings.index}, of {settings.siblings} senders: {number} senders it is")
-    return replace(settings, siblings=number), tuple(doubts)
+        doubts.append(
+            f"settings.siblings is {settings.replica_count}, but peers names {len(peers)}: {number} senders it is"
+        )
+    if settings.replica_index >= settings.replica_count:
+        number = max(number, settings.replica_index + 1)
+        doubts.append(
+            f"settings.index is {settings.replica_index}, of {settings.replica_count} senders: {number} senders it is"
+        )
+    return replace(settings, replica_count=number), tuple(doubts)
 
 
 def _limit(limits: dict[str, Any], key: str) -> float:
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from scalefall.interface import Settings
 from scalefall.net import streams
 from scalefall.net.connection_retention import ConnectionRetention
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import READ, TIME_UP, Scheduler, Task
+from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # an idle connection is closed so long before its endpoint would close it
@@ -96,7 +96,7 @@
         self._idle_by_endpoint: dict[EndpointKey, deque[IdleConnection]] = {}  # used last at the right; none is empty
         self._idle: dict[IdleConnection, None] = {}  # all of them, the longest idle first
         self.in_use = 0
-        self.retention = ConnectionRetention(settings.siblings)
+        self.retention = ConnectionRetention(settings.replica_count)
         self.stale_loss = 0.0
 
     def connect(self, entry: Entry, until_us: int, avoid_stale: bool) -> Connection:
--- a/scalefall/net/deadline_watch.py
+++ b/scalefall/net/deadline_watch.py
@@ -5,12 +5,12 @@
 import heapq
 from collections.abc import Mapping
 
-from scalefall.interface import Dropped
-from scalefall.net.invariants import assert_invariant, log
+from scalefall.net.delivery_request import DeliveryRequest
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.scheduler import Scheduler, Timer
-from scalefall.net.delivery_request import DeliveryRequest
+from scalefall.policy.events import MessageWithdrawn
 
 OVERDUE_US = 50_000  # microseconds past its deadline after which a message that the engine has not ended is failed:
 # long enough for the engine's own timer and the step that follows it
@@ -73,7 +73,7 @@
             if request is not None and request.due_us + OVERDUE_US <= now_us:
                 failed.append(request.id)
                 self._final_answers.fail(request.id)
-                self._events.gather(Dropped(request.id))
+                self._events.gather(MessageWithdrawn(request.id))
         if self._deadlines:
             self._set_timer(self._deadlines[0][0])
         if failed:
--- a/scalefall/net/delivery_request.py
+++ b/scalefall/net/delivery_request.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from scalefall.interface import MessageClass
+from scalefall.policy.settings import MessageClass
 
 
 @dataclass(slots=True, frozen=True)
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from scalefall import interface as i
 from scalefall.net import http, streams
 from scalefall.net.invariants import log
-from scalefall.net.list_stream import Entry, ObjectStream, ListUpdate, read_list
+from scalefall.net.list_stream import Entry, ListUpdate, ObjectStream, read_list
 from scalefall.net.scheduler import Scheduler, Task
+from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
 SECOND = 1_000_000
 DIAL_US = SECOND  # a dial to discovery is given up after this
@@ -38,7 +38,7 @@
         scheduler: Scheduler,
         discovery: tuple[str, int] | None,
         known: ListUpdate,
-        tell: Callable[[i.Listed], None],
+        tell: Callable[[EndpointListUpdate], None],
         pushed: bool = False,
         most: int = MOST_LIST,
         seed: int = 0,
@@ -78,9 +78,9 @@
             self._introduced = True
             self._tell(self.known())
 
-    def known(self) -> i.Listed:
+    def known(self) -> EndpointListUpdate:
         """The list as this sender had it last; it may be old."""
-        return i.Listed(i.ListKind.CACHED, [entry.endpoint for entry in self.entries.values()])
+        return EndpointListUpdate(ListUpdateKind.CACHED, [entry.endpoint for entry in self.entries.values()])
 
     def serves(self, destination: int) -> bool:
         """Whether the list names, or has lately named, an endpoint of the destination; an empty one tells nothing."""
@@ -111,9 +111,9 @@
                 ListUpdate(self.seq, False, [self._listed.pop(name, None) or self.entries[name] for name in known])
             )
             if self._introduced:
-                self._tell(i.Listed(i.ListKind.CHANGES, self._endpoints(known)))
+                self._tell(EndpointListUpdate(ListUpdateKind.CHANGES, self._endpoints(known)))
 
-    def _endpoints(self, names: list[str]) -> list[i.Endpoint]:
+    def _endpoints(self, names: list[str]) -> list[Endpoint]:
         """As the module is told of them: as they are kept."""
         return [self.entries[name].endpoint for name in names]
 
@@ -146,19 +146,19 @@
                 self._gone.setdefault(gone, now)
         for entry in update.entries:
             name = entry.endpoint.id
-            if name in self._out and entry.endpoint.status is i.Status.READY:
+            if name in self._out and entry.endpoint.status is EndpointStatus.READY:
                 self._listed[name] = entry
-                entry = replace(entry, endpoint=replace(entry.endpoint, status=i.Status.DRAINING))
+                entry = replace(entry, endpoint=replace(entry.endpoint, status=EndpointStatus.DRAINING))
             else:
                 self._listed.pop(name, None)
             self._put(name, entry)
-            if entry.endpoint.status is i.Status.READY:
+            if entry.endpoint.status is EndpointStatus.READY:
                 self.left_at.pop(name, None)
                 self._owners[entry.address] = name
             else:
                 self.left_at.setdefault(name, now)
             self._gone.pop(name, None)
-            if entry.endpoint.status is i.Status.GONE:
+            if entry.endpoint.status is EndpointStatus.GONE:
                 self._gone[name] = now
         self.seq = update.seq
         self._forget(now)
@@ -198,7 +198,7 @@
             log.info("watch on the endpoint list broken: %s", why)
             if not self._pushed and not self._silent:
                 self._failed = True
-                self._tell(i.Listed(i.ListKind.FAILED))
+                self._tell(EndpointListUpdate(ListUpdateKind.FAILED))
             pause = self._rest(self._heard_at >= begun, pause)
 
     def _rest(self, heard: bool, pause: int) -> int:
@@ -274,7 +274,7 @@
                 self._introduce()
                 if self._failed:  # an ask that was heard, whether or not anything is new
                     self._failed = False
-                    self._tell(i.Listed(i.ListKind.CHANGES, []))
+                    self._tell(EndpointListUpdate(ListUpdateKind.CHANGES, []))
                 said_at, most, coming = self._scheduler.now(), SILENT_US, 0
                 self._heard_at = said_at
             if len(data) >= PIECE:
@@ -297,9 +297,11 @@
         )
         self._keep(update)
         self._failed = False
-        kind = i.ListKind.WHOLE if update.whole else i.ListKind.CHANGES
+        kind = ListUpdateKind.WHOLE if update.whole else ListUpdateKind.CHANGES
         stays = [name for name in update.unread if update.whole and name in self.entries]
-        self._tell(i.Listed(kind, self._endpoints([*(entry.endpoint.id for entry in update.entries), *stays])))
+        self._tell(
+            EndpointListUpdate(kind, self._endpoints([*(entry.endpoint.id for entry in update.entries), *stays]))
+        )
 
     def _unread(self, update: ListUpdate) -> None:
         """Entries that cannot be read: each costs itself, once in the log, and what was known of it stays."""
--- a/scalefall/net/event_queue.py
+++ b/scalefall/net/event_queue.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from scalefall.interface import Event
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import Event
 
 
 class EventQueue:
--- a/scalefall/net/front.py
+++ b/scalefall/net/front.py
@@ -9,11 +9,11 @@
 from enum import IntEnum
 from urllib.parse import unquote
 
-from scalefall.interface import Effect, MessageClass
 from scalefall.net import http, streams
+from scalefall.net.delivery_request import Accepted, AdmissionResult, Conflict, DeliveryRequest, GivenUp, NotServed
 from scalefall.net.invariants import log
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
-from scalefall.net.delivery_request import Conflict, GivenUp, NotServed, Accepted, DeliveryRequest, AdmissionResult
+from scalefall.policy.settings import Idempotency, MessageClass
 
 SECOND = 1_000_000
 REQUEST_US = 2 * SECOND  # from a request's first byte to its last, and to a connection's first byte
@@ -82,7 +82,7 @@
     ident, key = fields.get("x-request-id", ""), fields.get("idempotency-key")
     if not WORD.match(ident):
         raise http.Malformed(400, "X-Request-Id is missing or not a word")
-    if not WORD.match("-" if key is None and cls.effect is not Effect.KEYED else key or ""):
+    if not WORD.match("-" if key is None and cls.idempotency is not Idempotency.WITH_KEY else key or ""):
         raise http.Malformed(400, "Idempotency-Key is missing or not a word")
     deadline, route = DEADLINE.match(fields.get("x-deadline", "")), ROUTE.findall(fields.get("x-route-to", ""))
     if deadline is None:
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -12,13 +12,13 @@
 import zlib
 from dataclasses import dataclass, field
 
-from scalefall.interface import Effect
 from scalefall.net.invariants import assert_invariant, log
+from scalefall.policy.settings import Idempotency
 
 HEAD = struct.Struct("<II")  # length of the record's body, its CRC-32
 TAKEN = struct.Struct("<qiIqBB")  # due, destination, attempts, ran at (0: not), flags, state of the end
 OUT, ZONED = 1, 8  # of the flags; between them the effect: 0 where the record does not say
-IDEMPOTENCIES = (None, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+IDEMPOTENCIES = (None, Idempotency.IDEMPOTENT, Idempotency.WITH_KEY, Idempotency.NOT_IDEMPOTENT)
 BLOCK = 512  # files are counted in whole blocks of this size
 SPARE = 64 * 1024  # kept free for the small records between two compactions, where there is room
 ZONES = 128  # room in a copy for the zones that a transaction's history may name
@@ -44,7 +44,7 @@
     attempt_zone: str = ""
     final_answer: int = 0  # FAILED or RETURNED: a notice is owed
     retry_after_ms: int = 0
-    idempotency: Effect | None = None  # its class's, as it was when it was taken on; None: the record does not say
+    idempotency: Idempotency | None = None  # its class's, as it was when it was taken on; None: the record does not say
     key_scope_zone: bool = False
     key_ttl_us: int = 0
     size: int = field(default=0, repr=False)
--- a/scalefall/net/learned_rates.py
+++ b/scalefall/net/learned_rates.py
@@ -10,9 +10,9 @@
 import os
 from collections.abc import Callable
 
-from scalefall.interface import Known
 from scalefall.net.invariants import log
 from scalefall.net.journal import BLOCK
+from scalefall.policy.events import LearnedRate
 
 LEAST_BYTES, PART = 32 * 1024, 16  # of the folder's limit, for the file and the copy that takes its place
 MOST_BYTES = 4 * 1024 * 1024
@@ -26,11 +26,11 @@
     return min(max(LEAST_BYTES, disk_bytes // PART), MOST_BYTES, disk_bytes // 3)
 
 
-def save(folder: str, most: int, rows: list[Known], wall: int, rest: Callable[[], object] = lambda: None) -> None:
+def save(folder: str, most: int, rows: list[LearnedRate], wall: int, rest: Callable[[], object] = lambda: None) -> None:
     """As many rows as half of most bytes hold, those that tell most first; rest() lets others have their turn."""
     path, lines, size = os.path.join(folder, "paces"), [str(wall)], 64
     if len(rows) * ROW > most // 2:
-        rows = sorted(rows, key=lambda row: -row.part)
+        rows = sorted(rows, key=lambda row: -row.own_rate)
     for number, row in enumerate(rows, 1):
         lines.append(json.dumps(to_row(row)))
         if number % SLICE == 0:
@@ -47,7 +47,7 @@
         log.error("learned rates: cannot write (%s)", error)
 
 
-def load(folder: str, most: int, wall: int) -> list[Known]:
+def load(folder: str, most: int, wall: int) -> list[LearnedRate]:
     try:
         with open(os.path.join(folder, "paces"), encoding="ascii") as file:
             first, *lines = file.read(most).splitlines()
@@ -61,12 +61,12 @@
         return []
 
 
-def to_row(row: Known) -> list:
+def to_row(row: LearnedRate) -> list:
     """As plain JSON."""
-    return [row.destination, row.route, round(row.part, 3), round(row.limit, 3)]
+    return [row.destination, row.route, round(row.own_rate, 3), round(row.limit, 3)]
 
 
-def from_row(destination: int, route: str, part: float, limit: float) -> Known:
+def from_row(destination: int, route: str, part: float, limit: float) -> LearnedRate:
     """The same back; ValueError or TypeError if it is none."""
     if not (
         isinstance(destination, int)
@@ -75,4 +75,4 @@
         and 0 <= float(limit) < math.inf
     ):
         raise ValueError("a row has a wrong value")
-    return Known(destination, route, float(part), float(limit))
+    return LearnedRate(destination, route, float(part), float(limit))
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from scalefall import interface as i
+from scalefall.policy.events import Endpoint, EndpointStatus
 
 MOST_NAME = 255  # characters of an id, a zone, a kind: they go into the journal with each call
 MOST_DEPTH = 32  # objects within one another; a list has two
-STATES = {"in_service": i.Status.READY, "terminating": i.Status.DRAINING, "terminated": i.Status.GONE}
+STATES = {"in_service": EndpointStatus.READY, "terminating": EndpointStatus.DRAINING, "terminated": EndpointStatus.GONE}
 TEXT = rb'"(?:[^"\\]++|\\.)*+"'
 FLAT = rb'\{(?:[^{}"]++|' + TEXT + rb")*+\}"  # an object with none in it, as an entry is: one step
 TOKEN = re.compile(FLAT + b"|" + TEXT + rb'|[{}"]', re.DOTALL)  # a lone quotation mark: a text that has not all come
@@ -22,7 +22,7 @@
 class Entry:
     """One endpoint as the list has it: what the module is told, and where to dial."""
 
-    endpoint: i.Endpoint
+    endpoint: Endpoint
     address: tuple[str, int]
     host: str = ""  # what it is called in a request's Host; else its id
     dial_us: int = 0  # how long a dial to it may take, and when it closes an idle connection; 0: as the
@@ -122,7 +122,7 @@
     if max(len(row["host"]), len(host), len(str(row["site"])), len(str(row["class"]))) > MOST_NAME:
         raise ValueError(f"list of endpoints: a name of {row['host'][:20]!r} is too long")
     return Entry(
-        i.Endpoint(
+        Endpoint(
             row["host"],
             str(row["site"]),
             str(row["class"]),
--- a/scalefall/net/rate_keeper.py
+++ b/scalefall/net/rate_keeper.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from scalefall.interface import Known
 from scalefall.net import learned_rates
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import LearnedRate
 
 SECOND_US = 1_000_000  # microseconds in a second
 SAVE_PERIOD_US = SECOND_US  # the least time between two saves: an older copy than this is of little use
@@ -19,7 +19,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        current_rates: Callable[[], list[Known]],
+        current_rates: Callable[[], list[LearnedRate]],
         state_folder: str,
         limit_bytes: int,
     ) -> None:
@@ -37,7 +37,7 @@
         self._limit_bytes = limit_bytes
         self._stopped = False
 
-    def load(self) -> list[Known]:
+    def load(self) -> list[LearnedRate]:
         """Return the rates that the process before has left, if they are of use."""
         return learned_rates.load(self._state_folder, self._limit_bytes, self._scheduler.wall())
 
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -5,14 +5,15 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from scalefall.interface import Known, Message, MessageClass
-from scalefall.net.invariants import log
 from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_request import Accepted, DeliveryRequest
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
+from scalefall.net.invariants import log
 from scalefall.net.journal import FAILED, RETURNED, Journal, PendingDelivery
-from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
-from scalefall.net.delivery_request import Accepted, DeliveryRequest
+from scalefall.policy.events import LearnedRate, Message
+from scalefall.policy.settings import MessageClass
 
 
 class Recovery:
@@ -50,9 +51,9 @@
         self._journal = journal
         self._delivery_reports = delivery_reports
         self._wall_offset_us = wall_offset_us
-        self._learned_rates: list[Known] = []
+        self._learned_rates: list[LearnedRate] = []
 
-    def hold_learned_rates(self, rates: list[Known]) -> None:
+    def hold_learned_rates(self, rates: list[LearnedRate]) -> None:
         """Keep the rates that the last process learned until the first endpoint list is there."""
         self._learned_rates = rates
 
@@ -102,10 +103,12 @@
                 class_name=pending.class_name,
                 due_us=due_us,
                 attempts=pending.attempts,
-                ran_us=pending.may_have_run_wall_us - self._wall_offset_us if pending.may_have_run_wall_us else None,
-                ran_zone=pending.may_have_run_zone,
+                may_have_run_at_us=pending.may_have_run_wall_us - self._wall_offset_us
+                if pending.may_have_run_wall_us
+                else None,
+                may_have_run_zone=pending.may_have_run_zone,
                 restored=True,
-                cls=message_class,
+                message_class=message_class,
             )
         )
 
@@ -120,7 +123,7 @@
             return message_class
         return replace(
             message_class,
-            effect=pending.idempotency,
+            idempotency=pending.idempotency,
             key_scope_zone=pending.key_scope_zone,
             key_ttl_us=pending.key_ttl_us,
         )
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from scalefall.interface import Settings
-from scalefall.net.invariants import log
 from scalefall.net.config import Config, ConfigError, Fleet
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.endpoint_list import EndpointList
-from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
+from scalefall.net.invariants import log
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.static_list import StaticList
+from scalefall.policy.settings import Settings
 
 ReadAgain = Callable[[], Config]
 
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -5,22 +5,21 @@
 import signal
 from dataclasses import replace
 
-from scalefall.interface import Listed
-from scalefall.net import invariants, http, learned_rates
+from scalefall.net import http, invariants, learned_rates
+from scalefall.net.admin import AdminServer, AdminState, MaintenanceStore
 from scalefall.net.admin_actions import AdminActions
 from scalefall.net.admission import Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
-from scalefall.net.invariants import log
 from scalefall.net.config import Address, Config
 from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.front import Front
+from scalefall.net.invariants import log
 from scalefall.net.journal import Journal
-from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
-from scalefall.net.admin import AdminState, AdminServer, MaintenanceStore
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.recovery import Recovery
 from scalefall.net.reloader import FleetReloader, ReadAgain, Reloader, SettingsReloader, forget_endpoints_after_us
@@ -29,7 +28,8 @@
 from scalefall.net.sender_loop import SenderLoop
 from scalefall.net.shutdown import Shutdown
 from scalefall.net.static_list import StaticList
-from scalefall.policy.engine import Sender as Engine
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import EndpointListUpdate
 
 HOUSEKEEPING_US = 10_000_000  # microseconds between two reports of broken invariants, and clean-ups
 OWN_SOCKETS = 24  # descriptors that are neither a client's nor an endpoint's
@@ -76,7 +76,7 @@
             OSError: The state folder cannot be used.
         """
         max_sockets = (config.sockets - OWN_SOCKETS) // 2  # as many for clients as for endpoints
-        settings = replace(config.settings, slots=min(config.settings.slots, max_sockets))
+        settings = replace(config.settings, call_slots=min(config.settings.call_slots, max_sockets))
         self.config = config
         self.address: Address = config.listen
         self.admin_address: Address | None = config.admin
@@ -100,7 +100,7 @@
         self._admin_state = AdminState(self._maintenance_store.load() if self._maintenance_store else set())
         maintenance_bytes = self._maintenance_store.reserved_bytes if self._maintenance_store else 0
         self.journal = Journal(config.state, config.disk_bytes - rates_bytes - maintenance_bytes)
-        self.rate_keeper = RateKeeper(self._scheduler, self.engine.known, config.state, rates_bytes)
+        self.rate_keeper = RateKeeper(self._scheduler, self.engine.learned_rates, config.state, rates_bytes)
 
     def _connect_delivery(self, max_sockets: int) -> None:
         """Connect what a message passes through, from its submission to its final answer."""
@@ -151,7 +151,7 @@
                 config.discovery,
                 config.known,
                 self._endpoint_list_changed,
-                not settings.ask,
+                not settings.polls_endpoint_list,
                 config.memory_bytes // LIST_MEMORY_DIVISOR,
                 config.seed,
                 forget_endpoints_after_us(settings),
@@ -236,7 +236,7 @@
         """Shut down gracefully, as SIGTERM asks for; the scheduler stops within 3.3 s."""
         self.shutdown.start()
 
-    def _endpoint_list_changed(self, event: Listed) -> None:
+    def _endpoint_list_changed(self, event: EndpointListUpdate) -> None:
         """Pass on what the endpoint list has learned."""
         self.dispatcher.close_unwanted_connections()
         self.events.gather(event)
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -4,29 +4,27 @@
 
 from typing import Protocol
 
-from scalefall.interface import (
-    Action,
-    Cancel,
-    Close,
-    Event,
-    Fail,
-    Log,
-    Message,
-    Refuse,
-    Send,
-    SetTimer,
-    Subscribe,
-    Timer,
-)
 from scalefall.net.admission import RETRY_WHEN_FULL_US, Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
-from scalefall.net.invariants import assert_invariant, log
+from scalefall.net.delivery_request import Accepted, AdmissionResult, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.delivery_request import Accepted, Rejected, AdmissionResult
+from scalefall.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.events import Event, Message, TimerFired
 
 
 class DecisionEngine(Protocol):
@@ -106,16 +104,16 @@
         sends: dict[str, list[Send]] = {}
         for action in actions:
             match action:
-                case Refuse(id=message_id, retry_after_us=retry_after_us):
+                case Shed(id=message_id, retry_after_us=retry_after_us):
                     self._final_answers.shed(message_id, retry_after_us)
                 case Fail(id=message_id):
                     self._final_answers.fail(message_id)
                 case Send(endpoint=endpoint):
                     sends.setdefault(endpoint, []).append(action)
-                case Cancel(id=message_id, attempt=attempt):
+                case CancelAttempt(id=message_id, attempt=attempt):
                     self._attempts.cancel(message_id, attempt)
                 case SetTimer(token=token, delay_us=delay_us):
-                    self._scheduler.call_at(self._scheduler.now() + delay_us, self._events.gather, Timer(token))
+                    self._scheduler.call_at(self._scheduler.now() + delay_us, self._events.gather, TimerFired(token))
                 case _:
                     self._perform_rare(action)
         for message_id in submitted:
@@ -126,12 +124,12 @@
     def _perform_rare(self, action: Action) -> None:
         """Perform an action that belongs to no single message."""
         match action:
-            case Close(endpoint=endpoint):
+            case CloseIdleConnections(endpoint=endpoint):
                 if endpoint in self._endpoint_list.entries:
                     self._attempts.close_idle(self._endpoint_list.entries[endpoint])
-            case Subscribe():
+            case PollEndpointList():
                 self._endpoint_list.subscribe()
-            case Log(line=line):
+            case LogLine(line=line):
                 log.info("module: %s", line)
             case _:
                 assert_invariant(False, f"the module asks only for what is allowed here, not {type(action).__name__}")
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Sized
 
-from scalefall.interface import Closing
 from scalefall.net import invariants
+from scalefall.net.admin import AdminServer
 from scalefall.net.admission import Admission
 from scalefall.net.attempts import Attempts
-from scalefall.net.invariants import log
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
-from scalefall.net.admin import AdminServer
+from scalefall.net.invariants import log
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import ShuttingDown
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 # The timetable, counted from SIGTERM. The platform kills the process 3.7 s after it.
@@ -80,7 +80,7 @@
         self._admission.close_at(no_attempts_at_us)
         self._rate_keeper.stop()
         log.info("closing: %d open, %d attempts out", len(self._open), self._attempts.in_flight)
-        self._events.gather(Closing(no_attempts_at_us))
+        self._events.gather(ShuttingDown(no_attempts_at_us))
         self._ingress.close_idle()
         self._scheduler.spawn(self._wind_up)
 
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from scalefall import interface as i
-from scalefall.net.endpoint_list import Entry, EndpointList, ListUpdate
+from scalefall.net.endpoint_list import EndpointList, Entry, ListUpdate
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import EndpointListUpdate, EndpointStatus, ListUpdateKind
 
 
 class StaticList(EndpointList):
     def __init__(
-        self, scheduler: Scheduler, known: ListUpdate, tell: Callable[[i.Listed], None], grace_us: int
+        self, scheduler: Scheduler, known: ListUpdate, tell: Callable[[EndpointListUpdate], None], grace_us: int
     ) -> None:
         super().__init__(scheduler, None, known, tell)
         self._grace = grace_us
@@ -25,9 +25,9 @@
     def start(self) -> None:
         self._tell(self.known())
 
-    def known(self) -> i.Listed:
+    def known(self) -> EndpointListUpdate:
         """The list is the file's, so it is no old one."""
-        return i.Listed(i.ListKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
+        return EndpointListUpdate(ListUpdateKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
 
     def subscribe(self) -> None:
         """There is nothing to watch: a new list comes with replace()."""
@@ -50,7 +50,7 @@
             self._leaving[entry.endpoint.id] = version
         if new or gone or changed:
             self._learn(
-                ListUpdate(version, False, [*(_as(entry, i.Status.DRAINING) for entry in gone), *new, *changed])
+                ListUpdate(version, False, [*(_as(entry, EndpointStatus.DRAINING) for entry in gone), *new, *changed])
             )
         if gone:
             self._scheduler.call_at(self._scheduler.now() + self._grace, self._left, version)
@@ -59,15 +59,17 @@
     def _has(self, name: str) -> bool:
         """In the list now: neither leaving nor gone."""
         entry = self.entries.get(name)
-        return entry is not None and name not in self._leaving and entry.endpoint.status is not i.Status.GONE
+        return entry is not None and name not in self._leaving and entry.endpoint.status is not EndpointStatus.GONE
 
     def _left(self, version: int) -> None:
         names = [name for name, since in self._leaving.items() if since == version]
         for name in names:
             del self._leaving[name]
         if names:
-            self._learn(ListUpdate(self.seq + 1, False, [_as(self.entries[name], i.Status.GONE) for name in names]))
+            self._learn(
+                ListUpdate(self.seq + 1, False, [_as(self.entries[name], EndpointStatus.GONE) for name in names])
+            )
 
 
-def _as(entry: Entry, status: i.Status) -> Entry:
+def _as(entry: Entry, status: EndpointStatus) -> Entry:
     return replace(entry, endpoint=replace(entry.endpoint, status=status))
--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -1,7 +1,4 @@
-"""Every decision of a sender. The ordinary path is LMAC (Kanodia & Knightly): request and service envelopes
-for each class of each route; a message is admitted only if the predicted high-percentile delay keeps its
-class and all others in target. A route has one limit and one pace: a destination, or an endpoint apart.
-"""
+"""Every decision of a sender. A route has one limit and one pace: a destination, or an endpoint apart."""
 from __future__ import annotations
 
 import heapq
@@ -11,10 +8,12 @@
 from itertools import chain
 from math import ceil, inf, log2, sqrt
 
-from scalefall.interface import (Action, Allowed, Attempted, Cancel, Close, Closing, Dropped, Effect,
-                                 Endpoint, Event, Fail, Known, Listed, ListKind, Log, Message, MessageClass,
-                                 Outcome, Refuse, Reported, Send, SetTimer, Settings, Status, Subscribe,
-                                 Timer)
+from scalefall.policy.actions import (Action, CancelAttempt, CloseIdleConnections, Fail, LogLine,
+                                      PollEndpointList, RouteAllowance, Send, SetTimer, Shed)
+from scalefall.policy.events import (AttemptFinished, Endpoint, EndpointListUpdate, EndpointReport,
+                                     EndpointStatus, Event, LearnedRate, ListUpdateKind, Message,
+                                     MessageWithdrawn, Outcome, ShuttingDown, TimerFired)
+from scalefall.policy.settings import Idempotency, MessageClass, Settings
 
 SECOND = 1_000_000
 BIN_US = 250_000            # the finest step of the request envelope
@@ -143,8 +142,7 @@
 
     def passes(self, target: int, extra: float, cut: int | None = None) -> bool:
         """The LMAC test; with cut (the target of the message let in) the service shrinks instead."""
-        known = self.known()
-        if known is None:
+        if (known := self.known()) is None:
             return True
         for n, tau in enumerate(TAUS):
             k = self.bound(n, extra if cut is None else 0)
@@ -243,7 +241,7 @@
     rests_for: str = ""
 
 
-class Sender:
+class Engine:
     def __init__(self, settings: Settings, seed: int) -> None:
         self.set, self.random = settings, random.Random(seed)
         self.now = self.seq = self.calls_out = self.ask_fails = 0
@@ -271,34 +269,35 @@
         for event in events:
             if isinstance(event, Message):
                 self._arrive(event)
-            elif isinstance(event, Attempted):
+            elif isinstance(event, AttemptFinished):
                 self._outcome(event)
-            elif isinstance(event, Reported):
+            elif isinstance(event, EndpointReport):
                 self._reported(event)
-            elif isinstance(event, Listed):
+            elif isinstance(event, EndpointListUpdate):
                 self._listed(event)
-            elif isinstance(event, Dropped) and event.id in self.held:
+            elif isinstance(event, MessageWithdrawn) and event.id in self.held:
                 self._forget(self.held[event.id])
-            elif isinstance(event, Timer) and event.token == TIMER_ASK:
-                self.actions.append(Subscribe())
-            elif isinstance(event, Known):
+            elif isinstance(event, TimerFired) and event.token == TIMER_ASK:
+                self.actions.append(PollEndpointList())
+            elif isinstance(event, LearnedRate):
                 self._known(event)
-            elif isinstance(event, Closing):
-                self.ends_at = event.until_us
+            elif isinstance(event, ShuttingDown):
+                self.ends_at = event.ends_at_us
         self._dispatch()
         return self.actions
 
     # -- knowing the fleet
 
-    def _listed(self, event: Listed) -> None:
-        self.ask_fails = min(self.ask_fails + 1, 4) if event.kind is ListKind.FAILED else 0
-        if event.kind is ListKind.FAILED or (self.set.ask and event.kind is ListKind.CACHED):
-            most = self.set.ask_within_us * ASK_IN[self.ask_fails > 1]
-            pause = min(most, ASKED_US * self.set.siblings << self.ask_fails)
+    def _listed(self, event: EndpointListUpdate) -> None:
+        self.ask_fails = min(self.ask_fails + 1, 4) if event.kind is ListUpdateKind.FAILED else 0
+        cached = event.kind is ListUpdateKind.CACHED
+        if event.kind is ListUpdateKind.FAILED or (self.set.polls_endpoint_list and cached):
+            most = self.set.poll_within_us * ASK_IN[self.ask_fails > 1]
+            pause = min(most, ASKED_US * self.set.replica_count << self.ask_fails)
             self.actions.append(SetTimer(TIMER_ASK, int(pause * self.random.random())))
-        if event.kind is ListKind.FAILED:
+        if event.kind is ListUpdateKind.FAILED:
             return
-        if event.kind is not ListKind.CHANGES:
+        if event.kind is not ListUpdateKind.CHANGES:
             for server in self.servers.values():
                 server.ready, server.gone = False, True
         for entry in event.endpoints:
@@ -308,8 +307,8 @@
                     server.ready, server.gone = False, True
                     self._drop(server)
                 server = self.servers[entry.id] = self._new_server(entry)
-            server.entry, server.ready = entry, entry.status is Status.READY
-            server.gone = entry.status is Status.GONE
+            server.entry, server.ready = entry, entry.status is EndpointStatus.READY
+            server.gone = entry.status is EndpointStatus.GONE
             if self.set.weights in ("nominal", "rough"):
                 server.route.limit = entry.weight
             elif self.set.weights == "told" and server.ready:
@@ -321,21 +320,22 @@
             if destination.left < self.now - FORGET_US and not self._needed(number):
                 del self.destinations[number]
 
-    def _known(self, event: Known) -> None:
+    def _known(self, event: LearnedRate) -> None:
         """A partner that is down at a restart would otherwise come back to a part of almost nothing."""
         destination = self.destinations.get(event.destination)
         route = destination.routes.get(event.route) if destination else None
         if route is not None:
-            route.known, route.limit = event.part, route.limit or event.limit
+            route.known, route.limit = event.own_rate, route.limit or event.limit
 
-    def known(self) -> list[Known]:
+    def learned_rates(self) -> list[LearnedRate]:
         """What a later process of this sender should know; to be asked at any time."""
-        return [Known(d.number, name, r.guard.part if r.guard.doubts else self._part(r), r.limit)
+        return [LearnedRate(d.number, name, r.guard.part if r.guard.doubts else self._part(r), r.limit)
                 for d in self.destinations.values() for name, r in d.routes.items()]
 
     def _new_server(self, entry: Endpoint) -> Server:
         destination = self._destination(entry.destination)
-        route = destination.routes.setdefault(entry.id if self.set.apart.get(entry.kind) else "", Route())
+        name = entry.id if self.set.route_per_endpoint.get(entry.kind) else ""
+        route = destination.routes.setdefault(name, Route())
         server = Server(entry, route)
         route.servers.append(server)
         return server
@@ -343,7 +343,7 @@
     def _drop(self, server: Server) -> None:
         """A gone endpoint with nothing out and no wait is forgotten, and its route where routes are apart."""
         guard, rests = server.route.guard, server.route.silent_until
-        rests = max(rests, guard.since + self.set.cold_us if guard.doubts else 0)
+        rests = max(rests, guard.since + self.set.slow_start_us if guard.doubts else 0)
         if not server.gone or server.calls or rests > self.now:
             return
         server.route.servers.remove(server)
@@ -365,18 +365,18 @@
     # -- a message arrives
 
     def _arrive(self, event: Message) -> None:
-        cls = event.cls or self.set.classes.get(event.class_name)
+        cls = event.message_class or self.set.classes.get(event.class_name)
         if cls is None:
             self.actions.append(Fail(event.id))
             return
         self.seq += 1
         most = self.set.attempts.get(event.destination, self.set.max_attempts)
         message = Held(event.id, cls, event.destination, event.due_us, self.seq, most,
-                       event.key if cls.in_order else None, attempts=event.attempts)
+                       event.ordering_key if cls.ordered else None, attempts=event.attempts)
         self.targets[cls.name], self.keeps[cls.name] = int(cls.deadline_us * (1 - MARGIN)), self._keeps(cls)
-        if event.ran_us is not None:
-            message.ran_at = max(0, event.ran_us)
-            message.ran_zone = event.ran_zone if cls.key_scope_zone else ""
+        if event.may_have_run_at_us is not None:
+            message.ran_at = max(0, event.may_have_run_at_us)
+            message.ran_zone = event.may_have_run_zone if cls.key_scope_zone else ""
         destination = self._destination(event.destination)
         self.held[message.id] = destination.waiting[message.id] = message
         if message.key is not None:
@@ -415,7 +415,7 @@
     def _bound(self, destination: Destination, message: Held) -> float:
         """None may hold more than is left free: a hanging one fills all room; a burst is refused early too.
         What is not admitted waits only as far as the destination can serve in time."""
-        room = self.set.max_held - len(self.held)
+        room = self.set.max_queued - len(self.held)
         if message.admitted:
             return room
         served = sum(map(self._served, destination.routes.values()))
@@ -474,7 +474,7 @@
         if message.call is not None:
             return message.due
         late = message.due - self._mean(message)
-        if message.ran_at >= 0 and message.cls.effect is Effect.KEYED:
+        if message.ran_at >= 0 and message.cls.idempotency is Idempotency.WITH_KEY:
             late = min(late, message.ran_at + message.cls.key_ttl_us - self.set.tick_us + 1)
         return late
 
@@ -490,7 +490,7 @@
         if route.silent_until > self.now:
             return route.silent_until
         guards = [route.guard] if route.guard.doubts else [server.guard for server in route.servers]
-        times = [at for g in guards if g.doubts for at in (g.next_call, g.warm_from + self.set.cold_us)]
+        times = [at for g in guards if g.doubts for at in (g.next_call, g.warm_from + self.set.slow_start_us)]
         if self._tokens(route) < 1:
             times.append(self.now + ceil((1 - route.tokens) * SECOND / route.rate))
         return min((at for at in times if at > self.now), default=self.now + BIN_US)
@@ -507,26 +507,27 @@
         """Oldest first, what is worth twice as much as if it had waited twice as long; then what has lost
         most of its worth, as it would make all late under a backlog."""
         age = self.now - message.due + message.cls.deadline_us
-        return (age >= self.keeps[message.cls.name], -age * message.cls.worth)
+        return (age >= self.keeps[message.cls.name], -age * message.cls.priority_weight)
 
     def _keeps(self, cls: MessageClass) -> int:
         """How long after it was handed in a message of the class keeps KEPT of its worth."""
-        if cls.late_worth >= KEPT:
+        if cls.late_priority_weight >= KEPT:
             return cls.deadline_us
-        if self.set.halving:
-            return min(cls.deadline_us, int(cls.aim_us * (1 - log2(KEPT))))
-        return cls.aim_us + int((cls.deadline_us - cls.aim_us) * (1 - KEPT) / (1 - cls.late_worth))
+        if self.set.halves_after_objective:
+            return min(cls.deadline_us, int(cls.latency_objective_us * (1 - log2(KEPT))))
+        falls_for = cls.deadline_us - cls.latency_objective_us
+        return cls.latency_objective_us + int(falls_for * (1 - KEPT) / (1 - cls.late_priority_weight))
 
     def _free_slots(self) -> None:
         """Calls overdue (hung, or the answer lost) are called off; one that is only slow may be ended too."""
-        if self.calls_out < self.set.slots or not self.set.cancelling:
+        if self.calls_out < self.set.call_slots or not self.set.cancelling:
             return
         wanted = sum(1 for d in chain(self.starved.values(), self.touched.values()) if d.waiting)
         late = [(call.overdue_at, *attempt) for attempt, (message, call) in self.attempts_out.items()
                 if call.overdue_at <= self.now and not call.called_off and message.id in self.held]
         for _, message_id, attempt in sorted(late)[:wanted]:
             self.attempts_out[message_id, attempt][1].called_off = True
-            self.actions.append(Cancel(message_id, attempt))
+            self.actions.append(CancelAttempt(message_id, attempt))
 
     def _in_turn(self, message: Held) -> bool:
         if message.key is None:
@@ -544,7 +545,7 @@
                 if not server.ready or (message.ran_zone and server.entry.zone != message.ran_zone):
                     continue
                 joined = self.turn_calls.get(server.entry.id)
-                most = self.set.per_call.get(server.entry.kind, 1)
+                most = self.set.messages_per_call.get(server.entry.kind, 1)
                 if joined and joined.carried < most:
                     return server
                 self._overdue(server)
@@ -559,7 +560,7 @@
 
     def _rank(self, server: Server) -> tuple[bool, int, bool, float, float]:
         """Ties are broken at random: by list order all senders would meet at the same endpoint."""
-        fee = self.set.zone_fee.get(server.entry.zone, 0.0)
+        fee = self.set.zone_cost.get(server.entry.zone, 0.0)
         rests = server.guard.doubts > 0 and server.guard.next_call > self.now
         return rests, len(server.calls), server.route.rate < inf, fee, self.random.random()
 
@@ -571,11 +572,11 @@
                 self._failed(call, 0)
 
     def _may_call(self, route: Route, server: Server) -> bool:
-        free = self.set.slots - self.calls_out
+        free = self.set.call_slots - self.calls_out
         if free <= 0 or sum(len(s.calls) for s in route.servers) >= max(1, free):
             self.starved[server.entry.destination] = self.destinations[server.entry.destination]
             return False
-        if 0 < server.entry.most_calls <= len(server.calls):
+        if 0 < server.entry.max_calls <= len(server.calls):
             return False
         guard = self._guard(route, server)
         return not (guard.doubts and guard.next_call > self.now) and self._tokens(route) >= 1
@@ -583,7 +584,7 @@
     def _guard(self, route: Route, server: Server) -> Guard:
         """The one whose budget a call draws from: the route's while it is on, for all its endpoints."""
         for guard in (route.guard, server.guard):
-            if guard.doubts and 0 <= guard.warm_from <= self.now - self.set.cold_us:
+            if guard.doubts and 0 <= guard.warm_from <= self.now - self.set.slow_start_us:
                 guard.doubts, guard.warm_from, route.tokens = 0, -1, 0.0    # no burst
                 route.rate = min(route.rate, max(self._even_part(route), route.guard.part, guard.part))
         return route.guard if route.guard.doubts else server.guard
@@ -599,7 +600,7 @@
     def _send(self, message: Held, server: Server) -> None:
         route, call = server.route, self.turn_calls.get(server.entry.id)
         envelope = self._envelope(route, message.cls.name)
-        if call is None or call.carried >= self.set.per_call.get(server.entry.kind, 1):
+        if call is None or call.carried >= self.set.messages_per_call.get(server.entry.kind, 1):
             call = self._new_call(server, envelope, message)
         call.open += 1
         call.carried += 1
@@ -628,25 +629,25 @@
 
     def _gap(self, guard: Guard) -> float:
         """Time between calls: the part of what the rule lets a cold route have, growing with its warmth."""
-        warmth = (self.now - guard.warm_from) / max(1, self.set.cold_us) if guard.warm_from >= 0 else 0.0
-        share = RAMP_SHARE * self.set.fall_multiple * (self.set.cold_from + (1 - self.set.cold_from) * warmth)
+        first, warm_for = self.set.slow_start_from, self.now - guard.warm_from
+        warmth = warm_for / max(1, self.set.slow_start_us) if guard.warm_from >= 0 else 0.0
+        share = RAMP_SHARE * self.set.overload_multiple * (first + (1 - first) * warmth)
         gap = SECOND / max(1e-6, guard.part * min(1.0, share))
         trial = min(gap * RAMP_SHARE / TRIAL_SHARE, max(0, guard.late - self.now) + gap)
         return gap if guard.warm_from >= 0 else trial
 
     def _expected(self, envelope: Envelope, cls: MessageClass) -> int:
-        known = envelope.known()
-        if known is None:
+        if (known := envelope.known()) is None:
             return cls.deadline_us // UNKNOWN_SHARE
         return max(LEAST_TIMEOUT_US, int(TIMEOUT_TIMES * known.delay(1)))
 
     def _timeout(self, message: Held, envelope: Envelope) -> int:
         """Only what may be sent again is cut short; each further attempt is given twice the time."""
         left = message.due - self.now
-        if message.cls.effect is Effect.UNSAFE or message.attempts + 1 >= message.most:
+        if message.cls.idempotency is Idempotency.NOT_IDEMPOTENT or message.attempts + 1 >= message.most:
             return left
         wait = self._expected(envelope, message.cls) << min(message.attempts, 4)
-        if message.cls.effect is Effect.KEYED:
+        if message.cls.idempotency is Idempotency.WITH_KEY:
             first = message.ran_at if message.ran_at >= 0 else self.now
             if self.now + wait + self._expected(envelope, message.cls) > first + message.cls.key_ttl_us:
                 return left
@@ -654,17 +655,16 @@
 
     # -- an outcome
 
-    def _outcome(self, event: Attempted) -> None:
-        found = self.attempts_out.pop((event.id, event.attempt), None)
-        if found is None:
+    def _outcome(self, event: AttemptFinished) -> None:
+        if (found := self.attempts_out.pop((event.id, event.attempt), None)) is None:
             return
         message, call = found
         self.touched[message.destination] = self.destinations[message.destination]
         if message.key is not None:
             self._key_outcome(message, event.outcome)
-        if event.wait_us:   # each outcome tells its own wait, also the later ones of a call already judged
+        if event.retry_after_us:   # each outcome tells its own, also the later ones of a call already judged
             route = call.server.route
-            route.silent_until = max(route.silent_until, self.now + event.wait_us)
+            route.silent_until = max(route.silent_until, self.now + event.retry_after_us)
         self._close(call)
         if not call.judged:
             call.judged = True
@@ -685,33 +685,33 @@
         key = self.keys[message.key]
         key.out = False
         if outcome in MAY_HAVE_RUN:
-            key.rests_until, key.rests_for = self.now + self.set.turn_gap_us, message.id
+            key.rests_until, key.rests_for = self.now + self.set.ordering_gap_us, message.id
         self._key_moved(message.key, key)
 
     def _key_moved(self, name: str, key: Key) -> None:
         following = self.held.get(key.queue[0]) if key.queue else None
         if following is not None:
-            destination = self.destinations[following.destination]
-            self.touched[destination.number] = destination
+            self.touched[following.destination] = self.destinations[following.destination]
             if key.rests_until > self.now:
-                heapq.heappush(self.wakes, (key.rests_until, destination.number))
+                heapq.heappush(self.wakes, (key.rests_until, following.destination))
         elif not key.out and key.rests_until <= self.now:
             del self.keys[name]
 
-    def _reported(self, event: Reported) -> None:
+    def _reported(self, event: EndpointReport) -> None:
         """A call that another proxy made under a grant: it counts, and is judged, as one of our own."""
         server = self.servers.get(event.endpoint)
         if server is not None:
             server.route.sent.append(self.now)
             self._trim(server.route.sent, RECENT_US)
             self._tokens(server.route)      # a pace that was cut grows with the calls that it allows
-            server.route.silent_until = max(server.route.silent_until, self.now + event.wait_us)
+            server.route.silent_until = max(server.route.silent_until, self.now + event.retry_after_us)
             self._judge(Call(server, event.sent_us), event)
 
-    def allowances(self, among: set[int] | None = None) -> list[Allowed]:
+    def allowances(self, among: set[int] | None = None) -> list[RouteAllowance]:
         """What all proxies together may send on each route, of some destinations or of all; after a turn."""
-        return [Allowed(n, name, {s.entry.id: self._budget(self._guard(r, s)) for s in r.servers if s.ready},
-                        min(r.rate, self._budget(r.guard)), r.silent_until)
+        return [RouteAllowance(n, name,
+                               {s.entry.id: self._budget(self._guard(r, s)) for s in r.servers if s.ready},
+                               min(r.rate, self._budget(r.guard)), r.silent_until)
                 for n in (self.destinations if among is None else self.destinations.keys() & among)
                 for name, r in self.destinations[n].routes.items()]
 
@@ -726,20 +726,20 @@
             self.touched.update(self.starved)
             self.starved = {}
             if not call.server.calls and self.capped.get(call.server.entry.id, 0) > self.now:
-                self.actions.append(Close(call.server.entry.id))
+                self.actions.append(CloseIdleConnections(call.server.entry.id))
             self._drop(call.server)
 
-    def _judge(self, call: Call, event: Attempted) -> None:
+    def _judge(self, call: Call, event: AttemptFinished) -> None:
         server, route, outcome = call.server, call.server.route, event.outcome
-        if event.report.get("x1"):
-            alone = self.set.per_call.get(server.entry.kind, 1) == 1
-            self._told_limit(route, event.report["x1"], event.report.get("x0", 0.0), alone)
+        if event.load_report.get("x1"):
+            alone = self.set.messages_per_call.get(server.entry.kind, 1) == 1
+            self._told_limit(route, event.load_report["x1"], event.load_report.get("x0", 0.0), alone)
         if outcome is Outcome.OK:
             route.served.append(self.now)
             self._trim(route.served, WINDOW_US)
             self._succeeded(server.guard)
             self._succeeded(route.guard)
-        elif outcome is Outcome.FULL and call.sent >= route.cut_at:
+        elif outcome is Outcome.OVERLOADED and call.sent >= route.cut_at:
             self._tokens(route)
             recent = max(FIRST_RATE, self._trim(route.sent, RECENT_US) * SECOND / RECENT_US)
             route.rate = max(self._even_part(route), min(recent, route.rate) / 2)
@@ -747,9 +747,10 @@
         elif outcome is Outcome.CONNECT_FAILED and server.guard.last_ok >= max(0, self.now - CAPPED_US):
             self.capped[server.entry.id] = self.now + CAPPED_US
         # Above its limit a partner tells the rest of a span or less; that is no sign of an outage.
-        above = outcome is Outcome.FULL and 0 < event.wait_us <= self.set.fall_us and route.limit > 0
-        if outcome not in (Outcome.OK, Outcome.NOT_SENT, Outcome.CROWDED) and not above:
-            self._failed(call, event.wait_us)
+        above = (outcome is Outcome.OVERLOADED and route.limit > 0
+                 and 0 < event.retry_after_us <= self.set.overload_window_us)
+        if outcome not in (Outcome.OK, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED) and not above:
+            self._failed(call, event.retry_after_us)
 
     def _told_limit(self, route: Route, limit: float, left: float, alone: bool) -> None:
         """No pace goes far above its even part: refused calls cost, and at many partners use up the limit.
@@ -761,7 +762,7 @@
         even, over = self._even_part(route), max(0.0, left - UNUSED) / (1 - UNUSED)
         route.rate = max(route.rate, even) if risen else route.rate
         if over and alone:
-            sure = max(0.0, 1 - 2 / sqrt(self.set.siblings))
+            sure = max(0.0, 1 - 2 / sqrt(self.set.replica_count))
             route.rate += sure * over * even * min(SECOND, self.now - route.grown_at) / SECOND
             route.grown_at = self.now
         route.top = even + TAKEN * over * (limit - even)
@@ -782,7 +783,7 @@
             guard.next_call = self.now + int(self._gap(guard) * self.random.random())
 
     def _even_part(self, route: Route) -> float:
-        return (route.limit if route.limit > 0 else SMALL_LIMIT) / self.set.siblings
+        return (route.limit if route.limit > 0 else SMALL_LIMIT) / self.set.replica_count
 
     def _failed(self, call: Call, wait_us: int) -> None:
         """A failure or refusal that no success since its send gainsays. Told senders break the rule only when
@@ -795,21 +796,21 @@
         server, route = call.server, call.server.route
         part = self._part(route)
         for guard, among in ((server.guard, len(route.servers)), (route.guard, 1)):
-            if guard.last_ok > call.sent and wait_us <= self.set.fall_us:  # longer: it is shut
+            if guard.last_ok > call.sent and wait_us <= self.set.overload_window_us:  # longer: it is shut
                 continue
             if not guard.doubts:
                 guard.part = part / max(1, among)
             held, served = guard.doubts > QUESTIONS, self.now - guard.last_ok
             if not guard.doubts or call.sent >= guard.since:
                 guard.doubts, guard.since = guard.doubts + 1, self.now
-            lately = not held and served <= self.set.fall_us and guard.last_ok >= 0
+            lately = not held and served <= self.set.overload_window_us and guard.last_ok >= 0
             guard.doubts = min(guard.doubts, QUESTIONS) if lately else guard.doubts
-            guard.doubts += QUESTIONS if wait_us > self.set.fall_us else 0
+            guard.doubts += QUESTIONS if wait_us > self.set.overload_window_us else 0
             holds = guard.doubts > QUESTIONS
             if holds and not held:
-                cold = self.set.fall_multiple * self.set.cold_from
+                cold = self.set.overload_multiple * self.set.slow_start_from
                 guard.late = self.now + int(LATE * SECOND / (cold * self._even_guess(route)))
-                self.actions.append(Log(f"held {server.entry.id}: part of {guard.part:.2f} calls/s"))
+                self.actions.append(LogLine(f"held {server.entry.id}: part of {guard.part:.2f} calls/s"))
             anew = guard.warm_from >= 0 and guard.doubts > QUESTIONS + 2
             guard.warm_from = -1 if anew else guard.warm_from
             if anew or not held or wait_us:
@@ -829,12 +830,10 @@
         return max(part, self._even_part(route)) if route.limit > 0 and self.set.weights == "none" else part
 
     def _again(self, message: Held, call: Call, outcome: Outcome) -> None:
-        if outcome in MAY_HAVE_RUN:
-            if message.ran_at < 0:
-                message.ran_at = call.sent
-                if message.cls.key_scope_zone:
-                    message.ran_zone = call.server.entry.zone
-        if outcome in MAY_HAVE_RUN or outcome in (Outcome.CONNECT_FAILED, Outcome.CROWDED):
+        if outcome in MAY_HAVE_RUN and message.ran_at < 0:
+            message.ran_at = call.sent
+            message.ran_zone = call.server.entry.zone if message.cls.key_scope_zone else ""
+        if outcome in MAY_HAVE_RUN or outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTIONS_EXHAUSTED):
             message.not_before = self.now + int(RETRY_US * message.attempts * self.random.uniform(0.5, 1.5))
         if self._late_at(message) <= self.now or self._spent(message):    # its key's time may be up by now
             self._give_up(message)
@@ -846,14 +845,14 @@
     def _spent(self, message: Held) -> bool:
         """No further attempt is allowed; before a restart it may have run too."""
         return (message.attempts >= message.most
-                or (message.ran_at >= 0 and message.cls.effect is Effect.UNSAFE))
+                or (message.ran_at >= 0 and message.cls.idempotency is Idempotency.NOT_IDEMPOTENT))
 
     # -- final answers
 
     def _give_up(self, message: Held) -> None:
         harmless = message.call is None and (
-            message.ran_at < 0 or message.cls.effect is Effect.SAFE
-            or (message.cls.effect is Effect.KEYED and not message.cls.key_scope_zone))
+            message.ran_at < 0 or message.cls.idempotency is Idempotency.IDEMPOTENT
+            or (message.cls.idempotency is Idempotency.WITH_KEY and not message.cls.key_scope_zone))
         if harmless:
             self._refuse(message)
         else:
@@ -861,7 +860,7 @@
             self._forget(message)
 
     def _refuse(self, message: Held) -> None:
-        self.actions.append(Refuse(message.id, self._mean(message)))
+        self.actions.append(Shed(message.id, self._mean(message)))
         self._forget(message)
 
     def _forget(self, message: Held) -> None:
--- a/scalefall/settings_reader.py
+++ b/scalefall/settings_reader.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from scalefall import interface as i
+from scalefall.policy.settings import Idempotency, MessageClass, Settings, Tenant
 
 
 def us(milliseconds: float | None) -> int:
@@ -66,42 +66,42 @@
         return value
 
 
-def read_settings(config: Any) -> i.Settings:
+def read_settings(config: Any) -> Settings:
     """The wire's settings object as Settings; unknown keys are ignored."""
     top = _Reader(config)
     caps, family, rules, report = (top.part(k) for k in ("caps", "familyInfo", "guarantees", "report"))
     classes = {}
     for row in top.parts("grades"):
-        effect = i.Effect(row.word("effect", tuple(e.value for e in i.Effect)))
-        scope = row.get("keyScope") if effect is i.Effect.KEYED else "all"
-        classes[row.get("name")] = i.MessageClass(
+        effect = Idempotency(row.word("effect", tuple(e.value for e in Idempotency)))
+        scope = row.get("keyScope") if effect is Idempotency.WITH_KEY else "all"
+        classes[row.get("name")] = MessageClass(
             name=row.get("name"),
-            aim_us=row.time("aim", 0.001),
+            latency_objective_us=row.time("aim", 0.001),
             deadline_us=row.time("deadline", 0.001),
-            worth=row.number("worth"),
-            late_worth=row.number("lateWorth"),
-            effect=effect,
+            priority_weight=row.number("worth"),
+            late_priority_weight=row.number("lateWorth"),
+            idempotency=effect,
             key_scope_zone=scope != "all",
-            key_ttl_us=row.time("keyTtl") if effect is i.Effect.KEYED else 0,
-            in_order=bool(row.table.get("fifoByKey")),
+            key_ttl_us=row.time("keyTtl") if effect is Idempotency.WITH_KEY else 0,
+            ordered=bool(row.table.get("fifoByKey")),
         )
     kinds, zones = top.rows("shapes"), top.rows("areas")
     for key, names in (("perCall", kinds), ("kindApart", kinds), ("zoneFee", zones)):
         if len(family.rows(key)) < len(names):
             raise ValueError(f"settings: familyInfo.{key} must have a value for each of {len(names)} names")
-    return i.Settings(
-        index=int(top.number("index")),
-        siblings=int(top.number("siblings", 1)),
+    return Settings(
+        replica_index=int(top.number("index")),
+        replica_count=int(top.number("siblings", 1)),
         classes=classes,
-        tenants={t.get("name"): i.Tenant(t.get("name"), t.number("quotaPerS")) for t in top.parts("tenants")},
-        over_share_worth=top.number("overShareWorth"),
-        slots=int(family.number("workers", 1)),
-        per_call=dict(zip(kinds, map(int, family.rows("perCall")))),
-        apart=dict(zip(kinds, family.rows("kindApart"))),
-        zone_fee=dict(zip(zones, family.rows("zoneFee"))),
-        halving=family.word("late", ("line", "linear", "halving")) == "halving",
+        tenants={t.get("name"): Tenant(t.get("name"), t.number("quotaPerS")) for t in top.parts("tenants")},
+        over_quota_priority_weight=top.number("overShareWorth"),
+        call_slots=int(family.number("workers", 1)),
+        messages_per_call=dict(zip(kinds, map(int, family.rows("perCall")))),
+        route_per_endpoint=dict(zip(kinds, family.rows("kindApart"))),
+        zone_cost=dict(zip(zones, family.rows("zoneFee"))),
+        halves_after_objective=family.word("late", ("line", "linear", "halving")) == "halving",
         max_attempts=int(caps.number("maxAttempts", 1)),
-        max_held=int(caps.number("maxOpen", 1)),
+        max_queued=int(caps.number("maxOpen", 1)),
         cancelling=caps.flag("cancelling"),
         probes=caps.flag("probes"),
         retry_after=caps.flag("retryAfter"),
@@ -109,17 +109,17 @@
         idle_close_us=caps.time("idleClose"),
         dial_timeout_us=caps.time("dialTimeout"),
         streams=int(caps.number("maxStreams", 1)),
-        ask=top.word("registryMode", ("push", "ask")) == "ask",
-        ask_within_us=rules.time("askWithin"),
+        polls_endpoint_list=top.word("registryMode", ("push", "ask")) == "ask",
+        poll_within_us=rules.time("askWithin"),
         weights=top.word("weights", ("none", "nominal", "rough", "live")),
         report_fields=report.rows("fields"),
         answer_slack_us=rules.time("answerSlack"),
-        cold_from=rules.number("coldFrom"),
-        cold_us=rules.time("cold"),
+        slow_start_from=rules.number("coldFrom"),
+        slow_start_us=rules.time("cold"),
         drain_grace_us=rules.time("drainGrace"),
-        fall_us=rules.time("fall"),
-        fall_multiple=rules.number("fallMultiple"),
-        turn_gap_us=us(rules.table.get("turnGap")),
+        overload_window_us=rules.time("fall"),
+        overload_multiple=rules.number("fallMultiple"),
+        ordering_gap_us=us(rules.table.get("turnGap")),
         tick_us=top.time("tick"),
-        answers_report=report.table.get("how") == "answers",
+        answers_carry_report=report.table.get("how") == "answers",
     )
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -5,7 +5,6 @@
 import pytest
 from helpers import settings
 
-from scalefall import interface as i
 from scalefall.assignment.assembly import AssignmentSettings
 from scalefall.assignment.service import ShardedService, ShardGrants
 from scalefall.assignment.sharding import Sharding
@@ -18,6 +17,7 @@
 from scalefall.lab.proxy.sharded import ShardedContract
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry
+from scalefall.policy.events import Endpoint, EndpointReport, EndpointStatus, Outcome
 
 MS, S = 1000, 1_000_000
 LEASE, DELAY, TTL = 2 * S, S // 2, 900 * MS
@@ -105,10 +105,10 @@
         """Start a service with one endpoint for each destination, and no sender."""
         self.now, self.numbers, self.senders = 0, 0, []
         builder = ResourceBuilder(built_fixed, built_list)
-        self.service = ShardedService(0, settings(siblings=1), 3, builder, LEASE, DELAY, LEASE, ASSIGNMENT)
+        self.service = ShardedService(0, settings(replica_count=1), 3, builder, LEASE, DELAY, LEASE, ASSIGNMENT)
         self.service.become_leader(0, 0)
         entries = [
-            Entry(i.Endpoint(f"e{number}", "a", "one", number, i.Status.READY, 0.0), ("127.0.0.1", number))
+            Entry(Endpoint(f"e{number}", "a", "one", number, EndpointStatus.READY, 0.0), ("127.0.0.1", number))
             for number in DESTINATIONS
         ]
         self.service.configure(Fleet(entries, dict.fromkeys(DESTINATIONS, RULES)), 0)
@@ -232,7 +232,9 @@
 def test_an_allowance_reaches_the_holder_and_binds_it(simulation):
     """An overloaded endpoint stops its destination at once; later it gets a small rate."""
     number, [node] = next(iter(simulation.served().items()))
-    simulation.service.calls_reported([i.Reported(f"e{number}", simulation.now, i.Outcome.FULL, 2 * S)], simulation.now)
+    simulation.service.calls_reported(
+        [EndpointReport(f"e{number}", simulation.now, Outcome.OVERLOADED, 2 * S)], simulation.now
+    )
     simulation.run(0.2)
     [holder] = [sender for sender in simulation.senders if sender.node == node]
     assert holder.contract.holder.budget(number, simulation.now) == 0
--- a/tests/characterization/mapping.py
+++ b/tests/characterization/mapping.py
@@ -9,8 +9,35 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from scalefall import interface
-from scalefall.policy.engine import Sender
+from scalefall.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Probe,
+    RouteAllowance,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import (
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointReport,
+    EndpointStatus,
+    LearnedRate,
+    ListUpdateKind,
+    Message,
+    MessageWithdrawn,
+    Outcome,
+    ProbeFinished,
+    ShuttingDown,
+    TimerFired,
+)
+from scalefall.policy.settings import Idempotency, MessageClass, Settings, Tenant
 from scalefall.settings_reader import read_settings
 
 SettingsError = ValueError  # what read_settings raises
@@ -79,146 +106,187 @@
 
 MESSAGE_CLASS = Shape(
     "message_class",
-    interface.MessageClass,
+    MessageClass,
     {
         "name": "name",
-        "aim_us": "aim_us",
+        "aim_us": "latency_objective_us",
         "deadline_us": "deadline_us",
-        "worth": "worth",
-        "late_worth": "late_worth",
-        "effect": "effect",
+        "worth": "priority_weight",
+        "late_worth": "late_priority_weight",
+        "effect": "idempotency",
         "key_scope_zone": "key_scope_zone",
         "key_ttl_us": "key_ttl_us",
-        "in_order": "in_order",
+        "in_order": "ordered",
     },
-    {"effect": _enum(interface.Effect)},
+    {"effect": _enum(Idempotency)},
 )
-TENANT = Shape("tenant", interface.Tenant, {"name": "name", "quota_per_s": "quota_per_s"})
+TENANT = Shape("tenant", Tenant, {"name": "name", "quota_per_s": "quota_per_s"})
 ENDPOINT = Shape(
     "endpoint",
-    interface.Endpoint,
-    _same("id", "zone", "kind", "destination", "status", "weight", "most_calls"),
-    {"status": _enum(interface.Status)},
+    Endpoint,
+    {
+        "id": "id",
+        "zone": "zone",
+        "kind": "kind",
+        "destination": "destination",
+        "status": "status",
+        "weight": "weight",
+        "most_calls": "max_calls",
+    },
+    {"status": _enum(EndpointStatus)},
 )
 SETTINGS = Shape(
     "settings",
-    interface.Settings,
-    _same(
-        "index",
-        "siblings",
-        "classes",
-        "tenants",
-        "over_share_worth",
-        "slots",
-        "per_call",
-        "apart",
-        "zone_fee",
-        "halving",
-        "max_attempts",
-        "max_held",
-        "cancelling",
-        "probes",
-        "retry_after",
-        "max_retry_after_us",
-        "idle_close_us",
-        "dial_timeout_us",
-        "streams",
-        "ask",
-        "ask_within_us",
-        "weights",
-        "report_fields",
-        "answer_slack_us",
-        "cold_from",
-        "cold_us",
-        "drain_grace_us",
-        "fall_us",
-        "fall_multiple",
-        "turn_gap_us",
-        "tick_us",
-        "attempts",
-        "answers_report",
-    ),
+    Settings,
+    {
+        "index": "replica_index",
+        "siblings": "replica_count",
+        "classes": "classes",
+        "tenants": "tenants",
+        "over_share_worth": "over_quota_priority_weight",
+        "slots": "call_slots",
+        "per_call": "messages_per_call",
+        "apart": "route_per_endpoint",
+        "zone_fee": "zone_cost",
+        "halving": "halves_after_objective",
+        "max_attempts": "max_attempts",
+        "max_held": "max_queued",
+        "cancelling": "cancelling",
+        "probes": "probes",
+        "retry_after": "retry_after",
+        "max_retry_after_us": "max_retry_after_us",
+        "idle_close_us": "idle_close_us",
+        "dial_timeout_us": "dial_timeout_us",
+        "streams": "streams",
+        "ask": "polls_endpoint_list",
+        "ask_within_us": "poll_within_us",
+        "weights": "weights",
+        "report_fields": "report_fields",
+        "answer_slack_us": "answer_slack_us",
+        "cold_from": "slow_start_from",
+        "cold_us": "slow_start_us",
+        "drain_grace_us": "drain_grace_us",
+        "fall_us": "overload_window_us",
+        "fall_multiple": "overload_multiple",
+        "turn_gap_us": "ordering_gap_us",
+        "tick_us": "tick_us",
+        "attempts": "attempts",
+        "answers_report": "answers_carry_report",
+    },
     {"classes": _by_name(MESSAGE_CLASS), "tenants": _by_name(TENANT), "attempts": _ATTEMPTS_BY_DESTINATION},
 )
 
-_OUTCOME = {"outcome": _enum(interface.Outcome)}
+_OUTCOME = {"outcome": _enum(Outcome)}
 
 EVENTS = (
     Shape(
         "message",
-        interface.Message,
+        Message,
         {
             "id": "id",
             "destination": "destination",
             "class_name": "class_name",
             "due_us": "due_us",
             "tenant": "tenant",
-            "key": "key",
+            "key": "ordering_key",
             "attempts": "attempts",
-            "ran_us": "ran_us",
-            "ran_zone": "ran_zone",
+            "ran_us": "may_have_run_at_us",
+            "ran_zone": "may_have_run_zone",
             "restored": "restored",
-            "class_override": "cls",
+            "class_override": "message_class",
         },
         {"class_override": _or_none(MESSAGE_CLASS)},
     ),
-    Shape("withdrawn", interface.Dropped, _same("id")),
+    Shape("withdrawn", MessageWithdrawn, _same("id")),
     Shape(
         "attempt_finished",
-        interface.Attempted,
-        _same("id", "attempt", "endpoint", "outcome", "latency_us", "finished", "wait_us", "report"),
+        AttemptFinished,
+        {
+            "id": "id",
+            "attempt": "attempt",
+            "endpoint": "endpoint",
+            "outcome": "outcome",
+            "latency_us": "latency_us",
+            "finished": "finished",
+            "wait_us": "retry_after_us",
+            "report": "load_report",
+        },
         _OUTCOME,
     ),
     Shape(
         "foreign_call_finished",
-        interface.Reported,
-        _same("endpoint", "sent_us", "outcome", "wait_us", "report"),
+        EndpointReport,
+        {
+            "endpoint": "endpoint",
+            "sent_us": "sent_us",
+            "outcome": "outcome",
+            "wait_us": "retry_after_us",
+            "report": "load_report",
+        },
         _OUTCOME,
     ),
     Shape(
         "probe_finished",
-        interface.Probed,
-        _same("endpoint", "outcome", "latency_us", "wait_us", "report"),
+        ProbeFinished,
+        {
+            "endpoint": "endpoint",
+            "outcome": "outcome",
+            "latency_us": "latency_us",
+            "wait_us": "retry_after_us",
+            "report": "load_report",
+        },
         _OUTCOME,
     ),
-    Shape("timer_fired", interface.Timer, _same("token")),
+    Shape("timer_fired", TimerFired, _same("token")),
     Shape(
         "endpoints_listed",
-        interface.Listed,
+        EndpointListUpdate,
         _same("kind", "endpoints"),
-        {"kind": _enum(interface.ListKind), "endpoints": _list_of(ENDPOINT)},
+        {"kind": _enum(ListUpdateKind), "endpoints": _list_of(ENDPOINT)},
     ),
     Shape(
         "learned_rate",
-        interface.Known,
-        {"destination": "destination", "route": "route", "rate": "part", "limit": "limit"},
+        LearnedRate,
+        {"destination": "destination", "route": "route", "rate": "own_rate", "limit": "limit"},
+    ),
+    Shape(
+        "shutdown",
+        ShuttingDown,
+        {
+            "until_us": "ends_at_us",
+        },
     ),
-    Shape("shutdown", interface.Closing, _same("until_us")),
 )
 
 ACTIONS = (
-    Shape("send", interface.Send, _same("id", "endpoint", "timeout_us")),
-    Shape("cancel", interface.Cancel, _same("id", "attempt")),
-    Shape("refuse", interface.Refuse, _same("id", "retry_after_us")),
-    Shape("fail", interface.Fail, _same("id")),
-    Shape("set_timer", interface.SetTimer, _same("token", "delay_us")),
-    Shape("probe", interface.Probe, _same("endpoint")),
-    Shape("close_connections", interface.Close, _same("endpoint")),
-    Shape("subscribe", interface.Subscribe, _same("on")),
-    Shape("log", interface.Log, _same("line")),
+    Shape("send", Send, _same("id", "endpoint", "timeout_us")),
+    Shape("cancel", CancelAttempt, _same("id", "attempt")),
+    Shape("refuse", Shed, _same("id", "retry_after_us")),
+    Shape("fail", Fail, _same("id")),
+    Shape("set_timer", SetTimer, _same("token", "delay_us")),
+    Shape("probe", Probe, _same("endpoint")),
+    Shape("close_connections", CloseIdleConnections, _same("endpoint")),
+    Shape("subscribe", PollEndpointList, _same("on")),
+    Shape("log", LogLine, _same("line")),
 )
 
 LEARNED_RATE = next(shape for shape in EVENTS if shape.name == "learned_rate")
 ALLOWANCE = Shape(
     "allowance",
-    interface.Allowed,
-    _same("destination", "route", "endpoints", "rate", "silent_until"),
+    RouteAllowance,
+    {
+        "destination": "destination",
+        "route": "route",
+        "endpoints": "endpoints",
+        "rate": "rate",
+        "silent_until": "retry_after_until",
+    },
 )
 
-OUTCOMES = {member.value for member in interface.Outcome}
-LIST_KINDS = {member.value for member in interface.ListKind}
-STATUSES = {member.value for member in interface.Status}
-EFFECTS = {member.value for member in interface.Effect}
+OUTCOMES = {member.value for member in Outcome}
+LIST_KINDS = {member.value for member in ListUpdateKind}
+STATUSES = {member.value for member in EndpointStatus}
+EFFECTS = {member.value for member in Idempotency}
 
 SHAPES = {shape.name: shape for shape in (*EVENTS, *ACTIONS)}
 _BY_TYPE = {shape.type: shape for shape in (*EVENTS, *ACTIONS)}
@@ -235,22 +303,22 @@
     return SHAPES[row[0]].unpack(row[1:])
 
 
-def make_sender(settings: Any, seed: int) -> Sender:
+def make_sender(settings: Any, seed: int) -> Engine:
     """Return the decision module under test."""
-    return Sender(settings, seed)
+    return Engine(settings, seed)
 
 
-def handle(sender: Sender, now_us: int, events: list[Any]) -> list[Any]:
+def handle(sender: Engine, now_us: int, events: list[Any]) -> list[Any]:
     """Hand the events of one step to the sender and return its actions."""
     return sender.handle(now_us, events)
 
 
-def learned_rates(sender: Sender) -> list[list[Any]]:
+def learned_rates(sender: Engine) -> list[list[Any]]:
     """Return what a later process should know of the routes, as recorded."""
-    return [LEARNED_RATE.pack(row) for row in sender.known()]
+    return [LEARNED_RATE.pack(row) for row in sender.learned_rates()]
 
 
-def allowances(sender: Sender, among: list[int] | None) -> list[list[Any]]:
+def allowances(sender: Engine, among: list[int] | None) -> list[list[Any]]:
     """Return what all proxies may send on the routes of some destinations, or of all, as recorded."""
     return [ALLOWANCE.pack(row) for row in sender.allowances(None if among is None else set(among))]
 
--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -24,7 +24,24 @@
 
 import helpers
 from characterization import mapping, recording
-from scalefall import interface
+
+from scalefall.policy.actions import CancelAttempt, PollEndpointList, Send, SetTimer
+from scalefall.policy.events import (
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointReport,
+    EndpointStatus,
+    LearnedRate,
+    ListUpdateKind,
+    Message,
+    MessageWithdrawn,
+    Outcome,
+    ProbeFinished,
+    ShuttingDown,
+    TimerFired,
+)
+from scalefall.policy.settings import Idempotency, Settings
 from scalefall.settings_reader import read_settings
 
 MS, S = 1000, 1_000_000
@@ -33,13 +50,13 @@
 CANCEL_US = 3 * MS  # until a call that is called off has its outcome
 LIST_US = 40 * MS  # until the directory answers
 
-Outcome, Status, ListKind = interface.Outcome, interface.Status, interface.ListKind
+Outcome, Status, ListKind = Outcome, EndpointStatus, ListUpdateKind
 FAST_FAULTS = {
     "error": Outcome.ERROR,
-    "full": Outcome.FULL,
+    "full": Outcome.OVERLOADED,
     "connect": Outcome.CONNECT_FAILED,
     "reset": Outcome.RESET,
-    "crowded": Outcome.CROWDED,
+    "crowded": Outcome.CONNECTIONS_EXHAUSTED,
     "not_sent": Outcome.NOT_SENT,
 }
 
@@ -73,7 +90,7 @@
     """One world: endpoints as (id, destination, kind, zone, latency in ms, weight, most calls at once)."""
 
     name: str
-    settings: interface.Settings
+    settings: Settings
     endpoints: list[tuple]
     streams: list[Stream]
     seconds: float = 24.0
@@ -106,8 +123,7 @@
         self.queue: list[tuple[int, int, Any]] = []
         self.number = 0
         self.rows = {
-            row[0]: interface.Endpoint(row[0], row[3], row[2], row[1], Status.READY, row[5], row[6])
-            for row in play.endpoints
+            row[0]: Endpoint(row[0], row[3], row[2], row[1], Status.READY, row[5], row[6]) for row in play.endpoints
         }
         self.latency = {row[0]: row[4] * MS for row in play.endpoints}
         self.limits = dict(play.limits)
@@ -130,10 +146,10 @@
 
     def plan(self) -> None:
         play = self.play
-        kind = ListKind.CACHED if play.settings.ask or play.learned else ListKind.WHOLE
-        self.push(0, interface.Listed(kind, [copy.copy(row) for row in self.rows.values()]))
+        kind = ListKind.CACHED if play.settings.polls_endpoint_list or play.learned else ListKind.WHOLE
+        self.push(0, EndpointListUpdate(kind, [copy.copy(row) for row in self.rows.values()]))
         for row in play.learned:
-            self.push(0, interface.Known(*row))
+            self.push(0, LearnedRate(*row))
         for number in range(play.restored):
             self.push(0, self.restored(number))
         for at, list_kind, rows in play.changes:
@@ -150,7 +166,7 @@
                 self.push(at * S, make(int(at * S)))
                 at += self.draw.expovariate(rate)
         if play.closing:
-            self.push(play.closing[0] * S, interface.Closing(int(play.closing[1] * S)))
+            self.push(play.closing[0] * S, ShuttingDown(int(play.closing[1] * S)))
 
     def plan_stream(self, stream: Stream) -> None:
         rules = self.play.settings.classes.get(stream.class_name)
@@ -161,12 +177,12 @@
             self.attempts[name] = 0
             due = int(at * S) + (rules.deadline_us if rules else 8 * S)
             key = f"k{self.draw.randrange(stream.keys)}" if stream.keys else None
-            self.push(at * S, interface.Message(name, stream.destination, stream.class_name, due, None, key))
+            self.push(at * S, Message(name, stream.destination, stream.class_name, due, None, key))
             if self.chance(self.play.withdrawn):
-                self.push((at + self.draw.uniform(0, 2)) * S, interface.Dropped(name))
+                self.push((at + self.draw.uniform(0, 2)) * S, MessageWithdrawn(name))
             at += self.draw.expovariate(stream.rate)
 
-    def restored(self, number: int) -> interface.Message:
+    def restored(self, number: int) -> Message:
         """A message that an earlier process took on: its history differs from one to the next."""
         names = sorted(self.play.settings.classes)
         rules = self.play.settings.classes[names[number % len(names)]]
@@ -177,22 +193,22 @@
         override = None
         if number % 5 == 0:
             override = copy.copy(rules)
-            override.deadline_us, override.late_worth = rules.deadline_us // 2, 0.2
+            override.deadline_us, override.late_priority_weight = rules.deadline_us // 2, 0.2
             override.key_ttl_us = rules.key_ttl_us // 2
-        key = f"k{number % 3}" if rules.in_order else None
+        key = f"k{number % 3}" if rules.ordered else None
         name = f"r{number}"
         self.attempts[name] = used
         destination = self.play.endpoints[number % len(self.play.endpoints)][1]
-        return interface.Message(name, destination, rules.name, due, None, key, used, ran, zone, True, override)
+        return Message(name, destination, rules.name, due, None, key, used, ran, zone, True, override)
 
-    def foreign(self, at: int) -> interface.Reported:
+    def foreign(self, at: int) -> EndpointReport:
         endpoint = self.draw.choice([*self.rows, "unlisted"])
-        outcome = self.draw.choice([Outcome.OK] * 6 + [Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT])
-        wait = self.draw.choice((0, 0, 300 * MS)) if outcome is Outcome.FULL else 0
-        return interface.Reported(endpoint, max(0, at - self.draw.randrange(2 * S)), outcome, wait, {})
+        outcome = self.draw.choice([Outcome.OK] * 6 + [Outcome.OVERLOADED, Outcome.ERROR, Outcome.TIMEOUT])
+        wait = self.draw.choice((0, 0, 300 * MS)) if outcome is Outcome.OVERLOADED else 0
+        return EndpointReport(endpoint, max(0, at - self.draw.randrange(2 * S)), outcome, wait, {})
 
-    def probed(self, _at: int) -> interface.Probed:
-        return interface.Probed(self.draw.choice(list(self.rows)), self.draw.choice(list(Outcome)), 30 * MS)
+    def probed(self, _at: int) -> ProbeFinished:
+        return ProbeFinished(self.draw.choice(list(self.rows)), self.draw.choice(list(Outcome)), 30 * MS)
 
     # -- endpoints
 
@@ -216,7 +232,7 @@
             span = (row.destination, now // S)
             self.used[span] = self.used.get(span, limit * self.play.others) + 1
             if self.used[span] > limit:
-                return Outcome.FULL, 5 * MS, (S - now % S if self.play.tells_wait else 0)
+                return Outcome.OVERLOADED, 5 * MS, (S - now % S if self.play.tells_wait else 0)
         if self.chance(self.play.finished):
             return Outcome.ERROR, latency, 0
         return Outcome.OK, latency, 0
@@ -234,31 +250,31 @@
     def perform(self, now: int, actions: list[Any]) -> None:
         calls: dict[str, tuple[int, tuple[Outcome | None, int, int]]] = {}
         for action in actions:
-            if isinstance(action, interface.Send):
-                most = self.play.settings.per_call.get(self.rows[action.endpoint].kind, 1)
+            if isinstance(action, Send):
+                most = self.play.settings.messages_per_call.get(self.rows[action.endpoint].kind, 1)
                 carried, result = calls.get(action.endpoint, (most, None))
                 if carried >= most:
                     carried, result = 0, self.called(now, action.endpoint)
                 calls[action.endpoint] = (carried + 1, result)
                 self.send(now, action, result)
-            elif isinstance(action, interface.Cancel):
+            elif isinstance(action, CancelAttempt):
                 found = self.out.get((action.id, action.attempt))
                 if found:
                     self.end(now, CANCEL_US, action.id, action.attempt, Outcome.CANCELLED, 0)
-            elif isinstance(action, interface.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.number += 1
                 self.timers[action.token] = self.number
                 self.push(now + max(self.play.settings.tick_us, action.delay_us), (action.token, self.number, "timer"))
-            elif isinstance(action, interface.Subscribe):
+            elif isinstance(action, PollEndpointList):
                 self.subscribe(now)
 
-    def send(self, now: int, action: interface.Send, result: tuple[Outcome | None, int, int]) -> None:
+    def send(self, now: int, action: Send, result: tuple[Outcome | None, int, int]) -> None:
         attempt = self.attempts[action.id]
         self.attempts[action.id] += 1
         self.out[action.id, attempt] = (action.endpoint, now)
         outcome, latency, wait = result
         if self.chance(0.02):  # one message of a call may fare differently from the others
-            outcome, latency = self.draw.choice((Outcome.ERROR, Outcome.FULL, Outcome.RESET)), latency + 20 * MS
+            outcome, latency = self.draw.choice((Outcome.ERROR, Outcome.OVERLOADED, Outcome.RESET)), latency + 20 * MS
         if outcome is None or latency > action.timeout_us:
             outcome, latency, wait = Outcome.TIMEOUT, action.timeout_us, 0
         self.end(now, latency, action.id, attempt, outcome, wait)
@@ -266,14 +282,14 @@
     def end(self, now: int, latency: int, name: str, attempt: int, outcome: Outcome, wait: int) -> None:
         endpoint, start = self.out[name, attempt]
         finished = outcome is Outcome.OK or (outcome is Outcome.ERROR and self.chance(self.play.finished * 5))
-        report = self.report(now, endpoint) if outcome in (Outcome.OK, Outcome.FULL) else {}
+        report = self.report(now, endpoint) if outcome in (Outcome.OK, Outcome.OVERLOADED) else {}
         taken = now + latency - start
-        self.push(now + latency, interface.Attempted(name, attempt, endpoint, outcome, taken, finished, wait, report))
+        self.push(now + latency, AttemptFinished(name, attempt, endpoint, outcome, taken, finished, wait, report))
 
     def subscribe(self, now: int) -> None:
         if self.fails_left > 0:
             self.fails_left -= 1
-            self.push(now + LIST_US, interface.Listed(ListKind.FAILED))
+            self.push(now + LIST_US, EndpointListUpdate(ListKind.FAILED))
         else:
             self.push(now + LIST_US, (ListKind.WHOLE, []))
 
@@ -283,9 +299,9 @@
         """An event as it is when its time comes; None where nothing is left of it."""
         if isinstance(entry, tuple) and isinstance(entry[1], str):
             self.rows[entry[1]].destination = entry[2]
-            return interface.Listed(ListKind.CHANGES, [copy.copy(self.rows[entry[1]])])
+            return EndpointListUpdate(ListKind.CHANGES, [copy.copy(self.rows[entry[1]])])
         if isinstance(entry, tuple) and len(entry) == 3:
-            return interface.Timer(entry[0]) if self.timers.get(entry[0]) == entry[1] else None
+            return TimerFired(entry[0]) if self.timers.get(entry[0]) == entry[1] else None
         if isinstance(entry, tuple) and isinstance(entry[0], int):
             self.limits[entry[0]] = entry[1]
             return None
@@ -297,8 +313,8 @@
                 row.status, row.weight = status, row.weight if weight is None else weight
                 changed.append(copy.copy(row))
             whole = [copy.copy(row) for row in self.rows.values() if row.status is not Status.GONE]
-            return interface.Listed(kind, whole if kind is ListKind.WHOLE else changed)
-        if isinstance(entry, interface.Attempted):
+            return EndpointListUpdate(kind, whole if kind is ListKind.WHOLE else changed)
+        if isinstance(entry, AttemptFinished):
             first = self.out.pop((entry.id, entry.attempt), None) is not None
             if first and self.chance(self.play.repeated):
                 self.push(self.queue[0][0] if self.queue else 0, entry)
@@ -341,7 +357,7 @@
 # -- the plays
 
 
-def example(**changes: Any) -> interface.Settings:
+def example(**changes: Any) -> Settings:
     """The settings of example/config.json, with changes."""
     settings = read_settings(json.loads(EXAMPLE.read_text())["settings"])
     for name, value in changes.items():
@@ -389,20 +405,22 @@
     """Return all plays; their seeds go by their place, so that a new one is put at the end."""
     s = helpers.settings
     outage = [Fault("error", 6, 11)]
-    tight = dict(fall_us=1500 * MS, cold_us=8 * S, cold_from=0.26)
+    tight = dict(overload_window_us=1500 * MS, slow_start_us=8 * S, slow_start_from=0.26)
     return [
         Play("classes", s(), rows("e1", "e2", "e3"), ALL_CLASSES, faults=MIXED_FAULTS),
         Play(
             "classes-halving",
-            s(halving=True, slots=6, turn_gap_us=800 * MS),
+            s(halves_after_objective=True, call_slots=6, ordering_gap_us=800 * MS),
             rows("e1", "e2", "e3"),
             ALL_CLASSES,
             faults=MIXED_FAULTS,
         ),
-        Play("no-cancelling", s(cancelling=False, slots=4), rows("e1", "e2", "e3"), ALL_CLASSES, faults=MIXED_FAULTS),
+        Play(
+            "no-cancelling", s(cancelling=False, call_slots=4), rows("e1", "e2", "e3"), ALL_CLASSES, faults=MIXED_FAULTS
+        ),
         Play(
             "hang-cancelling",
-            s(slots=3),
+            s(call_slots=3),
             rows("e1") + rows("f1", destination=2) + rows("g1", destination=3) + rows("h1", "h2", destination=4),
             [
                 Stream(1, "unsafe"),
@@ -416,7 +434,7 @@
         Play("apart", s(), rows("e1", "e2", "e3", kind="route"), ALL_CLASSES, faults=MIXED_FAULTS, changes=DRAINS),
         Play(
             "apart-limits",
-            s(siblings=3),
+            s(replica_count=3),
             rows("e1", "e2", kind="route"),
             [Stream(14)],
             limits={1: 9},
@@ -427,7 +445,7 @@
         ),
         Play(
             "batches",
-            s(slots=4),
+            s(call_slots=4),
             rows("e1", "e2", kind="many"),
             [Stream(40), Stream(10, "keyed"), Stream(4, "ordered", keys=2)],
             seconds=12,
@@ -436,7 +454,7 @@
         ),
         Play(
             "batches-told",
-            s(slots=6, siblings=4),
+            s(call_slots=6, replica_count=4),
             rows("e1", kind="many"),
             [Stream(40)],
             seconds=12,
@@ -447,7 +465,7 @@
         ),
         Play(
             "example",
-            example(siblings=3),
+            example(replica_count=3),
             rows("e1", kind="toy", zones=["here"]),
             [Stream(6, "event-notice"), Stream(6, "status-update"), Stream(3, "fee-order"), Stream(0.5, "unknown")],
             limits={1: 12},
@@ -457,16 +475,16 @@
         ),
         Play(
             "ask-fails",
-            s(ask=True, siblings=8, ask_within_us=3 * S),
+            s(polls_endpoint_list=True, replica_count=8, poll_within_us=3 * S),
             rows("e1", "e2"),
             [Stream(5)],
             list_fails=6,
             seconds=30,
         ),
-        Play("limit-none", s(siblings=4), rows("e1", "e2"), [Stream(12)], limits={1: 20}, others=0.6),
+        Play("limit-none", s(replica_count=4), rows("e1", "e2"), [Stream(12)], limits={1: 20}, others=0.6),
         Play(
             "limit-answers",
-            s(siblings=4),
+            s(replica_count=4),
             rows("e1", "e2"),
             [Stream(14)],
             limits={1: 20},
@@ -477,7 +495,7 @@
         ),
         Play(
             "limit-nominal",
-            s(weights="nominal", siblings=3, **tight),
+            s(weights="nominal", replica_count=3, **tight),
             rows("e1", "e2", weight=24),
             [Stream(10)],
             limits={1: 24},
@@ -486,7 +504,7 @@
         ),
         Play(
             "limit-rough",
-            s(weights="rough", siblings=3, **tight),
+            s(weights="rough", replica_count=3, **tight),
             rows("e1", "e2", weight=30),
             [Stream(10)],
             limits={1: 24},
@@ -495,7 +513,7 @@
         ),
         Play(
             "limit-told",
-            s(weights="told", siblings=2),
+            s(weights="told", replica_count=2),
             rows("e1", "e2", weight=10),
             [Stream(9)],
             limits={1: 10},
@@ -525,7 +543,7 @@
         ),
         Play(
             "outage-waits",
-            s(**tight, siblings=3),
+            s(**tight, replica_count=3),
             rows("e1", "e2"),
             [Stream(10)],
             seconds=30,
@@ -542,7 +560,7 @@
         ),
         Play(
             "connection-cap",
-            s(slots=8),
+            s(call_slots=8),
             rows("e1", "e2", most=2, ms=300),
             [Stream(12)],
             faults=[Fault("connect", 3, 22, "e1", share=0.3), Fault("crowded", 6, 10, share=0.3)],
@@ -559,7 +577,7 @@
         ),
         Play(
             "restart-apart",
-            s(ask=True, **tight),
+            s(polls_endpoint_list=True, **tight),
             rows("e1", "e2", kind="route"),
             [Stream(6)],
             restored=20,
@@ -573,7 +591,7 @@
         ),
         Play(
             "overload",
-            s(slots=3, max_held=40, attempts={2: 2}),
+            s(call_slots=3, max_queued=40, attempts={2: 2}),
             rows("e1", ms=120) + rows("f1", destination=2),
             [
                 Stream(30, start=2, end=8),
@@ -602,42 +620,42 @@
     """Plays for decisions that those before left open: found by changing the module and seeing none differ."""
     s = helpers.settings
     fades = (
-        helpers.message_class("fades", late_worth=0.1),
-        helpers.message_class("fades-too", late_worth=0.3, worth=2),
+        helpers.message_class("fades", late_priority_weight=0.1),
+        helpers.message_class("fades-too", late_priority_weight=0.3, priority_weight=2),
     )
     fading = {rules.name: rules for rules in fades}
     ordered = (
-        helpers.message_class("safe-ordered", in_order=True),
-        helpers.message_class("keyed-ordered", interface.Effect.KEYED, in_order=True),
-        helpers.message_class("unsafe-ordered", interface.Effect.UNSAFE, in_order=True),
+        helpers.message_class("safe-ordered", ordered=True),
+        helpers.message_class("keyed-ordered", Idempotency.WITH_KEY, ordered=True),
+        helpers.message_class("unsafe-ordered", Idempotency.NOT_IDEMPOTENT, ordered=True),
     )
     short_waits = [Fault("full", at, at + 0.4, tells_wait=True) for at in (3, 6, 9, 13, 17, 21)]
     short_errors = [Fault("error", at, at + 0.3, tells_wait=True) for at in (4.5, 11, 15, 19)]
     fade_streams = [Stream(14, "fades"), Stream(10, "fades-too")]
     return [
-        Play("deep-chains", s(slots=60), rows("e1", "e2", ms=900), [Stream(24)], seconds=14, limits={1: 26}),
-        Play("low-rate", s(siblings=20), rows("e1"), [Stream(1.2)], limits={1: 4}, others=0.8, seconds=60),
+        Play("deep-chains", s(call_slots=60), rows("e1", "e2", ms=900), [Stream(24)], seconds=14, limits={1: 26}),
+        Play("low-rate", s(replica_count=20), rows("e1"), [Stream(1.2)], limits={1: 4}, others=0.8, seconds=60),
         Play("short-waits", s(), rows("e1"), [Stream(8)], faults=[*short_waits, *short_errors]),
         Play(
             "ordered",
-            s(classes={rules.name: rules for rules in ordered}, turn_gap_us=1500 * MS),
+            s(classes={rules.name: rules for rules in ordered}, ordering_gap_us=1500 * MS),
             rows("e1", "e2", ms=400),
             [Stream(3, rules.name, keys=5) for rules in ordered],
             faults=[Fault("error", 0, 24, share=0.15), Fault("reset", 8, 9), Fault("hang", 14, 15, "e1")],
             withdrawn=0.2,
         ),
-        Play("restart-full", s(max_held=20), rows("e1", ms=300), [Stream(8)], restored=40, seconds=8, limits={1: 6}),
-        Play("zone-fees", s(zone_fee={"a": 0.02, "b": 0.0}), rows("e1", "e2", "e3", "e4"), ALL_CLASSES, seconds=10),
-        Play("fades", s(classes=fading, slots=6), rows("e1"), fade_streams, seconds=14, limits={1: 10}),
+        Play("restart-full", s(max_queued=20), rows("e1", ms=300), [Stream(8)], restored=40, seconds=8, limits={1: 6}),
+        Play("zone-fees", s(zone_cost={"a": 0.02, "b": 0.0}), rows("e1", "e2", "e3", "e4"), ALL_CLASSES, seconds=10),
+        Play("fades", s(classes=fading, call_slots=6), rows("e1"), fade_streams, seconds=14, limits={1: 10}),
         Play(
             "fades-halving",
-            s(classes=fading, slots=6, halving=True),
+            s(classes=fading, call_slots=6, halves_after_objective=True),
             rows("e1"),
             fade_streams,
             seconds=14,
             limits={1: 10},
         ),
-        Play("foreign-full", s(siblings=2), rows("e1"), [Stream(9)], foreign=12, limits={1: 10}, others=0.3),
+        Play("foreign-full", s(replica_count=2), rows("e1"), [Stream(9)], foreign=12, limits={1: 10}, others=0.3),
         Play(
             "moved",
             s(),
@@ -656,7 +674,7 @@
         ),
         Play(
             "shutdown-batches",
-            s(slots=6),
+            s(call_slots=6),
             rows("e1", kind="many", ms=500) + rows("f1", destination=2, kind="route"),
             [Stream(20), Stream(6, "unsafe"), Stream(6, "zoned", destination=2), Stream(3, "ordered", keys=2)],
             seconds=14,
@@ -676,7 +694,7 @@
         Play("told-none", s(weights="told"), rows("e1"), [Stream(8)], repeated=0.1, seconds=10, limits={1: 6}),
         Play(
             "cut-and-told",
-            s(siblings=8),
+            s(replica_count=8),
             rows("e1", "e2"),
             [Stream(14)],
             limits={1: 40},
@@ -687,7 +705,7 @@
         ),
         Play(
             "cut-and-told-batches",
-            s(siblings=8),
+            s(replica_count=8),
             rows("e1", kind="many"),
             [Stream(14)],
             limits={1: 40},
