--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -5,23 +5,30 @@
 import pytest
 from helpers import settings
 
-from scalefall import interface as i
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.grants import UNITS_PER_CALL
 from scalefall.control.ledger import Ledger
-from scalefall.policy.engine import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import (
+    Endpoint,
+    EndpointListUpdate,
+    EndpointReport,
+    EndpointStatus,
+    ListUpdateKind,
+    Outcome,
+)
 
 MS, S = 1000, 1_000_000
 LEASE, DELAY = 2 * S, S // 2
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 
 
-def listed(*names, status=i.Status.READY):
-    return i.Listed(i.ListKind.CHANGES, [i.Endpoint(name, "a", "one", 1, status, 0.0) for name in names])
+def listed(*names, status=EndpointStatus.READY):
+    return EndpointListUpdate(ListUpdateKind.CHANGES, [Endpoint(name, "a", "one", 1, status, 0.0) for name in names])
 
 
 def started(*holders, **changes):
-    allocator = Allocator(Sender(settings(siblings=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
+    allocator = Allocator(Engine(settings(replica_count=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
     for holder in holders:
         allocator._ledger.join(holder)
         allocator._ledger.set_demand(holder, 1, 1000 * UNITS_PER_CALL)
@@ -29,7 +36,7 @@
 
 
 def reports(outcome, times=1, at=0, wait=0, report=None, endpoint="e"):
-    return [i.Reported(endpoint, at, outcome, wait, report or {}) for _ in range(times)]
+    return [EndpointReport(endpoint, at, outcome, wait, report or {}) for _ in range(times)]
 
 
 def amounts(grants):
@@ -52,7 +59,7 @@
     allocator = started("a", "b")
     allocator.step(0, [listed("e")])
     assert amounts(allocator.step(S, reports(O.OK, wait=3 * S))) == {"a": 0, "b": 0}  # a good answer may tell one too
-    assert allocator.allowed[0].silent_until == 4 * S and allocator.allowed[0].rate == inf
+    assert allocator.allowed[0].retry_after_until == 4 * S and allocator.allowed[0].rate == inf
     assert not any(amounts(allocator.step(4 * S - 1, [])).values())
     assert any(amounts(allocator.step(20 * S, [])).values())
 
@@ -69,7 +76,7 @@
 def test_a_pace_that_was_cut_grows_with_the_calls_that_are_reported():
     allocator = started("a")
     allocator.step(0, [listed("e")])
-    allocator.step(S, reports(O.OK, 40, S) + reports(O.FULL, at=S))
+    allocator.step(S, reports(O.OK, 40, S) + reports(O.OVERLOADED, at=S))
     rates = []
     for tenth in range(11, 18):
         allocator.step(tenth * S // 10, reports(O.OK, at=tenth * S // 10))
@@ -80,9 +87,9 @@
 def test_a_draining_endpoint_is_no_state_of_ready_and_the_last_one_leaves_no_allowance():
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
-    allocator.step(1, [listed("e", status=i.Status.DRAINING)])
+    allocator.step(1, [listed("e", status=EndpointStatus.DRAINING)])
     assert set(allocator.allowed[0].endpoints) == {"f"}
-    assert amounts(allocator.step(2, [listed("f", status=i.Status.DRAINING)])) == {"a": 0}
+    assert amounts(allocator.step(2, [listed("f", status=EndpointStatus.DRAINING)])) == {"a": 0}
 
 
 def test_an_endpoint_in_doubt_beside_one_that_serves_has_a_budget_of_its_own():
@@ -95,7 +102,7 @@
         )
     [row] = allocator.allowed
     assert row.endpoints["f"] == inf and row.endpoints["e"] < 5 and row.rate == inf
-    allocator.step(9 * S, [listed("f", status=i.Status.DRAINING)])  # now that one's budget is all there is
+    allocator.step(9 * S, [listed("f", status=EndpointStatus.DRAINING)])  # now that one's budget is all there is
     assert allocator.allowed[0].rate == inf and allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
 
@@ -116,8 +123,8 @@
     def capacity(self, now):
         if now < self.back:
             return self.warm
-        part = min(1.0, (now - self.back) / self.set.cold_us)
-        return self.warm * (self.set.cold_from + (1 - self.set.cold_from) * part)
+        part = min(1.0, (now - self.back) / self.set.slow_start_us)
+        return self.warm * (self.set.slow_start_from + (1 - self.set.slow_start_from) * part)
 
     def call(self, now):
         self.calls.append(now)
@@ -126,7 +133,7 @@
         self.tokens = min(2.0, self.tokens + self.capacity(now) * (now - self.at) / S)
         self.at = now
         if self.tokens < 1:
-            return O.FULL
+            return O.OVERLOADED
         self.tokens -= 1
         return O.OK
 
@@ -147,12 +154,12 @@
         self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / S), now
         if self.tokens >= 1:
             self.tokens -= 1
-            self.report.append(i.Reported("e", now, partner.call(now)))
+            self.report.append(EndpointReport("e", now, partner.call(now)))
 
 
 def play(cut=None, seconds=70):
     """Three proxies with work for three times what the partner takes; it is down from 20 s to 35 s and returns cold."""
-    set_ = settings(siblings=1)
+    set_ = settings(replica_count=1)
     partner = Partner(30.0, 20 * S, 35 * S, set_)
     proxies = [Proxy(name, 30.0) for name in "abc"]
     allocator, wire = started("a", "b", "c"), []
@@ -185,23 +192,23 @@
 @pytest.mark.parametrize("cut", [None, ("a", 30 * S, 45 * S), ("b", 19 * S, 36 * S)])
 def test_a_partner_that_returns_cold_is_not_flooded_and_is_used_again(cut):
     partner, set_ = play(cut)
-    window = set_.fall_us
+    window = set_.overload_window_us
     for start in range(35 * S, 70 * S - window, 100 * MS):
         got = sum(start <= at < start + window for at in partner.calls)
-        room = set_.fall_multiple * window / S * partner.capacity(start + window)
+        room = set_.overload_multiple * window / S * partner.capacity(start + window)
         assert got <= room + 3, (start / S, got, room)
     assert sum(at >= 60 * S for at in partner.calls) >= 10 * 30 / 3
 
 
 def test_a_turn_asks_for_what_has_news_or_may_change_by_time_and_for_nothing_else(monkeypatch):
     allocator = started("a")
-    many = [i.Endpoint(f"e{n}", "a", "one", n, i.Status.READY, 0.0) for n in range(50)]
-    allocator.step(0, [i.Listed(i.ListKind.CHANGES, many)])
+    many = [Endpoint(f"e{n}", "a", "one", n, EndpointStatus.READY, 0.0) for n in range(50)]
+    allocator.step(0, [EndpointListUpdate(ListUpdateKind.CHANGES, many)])
     asked, real = [], allocator._module.allowances
     monkeypatch.setattr(allocator._module, "allowances", lambda among=None: asked.append(set(among)) or real(among))
     allocator.step(S, reports(O.CONNECT_FAILED, 3, S, endpoint="e7"))
     allocator.step(2 * S, reports(O.OK, at=2 * S, endpoint="e9"))
     allocator.step(3 * S, [])
-    moved = i.Endpoint("e9", "a", "one", 8, i.Status.READY, 0.0)
-    allocator.step(4 * S, [i.Listed(i.ListKind.CHANGES, [moved])])
+    moved = Endpoint("e9", "a", "one", 8, EndpointStatus.READY, 0.0)
+    allocator.step(4 * S, [EndpointListUpdate(ListUpdateKind.CHANGES, [moved])])
     assert asked == [{7}, {7, 9}, {7}, {7, 8, 9}]
--- a/tests/control/test_configure.py
+++ b/tests/control/test_configure.py
@@ -2,12 +2,12 @@
 
 from helpers import settings
 
-from scalefall import interface as i
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.service import ResourceBuilder, ControlService
+from scalefall.control.service import ControlService, ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.endpoint_list import Entry
+from scalefall.policy.events import Endpoint, EndpointStatus
 
 S = 1_000_000
 RULES = RouteRules(frozenset({"c"}), 3, S)
@@ -16,7 +16,7 @@
 def fleet(*routes, draining=()):
     entries = [
         Entry(
-            i.Endpoint(f"e{n}", "a", "one", n, i.Status.DRAINING if n in draining else i.Status.READY, 0.0),
+            Endpoint(f"e{n}", "a", "one", n, EndpointStatus.DRAINING if n in draining else EndpointStatus.READY, 0.0),
             ("127.0.0.1", 1 + n),
         )
         for n in routes
@@ -33,7 +33,7 @@
         return Resource(EDS, f"route-{number}", version, None, destination=number)
 
     service = ControlService(
-        0, settings(siblings=1), 3, ResourceBuilder(lambda rows, routes: [], endpoints), 2 * S, S // 2, 2 * S
+        0, settings(replica_count=1), 3, ResourceBuilder(lambda rows, routes: [], endpoints), 2 * S, S // 2, 2 * S
     )
     service.resource_stream_opened(1, "a", True, False)
     service.request(1, Request(EDS, names=("*",)), 0)
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -26,24 +26,37 @@
 from test_sender import Firm
 
 from scalefall import adapter
-from scalefall import interface as i
 from scalefall.assignment.model import ShardGrant
 from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
+from scalefall.control.grants import Grant
+from scalefall.control.streams import Response
 from scalefall.control.transport import quota_wire, resources, wire
 from scalefall.control.transport.options import ServerOptions, ShardingOptions
 from scalefall.control.transport.peers import Peer as StreamPeer
 from scalefall.control.transport.server import ControlServer
 from scalefall.control.transport.state import StateDirectory
-from scalefall.control.grants import Grant
-from scalefall.control.streams import Response
 from scalefall.net import http, streams
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.config import Config, Fleet, RouteRules
+from scalefall.net.delivery_reports import DeliveryReports
+from scalefall.net.delivery_request import Accepted, Conflict, GivenUp, NotServed, Rejected
 from scalefall.net.endpoint_list import EndpointList, Entry, read_list
 from scalefall.net.front import Front
-from scalefall.net.delivery_reports import DeliveryReports
-from scalefall.net.delivery_request import Conflict, GivenUp, NotServed, Accepted, Rejected
+from scalefall.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Probe,
+    RouteAllowance,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.events import Endpoint, EndpointStatus
+from scalefall.policy.settings import Idempotency
 
 Bytes = dict[str, bytes]
 LOCAL = ("127.0.0.1", 0)
@@ -279,7 +292,7 @@
 def call(world, loads, host="", kind="many"):
     peer = Peer(world)
     calls = Calls(world, settings(), peer.address)
-    calls.entry = Entry(i.Endpoint("e", "a", kind, 1, i.Status.READY, 1.0), peer.address, host)
+    calls.entry = Entry(Endpoint("e", "a", kind, 1, EndpointStatus.READY, 1.0), peer.address, host)
     calls.attempts.begin(calls.entry, loads)
     return listen(world, peer.accept(), http.RequestReader())
 
@@ -441,22 +454,22 @@
     row.name: row
     for row in (
         message_class("freely"),
-        message_class("key-lives-long", i.Effect.KEYED, key_ttl_us=9 * S),
-        message_class("key-lives-short", i.Effect.KEYED, key_ttl_us=5 * S),
-        message_class("key-in-zone", i.Effect.KEYED, key_scope_zone=True),
-        message_class("never", i.Effect.UNSAFE, deadline_us=16 * S),
+        message_class("key-lives-long", Idempotency.WITH_KEY, key_ttl_us=9 * S),
+        message_class("key-lives-short", Idempotency.WITH_KEY, key_ttl_us=5 * S),
+        message_class("key-in-zone", Idempotency.WITH_KEY, key_scope_zone=True),
+        message_class("never", Idempotency.NOT_IDEMPOTENT, deadline_us=16 * S),
         message_class("absent"),
     )
 }
 TTL = 3 * S
 
 
-def row(name, zone="a", status=i.Status.READY, calls=0, dial_us=0):
-    return Entry(i.Endpoint(name, zone, "one", 7, status, 0.0, calls), ("10.0.0.1", 80 + int(name[1:])), "", dial_us)
+def row(name, zone="a", status=EndpointStatus.READY, calls=0, dial_us=0):
+    return Entry(Endpoint(name, zone, "one", 7, status, 0.0, calls), ("10.0.0.1", 80 + int(name[1:])), "", dial_us)
 
 
 def allowed(rate=float("inf"), silent=0, **budgets):
-    return i.Allowed(7, "7", budgets, rate, silent)
+    return RouteAllowance(7, "7", budgets, rate, silent)
 
 
 def packed(resource):
@@ -472,8 +485,8 @@
 
 
 def endpoint_lists():
-    inf, up, down = float("inf"), i.Status.READY, i.Status.DRAINING
-    rows = [row("e0"), row("e1", "b"), row("e2"), row("e3", status=down), row("e4", status=i.Status.GONE)]
+    inf, up, down = float("inf"), EndpointStatus.READY, EndpointStatus.DRAINING
+    rows = [row("e0"), row("e1", "b"), row("e2"), row("e3", status=down), row("e4", status=EndpointStatus.GONE)]
     every = {"e0": inf, "e1": inf, "e2": inf}
     cases = {
         "ready": ([row("e0", status=up)], [allowed(e0=inf)]),
@@ -591,7 +604,7 @@
     rows = [row("e0"), row("e1", "b")]
     classes = {"freely": CLASSES["freely"]}
     fleet = Fleet(rows, {7: RouteRules(frozenset(classes), 3, S)})
-    told = settings(classes=classes, siblings=1)
+    told = settings(classes=classes, replica_count=1)
     with tempfile.TemporaryDirectory() as folder:
         config = Config("n", LOCAL, None, folder, 3, 100, 10**6, 10**8, told, read_list(list_update(0)), fleet=fleet)
         shards = ShardingOptions(4, 10 * S, 0.0) if divided else None
@@ -636,17 +649,17 @@
 # -- the simulator's wire
 
 ACTIONS = {
-    "send": i.Send("m", "e", 1_234_567),
-    "set-timer": i.SetTimer(3, 20_500),
-    "refuse": i.Refuse("m", 1_500_000),
-    "refuse-at-once": i.Refuse("m", 0),
-    "fail": i.Fail("m"),
-    "cancel": i.Cancel("m", 2),
-    "probe": i.Probe("e"),
-    "close": i.Close("e"),
-    "subscribe": i.Subscribe(),
-    "unsubscribe": i.Subscribe(False),
-    "log": i.Log('a "line" \u00e9'),
+    "send": Send("m", "e", 1_234_567),
+    "set-timer": SetTimer(3, 20_500),
+    "refuse": Shed("m", 1_500_000),
+    "refuse-at-once": Shed("m", 0),
+    "fail": Fail("m"),
+    "cancel": CancelAttempt("m", 2),
+    "probe": Probe("e"),
+    "close": CloseIdleConnections("e"),
+    "subscribe": PollEndpointList(),
+    "unsubscribe": PollEndpointList(False),
+    "log": LogLine('a "line" \u00e9'),
 }
 OPEN = ["openInstance", "s0", 7, CONFIG]
 LISTED = ["backendsChanged", "s0", 1, 0, 1]
--- a/tests/lang/test_meaning.py
+++ b/tests/lang/test_meaning.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from scalefall import interface as i
 from scalefall.lang import diff, explain, load, render, sender, wire
 from scalefall.lang.units import Rate
 from scalefall.policy.engine import DEPTH_US
+from scalefall.policy.events import Endpoint, EndpointStatus
 from scalefall.settings_reader import read_settings
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -158,9 +158,11 @@
     config = sender.config(site(SITE), "state", 5)
     assert config.settings.attempts == {} and config.fleet.routes[7].attempts == 5  # the host hands them on
     assert config.fleet.routes[9].classes == {"event-notice"} and config.fleet.routes[9].most_wait_us == 3_000_000
-    assert not config.settings.ask and config.settings.weights == "told"
+    assert not config.settings.polls_endpoint_list and config.settings.weights == "told"
     first = config.fleet.entries[0]
-    assert first.endpoint == i.Endpoint("pojistovna/a@10.3.0.18:8081", "praha", "partner", 7, i.Status.READY, 4.0, 0)
+    assert first.endpoint == Endpoint(
+        "pojistovna/a@10.3.0.18:8081", "praha", "partner", 7, EndpointStatus.READY, 4.0, 0
+    )
     assert (first.address, first.dial_us, first.idle_us) == (("10.3.0.18", 8081), 1_000_000, 10_000_000)
 
 
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -9,12 +9,12 @@
 
 from greenlet import getcurrent
 
-from scalefall import interface as i
 from scalefall.net import http, streams
-from scalefall.net.endpoint_list import Entry
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
+from scalefall.net.endpoint_list import Entry
 from scalefall.net.scheduler import READ, READY, Scheduler
+from scalefall.policy.events import Endpoint, EndpointStatus
 
 MS, S = 1000, 1_000_000
 
@@ -190,7 +190,7 @@
 
     def __init__(self, world, settings, address, most=100):
         self.world, self.told, self.may = world, [], True
-        self.entry = Entry(i.Endpoint("e", "a", "many", 1, i.Status.READY, 1.0), address)
+        self.entry = Entry(Endpoint("e", "a", "many", 1, EndpointStatus.READY, 1.0), address)
         self.attempts = Attempts(
             world, settings, most, lambda event, _: self.told.append(event), lambda entry: self.may
         )
--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -15,15 +15,20 @@
 
 from nethelp import listed
 
-from scalefall.interface import Effect, Known
 from scalefall.net import learned_rates
 from scalefall.net.journal import Journal, PendingDelivery
+from scalefall.policy.events import LearnedRate
+from scalefall.policy.settings import Idempotency
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "example" / "config.json").read_text())
 DISK_BYTES = EXAMPLE["limits"]["disk_mb"] * 1_000_000
 LIST = 1024  # endpoints, each of its own destination
-CLASSES = (("status-update", Effect.SAFE), ("event-notice", Effect.KEYED), ("fee-order", Effect.UNSAFE))
+CLASSES = (
+    ("status-update", Idempotency.IDEMPOTENT),
+    ("event-notice", Idempotency.WITH_KEY),
+    ("fee-order", Idempotency.NOT_IDEMPOTENT),
+)
 SPARE = 4096  # bytes, before the journal would make a shorter copy of itself
 TIME_US = 24_000_000  # of each message: a whole deadline of the example's shortest class
 LONG = 60  # seconds after which a start is given up
@@ -46,7 +51,7 @@
     """Take on messages until the folder takes no more, and write attempts until the file is as long as it may be: each
     has one or more that may have run, some have one that is out. Gives back how many messages."""
     room, wall = learned_rates.reserved_bytes(DISK_BYTES), time.time_ns() // 1000
-    learned_rates.save(folder, room, [Known(number, "", 1.0, 5.0) for number in range(LIST)], wall)
+    learned_rates.save(folder, room, [LearnedRate(number, "", 1.0, 5.0) for number in range(LIST)], wall)
     journal, taken = Journal(str(folder), DISK_BYTES - room), 0
     while journal.record_accepted(_message(taken, wall)):
         taken += 1
@@ -62,8 +67,8 @@
 
 def _message(number, wall):
     name, idempotency = CLASSES[number % len(CLASSES)]
-    key = f"k{number}" if idempotency is Effect.KEYED else None
-    ttl = 6_000_000 if idempotency is Effect.KEYED else 0
+    key = f"k{number}" if idempotency is Idempotency.WITH_KEY else None
+    ttl = 6_000_000 if idempotency is Idempotency.WITH_KEY else 0
     return PendingDelivery(
         f"m{number}", name, number % LIST, wall + TIME_US, key, b"body", idempotency=idempotency, key_ttl_us=ttl
     )
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -7,21 +7,27 @@
 import math
 from dataclasses import dataclass, field
 
-from scalefall import interface
 from scalefall.assignment.assembly import AssignmentSettings, assemble
 from scalefall.assignment.model import Node
 from scalefall.assignment.snapshot import TableState, decode, encode
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.state import StateDirectory
-from scalefall.interface import Effect
 from scalefall.net import journal, learned_rates
 from scalefall.net.admin import MaintenanceStore
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.events import EndpointReport, LearnedRate, Outcome
+from scalefall.policy.settings import Idempotency
 
 DISK_BYTES = 4_000_000  # the sender's limit for its state folder
-REPEAT = {"not recorded": None, "freely": Effect.SAFE, "with key": Effect.KEYED, "never": Effect.UNSAFE}
+REPEAT = {
+    "not recorded": None,
+    "freely": Idempotency.IDEMPOTENT,
+    "with key": Idempotency.WITH_KEY,
+    "never": Idempotency.NOT_IDEMPOTENT,
+}
 ENDS = {"none": 0, "failed": journal.FAILED, "returned": journal.RETURNED}
 LATEST = {"rates": learned_rates.MAX_AGE_US}  # us from which on what is stored is too old
-OUTCOMES = {"not sent": interface.Outcome.NOT_SENT, "cannot connect": interface.Outcome.CONNECT_FAILED}
+OUTCOMES = {"not sent": Outcome.NOT_SENT, "cannot connect": Outcome.CONNECT_FAILED}
 
 
 def _named(table, value):
@@ -106,8 +112,8 @@
 
 
 def rate(row):
-    return interface.Known(
-        destination=row["destination"], route=row["route"], part=row["own_rate"], limit=row["reported_limit"]
+    return LearnedRate(
+        destination=row["destination"], route=row["route"], own_rate=row["own_rate"], limit=row["reported_limit"]
     )
 
 
@@ -115,7 +121,7 @@
     return {
         "destination": known.destination,
         "route": known.route,
-        "own_rate": known.part,
+        "own_rate": known.own_rate,
         "reported_limit": known.limit,
     }
 
@@ -159,30 +165,30 @@
 
     def unsettled_allowances(self):
         return [
-            interface.Allowed(
+            RouteAllowance(
                 destination=row["destination"],
                 route=row["route"],
                 endpoints={name: math.inf if own is None else own for name, own in row["endpoints"].items()},
                 rate=row["rate"],
-                silent_until=self._now + row["silent_for_us"],
+                retry_after_until=self._now + row["silent_for_us"],
             )
             for row in self._state["allowances"]
         ]
 
-    def known(self):
+    def learned_rates(self):
         return [rate(row) for row in self._state["rates"]]
 
 
 def event_row(event):
     match event:
-        case interface.Known():
+        case LearnedRate():
             return {"learned": rate_row(event)}
-        case interface.Reported():
+        case EndpointReport():
             return {
                 "endpoint": event.endpoint,
                 "sent_at_us": event.sent_us,
                 "outcome": _named(OUTCOMES, event.outcome),
-                "wait_us": event.wait_us,
+                "wait_us": event.retry_after_us,
             }
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -146,7 +146,7 @@
     def fails(self, now, events):
         raise RuntimeError("seen in a test")
 
-    monkeypatch.setattr(adapter.Sender, "handle", fails)
+    monkeypatch.setattr(adapter.Engine, "handle", fails)
     assert host.batch(1, [ingress(1)]) == [["fault", "sender_0", "RuntimeError: seen in a test"]]
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -11,11 +11,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from nethelp import MS, Calls, Peer, S, World, closed, reset, woken
 
-from scalefall import interface as i
 from scalefall.net import http, streams
 from scalefall.net.endpoint_list import Entry
+from scalefall.policy.events import Outcome
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 
 
 @pytest.fixture
@@ -41,13 +41,13 @@
 TABLE = [
     (200, [], O.OK, 0, True),
     (500, [], O.ERROR, 0, False),
-    (429, [("Retry-After", "1.25")], O.FULL, 1_250_000, False),
-    (503, [], O.FULL, 0, False),
+    (429, [("Retry-After", "1.25")], O.OVERLOADED, 1_250_000, False),
+    (503, [], O.OVERLOADED, 0, False),
     (503, [("X-Egress-Full", "1")], O.NOT_SENT, 0, False),
     (504, [], O.NOT_SENT, 0, False),
     (410, [], O.NOT_SENT, 0, True),
     (302, [], O.ERROR, 0, False),
-    (429, [("Retry-After", "soon")], O.FULL, 0, False),
+    (429, [("Retry-After", "soon")], O.OVERLOADED, 0, False),
 ]
 
 
@@ -60,8 +60,8 @@
         assert request.fields["x-deadline"] == "2000m" and request.body == b"body"
         sock.send(http.answer(status, [LOAD, *fields], b"whatever"))
         event = calls.outcome("m")
-        assert (event.outcome, event.wait_us, event.finished) == (outcome, wait, finished)
-        assert event.report == {"x0": 0.4, "x1": 25} and event.endpoint == "e" and calls.attempts.in_flight == 0
+        assert (event.outcome, event.retry_after_us, event.finished) == (outcome, wait, finished)
+        assert event.load_report == {"x0": 0.4, "x1": 25} and event.endpoint == "e" and calls.attempts.in_flight == 0
 
     world.play(play)
 
@@ -74,10 +74,12 @@
         states = ["accepted", "fault", "deferred", "expired", "no_more"]
         body = json.dumps([{"id": name, "state": state} for name, state in zip("abcde", states)]).encode()
         sock.send(http.answer(200, [("Retry-After", "0.5")], body))
-        assert [(calls.outcome(n).outcome, calls.outcome(n).finished, calls.outcome(n).wait_us) for n in "abcdef"] == [
+        assert [
+            (calls.outcome(n).outcome, calls.outcome(n).finished, calls.outcome(n).retry_after_us) for n in "abcdef"
+        ] == [
             (O.OK, True, 500_000),
             (O.ERROR, False, 500_000),
-            (O.FULL, False, 500_000),
+            (O.OVERLOADED, False, 500_000),
             (O.NOT_SENT, True, 500_000),
             (O.NOT_SENT, False, 500_000),
             (O.ERROR, False, 500_000),
@@ -89,7 +91,7 @@
 @pytest.mark.parametrize(
     "status, body, outcome",
     [
-        (429, b"", O.FULL),
+        (429, b"", O.OVERLOADED),
         (500, b"", O.ERROR),
         (413, b"", O.NOT_SENT),
         (200, b"[7]", O.ERROR),
@@ -110,7 +112,7 @@
     (b"HTTP/1.", O.RESET),
     (b"junk\r\n", O.ERROR),
     (b"HTTP/1.1 200 OK\r\n", O.OK),
-    (b"HTTP/1.1 503 x\r\n", O.FULL),
+    (b"HTTP/1.1 503 x\r\n", O.OVERLOADED),
     (b"HTTP/1.1 100 Continue\r\n\r\n", O.RESET),
 ]
 
@@ -160,7 +162,7 @@
         began = world.now()
         sock.send(sent)
         event = calls.outcome("m")
-        assert (event.outcome, event.finished, event.wait_us) == (outcome, outcome is O.OK, 0)
+        assert (event.outcome, event.finished, event.retry_after_us) == (outcome, outcome is O.OK, 0)
         assert world.now() - began < 2 * S and closed(world, sock) and not calls.attempts._pool._idle
 
     world.play(play)
@@ -223,7 +225,7 @@
         calls, _, sock, _ = begun(world, "m")
         sock.send(http.answer(200, [("X-Load", report)]))
         event = calls.outcome("m")
-        assert (event.outcome, event.finished, event.report) == (O.OK, True, {})
+        assert (event.outcome, event.finished, event.load_report) == (O.OK, True, {})
 
     world.play(play)
 
@@ -417,11 +419,11 @@
 
 
 CROWDED = [
-    ([], 503, True, O.CROWDED),
-    ([LOAD], 503, True, O.FULL),
-    ([], 429, True, O.FULL),
-    ([], 503, False, O.FULL),
-    ([("Retry-After", "1.25")], 503, True, O.FULL),
+    ([], 503, True, O.CONNECTIONS_EXHAUSTED),
+    ([LOAD], 503, True, O.OVERLOADED),
+    ([], 429, True, O.OVERLOADED),
+    ([], 503, False, O.OVERLOADED),
+    ([("Retry-After", "1.25")], 503, True, O.OVERLOADED),
     ([("X-Egress-Full", "1")], 503, True, O.NOT_SENT),
 ]
 
@@ -429,10 +431,10 @@
 @pytest.mark.parametrize("fields, status, reports, outcome", CROWDED)
 def test_a_new_connection_refused_with_no_report_met_a_full_table(world, fields, status, reports, outcome):
     def play():
-        calls, peer, sock, _ = begun(world, "m", told={"answers_report": reports})
+        calls, peer, sock, _ = begun(world, "m", told={"answers_carry_report": reports})
         sock.send(http.answer(status, fields, b""))
         assert calls.outcome("m").outcome is outcome
-        if outcome is O.CROWDED:  # on a connection that was let in before it is the call that is refused
+        if outcome is O.CONNECTIONS_EXHAUSTED:  # on a connection that was let in before it is the call that is refused
             calls.begin("n")
             world.sleep(50 * MS)
             sock = peer.accept()
@@ -443,7 +445,7 @@
             calls.begin("o")
             peer.read(sock)
             sock.send(http.answer(503, [], b""))
-            assert calls.outcome("o").outcome is O.FULL
+            assert calls.outcome("o").outcome is O.OVERLOADED
 
     world.play(play)
 
@@ -451,7 +453,7 @@
 @pytest.mark.parametrize("senders, span", [(1, 5 * S), (40, 125 * MS)])
 def test_an_idle_connection_is_kept_for_one_senders_part_of_the_time(world, senders, span):
     def play():
-        calls, _, sock, _ = begun(world, "m", told={"siblings": senders, "idle_close_us": 5 * S})
+        calls, _, sock, _ = begun(world, "m", told={"replica_count": senders, "idle_close_us": 5 * S})
         sock.send(http.answer(200, [LOAD], b""))
         calls.outcome("m")
         answered = world.now()
@@ -547,7 +549,7 @@
     def start(self):
         self.world, self.number = World(), 0
         self.peer = Peer(self.world)
-        self.calls = Calls(self.world, settings(idle_close_us=5 * S, siblings=1), self.peer.address)
+        self.calls = Calls(self.world, settings(idle_close_us=5 * S, replica_count=1), self.peer.address)
         self.idle, self.out, self.known = [], {}, 0
 
     def step(self, function):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -138,7 +138,9 @@
         read_settings(json.loads(path.read_text())["settings"])
         for path in (EXAMPLE / "config.json", tmp_path / "config.json")
     )
-    assert now.classes == was.classes and now.max_attempts == was.max_attempts and now.cold_us == was.cold_us
+    assert (
+        now.classes == was.classes and now.max_attempts == was.max_attempts and now.slow_start_us == was.slow_start_us
+    )
 
 
 def test_run_names_what_it_cannot_start_with(tmp_path):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -6,14 +6,14 @@
 import pytest
 from nethelp import MS, STREAM, Peer, S, World, chunk, closed, list_update, listed, reset, woken
 
-from scalefall import interface as i
 from scalefall.net import http
-from scalefall.net.endpoint_list import EndpointList, read_list
 from scalefall.net.delivery_reports import DeliveryReports
+from scalefall.net.endpoint_list import EndpointList, read_list
 from scalefall.net.scheduler import READY
+from scalefall.policy.events import EndpointStatus, ListUpdateKind
 
 HERE = ("127.0.0.1", 1)
-K = i.ListKind
+K = ListUpdateKind
 
 
 def watched(world, **more):
@@ -57,9 +57,9 @@
         )
         world.until(lambda: len(told) == 3)
         assert [(t.kind, [(e.id, e.status) for e in t.endpoints]) for t in told] == [
-            (K.CHANGES, [("f", i.Status.READY)]),
-            (K.CHANGES, [("e", i.Status.DRAINING)]),
-            (K.WHOLE, [("f", i.Status.READY)]),
+            (K.CHANGES, [("f", EndpointStatus.READY)]),
+            (K.CHANGES, [("e", EndpointStatus.DRAINING)]),
+            (K.WHOLE, [("f", EndpointStatus.READY)]),
         ]
         assert set(endpoint_list.left_at) == {"e"} and endpoint_list.seq == 50 and peer.accepted == 1
 
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -3,8 +3,8 @@
 import pytest
 from nethelp import MS, World
 
-from scalefall.interface import Dropped
 from scalefall.net.event_queue import EventQueue
+from scalefall.policy.events import MessageWithdrawn
 
 
 def test_a_step_runs_once_at_the_end_of_the_tick_and_takes_events_in_their_order():
@@ -16,7 +16,7 @@
     def steps():
         world.sleep(MS)
         began = world.now()
-        first, second = Dropped("first"), Dropped("second")
+        first, second = MessageWithdrawn("first"), MessageWithdrawn("second")
         queue.gather(first)
         world.sleep(MS)
         queue.gather(second)
@@ -35,14 +35,14 @@
         events = queue.take()
         taken.append(events)
         if len(taken) == 1:
-            queue.gather(Dropped("later"))
+            queue.gather(MessageWithdrawn("later"))
 
     queue.connect(step)
 
     def steps():
-        queue.gather(Dropped("now"))
+        queue.gather(MessageWithdrawn("now"))
         world.sleep(10 * MS)
-        assert taken == [[Dropped("now")], [Dropped("later")]]
+        assert taken == [[MessageWithdrawn("now")], [MessageWithdrawn("later")]]
 
     world.play(steps)
 
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -9,13 +9,13 @@
 import pytest
 from helpers import COLD, FALL, MS, Fleet, Outage, S, cold_budget
 
-from scalefall import interface as i
-from scalefall.policy.engine import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import Outcome
 
 BACK = 20 * S  # Outage's end
 
 
-class Unguarded(Sender):
+class Unguarded(Engine):
     def _failed(self, call, wait_us):
         pass
 
@@ -37,24 +37,24 @@
 
 @pytest.mark.parametrize("rates, limit", [EQUAL, UNEQUAL, QUIET])
 @pytest.mark.parametrize(
-    "fails, wait", [(i.Outcome.CONNECT_FAILED, False), (i.Outcome.FULL, False), (i.Outcome.FULL, True)]
+    "fails, wait", [(Outcome.CONNECT_FAILED, False), (Outcome.OVERLOADED, False), (Outcome.OVERLOADED, True)]
 )
 def test_told_senders_seldom_have_a_part_in_pushing_a_returning_destination_over(rates, limit, fails, wait):
     """Where senders are many and quiet, those not told send more than the budget alone, and by chance fewer than half
     as many as the told: measured over 24 seeds at most 6; elsewhere at most 1."""
     outage = Outage(limit, fails, wait)
-    over = sum(broken(Fleet(Sender, rates, outage, seed).play(), limit) for seed in range(8))
+    over = sum(broken(Fleet(Engine, rates, outage, seed).play(), limit) for seed in range(8))
     assert over <= (3 if (rates, limit) == QUIET else 1)
 
 
 def test_the_judge_catches_senders_without_a_guard():
     rates, limit = EQUAL
-    for outage in (Outage(limit, i.Outcome.CONNECT_FAILED), Outage(limit, i.Outcome.FULL, True)):
+    for outage in (Outage(limit, Outcome.CONNECT_FAILED), Outage(limit, Outcome.OVERLOADED, True)):
         assert broken(Fleet(Unguarded, rates, outage).play(), limit)
 
 
 @pytest.mark.parametrize("rates, limit", [EQUAL, UNEQUAL])
 def test_all_senders_serve_again_once_the_destination_is_warm(rates, limit):
-    calls = Fleet(Sender, rates, Outage(limit, i.Outcome.CONNECT_FAILED)).play(end=50 * S)
+    calls = Fleet(Engine, rates, Outage(limit, Outcome.CONNECT_FAILED)).play(end=50 * S)
     late = sum(at >= 40 * S for at, _ in calls) / 10
     assert late >= 0.4 * sum(rates)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -3,10 +3,32 @@
 import pytest
 from helpers import MS, Drive, S, message_class, settings
 
-from scalefall import interface as i
-from scalefall.policy.engine import Sender
+from scalefall.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import (
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    ListUpdateKind,
+    Message,
+    MessageWithdrawn,
+    Outcome,
+    ProbeFinished,
+    TimerFired,
+)
+from scalefall.policy.settings import Idempotency
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 
 
 def serve(d, endpoint, times=6, took=100 * MS, dest=1, cls="safe"):
@@ -24,13 +46,13 @@
     d = Drive()
     assert d.arrive("m", dest=9) == []
     d.tick(8 * S)
-    assert [a.id for a in d.of(i.Refuse)] == ["m"]
+    assert [a.id for a in d.of(Shed)] == ["m"]
 
 
 def test_an_unknown_class_is_answered_at_once():
     d = Drive()
-    d.turn(i.Message("m", 1, "never heard of", 8 * S))
-    assert [a.id for a in d.of(i.Fail)] == ["m"]
+    d.turn(Message("m", 1, "never heard of", 8 * S))
+    assert [a.id for a in d.of(Fail)] == ["m"]
 
 
 def test_a_message_that_is_out_at_due_fails_at_due():
@@ -38,7 +60,7 @@
     d.list(("e", 1))
     assert d.arrive("m", cls="unsafe") == ["m"]
     d.tick(16 * S)
-    assert [a.id for a in d.of(i.Fail)] == ["m"]
+    assert [a.id for a in d.of(Fail)] == ["m"]
     d.result("m", "e", O.TIMEOUT)
     assert d.actions == []
 
@@ -46,21 +68,27 @@
 def test_a_timer_is_set_for_due():
     d = Drive()
     d.arrive("m", cls="unsafe")
-    assert 16 * S in [t.delay_us for t in d.of(i.SetTimer)]
+    assert 16 * S in [t.delay_us for t in d.of(SetTimer)]
 
 
 def test_nothing_follows_a_drop():
     d = Drive()
     d.list(("e", 1))
     d.arrive("m")
-    d.turn(i.Dropped("m"))
-    d.result("m", "e", O.FULL)
+    d.turn(MessageWithdrawn("m"))
+    d.result("m", "e", O.OVERLOADED)
     d.tick(9 * S)
     assert d.actions == []
 
 
 @pytest.mark.parametrize(
-    "event", [i.Dropped("ghost"), i.Timer(99), i.Probed("ghost", O.OK, 5), i.Attempted("ghost", 0, "e", O.TIMEOUT, 5)]
+    "event",
+    [
+        MessageWithdrawn("ghost"),
+        TimerFired(99),
+        ProbeFinished("ghost", O.OK, 5),
+        AttemptFinished("ghost", 0, "e", O.TIMEOUT, 5),
+    ],
 )
 def test_events_for_what_is_not_held_are_passed_over(event):
     d = Drive()
@@ -76,7 +104,7 @@
     d.list(("e", 1))
     d.arrive("m", cls="unsafe")
     d.result("m", "e", outcome)
-    assert [type(a) for a in d.actions if not isinstance(a, i.SetTimer)] == [i.Fail]
+    assert [type(a) for a in d.actions if not isinstance(a, SetTimer)] == [Fail]
 
 
 def test_unsafe_that_never_ran_goes_again():
@@ -91,11 +119,11 @@
     d = Drive()
     d.list(("e", 1))
     d.arrive("m", cls="unsafe")
-    assert d.of(i.Send)[0].timeout_us == 16 * S
+    assert d.of(Send)[0].timeout_us == 16 * S
 
 
 def test_keyed_is_not_resent_after_its_time():
-    d = Drive(classes={"keyed": message_class("keyed", i.Effect.KEYED, key_ttl_us=2 * S)})
+    d = Drive(classes={"keyed": message_class("keyed", Idempotency.WITH_KEY, key_ttl_us=2 * S)})
     d.list(("e", 1))
     d.arrive("m", cls="keyed")
     assert d.result("m", "e", O.RESET, after=2 * S) == []
@@ -104,7 +132,7 @@
 
 def test_keyed_whose_time_ran_out_during_an_attempt_is_not_resent_in_the_same_turn():
     """An attempt that never ran may end after the window of one that may have; the look at late ones was over then."""
-    d = Drive(classes={"keyed": message_class("keyed", i.Effect.KEYED, key_ttl_us=2 * S)})
+    d = Drive(classes={"keyed": message_class("keyed", Idempotency.WITH_KEY, key_ttl_us=2 * S)})
     d.list(("e", 1))
     d.arrive("m", cls="keyed")
     d.result("m", "e", O.RESET)
@@ -112,19 +140,19 @@
         pass
     d.tick(2 * S)
     assert d.result("m", "e", O.NOT_SENT) == []
-    assert [a.id for a in d.of(i.Refuse)] == ["m"]
+    assert [a.id for a in d.of(Shed)] == ["m"]
 
 
 def test_keyed_stays_in_the_zone_that_may_have_run_it_and_is_not_refused():
     d = Drive()
     d.list(("a1", 1, "one", "a"))
     d.arrive("m", cls="zoned")
-    d.list(("b1", 1, "one", "b"), kind=i.ListKind.CHANGES)
-    d.list(("a1", 1, "one", "a"), kind=i.ListKind.CHANGES, status=i.Status.DRAINING)
+    d.list(("b1", 1, "one", "b"), kind=ListUpdateKind.CHANGES)
+    d.list(("a1", 1, "one", "a"), kind=ListUpdateKind.CHANGES, status=EndpointStatus.DRAINING)
     assert d.result("m", "a1", O.ERROR) == []
-    assert d.tick(3 * S) == [] and d.of(i.Refuse) == []
+    assert d.tick(3 * S) == [] and d.of(Shed) == []
     d.tick(3 * S)
-    assert [a.id for a in d.of(i.Fail)] == ["m"]
+    assert [a.id for a in d.of(Fail)] == ["m"]
 
 
 def test_never_two_attempts_out():
@@ -138,14 +166,14 @@
 # -- drains kept
 
 
-@pytest.mark.parametrize("status", [i.Status.DRAINING, i.Status.GONE])
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.GONE])
 def test_nothing_new_to_a_draining_or_gone_endpoint(status):
     d = Drive()
     d.list(("e", 1))
-    d.list(("e", 1), kind=i.ListKind.CHANGES, status=status)
+    d.list(("e", 1), kind=ListUpdateKind.CHANGES, status=status)
     assert d.arrive("m") == []
-    d.list(("e", 1), kind=i.ListKind.CHANGES)
-    assert [s.id for s in d.of(i.Send)] == ["m"]
+    d.list(("e", 1), kind=ListUpdateKind.CHANGES)
+    assert [s.id for s in d.of(Send)] == ["m"]
 
 
 def test_an_endpoint_missing_from_a_whole_list_is_gone():
@@ -153,7 +181,7 @@
     d.list(("e", 1), ("f", 1))
     d.list(("f", 1), ("f", 1))
     d.arrive("m", "n")
-    assert {s.endpoint for s in d.of(i.Send)} == {"f"}
+    assert {s.endpoint for s in d.of(Send)} == {"f"}
     d.list()
     assert d.arrive("o") == []
 
@@ -165,7 +193,7 @@
     d = Drive()
     d.list(("e", 1), ("f", 1))
     d.arrive("m")
-    assert d.result("m", d.of(i.Send)[0].endpoint, O.FULL, wait=3 * S) == []
+    assert d.result("m", d.of(Send)[0].endpoint, O.OVERLOADED, wait=3 * S) == []
     assert d.arrive("n", after=2900 * MS) == []
     assert d.tick(100 * MS) + d.arrive("o", after=12 * S) != []
 
@@ -174,16 +202,16 @@
     d = Drive()
     d.list(("r", 1, "route"), ("s", 1, "route"))
     d.arrive("m")
-    first = d.of(i.Send)[0].endpoint
-    assert d.result("m", first, O.FULL, wait=3 * S) == ["m"]
-    assert d.of(i.Send)[0].endpoint != first
+    first = d.of(Send)[0].endpoint
+    assert d.result("m", first, O.OVERLOADED, wait=3 * S) == ["m"]
+    assert d.of(Send)[0].endpoint != first
 
 
 def test_every_outcome_of_one_call_tells_its_own_wait():
     d = Drive()
     d.list(("e", 1, "many"))
     assert d.arrive("m1", "m2") == ["m1", "m2"]
-    assert d.result(["m1", "m2"], "e", O.FULL, wait=[300 * MS, 2700 * MS]) == []
+    assert d.result(["m1", "m2"], "e", O.OVERLOADED, wait=[300 * MS, 2700 * MS]) == []
     assert d.tick(2650 * MS) == []
     assert d.tick(60 * MS) != []
 
@@ -215,7 +243,7 @@
     d.list(("e", 1))
     d.arrive("a", cls="ordered", key="k")
     d.arrive("b", cls="ordered", key="k")
-    d.turn(i.Dropped("a"))
+    d.turn(MessageWithdrawn("a"))
     assert d.tick(S) == []
     assert d.result("a", "e", O.OK) == ["b"]
 
@@ -234,7 +262,7 @@
 
 def sends_in(d, span, outcome, step=50 * MS):
     """Answer every send at once with outcome; count the sends in span."""
-    count, out = 0, [s.id for s in d.of(i.Send)]
+    count, out = 0, [s.id for s in d.of(Send)]
     for n in range(span // step):
         if out:
             out = d.result(out, "e", outcome, after=step)
@@ -253,7 +281,7 @@
 
 
 def test_the_return_is_a_ramp_not_a_burst():
-    d = Drive(max_held=1000)
+    d = Drive(max_queued=1000)
     down(d)
     sends_in(d, 6 * S, O.CONNECT_FAILED)
     while not d.arrive(f"t{d.now}", after=100 * MS):
@@ -266,22 +294,24 @@
 
 def test_a_warm_partner_is_served_at_its_own_part_not_at_that_of_one_of_its_endpoints():
     """At size a partner's pace fell by half as the last guard went, with its backlog waiting: 160 to 84 calls/s."""
-    d = Drive(siblings=4, max_held=1000, slots=40)
+    d = Drive(replica_count=4, max_queued=1000, call_slots=40)
     d.list(("e", 1), ("f", 1))
     told = {"x0": 0.4, "x1": 40.0}
     for n in range(20):
         d.arrive(f"w{n}")
-        d.result(f"w{n}", d.of(i.Send)[0].endpoint, report=told, after=200 * MS)
+        d.result(f"w{n}", d.of(Send)[0].endpoint, report=told, after=200 * MS)
     held, rates = False, []
     for n in range(30 * S // (50 * MS)):  # down for 4 s, and then back
         up = n > 80
-        sent = [(s.id, s.endpoint) for s in d.of(i.Send)]
+        sent = [(s.id, s.endpoint) for s in d.of(Send)]
         d.turn(
             *(
-                i.Attempted(m, d.attempts[m], e, O.OK if up else O.CONNECT_FAILED, 50 * MS, up, 0, told if up else {})
+                AttemptFinished(
+                    m, d.attempts[m], e, O.OK if up else O.CONNECT_FAILED, 50 * MS, up, 0, told if up else {}
+                )
                 for m, e in sent
             ),
-            i.Message(f"t{n}", 1, "safe", d.now + 8 * S),
+            Message(f"t{n}", 1, "safe", d.now + 8 * S),
             after=50 * MS,
         )
         route = d.sender.destinations[1].routes[""]
@@ -293,7 +323,7 @@
 
 def test_one_failure_is_asked_about_once_before_the_budget_holds():
     """The old guard let a sender go on after one failure; of many senders most see just one."""
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1))
     d.arrive("m1")
     assert d.result("m1", "e", O.CONNECT_FAILED) == []
@@ -305,25 +335,25 @@
 
 def test_refusals_alone_are_met_as_an_outage_and_beside_successes_are_not():
     """A shut partner answers full: with the pace's floors alone all senders add up to its full limit."""
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1))
     d.arrive("m1")
-    d.result("m1", "e", O.FULL)
+    d.result("m1", "e", O.OVERLOADED)
     sent = d.tick(2 * S)
     assert sent == ["m1"]
-    d.result(sent, "e", O.FULL)
-    assert sends_in(d, 60 * S, O.FULL) <= 1 and d.sender.servers["e"].route.guard.doubts > 1
+    d.result(sent, "e", O.OVERLOADED)
+    assert sends_in(d, 60 * S, O.OVERLOADED) <= 1 and d.sender.servers["e"].route.guard.doubts > 1
     d = Drive()
     d.list(("e", 1))
     d.arrive("a", "b", "c", "d")
     d.result("a", "e", after=50 * MS)
     for name in "bcd":
-        d.result(name, "e", O.FULL, after=MS)
+        d.result(name, "e", O.OVERLOADED, after=MS)
     assert d.sender.servers["e"].route.guard.doubts == 0
 
 
 def test_an_answer_to_the_question_ends_the_doubt():
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1))
     d.arrive("m1")
     d.result("m1", "e", O.CONNECT_FAILED)
@@ -333,18 +363,18 @@
 
 
 def test_an_outage_of_the_route_holds_for_its_other_endpoints_one_of_an_endpoint_does_not():
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1), ("f", 1))
     for _ in range(2):
         sent = d.arrive(f"m{d.now}") or d.tick(2 * S)
-        d.result(sent, d.of(i.Send)[0].endpoint, O.CONNECT_FAILED)
+        d.result(sent, d.of(Send)[0].endpoint, O.CONNECT_FAILED)
     assert sends_in(d, 30 * S, O.CONNECT_FAILED) <= 1
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1), ("f", 1))
     asked = 0
     for n in range(30):
         d.arrive(f"u{n}", f"v{n}", cls="unsafe", after=S)
-        at = [(s.endpoint, s.id) for s in d.of(i.Send)]
+        at = [(s.endpoint, s.id) for s in d.of(Send)]
         asked += sum(e == "e" for e, _ in at)
         for e, name in sorted(at, reverse=True):
             d.result(name, e, O.OK if e == "f" else O.RESET, after=50 * MS)
@@ -356,11 +386,11 @@
     """A shut partner tells all the same end. Short waits: back over four times the wait; over fall: the budget."""
     back = []
     for seed in range(60):
-        d = Drive(siblings=200, classes={"patient": message_class("patient", deadline_us=60 * S)})
+        d = Drive(replica_count=200, classes={"patient": message_class("patient", deadline_us=60 * S)})
         d.sender = type(d.sender)(d.settings, seed)
         d.list(("e", 1))
         d.arrive("m", cls="patient")
-        d.result("m", "e", O.FULL, wait=wait)
+        d.result("m", "e", O.OVERLOADED, wait=wait)
         start = d.now
         while d.now < start + wait + 2 * S and not d.tick(100 * MS):
             pass
@@ -370,7 +400,7 @@
 
 def held(siblings=200, **changes):
     """A sender that was served 12 times in 6 s and then saw its question fail too."""
-    d = Drive(siblings=siblings, max_held=1000, **changes)
+    d = Drive(replica_count=siblings, max_queued=1000, **changes)
     d.list(("e", 1, "route"))
     for n in range(12):
         d.arrive(f"w{n}", after=400 * MS)
@@ -407,8 +437,8 @@
 def test_a_rough_weight_counts_as_half_too_high():
     parts = []
     for weights in ("nominal", "rough"):
-        d = Drive(siblings=10, weights=weights)
-        d.turn(i.Listed(i.ListKind.WHOLE, [i.Endpoint("e", "a", "one", 1, i.Status.READY, 6.0)]))
+        d = Drive(replica_count=10, weights=weights)
+        d.turn(EndpointListUpdate(ListUpdateKind.WHOLE, [Endpoint("e", "a", "one", 1, EndpointStatus.READY, 6.0)]))
         d.arrive("m")
         d.result("m", "e", O.RESET)
         parts.append(d.sender.servers["e"].route.guard.part)
@@ -436,31 +466,31 @@
     d.result("a0", "e", after=50 * MS)
     for n in (1, 2, 3):
         d.result(f"a{n}", "e", O.CONNECT_FAILED, after=10 * MS)
-    assert not d.sender.servers["e"].guard.doubts and d.of(i.Send) == []
+    assert not d.sender.servers["e"].guard.doubts and d.of(Send) == []
     assert sorted(d.tick(400 * MS)) == ["a1", "a2", "a3"]
 
 
 def test_calls_that_never_answer_give_their_slots_back():
-    d = Drive(slots=2)
+    d = Drive(call_slots=2)
     d.list(("e", 1), ("f", 2))
     serve(d, "e", 6, cls="unsafe")
     d.arrive("h1", cls="unsafe")
     d.arrive("h2", cls="unsafe", dest=2)
     d.tick(3 * S)
-    assert d.of(i.Cancel) == []
+    assert d.of(CancelAttempt) == []
     assert d.arrive("waits", dest=3) == []
-    assert [c.id for c in d.of(i.Cancel)] == ["h1"]
+    assert [c.id for c in d.of(CancelAttempt)] == ["h1"]
     assert d.arrive("waits too", dest=4, after=2 * S) == []
-    assert [c.id for c in d.of(i.Cancel)] == ["h2"]
+    assert [c.id for c in d.of(CancelAttempt)] == ["h2"]
 
 
 def paced(*reports, gap=100 * MS):
     """A sender whose calls were all answered full, with these reports; its route."""
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1))
     for n, report in enumerate(reports):
         d.arrive(f"m{n}", after=20 * S)
-        d.result(f"m{n}", "e", O.FULL, after=gap, report=report)
+        d.result(f"m{n}", "e", O.OVERLOADED, after=gap, report=report)
     return d, d.sender.servers["e"].route
 
 
@@ -476,11 +506,11 @@
     count, sent = 0, []
     for n in range(120):
         d.arrive(f"n{n}", after=200 * MS)
-        sent += [s.id for s in d.of(i.Send)]
+        sent += [s.id for s in d.of(Send)]
         if sent:
             count += 1
-            d.result(sent.pop(), "e", O.OK if count % 2 else O.FULL, after=10 * MS)
-            sent += [s.id for s in d.of(i.Send)]
+            d.result(sent.pop(), "e", O.OK if count % 2 else O.OVERLOADED, after=10 * MS)
+            sent += [s.id for s in d.of(Send)]
         lowest = min(lowest, route.rate)
     assert lowest < 0.5
     d.tick(200 * S)
@@ -489,15 +519,15 @@
 
 
 def test_the_even_part_of_a_told_limit_is_the_floor_of_the_pace():
-    d = Drive(siblings=2)
+    d = Drive(replica_count=2)
     d.list(("e", 1))
     d.arrive("m", after=20 * S)
-    d.result("m", "e", O.FULL, report={"x0": 0.5, "x1": 8.0})
+    d.result("m", "e", O.OVERLOADED, report={"x0": 0.5, "x1": 8.0})
     assert d.sender.servers["e"].route.rate == 4.0
 
 
 def test_little_left_in_a_report_slows_down_before_a_refusal_does():
-    d = Drive(siblings=200)
+    d = Drive(replica_count=200)
     d.list(("e", 1))
     serve(d, "e", 3)
     route = d.sender.servers["e"].route
@@ -527,7 +557,7 @@
         d.sender = type(d.sender)(d.settings, seed)
         d.list(("e", 1), ("f", 1), ("g", 1), ("h", 1))
         d.arrive("m")
-        first.append(d.of(i.Send)[0].endpoint)
+        first.append(d.of(Send)[0].endpoint)
     assert all(first.count(e) >= 3 for e in "efgh")
 
 
@@ -540,27 +570,27 @@
     d.result("m", "e", O.CONNECT_FAILED)
     assert d.tick(S) == ["m"]
     d.result("m", "e")
-    assert [c.endpoint for c in d.of(i.Close)] == ["e"]
+    assert [c.endpoint for c in d.of(CloseIdleConnections)] == ["e"]
     serve(d, "f", 1, dest=2)
-    assert d.of(i.Close) == []
+    assert d.of(CloseIdleConnections) == []
     d.tick(3 * S)
     serve(d, "e", 1)
-    assert d.of(i.Close) == []
+    assert d.of(CloseIdleConnections) == []
 
 
 def test_a_connection_turned_away_by_a_full_table_slows_nothing_and_holds_nothing():
     """At size most refusals are of this kind: as refusals of calls they held each sender to one call in 8 s."""
-    d = Drive(siblings=40)
+    d = Drive(replica_count=40)
     d.list(("e", 1))
     serve(d, "e")
     for n in range(3):
         assert d.arrive(f"away{n}") == [f"away{n}"]
-        d.result(f"away{n}", "e", O.CROWDED)
+        d.result(f"away{n}", "e", O.CONNECTIONS_EXHAUSTED)
         d.tick(S)  # sent again after a pause, and served
         d.result(f"away{n}", "e")
-    assert d.arrive("next") == ["next"] and not d.of(i.Log)
-    d.result("next", "e", O.CROWDED, after=0)
-    assert d.of(i.Send) == [] and d.tick(10 * MS) == []  # not at once: others go first
+    assert d.arrive("next") == ["next"] and not d.of(LogLine)
+    d.result("next", "e", O.CONNECTIONS_EXHAUSTED, after=0)
+    assert d.of(Send) == [] and d.tick(10 * MS) == []  # not at once: others go first
 
 
 def test_a_failed_connect_of_an_endpoint_that_has_not_served_lately_closes_nothing():
@@ -571,13 +601,13 @@
     d.result("m", "e", O.CONNECT_FAILED)
     assert d.tick(S) == ["m"]
     d.result("m", "e")
-    assert d.of(i.Close) == []
+    assert d.of(CloseIdleConnections) == []
 
 
 def test_a_pace_stays_at_the_even_part_of_a_told_limit_and_half_of_what_is_unused():
     """Refused calls cost, and use up the limit too; where a call takes many, they gather meanwhile."""
     for left, rate in ((0.2, 2.0), (0.5, 2.0), (1.0, 5.0)):
-        d = Drive(siblings=4)
+        d = Drive(replica_count=4)
         d.list(("e", 1, "many"))
         d.arrive("m")
         d.result("m", "e", report={"x0": left, "x1": 8.0})
@@ -591,18 +621,18 @@
 def test_a_short_told_wait_is_no_doubt_where_a_limit_is_told():
     """Above a limit a partner tells the rest of its span; taken for an outage, a sender sent nothing for 14 s."""
     for wait, doubts in ((S, False), (4 * S, True)):
-        d = Drive(siblings=2)
+        d = Drive(replica_count=2)
         d.list(("e", 1))
         d.arrive("a")
-        d.result("a", "e", O.FULL, wait=wait, report={"x0": 0.5, "x1": 3.0})
+        d.result("a", "e", O.OVERLOADED, wait=wait, report={"x0": 0.5, "x1": 3.0})
         assert bool(d.sender.servers["e"].guard.doubts) is doubts
 
 
 def test_a_sender_that_has_seen_little_has_an_even_part_and_its_trials_carry_many():
-    d = Drive(siblings=2)
+    d = Drive(replica_count=2)
     d.list(("e", 1, "many"))
     d.arrive("a")
-    d.result("a", "e", O.FULL, report={"x0": 0.5, "x1": 3.0})
+    d.result("a", "e", O.OVERLOADED, report={"x0": 0.5, "x1": 3.0})
     d.arrive(*(f"m{n}" for n in range(9)))
     for _ in range(2):
         sent = []
@@ -614,7 +644,7 @@
 
 
 def test_what_is_worth_more_goes_as_if_it_had_waited_longer():
-    d = Drive(slots=1, classes={"safe": message_class(), "dear": message_class("dear", worth=3.0)})
+    d = Drive(call_slots=1, classes={"safe": message_class(), "dear": message_class("dear", priority_weight=3.0)})
     d.list(("e", 1))
     d.arrive("out")
     d.arrive("old")
@@ -627,19 +657,19 @@
     d = Drive()
     d.list(("e", 1))
     d.arrive("m")
-    assert d.of(i.Send)[0].timeout_us == 2 * S
+    assert d.of(Send)[0].timeout_us == 2 * S
 
 
 def test_one_call_carries_many_for_one_slot():
-    d = Drive(slots=1)
+    d = Drive(call_slots=1)
     d.list(("e", 1, "many"))
     assert len(d.arrive(*(f"m{n}" for n in range(21)))) == 20
     d.result([f"m{n}" for n in range(20)], "e")
-    assert [s.id for s in d.of(i.Send)] == ["m20"]
+    assert [s.id for s in d.of(Send)] == ["m20"]
 
 
 def test_slots_are_kept():
-    d = Drive(slots=3)
+    d = Drive(call_slots=3)
     d.list(("e", 1), ("f", 2), ("g", 3), ("h", 4))
     sent = [d.arrive(f"m{n}", dest=n) for n in range(1, 5)]
     assert sent == [["m1"], ["m2"], ["m3"], []]
@@ -647,14 +677,14 @@
 
 def test_the_directory_is_asked_and_asked_again():
     """It counts as told what it has not heard: after the time for asking, or four of these after a call that failed."""
-    d = Drive(ask=True, siblings=230)
-    d.list(("e", 1), kind=i.ListKind.CACHED)
+    d = Drive(polls_endpoint_list=True, replica_count=230)
+    d.list(("e", 1), kind=ListUpdateKind.CACHED)
     for fails in range(60):
-        token = d.of(i.SetTimer)[0]
-        assert token.delay_us <= d.settings.ask_within_us * (3.6 if fails > 1 else 0.9)
-        d.turn(i.Timer(token.token), after=token.delay_us)
-        assert d.of(i.Subscribe) == [i.Subscribe(True)]
-        d.turn(i.Listed(i.ListKind.FAILED))
+        token = d.of(SetTimer)[0]
+        assert token.delay_us <= d.settings.poll_within_us * (3.6 if fails > 1 else 0.9)
+        d.turn(TimerFired(token.token), after=token.delay_us)
+        assert d.of(PollEndpointList) == [PollEndpointList(True)]
+        d.turn(EndpointListUpdate(ListUpdateKind.FAILED))
 
 
 @pytest.mark.parametrize("senders, least", [(1, 0), (40, 30)])
@@ -663,9 +693,13 @@
     together 5 were served, and those that failed came back together until 18 s later."""
     asks = []
     for n in range(senders):
-        sender = Sender(settings(siblings=senders, index=n, ask=True), 1000 + n)
-        endpoint = i.Endpoint("e", "a", "one", 1, i.Status.READY, 0.0)
-        timers = [a for a in sender.handle(0, [i.Listed(i.ListKind.CACHED, [endpoint])]) if isinstance(a, i.SetTimer)]
+        sender = Engine(settings(replica_count=senders, replica_index=n, polls_endpoint_list=True), 1000 + n)
+        endpoint = Endpoint("e", "a", "one", 1, EndpointStatus.READY, 0.0)
+        timers = [
+            a
+            for a in sender.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, [endpoint])])
+            if isinstance(a, SetTimer)
+        ]
         asks.append(timers[0].delay_us)
     free, served = 0, 0
     for at in sorted(asks):
@@ -675,13 +709,13 @@
 
 
 def test_what_has_lost_half_its_worth_goes_behind():
-    d = Drive(slots=1)
+    d = Drive(call_slots=1)
     d.list(("e", 1))
     d.arrive("hog", cls="unsafe")
     d.arrive("old", cls="safe")
     d.arrive("fresh", cls="safe", after=7900 * MS)
     old = d.sender.held["old"]
-    assert d.sender._urgency(old) > d.sender._urgency(d.sender.held["fresh"]) or old.cls.late_worth >= 0.5
+    assert d.sender._urgency(old) > d.sender._urgency(d.sender.held["fresh"]) or old.cls.late_priority_weight >= 0.5
 
 
 def test_attempts_stop_at_the_most_allowed():
@@ -691,7 +725,7 @@
     d.result("m", "e", O.ERROR)
     assert d.tick(S) == ["m"]
     d.result("m", "e", O.ERROR)
-    assert [a.id for a in d.of(i.Refuse)] == ["m"]
+    assert [a.id for a in d.of(Shed)] == ["m"]
 
 
 @pytest.mark.parametrize("busy", [0, 20])
@@ -699,9 +733,9 @@
     """100 senders with messages waiting, all told; some of them had all the traffic before, or none had any."""
     budget, trials = 1.5 * 0.25 * 6.0, 0
     for n in range(100):
-        d = Drive(siblings=100, index=n, weights="nominal")
+        d = Drive(replica_count=100, replica_index=n, weights="nominal")
         d.sender = type(d.sender)(d.settings, n)
-        d.turn(i.Listed(i.ListKind.WHOLE, [i.Endpoint("e", "a", "one", 1, i.Status.READY, 6.0)]))
+        d.turn(EndpointListUpdate(ListUpdateKind.WHOLE, [Endpoint("e", "a", "one", 1, EndpointStatus.READY, 6.0)]))
         for k in range(3 if n < busy else 0):  # 20 senders with 0.3 calls/s each: the limit of 6
             d.arrive(f"w{k}", after=3300 * MS)
             d.result(f"w{k}", "e", after=100 * MS)
@@ -718,19 +752,19 @@
     d = Drive()
     d.list(("e", 1), ("f", 1))
     d.arrive("a", cls="unsafe")
-    first = d.of(i.Send)[0].endpoint
+    first = d.of(Send)[0].endpoint
     d.arrive("b", cls="unsafe")
-    assert {first, d.of(i.Send)[0].endpoint} == {"e", "f"}
+    assert {first, d.of(Send)[0].endpoint} == {"e", "f"}
     d.result("a", first)
     d.arrive("c", cls="unsafe")
-    assert d.of(i.Send)[0].endpoint == first
+    assert d.of(Send)[0].endpoint == first
 
 
 # -- cost and memory
 
 
 def test_a_turn_looks_only_at_what_its_events_touch():
-    d = Drive(slots=1)
+    d = Drive(call_slots=1)
     d.list(*((f"e{n}", n) for n in range(200)))
     d.arrive("out")
     looked = []
@@ -746,8 +780,8 @@
     d.result("m", "e")
     d.tick(9 * S)
     assert d.actions == []
-    d.turn(i.Message("w", 2, "safe", d.now + 8 * S))
-    assert [t.delay_us for t in d.of(i.SetTimer)] == [8 * S]
+    d.turn(Message("w", 2, "safe", d.now + 8 * S))
+    assert [t.delay_us for t in d.of(SetTimer)] == [8 * S]
 
 
 def test_gone_endpoints_are_forgotten_once_nothing_is_out():
@@ -765,9 +799,9 @@
     d.list(("r", 3, "route"))
     assert d.arrive("m", dest=3) == ["m"]
     d.list(("x", 9))
-    d.result("m", "r", O.FULL, wait=2 * S)
+    d.result("m", "r", O.OVERLOADED, wait=2 * S)
     d.list(("x", 9), ("r", 3, "route"))
-    assert d.of(i.Send) == [] and d.tick(1900 * MS) == [] and d.arrive("n", dest=3) == []
+    assert d.of(Send) == [] and d.tick(1900 * MS) == [] and d.arrive("n", dest=3) == []
 
 
 def test_an_endpoint_that_moves_serves_its_new_destination_only():
@@ -788,7 +822,7 @@
     for n in range(300):
         drive.list((f"e{n}", 1), (f"d{n}", 1000 + n))
         drive.arrive(f"m{n}")
-        drive.result(f"m{n}", drive.of(i.Send)[0].endpoint, after=S)
+        drive.result(f"m{n}", drive.of(Send)[0].endpoint, after=S)
     sender = drive.sender
     route = sender.destinations[1].routes[""]
     assert len(route.sent) < 10 and len(route.served) < 15 and set(sender.servers) == {"e299", "d299"}
@@ -821,15 +855,17 @@
         d.result(f"m{n}", "e", after=80 * MS)
     d.arrive("x", after=MS)
     d.result("x", "e", O.CONNECT_FAILED)
-    known = {row.destination: row for row in d.sender.known()}
-    assert set(known) == {1, 2} and 9 < known[1].part < 14
+    known = {row.destination: row for row in d.sender.learned_rates()}
+    assert set(known) == {1, 2} and 9 < known[1].own_rate < 14
     again = Drive()
-    again.list(("e", 1), kind=i.ListKind.CACHED)
+    again.list(("e", 1), kind=ListUpdateKind.CACHED)
     again.turn(known[1], known[2])  # an endpoint that is not listed any more makes no route
     again.arrive("y")
     again.result("y", "e", O.CONNECT_FAILED)
-    assert again.sender.destinations[1].routes[""].guard.part == known[1].part and 2 not in again.sender.destinations
-    assert again.sender.known()[0].part == known[1].part  # and it lasts over a second restart
+    assert (
+        again.sender.destinations[1].routes[""].guard.part == known[1].own_rate and 2 not in again.sender.destinations
+    )
+    assert again.sender.learned_rates()[0].own_rate == known[1].own_rate  # and it lasts over a second restart
     again.tick(after=61 * S)
     assert again.sender._part(again.sender.destinations[1].routes[""]) == 2.0
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -9,9 +9,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from scalefall.interface import Effect, Known
 from scalefall.net import journal as j
 from scalefall.net import learned_rates
+from scalefall.policy.events import LearnedRate
+from scalefall.policy.settings import Idempotency
 
 MOST = 400_000
 
@@ -25,8 +26,8 @@
         key,
         body,
         idempotency=idempotency,
-        key_scope_zone=idempotency is Effect.KEYED,
-        key_ttl_us=6_000_000 * (idempotency is Effect.KEYED),
+        key_scope_zone=idempotency is Idempotency.WITH_KEY,
+        key_ttl_us=6_000_000 * (idempotency is Idempotency.WITH_KEY),
     )
 
 
@@ -226,7 +227,7 @@
 
 def test_paces_are_kept_for_the_next_process_while_they_are_fresh_and_within_their_room(tmp_path, caplog):
     """A restart in an outage forgot what its partners had taken, and gave them almost nothing once they were back."""
-    rows = [Known(7, "", 12.5, 40.0), Known(8, "e-1", 0.25, 0.0)]
+    rows = [LearnedRate(7, "", 12.5, 40.0), LearnedRate(8, "e-1", 0.25, 0.0)]
     room = learned_rates.reserved_bytes(3_000_000)
     assert learned_rates.load(tmp_path, room, 0) == []
     learned_rates.save(tmp_path, room, rows, 10**15)
@@ -236,7 +237,7 @@
         == learned_rates.load(tmp_path, room, 10**15 - 1)
         == []
     )
-    many = [Known(n, f"s-{n:08x}", 0.125 + n, 0.0) for n in range(1024)]
+    many = [LearnedRate(n, f"s-{n:08x}", 0.125 + n, 0.0) for n in range(1024)]
     learned_rates.save(tmp_path, room, many, 10**15)
     assert learned_rates.load(tmp_path, room, 10**15) == many
     for disk in (100_000, 3_000_000):
@@ -267,7 +268,7 @@
         before = owed(f"m{number}")
         before.in_flight = in_flight
         assert book.record_accepted(before)
-    assert book.record_accepted(owed("n", idempotency=Effect.UNSAFE))
+    assert book.record_accepted(owed("n", idempotency=Idempotency.NOT_IDEMPOTENT))
     data = (tmp_path / "journal").read_bytes()
     book.close()
     names = b"m0", b"m1", b"\1\0n"
@@ -277,5 +278,5 @@
     assert [(one.in_flight, one.idempotency) for one in again.pending.values()] == [
         (False, None),
         (True, None),
-        (False, Effect.UNSAFE),
+        (False, Idempotency.NOT_IDEMPOTENT),
     ]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -3,19 +3,28 @@
 import pytest
 from helpers import MS, Drive, S
 
-from scalefall import interface as i
+from scalefall.policy.actions import Send, Shed
+from scalefall.policy.events import (
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    LearnedRate,
+    ListUpdateKind,
+    Outcome,
+)
 
-READY, DRAINING = i.Status.READY, i.Status.DRAINING
+READY, DRAINING = EndpointStatus.READY, EndpointStatus.DRAINING
 
 
 def drive(limit=0.0, most=0, **changes):
-    d = Drive(weights="told", siblings=1, slots=100, max_held=1000, **changes)
+    d = Drive(weights="told", replica_count=1, call_slots=100, max_queued=1000, **changes)
     listed(d, limit, most)
     return d
 
 
 def listed(d, limit, most=0, status=READY, name="e", kind="one"):
-    d.turn(i.Listed(i.ListKind.CHANGES, [i.Endpoint(name, "a", kind, 1, status, limit, most)]))
+    d.turn(EndpointListUpdate(ListUpdateKind.CHANGES, [Endpoint(name, "a", kind, 1, status, limit, most)]))
 
 
 def sends_in(d, span, more=200, each=50 * MS):
@@ -24,12 +33,12 @@
     if more:
         d.arrive(*(f"m{d.now}-{n}" for n in range(more)))
     while d.now < end:
-        sent = d.of(i.Send)
+        sent = d.of(Send)
         while sent:
             times.append(d.now)
             send = sent.pop()
-            d.turn(i.Attempted(send.id, d.attempts[send.id], "e", i.Outcome.OK, 1, True))
-            sent += d.of(i.Send)
+            d.turn(AttemptFinished(send.id, d.attempts[send.id], "e", Outcome.OK, 1, True))
+            sent += d.of(Send)
         d.tick(each)
     return times
 
@@ -56,13 +65,13 @@
     listed(d, 2.0, name="old")
     listed(d, 20.0)
     listed(d, 2.0, status=DRAINING, name="old")
-    listed(d, 2.0, status=i.Status.GONE, name="old")
+    listed(d, 2.0, status=EndpointStatus.GONE, name="old")
     assert len(sends_in(d, 2 * S)) >= 30
 
 
 def test_what_an_earlier_process_knew_does_not_go_before_the_file():
     d = drive(8.0)
-    d.turn(i.Known(1, "", 1.0, 2.0))
+    d.turn(LearnedRate(1, "", 1.0, 2.0))
     assert d.sender.destinations[1].routes[""].limit == 8.0
 
 
@@ -71,37 +80,37 @@
     listed(d, 0.0, 2, name="f")
     sent = d.arrive(*(f"m{n}" for n in range(20)))
     assert len(sent) == 5
-    by = [send.endpoint for send in d.of(i.Send)]
+    by = [send.endpoint for send in d.of(Send)]
     assert (by.count("e"), by.count("f")) == (3, 2)
-    first = next(send.id for send in d.of(i.Send) if send.endpoint == "f")
-    assert len(d.result(first, "f")) == 1 and d.of(i.Send)[0].endpoint == "f"
+    first = next(send.id for send in d.of(Send) if send.endpoint == "f")
+    assert len(d.result(first, "f")) == 1 and d.of(Send)[0].endpoint == "f"
 
 
 def test_attempts_are_counted_by_destination():
     d = drive(attempts={1: 2})
     assert d.arrive("m") == ["m"]
     for _ in range(2):
-        d.result("m", "e", i.Outcome.ERROR)
-        while d.now < 7 * S and not d.of(i.Send) and not d.of(i.Refuse):
+        d.result("m", "e", Outcome.ERROR)
+        while d.now < 7 * S and not d.of(Send) and not d.of(Shed):
             d.tick(50 * MS)
-    assert d.attempts["m"] == 1 and [refused.id for refused in d.of(i.Refuse)] == ["m"]
+    assert d.attempts["m"] == 1 and [refused.id for refused in d.of(Shed)] == ["m"]
     assert d.now < 7 * S  # at once, and not when its time is up
 
 
 def told_calls(senders, left, kind="one"):
     """Calls begun at a partner with a limit of one a second a sender in 20 s, while every answer tells what is left."""
-    d = Drive(siblings=senders, slots=100, max_held=1000)
+    d = Drive(replica_count=senders, call_slots=100, max_queued=1000)
     listed(d, 1.0, kind=kind)
     first = d.arrive("first")[0]
     d.result(first, "e", report={"x0": 0.0, "x1": float(senders)}, after=MS)
     d.arrive(*(f"m{n}" for n in range(100)))
     calls, told = 0, []
     for _ in range(400):
-        sent = [send.id for send in d.of(i.Send)]
+        sent = [send.id for send in d.of(Send)]
         calls += bool(sent)
         d.turn(
             *(
-                i.Attempted(name, d.attempts[name], "e", i.Outcome.OK, 1, True, 0, {"x0": left, "x1": float(senders)})
+                AttemptFinished(name, d.attempts[name], "e", Outcome.OK, 1, True, 0, {"x0": left, "x1": float(senders)})
                 for name in told
             ),
             after=50 * MS,
--- a/tests/test_lmac.py
+++ b/tests/test_lmac.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import MS, Drive, S, message_class
 
-from scalefall import interface as i
+from scalefall.policy.actions import Send, Shed
 from scalefall.policy.engine import BIN_US, FREE_COMPLETIONS, TAUS, WINDOW_US, Envelope
 
 
@@ -115,9 +115,9 @@
         d.arrive(f"m{n}")
         d.result(f"m{n}", "e", after=50 * MS)
     d.arrive("n", dest=2)
-    assert d.of(i.Send)[0].timeout_us == 500 * MS
+    assert d.of(Send)[0].timeout_us == 500 * MS
     d.arrive("k", dest=2, cls="keyed")
-    assert d.of(i.Send)[0].timeout_us == 2 * S
+    assert d.of(Send)[0].timeout_us == 2 * S
 
 
 def test_a_message_that_fails_the_test_waits_and_is_tested_again():
@@ -136,7 +136,7 @@
 
 
 def test_backlog_past_the_bound_is_refused_at_once_with_a_time_to_return():
-    d = Drive(slots=1)
+    d = Drive(call_slots=1)
     d.list(("e", 1))
     for n in range(3):
         d.arrive(f"w{n}")
@@ -145,19 +145,19 @@
     refused = []
     for n in range(60):
         d.arrive(f"m{n}")
-        refused += d.of(i.Refuse)
+        refused += d.of(Shed)
     assert refused and all(r.retry_after_us == 300 * MS for r in refused)
     assert not any(a.id == "m0" for a in refused)
 
 
 def test_time_left_under_the_mean_is_refused():
-    d = Drive(slots=1)
+    d = Drive(call_slots=1)
     d.list(("e", 1))
     d.arrive("w")
     d.result("w", "e", after=400 * MS)
     d.arrive("hog", cls="unsafe")
     d.arrive("m")
     d.tick(7500 * MS)
-    assert d.of(i.Refuse) == []
+    assert d.of(Shed) == []
     d.tick(150 * MS)
-    assert [r.id for r in d.of(i.Refuse)] == ["m"]
+    assert [r.id for r in d.of(Shed)] == ["m"]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -236,7 +236,7 @@
     table = EXAMPLE | {"peers": peers, "settings": EXAMPLE["settings"] | changes}
     (tmp_path / "config.json").write_text(json.dumps(table, indent=4))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
-    assert config.settings.siblings == senders
+    assert config.settings.replica_count == senders
     assert says in config.doubts[0] if says else not config.doubts
 
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -8,8 +8,8 @@
 from nethelp import MS, S
 from test_sender import Firm, play
 
-from scalefall import interface as i
 from scalefall.net import http, streams
+from scalefall.policy.settings import Idempotency
 
 WINDOW = S
 TICK = 5 * MS  # the module leaves so much of the window for the host's next look
@@ -18,7 +18,7 @@
 @pytest.fixture
 def firm(tmp_path):
     """A sender that was killed with its first attempt of a keyed message out; `began` is when that may have begun."""
-    classes = {"keyed": message_class("keyed", i.Effect.KEYED, key_ttl_us=WINDOW)}
+    classes = {"keyed": message_class("keyed", Idempotency.WITH_KEY, key_ttl_us=WINDOW)}
     firm = Firm(tmp_path, classes=classes, tick_us=TICK, dial_timeout_us=S)
 
     def steps():
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,13 +4,13 @@
 
 import pytest
 from helpers import message_class, settings
-from nethelp import S, listed, reset, list_update
+from nethelp import S, list_update, listed, reset
 from test_sender import Firm, play
 
-from scalefall import interface as i
 from scalefall.net import http
 from scalefall.net.config import ConfigError
 from scalefall.net.endpoint_list import read_list
+from scalefall.policy.settings import Idempotency
 
 
 @pytest.fixture
@@ -27,7 +27,7 @@
     def steps():
         firm.taken("old")
         sock, _ = firm.call()
-        retune(firm, message_class("fresh", i.Effect.UNSAFE), message_class("unsafe"), max_attempts=1)
+        retune(firm, message_class("fresh", Idempotency.NOT_IDEMPOTENT), message_class("unsafe"), max_attempts=1)
         assert firm.answer(firm.hand_in("no")).status == 404
         for _ in range(5):  # attempts as they were when it was taken on
             sock.send(http.answer(504, [], keep=False))
@@ -49,7 +49,7 @@
     def steps():
         firm.taken("old", cls="unsafe")
         sock, _ = firm.call()
-        retune(firm, message_class("unsafe", i.Effect.SAFE))
+        retune(firm, message_class("unsafe", Idempotency.IDEMPOTENT))
         reset(sock)
         assert firm.notices() == [{"id": "old", "state": "failed"}] and firm.endpoint.accepted == 1
 
@@ -70,12 +70,12 @@
     play(firm, steps)
 
 
-KEYED = {"effect": i.Effect.KEYED}
+KEYED = {"effect": Idempotency.WITH_KEY}
 CHANGED = {  # what a class was as its message was taken on, what it is at the next start, and that message's end
-    "not to be repeated, now it may be": ({"effect": i.Effect.UNSAFE}, {}, "failed"),
+    "not to be repeated, now it may be": ({"effect": Idempotency.NOT_IDEMPOTENT}, {}, "failed"),
     "its window was shorter": (KEYED | {"key_ttl_us": S}, KEYED | {"key_ttl_us": 7 * S}, "returned"),
     "repeats were dropped in their zone alone": (KEYED | {"key_scope_zone": True}, KEYED, "failed"),
-    "it could be repeated, now it may not": ({}, {"effect": i.Effect.UNSAFE}, None),
+    "it could be repeated, now it may not": ({}, {"effect": Idempotency.NOT_IDEMPOTENT}, None),
 }
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,10 +13,23 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from scalefall import interface as i
-from scalefall.policy.engine import Sender
+from scalefall.policy.actions import Fail, Send, SetTimer, Shed
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import (
+    NEVER_RAN,
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    ListUpdateKind,
+    Message,
+    MessageWithdrawn,
+    Outcome,
+    TimerFired,
+)
+from scalefall.policy.settings import Idempotency, Tenant
 
-RESTS = {i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED}
+RESTS = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
 ENDPOINTS = [
     ("a", 1, "one", "a"),
     ("b", 1, "one", "b"),
@@ -41,40 +54,40 @@
         self.order, self.rest = {}, {}
 
     def event(self, now, e):
-        if isinstance(e, i.Message):
+        if isinstance(e, Message):
             self.open[e.id] = self.all[e.id] = e
             if e.class_name == "ordered":
-                self.order.setdefault(e.key, []).append(e.id)
-        elif isinstance(e, i.Dropped):
+                self.order.setdefault(e.ordering_key, []).append(e.id)
+        elif isinstance(e, MessageWithdrawn):
             self.open.pop(e.id, None)
-        elif isinstance(e, i.Attempted):
+        elif isinstance(e, AttemptFinished):
             sent, _ = self.out.pop((e.id, e.attempt))
-            if e.outcome not in i.NEVER_RAN:
+            if e.outcome not in NEVER_RAN:
                 self.ran.setdefault(e.id, (sent, e.endpoint))
             if e.finished:
                 self.open.pop(e.id, None)
-            if e.wait_us:
+            if e.retry_after_us:
                 scope = e.endpoint if KIND[e.endpoint] == "route" else DEST[e.endpoint]
-                self.waits[scope] = max(self.waits.get(scope, 0), now + e.wait_us)
+                self.waits[scope] = max(self.waits.get(scope, 0), now + e.retry_after_us)
             if e.outcome in RESTS and self.all[e.id].class_name == "ordered":
-                self.rest[self.all[e.id].key] = (now + self.set.turn_gap_us, e.id)
-        elif isinstance(e, i.Listed):
+                self.rest[self.all[e.id].ordering_key] = (now + self.set.ordering_gap_us, e.id)
+        elif isinstance(e, EndpointListUpdate):
             for entry in e.endpoints:
-                if entry.status is i.Status.READY:
+                if entry.status is EndpointStatus.READY:
                     self.left.pop(entry.id, None)
                 else:
                     self.left.setdefault(entry.id, now)
 
     def action(self, now, a):
-        if isinstance(a, i.Send):
+        if isinstance(a, Send):
             self.send(now, a)
-        elif isinstance(a, (i.Refuse, i.Fail)):
+        elif isinstance(a, (Shed, Fail)):
             if a.id not in self.open:
                 raise Broken(f"lost: {a.id} answered twice")
-            effect = self.set.classes[self.open[a.id].class_name].effect if isinstance(a, i.Refuse) else None
+            effect = self.set.classes[self.open[a.id].class_name].idempotency if isinstance(a, Shed) else None
             may_run = a.id in self.ran or any(m == a.id for m, _ in self.out)
-            zoned = isinstance(a, i.Refuse) and self.set.classes[self.open[a.id].class_name].key_scope_zone
-            if may_run and (effect is i.Effect.UNSAFE or (effect is i.Effect.KEYED and zoned)):
+            zoned = isinstance(a, Shed) and self.set.classes[self.open[a.id].class_name].key_scope_zone
+            if may_run and (effect is Idempotency.NOT_IDEMPOTENT or (effect is Idempotency.WITH_KEY and zoned)):
                 raise Broken(f"effect: {a.id} refused though it may have run")
             del self.open[a.id]
 
@@ -87,8 +100,8 @@
             raise Broken(f"effect: two attempts of {a.id} out")
         if a.id in self.ran:
             first, where = self.ran[a.id]
-            if cls.effect is i.Effect.UNSAFE or (
-                cls.effect is i.Effect.KEYED
+            if cls.idempotency is Idempotency.NOT_IDEMPOTENT or (
+                cls.idempotency is Idempotency.WITH_KEY
                 and (now > first + cls.key_ttl_us or cls.key_scope_zone and ZONE[where] != ZONE[a.endpoint])
             ):
                 raise Broken(f"effect: {a.id} sent again")
@@ -98,12 +111,12 @@
         if now < self.waits.get(scope, 0):
             raise Broken(f"wait: {a.id} to {a.endpoint}")
         if message.class_name == "ordered":
-            for other in self.order[message.key]:
+            for other in self.order[message.ordering_key]:
                 if other == a.id:
                     break
                 if other in self.open or any(m == other for m, _ in self.out):
                     raise Broken(f"order: {a.id} before {other}")
-            until, owner = self.rest.get(message.key, (0, a.id))
+            until, owner = self.rest.get(message.ordering_key, (0, a.id))
             if now < until and owner != a.id:
                 raise Broken(f"order: {a.id} while its key rests")
         attempt = self.count[a.id] = self.count.get(a.id, -1) + 1
@@ -115,22 +128,22 @@
                 raise Broken(f"lost: {message.id} without an answer at due")
 
 
-def play(seed, turns=160, sender_type=Sender):
+def play(seed, turns=160, sender_type=Engine):
     draw = random.Random(seed)
     world = settings(
-        slots=draw.choice([2, 6, 20]),
-        max_held=draw.choice([8, 60]),
-        tenants={"t": i.Tenant("t", 2.0)},
-        ask=draw.random() < 0.5,
+        call_slots=draw.choice([2, 6, 20]),
+        max_queued=draw.choice([8, 60]),
+        tenants={"t": Tenant("t", 2.0)},
+        polls_endpoint_list=draw.random() < 0.5,
     )
     sender, judge, now, number = sender_type(world, seed), Judge(world), 0, 0
-    timers, status = [], {e: i.Status.READY for e, *_ in ENDPOINTS}
+    timers, status = [], {e: EndpointStatus.READY for e, *_ in ENDPOINTS}
 
     def listed(names, kind):
-        return i.Listed(kind, [i.Endpoint(e, ZONE[e], KIND[e], DEST[e], status[e], 0.0) for e in names])
+        return EndpointListUpdate(kind, [Endpoint(e, ZONE[e], KIND[e], DEST[e], status[e], 0.0) for e in names])
 
-    events = [listed(status, i.ListKind.CACHED)]
-    mood = i.Outcome.OK
+    events = [listed(status, ListUpdateKind.CACHED)]
+    mood = Outcome.OK
     for turn in range(turns + 400):
         ended = turn >= turns
         if not ended:
@@ -138,7 +151,7 @@
                 number += 1
                 cls = draw.choice(sorted(world.classes))
                 events.append(
-                    i.Message(
+                    Message(
                         f"m{number}",
                         draw.choice([1, 2, 3, 4]),
                         cls,
@@ -149,22 +162,22 @@
                 )
             if draw.random() < 0.06:
                 name = draw.choice(sorted(status))
-                status[name] = draw.choice(list(i.Status))
-                events.append(listed([name], i.ListKind.CHANGES))
+                status[name] = draw.choice(list(EndpointStatus))
+                events.append(listed([name], ListUpdateKind.CHANGES))
             if draw.random() < 0.03:
-                events.append(i.Listed(i.ListKind.FAILED))
+                events.append(EndpointListUpdate(ListUpdateKind.FAILED))
             if draw.random() < 0.05 and judge.open:
-                events.append(i.Dropped(draw.choice(sorted(judge.open))))
+                events.append(MessageWithdrawn(draw.choice(sorted(judge.open))))
             if draw.random() < 0.15:
-                mood = draw.choice(list(i.Outcome))
+                mood = draw.choice(list(Outcome))
         for (message, attempt), (sent, endpoint) in sorted(judge.out.items()):
             due = now >= judge.all[message].due_us
             if due or draw.random() < 0.4:
-                outcome = i.Outcome.TIMEOUT if due else draw.choice([mood, mood, *i.Outcome])
-                finished = outcome is i.Outcome.OK
-                wait = draw.choice([0, 300 * MS, 2 * S]) if outcome is i.Outcome.FULL else 0
+                outcome = Outcome.TIMEOUT if due else draw.choice([mood, mood, *Outcome])
+                finished = outcome is Outcome.OK
+                wait = draw.choice([0, 300 * MS, 2 * S]) if outcome is Outcome.OVERLOADED else 0
                 events.append(
-                    i.Attempted(
+                    AttemptFinished(
                         message,
                         attempt,
                         endpoint,
@@ -175,15 +188,15 @@
                         {"x0": draw.random(), "x1": 5.0},
                     )
                 )
-        events += [i.Timer(token) for at, token in timers if at <= now]
+        events += [TimerFired(token) for at, token in timers if at <= now]
         timers = [(at, token) for at, token in timers if at > now]
         for event in events:
-            if not isinstance(event, i.Dropped) or event.id in judge.open:
+            if not isinstance(event, MessageWithdrawn) or event.id in judge.open:
                 judge.event(now, event)
         if events:
             for action in sender.handle(now, events):
                 judge.action(now, action)
-                if isinstance(action, i.SetTimer):
+                if isinstance(action, SetTimer):
                     timers.append((now + action.delay_us, action.token))
         judge.turn_over(now)
         events = []
@@ -201,30 +214,30 @@
     assert judge.count or not judge.all
 
 
-class ForgetsDue(Sender):
+class ForgetsDue(Engine):
     def _dispatch(self):
         self.due = []
         super()._dispatch()
 
 
-class RepeatsUnsafe(Sender):
+class RepeatsUnsafe(Engine):
     def _again(self, message, call, outcome):
-        super()._again(message, call, i.Outcome.FULL)
+        super()._again(message, call, Outcome.OVERLOADED)
 
 
-class IgnoresDrains(Sender):
+class IgnoresDrains(Engine):
     def _listed(self, event):
         super()._listed(event)
         for server in self.servers.values():
             server.ready = True
 
 
-class IgnoresWaits(Sender):
+class IgnoresWaits(Engine):
     def _outcome(self, event):
-        super()._outcome(replace(event, wait_us=0))
+        super()._outcome(replace(event, retry_after_us=0))
 
 
-class IgnoresOrder(Sender):
+class IgnoresOrder(Engine):
     def _in_turn(self, message):
         return True
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,22 +5,28 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, STREAM, Peer, S, World, chunk, listed, read, list_update
+from nethelp import MS, STREAM, Peer, S, World, chunk, list_update, listed, read
 
-from scalefall import interface as i
 from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
 from scalefall.net.endpoint_list import read_list
 from scalefall.net.journal import PendingDelivery
 from scalefall.net.sender import Sender
-from scalefall.policy.engine import Sender as Engine
+from scalefall.policy.actions import Send
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import AttemptFinished, Message, Outcome
 
 
 class Firm:
     """One sender, one endpoint for destination 7, the platform, and a folder that outlives the sender."""
 
     def __init__(self, folder, kind="one", disk=3_000_000, host="127.0.0.1", admin=None, **changes):
-        self.world, self.folder, self.disk, self.changes = World(), folder, disk, {"ask": True} | changes
+        self.world, self.folder, self.disk, self.changes = (
+            World(),
+            folder,
+            disk,
+            {"polls_endpoint_list": True} | changes,
+        )
         self.endpoint, self.platform = Peer(self.world, host), Peer(self.world)
         self.known = read_list(list_update(1, listed("e", self.endpoint.address, kind=kind)))
         self.watch, self.posts, self.admin = None, [], admin
@@ -289,7 +295,7 @@
 def test_all_that_a_restart_finds_and_may_be_sent_has_its_call(tmp_path, cls, ran, ask):
     """Before a pushed list had come the module knew no route: it kept four a destination and refused the others, also
     such as may have run in a zone, whose clients come again where nobody knows the repeat."""
-    firm = Firm(tmp_path, ask=ask, max_held=24, slots=30)
+    firm = Firm(tmp_path, polls_endpoint_list=ask, max_queued=24, call_slots=30)
     names = [f"m{number}" for number in range(24)]
 
     def gone(health):
@@ -390,7 +396,7 @@
     )
 
     def fails(now, events):
-        if any(isinstance(event, i.Message) for event in events):
+        if any(isinstance(event, Message) for event in events):
             monkeypatch.setattr(firm.sender.engine, "handle", handle)
             raise RuntimeError("seen in a test")
         return handle(now, events)
@@ -451,10 +457,10 @@
     )
 
     def strays(now, events):
-        outcomes.extend(event for event in events if isinstance(event, i.Attempted))
+        outcomes.extend(event for event in events if isinstance(event, AttemptFinished))
         actions = handle(now, events)
-        if any(isinstance(event, i.Message) for event in events):
-            actions.insert(0, i.Send("m", "ghost", S))
+        if any(isinstance(event, Message) for event in events):
+            actions.insert(0, Send("m", "ghost", S))
         return actions
 
     monkeypatch.setattr(firm.sender.engine, "handle", strays)
@@ -464,7 +470,7 @@
         _, call = firm.call()
         assert call.fields["x-request-id"] == "m"
         firm.world.until(lambda: outcomes)
-        assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", i.Outcome.NOT_SENT)
+        assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", Outcome.NOT_SENT)
         assert counted == ["the module sends to endpoints that the list has"]
 
     play(firm, steps)
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -4,12 +4,23 @@
 from helpers import settings
 from nethelp import MS, S, World
 
-from scalefall.interface import Cancel, Close, Fail, Log, Message, Probe, Refuse, Send, SetTimer, Subscribe, Timer
 from scalefall.net import sender_loop
+from scalefall.net.delivery_request import Accepted, DeliveryRequest, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.sender_loop import SenderLoop
-from scalefall.net.delivery_request import Accepted, DeliveryRequest, Rejected
+from scalefall.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Probe,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.events import Message, TimerFired
 
 
 class Engine:
@@ -81,7 +92,7 @@
 def test_final_answers_come_first_then_what_is_accepted_and_its_sends_last():
     loop = Loop()
     kept, shed = loop.submit("kept", "shed")
-    loop.engine.actions = [Send("kept", "e", S), Refuse("shed", 100 * MS)]
+    loop.engine.actions = [Send("kept", "e", S), Shed("shed", 100 * MS)]
     loop.loop.step()
     assert loop.parts.asked == [
         ("shed", "shed", 100 * MS),
@@ -106,7 +117,14 @@
 def test_actions_that_belong_to_no_message_go_to_their_parts_and_unknown_endpoints_are_passed_over():
     loop = Loop()
     loop.submit("m")
-    loop.engine.actions = [Fail("x"), Cancel("y", 2), Close("e"), Close("gone"), Subscribe(), Log("line")]
+    loop.engine.actions = [
+        Fail("x"),
+        CancelAttempt("y", 2),
+        CloseIdleConnections("e"),
+        CloseIdleConnections("gone"),
+        PollEndpointList(),
+        LogLine("line"),
+    ]
     loop.loop.step()
     assert loop.parts.asked[:4] == [("fail", "x"), ("cancel", "y", 2), ("close_idle", "entry of e"), ("subscribe",)]
 
@@ -119,9 +137,9 @@
     def steps():
         loop.loop.step()
         loop.world.sleep(299 * MS)
-        assert Timer(7) not in loop.engine.heard
+        assert TimerFired(7) not in loop.engine.heard
         loop.world.sleep(100 * MS)
-        assert Timer(7) in loop.engine.heard
+        assert TimerFired(7) in loop.engine.heard
 
     loop.world.play(steps)
 
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -8,12 +8,12 @@
 import pytest
 from helpers import message_class
 from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
-from test_sender import Firm, owed, play
 from test_journal import used
+from test_sender import Firm, owed, play
 
-from scalefall import interface as i
 from scalefall.net import http
 from scalefall.net.config import ConfigError
+from scalefall.policy.settings import Idempotency
 
 
 @pytest.fixture
@@ -242,7 +242,7 @@
         firm.die()
 
     play(firm, steps)
-    firm.changes["classes"] = {"other": message_class("other", i.Effect.UNSAFE)}
+    firm.changes["classes"] = {"other": message_class("other", Idempotency.NOT_IDEMPOTENT)}
     firm.start()
     play(firm, lambda: firm.notices() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
 
@@ -250,7 +250,7 @@
 @pytest.mark.parametrize("cls", ["safe", "keyed", "zoned", "unsafe"])
 def test_what_a_restart_finds_in_a_full_folder_is_sent(tmp_path, cls):
     """The journal keeps room for each call's record beside what it has taken on."""
-    firm = Firm(tmp_path, disk=150_000, max_held=5000, slots=50)
+    firm = Firm(tmp_path, disk=150_000, max_queued=5000, call_slots=50)
 
     def steps():
         while firm.sender.journal.record_accepted(owed(firm, f"m{len(firm.owed())}", cls)):
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -71,7 +71,7 @@
 def test_policy_speaks_only_interface_types():
     tree = ast.parse((ROOT / "scalefall" / "policy" / "engine.py").read_text())
     ours = [n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom) and n.module.startswith("scalefall")]
-    assert ours == ["scalefall.interface"]
+    assert ours == ["scalefall.policy.actions", "scalefall.policy.events", "scalefall.policy.settings"]
 
 
 def test_the_core_and_the_simulators_side_know_nothing_of_the_network():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -4,9 +4,9 @@
 from helpers import settings
 from nethelp import MS, S, World
 
-from scalefall.interface import Closing
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.shutdown import END_US, IDLE_END_US, LAST_ANSWERS_US, LINGER_US, NO_ATTEMPTS_US, Shutdown
+from scalefall.policy.events import ShuttingDown
 
 SLACK_US = 60 * MS  # pauses between looks, and the last bytes
 
@@ -91,7 +91,7 @@
         "save_last",
     ]
     assert play.parts.done[0] == ("close_at", began, began + NO_ATTEMPTS_US)
-    assert play.heard == [Closing(began + NO_ATTEMPTS_US)]
+    assert play.heard == [ShuttingDown(began + NO_ATTEMPTS_US)]
 
 
 def test_a_second_start_does_not_move_the_end():
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from nethelp import S, listed, list_update
+from nethelp import S, list_update, listed
 from test_sender import Firm
 
 from scalefall.net import learned_rates
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("indent", [None, 4])
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_list_of_1024_is_taken_whole_and_every_message_goes_where_it_belongs(tmp_path, indent, pushed):
-    firm = Firm(tmp_path, siblings=SIZE, host="0.0.0.0", ask=not pushed)
+    firm = Firm(tmp_path, replica_count=SIZE, host="0.0.0.0", polls_endpoint_list=not pushed)
 
     def tell(table):
         data = json.dumps(table, indent=indent).encode() + b"\n"
@@ -62,7 +62,7 @@
 
 
 def test_what_is_known_of_1024_partners_outlasts_the_process(tmp_path):
-    firm = Firm(tmp_path, siblings=SIZE, host="0.0.0.0")
+    firm = Firm(tmp_path, replica_count=SIZE, host="0.0.0.0")
     firm.known = read_list(list_update(2, *(entry(firm, n, kind="route") for n in range(SIZE))))
 
     def play():
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -8,12 +8,12 @@
 from helpers import settings
 from nethelp import MS, Calls, Peer, S, World, closed
 
-from scalefall import interface as i
 from scalefall.net.config import ConfigError
+from scalefall.net.delivery_request import Accepted, DeliveryRequest, NotServed, Rejected
 from scalefall.net.endpoint_list import Entry, ListUpdate
 from scalefall.net.sender import Sender
 from scalefall.net.static_list import StaticList
-from scalefall.net.delivery_request import NotServed, Accepted, DeliveryRequest, Rejected
+from scalefall.policy.events import Endpoint, EndpointStatus, ListUpdateKind, Outcome
 
 SITE = b"""
 sender { listen 127.0.0.1:0 }
@@ -25,7 +25,7 @@
 
 
 def entry(name, address=("127.0.0.1", 1), weight=0.0):
-    return Entry(i.Endpoint(name, "here", "partner", 7, i.Status.READY, weight), address)
+    return Entry(Endpoint(name, "here", "partner", 7, EndpointStatus.READY, weight), address)
 
 
 def statuses(event):
@@ -42,7 +42,7 @@
 
     def play():
         endpoint_list, told = static_list(world, "a", "b")
-        assert endpoint_list.known().kind is i.ListKind.WHOLE
+        assert endpoint_list.known().kind is ListUpdateKind.WHOLE
         assert endpoint_list.replace([entry("b"), entry("c")]) == (1, 1, 0)
         assert [statuses(event) for event in told] == [{"a": "DRAINING", "c": "READY"}]
         assert endpoint_list.left_at["a"] == world.now()
@@ -282,7 +282,7 @@
         world.sleep(MS)
         calls.begin("m")
         told = calls.outcome("m")
-        assert told.outcome is i.Outcome.CONNECT_FAILED and S // 2 <= told.latency_us < S
+        assert told.outcome is Outcome.CONNECT_FAILED and S // 2 <= told.latency_us < S
         for sock in full:
             sock.close()
 
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -23,7 +23,7 @@
     """The platform's side of a sender's watch, and how each of the sender's watches ended."""
 
     def __init__(self, folder, pushed):
-        self.firm = Firm(folder, ask=not pushed, siblings=30)
+        self.firm = Firm(folder, polls_endpoint_list=not pushed, replica_count=30)
         self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
         self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch_at
         self.list._watch_at, self.waiting, self.sockets = self._ends, None, []
--- a/tests/transport/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -6,12 +6,12 @@
 import sys
 
 import pytest
-from transporthelp import CLASSES, LoggedProcess, running_control, write_site
 from test_program import LONG, ROOT
+from transporthelp import CLASSES, LoggedProcess, running_control, write_site
 
 from scalefall.control import audit
-from scalefall.interface import Effect
 from scalefall.lab.classes import read_class
+from scalefall.policy.settings import Idempotency
 
 
 @pytest.fixture
@@ -130,5 +130,8 @@
 
 def test_a_class_is_read_from_its_word():
     cls = read_class("a=keyed:1.5")
-    assert (cls.name, cls.effect, cls.key_ttl_us) == ("a", Effect.KEYED, 1_500_000)
-    assert (read_class("b=never").effect, read_class("c=freely").effect) == (Effect.UNSAFE, Effect.SAFE)
+    assert (cls.name, cls.idempotency, cls.key_ttl_us) == ("a", Idempotency.WITH_KEY, 1_500_000)
+    assert (read_class("b=never").idempotency, read_class("c=freely").idempotency) == (
+        Idempotency.NOT_IDEMPOTENT,
+        Idempotency.IDEMPOTENT,
+    )
