--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -5,18 +5,20 @@
 import logging
 from math import inf
 
-from scalefall.interface import NEVER_RAN, Attempted, Effect, Endpoint, Outcome, Send, Settings
 from scalefall.net.attempt_request import batch_row_size
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
-from scalefall.net.checks import check, debug, log
+from scalefall.net.delivery_request import DeliveryRequest
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
+from scalefall.net.invariants import assert_invariant, debug_event, log
 from scalefall.net.journal import Journal
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Transaction
+from scalefall.policy.actions import Send
+from scalefall.policy.events import NEVER_RAN, AttemptFinished, Endpoint, Outcome
+from scalefall.policy.settings import Idempotency, Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 DRAIN_MARGIN_US = 200 * MILLISECOND_US  # an attempt whose first byte would go out later than the drain's grace less
@@ -77,10 +79,10 @@
         for endpoint_id, calls in sends.items():
             entry = self._endpoint_list.entries.get(endpoint_id)
             if entry is None:
-                check(False, "the module sends to endpoints that the list has")
+                assert_invariant(False, "the module sends to endpoints that the list has")
                 self._report_unsent(endpoint_id, calls)
                 continue
-            max_messages = self._settings.per_call.get(entry.endpoint.kind, 1)
+            max_messages = self._settings.messages_per_call.get(entry.endpoint.kind, 1)
             while calls:
                 number = self._count_that_fit(calls[:max_messages])
                 self._begin(entry, calls[:number])
@@ -91,8 +93,8 @@
         size = 0
         for number, send in enumerate(calls):
             request = self._open.get(send.id)
-            size += batch_row_size(request.id, request.key, request.body) if request else 0
-            alone = request is not None and request.alone
+            size += batch_row_size(request.id, request.idempotency_key, request.body) if request else 0
+            alone = request is not None and request.send_alone
             if number and (size > MAX_BODY_BYTES or alone):
                 return number
             if alone:
@@ -106,7 +108,7 @@
             attempt = request.attempts if request else 0
             if request:
                 request.attempts += 1
-            self._events.gather(Attempted(send.id, attempt, endpoint_id, Outcome.NOT_SENT, 0))
+            self._events.gather(AttemptFinished(send.id, attempt, endpoint_id, Outcome.NOT_SENT, 0))
 
     def _begin(self, entry: Entry, calls: list[Send]) -> None:
         """Begin one attempt with the messages of these sends.
@@ -119,17 +121,17 @@
         for send in sorted(calls, key=self._due_us, reverse=True):
             request = self._open.get(send.id)
             if request is None:  # not accepted after all: the attempt ends unsent
-                self._events.gather(Attempted(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
+                self._events.gather(AttemptFinished(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
                 continue
-            message_class = request.cls
+            message_class = request.message_class
             loads.append(
                 MessageInCall(
                     send.id,
                     request.attempts,
                     now_us + send.timeout_us,
-                    request.key,
+                    request.idempotency_key,
                     request.body,
-                    message_class is not None and message_class.effect is Effect.UNSAFE,
+                    message_class is not None and message_class.idempotency is Idempotency.NOT_IDEMPOTENT,
                     self._begin_by(request),
                 )
             )
@@ -139,23 +141,28 @@
             return
         if log.isEnabledFor(logging.DEBUG):
             _log_begin(entry, loads, ids, now_us)
-        if self._journal.pass_begun(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
+        if self._journal.record_attempt_started(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
             self.attempts.begin(entry, loads)
         else:
             for load in loads:
-                self._events.gather(Attempted(load.id, load.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0))
+                self._events.gather(AttemptFinished(load.id, load.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0))
 
     def _due_us(self, send: Send) -> int:
         """Return the deadline of a send's message; 0 if it is no longer open."""
-        return self._open[send.id].due if send.id in self._open else 0
+        return self._open[send.id].due_us if send.id in self._open else 0
 
-    def _begin_by(self, request: Transaction) -> float:
+    def _begin_by(self, request: DeliveryRequest) -> float:
         """Return until when the endpoints drop a repeat of a request, if an attempt with its key may have run."""
-        message_class = request.cls
-        pending = self._journal.owed.get(request.id)
-        if message_class is None or message_class.effect is not Effect.KEYED or pending is None or not pending.ran_wall:
+        message_class = request.message_class
+        pending = self._journal.pending.get(request.id)
+        if (
+            message_class is None
+            or message_class.idempotency is not Idempotency.WITH_KEY
+            or pending is None
+            or not pending.may_have_run_wall_us
+        ):
             return inf
-        return pending.ran_wall - self._wall_offset_us + message_class.key_ttl_us
+        return pending.may_have_run_wall_us - self._wall_offset_us + message_class.key_ttl_us
 
     # -- results
 
@@ -182,36 +189,36 @@
         for endpoint_id in self._endpoint_list.left_at:
             self.attempts.endpoint_left(self._endpoint_list.entries[endpoint_id])
 
-    def _settled(self, event: Attempted, unreadable: bool) -> None:
+    def _settled(self, event: AttemptFinished, unreadable: bool) -> None:
         """Record how an attempt has ended for one message, and report it to the engine.
 
         In an attempt with several messages that could not be read, one may spoil the others: each goes alone from
         now on.
         """
         if unreadable and event.id in self._open:
-            self._open[event.id].alone = True
+            self._open[event.id].send_alone = True
         if log.isEnabledFor(logging.DEBUG):
             _log_outcome(event)
-        if event.wait_us and event.endpoint in self._endpoint_list.entries:
+        if event.retry_after_us and event.endpoint in self._endpoint_list.entries:
             scope = self._wait_scope(self._endpoint_list.entries[event.endpoint].endpoint)
-            until_us = self._scheduler.now() + event.wait_us
+            until_us = self._scheduler.now() + event.retry_after_us
             self._retry_after_until[scope] = max(self._retry_after_until.get(scope, 0), until_us)
         if event.finished:
-            self._journal.over(event.id)
+            self._journal.record_finished(event.id)
             self._tracker.finish(event.id)
         else:
-            self._journal.outcome(event.id, event.outcome not in NEVER_RAN)
+            self._journal.record_attempt_finished(event.id, event.outcome not in NEVER_RAN)
             event.finished = event.id not in self._open
         self._events.gather(event)
 
     def _wait_scope(self, endpoint: Endpoint) -> int | str:
         """Return what a wait that an endpoint told holds for: its destination, or the endpoint on its own."""
-        return endpoint.id if self._settings.apart.get(endpoint.kind) else endpoint.destination
+        return endpoint.id if self._settings.route_per_endpoint.get(endpoint.kind) else endpoint.destination
 
 
 def _log_begin(entry: Entry, loads: list[MessageInCall], ids: list[str], now_us: int) -> None:
     """Log the begin of an attempt for those who follow every message."""
-    debug(
+    debug_event(
         "pass to %s: %s",
         entry.endpoint.id,
         " ".join(f"{load.id}/{load.attempt} for {(load.ends_at_us - now_us) // MILLISECOND_US} ms" for load in loads),
@@ -221,21 +228,21 @@
     )
 
 
-def _log_outcome(event: Attempted) -> None:
+def _log_outcome(event: AttemptFinished) -> None:
     """Log the outcome of an attempt for one message, for those who follow every one."""
-    debug(
+    debug_event(
         "outcome %s/%d at %s: %s after %d ms, wait %d ms, told %s",
         event.id,
         event.attempt,
         event.endpoint,
         event.outcome.value,
         event.latency_us // MILLISECOND_US,
-        event.wait_us // MILLISECOND_US,
-        event.report,
+        event.retry_after_us // MILLISECOND_US,
+        event.load_report,
         id=event.id,
         attempt=event.attempt,
         endpoint=event.endpoint,
         outcome=event.outcome.value,
         latency_us=event.latency_us,
-        told=event.report,
+        told=event.load_report,
     )
