--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -18,7 +18,8 @@
 from scalefall.lab.hollow import configuration
 from scalefall.net.config import Config
 from scalefall.net.delivery_request import DeliveryRequest
-from scalefall.net.journal import Journal, PendingDelivery
+from scalefall.net.journal import Journal
+from scalefall.net.journal_records import PendingDelivery
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.sender import Sender
 from scalefall.policy.engine import Engine
--- a/scalefall/__main__.py
+++ b/scalefall/__main__.py
@@ -5,8 +5,8 @@
 
 
 def sender() -> int:
-    from scalefall.net.invariants import log_to_standard_error
     from scalefall.net.config import ConfigError, read_config
+    from scalefall.net.logs import log_to_standard_error
     from scalefall.net.sender import run
 
     log_to_standard_error(os.environ.get("SCALEFALL_LOG") == "debug")
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -15,8 +15,8 @@
 from scalefall.cli.run import folder as state_folder
 from scalefall.control import audit
 from scalefall.lang.files import ROOT_FILE
-from scalefall.net.invariants import log
 from scalefall.net.config import ConfigError, read_address
+from scalefall.net.logs import log
 
 MISSING = "the control service needs {}: pip install 'scalefall[tools,control]'"
 
--- a/scalefall/cli/run.py
+++ b/scalefall/cli/run.py
@@ -14,8 +14,8 @@
 from scalefall.cli import logs, output, reader
 from scalefall.cli.output import option
 from scalefall.lang.files import ROOT_FILE
-from scalefall.net.invariants import log
 from scalefall.net.config import Config, ConfigError, read_address
+from scalefall.net.logs import log
 from scalefall.net.sender import run as serve
 
 
--- a/scalefall/control/transport/event_log.py
+++ b/scalefall/control/transport/event_log.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from scalefall.control.log_events import LogEvent
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 
 
 def write_events(events: Iterable[LogEvent]) -> None:
--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -13,7 +13,7 @@
 from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.state import NUMBERS_PER_BLOCK, StateDirectory, StateDirectoryError
 from scalefall.errors import LeadershipError
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 from scalefall.policy.events import Event
 
 RESERVE_AHEAD = NUMBERS_PER_BLOCK // 2  # unused numbers at which the next block is reserved: long before they run out
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -12,8 +12,9 @@
 from scalefall.control.transport.server import ControlServer
 from scalefall.control.transport.state import StateDirectory
 from scalefall.control.transport.tls import CertificateStore
-from scalefall.net.invariants import log, log_violations
 from scalefall.net.config import Config, ConfigError
+from scalefall.net.invariants import log_violations
+from scalefall.net.logs import log
 
 PROCESSING_MARGIN_MS = 500  # for a report's way through this process: the audit adds it to when a wait must be known
 
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -27,8 +27,8 @@
 from scalefall.control.transport.state import StateDirectory, StateDirectoryError
 from scalefall.control.transport.stream_server import RpcHandler, StreamServer
 from scalefall.errors import ConfigurationError
-from scalefall.net.invariants import log
 from scalefall.net.config import Config
+from scalefall.net.logs import log
 
 MAX_MESSAGE_BYTES = 4_000_000  # of one request: 20,000 names of 200 bytes
 SAVE_INTERVAL_S = 1.0  # between looks at what has to outlive the process, and at the clients' certificates
--- a/scalefall/control/transport/service_driver.py
+++ b/scalefall/control/transport/service_driver.py
@@ -8,15 +8,15 @@
 import grpc
 
 from scalefall.assignment.service import ShardGrants
-from scalefall.control.grants import Grant, QuotaAction
 from scalefall.control.client_streams import Outgoing
+from scalefall.control.grants import Grant, QuotaAction
 from scalefall.control.streams import CloseStream, Response, ResponseRejected, StreamAction
 from scalefall.control.transport import clock, event_log, wire
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.quotas import Quotas
 from scalefall.control.transport.services import AnyControlService
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 
 
 class ServiceDriver:
--- a/scalefall/control/transport/stream_server.py
+++ b/scalefall/control/transport/stream_server.py
@@ -10,7 +10,7 @@
 from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEnd, StreamEndedError
 from scalefall.control.transport.service_driver import ServiceDriver
 from scalefall.errors import LeadershipError
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 
 ServeStream = Callable[[Peer], Awaitable[None]]  # reads a stream until the client has sent its last message
 RpcHandler = Callable[[object, grpc.aio.ServicerContext], Awaitable[None]]  # as gRPC calls it for each new stream
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from scalefall.net.admin import AdminState, MaintenanceStore
+from scalefall.net.admin_state import AdminAction, AdminState
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
+from scalefall.net.maintenance_store import MaintenanceStore
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointReport, Outcome
 
@@ -57,22 +58,26 @@
     def handle(self, method: str, target: str) -> int:
         """Carry out a call, and return its HTTP status: success only once it is done and kept."""
         ready = not self._ingress.closing
-        status, command = self.state.call(method, target, ready, self._endpoint_list.names)
-        verb, _, endpoint = command.partition(" ")
-        match verb:
-            case "out":
-                if not self._keep(self.state.in_maintenance | {endpoint}):
+        status, command = self.state.decide(method, target, ready, self._endpoint_list.names)
+        if command is None:
+            return status
+        endpoint, in_maintenance = command.endpoint, self.state.in_maintenance
+        match command.action:
+            case AdminAction.START_MAINTENANCE:
+                if not self._keep(in_maintenance | {endpoint}):
                     return INSUFFICIENT_STORAGE
                 self._endpoint_list.take_out({endpoint})
-            case "back":
-                if not self._keep(self.state.in_maintenance - {endpoint}):
+            case AdminAction.END_MAINTENANCE:
+                if not self._keep(in_maintenance - {endpoint}):
                     return INSUFFICIENT_STORAGE
-                if endpoint in self.state.in_maintenance:
+                if endpoint in in_maintenance:
                     self._endpoint_list.put_back(endpoint)
                     self._report_restarted(endpoint)
-            case "drain" | "resume":
-                self._ingress.drain(verb == "drain")
-        self.state.done(command)
+            case AdminAction.START_DRAIN:
+                self._ingress.drain(True)
+            case AdminAction.END_DRAIN:
+                self._ingress.drain(False)
+        self.state.apply(command)
         return status
 
     def _keep(self, in_maintenance: set[str]) -> bool:
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -9,8 +9,9 @@
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.invariants import debug_event, log
-from scalefall.net.journal import RETURNED, Journal, PendingDelivery
+from scalefall.net.journal import Journal
+from scalefall.net.journal_records import FinalAnswer, PendingDelivery
+from scalefall.net.logs import debug_event, log
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import Message, MessageWithdrawn
@@ -82,7 +83,7 @@
             same = self._tracker.finished[message_id][1] == request.fingerprint()
             request.decide(Accepted() if same else Conflict())
         elif pending is not None:  # ended, and its delivery report on the way: the same answer here
-            returned = pending.final_answer == RETURNED
+            returned = pending.final_answer is FinalAnswer.RETURNED
             request.decide(Rejected(pending.retry_after_ms * MILLISECOND_US) if returned else GivenUp())
         elif self._closes_at_us is not None and self._scheduler.now() >= self._closes_at_us:
             request.decide(Rejected(RETRY_WHEN_CLOSING_US, True))
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -12,9 +12,10 @@
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.invariants import assert_invariant, debug_event, log
+from scalefall.net.invariants import assert_invariant
 from scalefall.net.journal import Journal
 from scalefall.net.list_stream import Entry
+from scalefall.net.logs import debug_event, log
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.actions import Send
 from scalefall.policy.events import NEVER_RAN, AttemptFinished, Endpoint, Outcome
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -14,7 +14,7 @@
 
 from scalefall.net import http, streams
 from scalefall.net.attempt_state import Attempt
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 from scalefall.policy.events import Outcome
 
 SECOND_US = 1_000_000  # microseconds in a second
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -21,8 +21,9 @@
 )
 from scalefall.net.attempt_state import Attempt, MessageInCall
 from scalefall.net.connection_pool import MAX_STALE_LOSS, Connection, ConnectionPool
-from scalefall.net.invariants import assert_invariant, log
+from scalefall.net.invariants import assert_invariant
 from scalefall.net.list_stream import Entry
+from scalefall.net.logs import log
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import AttemptFinished, Outcome
 from scalefall.policy.settings import Settings
--- a/scalefall/net/deadline_watch.py
+++ b/scalefall/net/deadline_watch.py
@@ -8,7 +8,8 @@
 from scalefall.net.delivery_request import DeliveryRequest
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
-from scalefall.net.invariants import assert_invariant, log
+from scalefall.net.invariants import assert_invariant
+from scalefall.net.logs import log
 from scalefall.net.scheduler import Scheduler, Timer
 from scalefall.policy.events import MessageWithdrawn
 
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -1,8 +1,8 @@
-"""Notices to the platform of messages that were taken on and not delivered: POST /reports, again until 204.
+"""Reports to the platform of messages that were accepted and not delivered: POST /reports, again until it answers 204.
 
-A notice has to arrive within moments of its message's time, so nothing here waits for luck. A POST with no answer yet
-is followed by another one on a new connection, while the first goes on: a connection that was kept may have died
-unseen, and a way that was cut off is found open again within a step. Twice told does no harm.
+A report has to arrive within moments of its message's deadline, so nothing here waits for a lost connection to be found
+out. While a POST has no answer, another one goes out beside it on a new connection: a kept connection may have died
+unseen, and a path that was cut is found open again within a step. A report that arrives twice does no harm.
 """
 
 from __future__ import annotations
@@ -11,185 +11,294 @@
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from enum import Enum
+from typing import Protocol
 
 from scalefall.net import http, streams
-from scalefall.net.invariants import debug_event, log
+from scalefall.net.logs import debug_event, log
 from scalefall.net.scheduler import Scheduler, Task
 
-MS = 1000
-STEP_US = 120 * MS  # if a POST has no answer after this, another one goes out beside it
-MOST_TRIES = 8  # at the same time
-TRY_US = MOST_TRIES * STEP_US  # one may take so long
-FIRST_PAUSE_US, MOST_PAUSE_US = 20 * MS, 160 * MS  # after one that was refused or broke
-MOST_LINES, MOST_BYTES = 100, 48 * 1024  # in one POST; the protocol allows a body of 64 KiB
-LATE_US = 300 * MS  # so long after its time a message without its notice is lost
-SAID_US = 1000 * MS  # failures are logged so often
+MS = 1000  # microseconds
+STEP_US = 120 * MS  # a POST with no answer after this gets another one beside it
+MAX_POSTS = 8  # in flight at a time, so that a platform that hangs holds few sockets
+POST_US = MAX_POSTS * STEP_US  # a POST may take so long: the first has ended when the last may start
+MIN_BACKOFF_US, MAX_BACKOFF_US = 20 * MS, 160 * MS  # after a POST that was refused or broke, doubled each time
+MAX_LINES = 100  # reports in one POST
+MAX_BODY_BYTES = 48 * 1024  # of one POST; the protocol allows 64 KiB
+LATE_US = 300 * MS  # a message counts as lost if its report comes so long after its deadline
+LOG_INTERVAL_US = 1000 * MS  # failures are logged no more often
+NO_CONTENT, BAD_REQUEST = 204, 400  # the platform has taken the reports; it cannot read one of them
+NO_STATUS = 0  # of a POST that had no answer
+
+
+class DeliveryReporter(Protocol):
+    """Where the failures of accepted messages are reported."""
+
+    @property
+    def idle(self) -> bool:
+        """Whether nothing is left to report."""
+
+    def report_failed(self, message_id: str, due_us: int = 0) -> None:
+        """Report that a message was given up, with no promise about its effect.
+
+        Args:
+            message_id: The message.
+            due_us: Its deadline, monotonic, in microseconds; the earliest is reported first.
+        """
+
+    def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:
+        """Report that a message had no effect and may be submitted again.
+
+        Args:
+            message_id: The message.
+            retry_after_ms: How long the client should wait before it does so.
+            due_us: Its deadline, monotonic, in microseconds; the earliest is reported first.
+        """
+
+    def move(self, platform: tuple[str, int]) -> None:
+        """Report to another address from now on."""
 
 
 class LoggedDeliveryReports:
-    """Where no platform hears notices: each is a line in the log, and that was its end."""
+    """Where no platform listens: each report is a line in the log, and has been delivered with it."""
 
     idle = True
 
     def __init__(self, delivered: Callable[[str], None]) -> None:
+        """Set what is called with the id of each message that is reported."""
         self._delivered = delivered
 
-    def report_failed(self, name: str, due: int = 0) -> None:
-        log.warning("notice: %s failed", name, extra={"fields": {"id": name, "state": "failed"}})
-        self._delivered(name)
+    def report_failed(self, message_id: str, due_us: int = 0) -> None:  # noqa: ARG002 - of DeliveryReporter
+        """Log that a message was given up."""
+        fields = {"id": message_id, "state": "failed"}
+        log.warning("notice: %s failed", message_id, extra={"fields": fields})
+        self._delivered(message_id)
 
-    def report_returned(self, name: str, after_ms: int, due: int = 0) -> None:
+    def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:  # noqa: ARG002 - as above
+        """Log that a message may be submitted again, and when."""
+        fields = {"id": message_id, "state": "returned", "after_ms": retry_after_ms}
         log.warning(
-            "notice: %s returned, to come back after %d ms",
-            name,
-            after_ms,
-            extra={"fields": {"id": name, "state": "returned", "after_ms": after_ms}},
+            "notice: %s returned, to come back after %d ms", message_id, retry_after_ms, extra={"fields": fields}
         )
-        self._delivered(name)
+        self._delivered(message_id)
 
     def move(self, platform: tuple[str, int]) -> None:
-        pass
+        """Do nothing: there is no platform."""
 
 
 @dataclass(slots=True)
-class Notice:
-    due: int  # the time of its message is up then, monotonic, microseconds
+class _Report:
+    """A report that has not been delivered.
+
+    Attributes:
+        due_us: The deadline of its message, monotonic, in microseconds; only the order matters.
+        line: Its line in the body of a POST.
+    """
+
+    due_us: int
     line: bytes
 
 
 @dataclass(slots=True, eq=False)
-class Try:
-    """One POST that is out."""
+class _Post:
+    """A POST that is in flight.
+
+    Attributes:
+        message_ids: The messages whose reports it carries.
+        alone: Whether no other was in flight when it started.
+    """
+
+    message_ids: list[str]
+    alone: bool
+
+
+class _PostEnd(Enum):
+    """How the POST ended that wakes the task which starts them."""
 
-    names: list[str]
-    alone: bool  # no other was out when it began
+    DELIVERED = "delivered"
+    NOT_DELIVERED = "not delivered"
 
 
 class DeliveryReports:
+    """The reports that the platform has not confirmed, and the POSTs that carry them."""
+
     def __init__(self, scheduler: Scheduler, platform: tuple[str, int], delivered: Callable[[str], None]) -> None:
-        self._scheduler, self._platform, self._delivered = scheduler, platform, delivered
-        self._due: dict[str, Notice] = {}
-        self._sock: socket.socket | None = None  # kept from the POST before, idle
-        self._at = platform  # the address that it leads to
-        self._tries: dict[Try, None] = {}
-        self._most, self._pause, self._said_at = MOST_LINES, FIRST_PAUSE_US, -SAID_US
+        """Set up with nothing to report.
+
+        Args:
+            scheduler: Runs the tasks.
+            platform: Where reports are posted.
+            delivered: Called with the id of each message whose report the platform has confirmed.
+        """
+        self._scheduler = scheduler
+        self._platform = platform
+        self._delivered = delivered
+        self._reports: dict[str, _Report] = {}
+        self._idle_socket: socket.socket | None = None  # kept from the POST before
+        self._idle_socket_peer = platform
+        self._posts: dict[_Post, None] = {}
+        self._max_lines = MAX_LINES
+        self._backoff_us = MIN_BACKOFF_US
+        self._logged_at = -LOG_INTERVAL_US
         self._task: Task | None = None
 
+    @property
+    def idle(self) -> bool:
+        """Whether the platform has confirmed all reports."""
+        return not self._reports
+
+    @property
+    def posts_in_flight(self) -> int:
+        """How many POSTs have not ended."""
+        return len(self._posts)
+
     def move(self, platform: tuple[str, int]) -> None:
-        """The platform hears us at another address now; a POST that is out may still be answered at the old one."""
+        """Post to another address from now on; a POST in flight may still be answered at the old one."""
         if platform != self._platform:
-            self._platform, self._pause = platform, FIRST_PAUSE_US
-            self._drop()
+            self._platform = platform
+            self._backoff_us = MIN_BACKOFF_US
+            if self._idle_socket is not None:
+                self._idle_socket.close()
+                self._idle_socket = None
             if self._task is not None:
                 self._scheduler.wake(self._task, None)
 
-    @property
-    def idle(self) -> bool:
-        return not self._due
-
-    def report_failed(self, name: str, due: int = 0) -> None:
-        """due: when the message's time is up, monotonic microseconds; what is due first goes first."""
-        self._add(due, {"id": name, "state": "failed"})
+    def report_failed(self, message_id: str, due_us: int = 0) -> None:
+        """Report that a message was given up; see DeliveryReporter."""
+        self._add(message_id, due_us, {"id": message_id, "state": "failed"})
 
-    def report_returned(self, name: str, after_ms: int, due: int = 0) -> None:
-        self._add(due, {"id": name, "state": "returned", "after_ms": after_ms})
+    def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:
+        """Report that a message may be submitted again; see DeliveryReporter."""
+        self._add(message_id, due_us, {"id": message_id, "state": "returned", "after_ms": retry_after_ms})
 
-    def _add(self, due: int, notice: dict[str, Any]) -> None:
-        self._due[notice["id"]] = Notice(due, json.dumps(notice, separators=(",", ":")).encode() + b"\n")
+    def _add(self, message_id: str, due_us: int, fields: dict[str, str | int]) -> None:
+        line = json.dumps(fields, separators=(",", ":")).encode() + b"\n"
+        self._reports[message_id] = _Report(due_us, line)
         if self._task is None or self._task.dead:
-            self._task = self._scheduler.spawn(self._deliver)
-
-    def _deliver(self) -> None:
-        """Begin a POST, and another whenever one has ended or a step has passed, as long as anything is due."""
-        while self._due:
-            if len(self._tries) < MOST_TRIES:
-                one = Try(self._first(), not self._tries)
-                self._tries[one] = None
-                self._scheduler.spawn(self._carry, one)
-            ended = self._scheduler.sleep(STEP_US)
-            if ended is False:  # refused or broken: at once again would only be refused again
-                pause, self._pause = self._pause, min(MOST_PAUSE_US, 2 * self._pause)
-                self._scheduler.sleep(pause)
-
-    def _first(self) -> list[str]:
-        """What goes into the next POST: what can still be in time, the most urgent first; then what is late already."""
-        late, names, size = self._scheduler.now() - LATE_US, [], 0
-        for name in sorted(self._due, key=lambda name: (self._due[name].due < late, self._due[name].due)):
-            size += len(self._due[name].line)
-            if names and size > MOST_BYTES:
+            self._task = self._scheduler.spawn(self._start_posts)
+
+    # -- which POSTs go out
+
+    def _start_posts(self) -> None:
+        """Start a POST, and another whenever one has ended or a step has passed, until all reports are delivered."""
+        while self._reports:
+            if len(self._posts) < MAX_POSTS:
+                post = _Post(self._most_urgent(), alone=not self._posts)
+                self._posts[post] = None
+                self._scheduler.spawn(self._carry_out, post)
+            woken_by = self._scheduler.sleep(STEP_US)
+            if woken_by is _PostEnd.NOT_DELIVERED:  # the next one at once would end as this one
+                backoff_us = self._backoff_us
+                self._backoff_us = min(MAX_BACKOFF_US, 2 * backoff_us)
+                self._scheduler.sleep(backoff_us)
+
+    def _most_urgent(self) -> list[str]:
+        """The messages of the next POST: those whose report can be in time, the most urgent first; then late ones."""
+        late = self._scheduler.now() - LATE_US
+        message_ids: list[str] = []
+        size = 0
+        for message_id in sorted(self._reports, key=lambda key: _urgency(self._reports[key], late)):
+            size += len(self._reports[message_id].line)
+            if message_ids and size > MAX_BODY_BYTES:
                 break
-            names.append(name)
-            if len(names) == self._most:
+            message_ids.append(message_id)
+            if len(message_ids) == self._max_lines:
                 break
-        return names
+        return message_ids
 
-    def _carry(self, one: Try) -> None:
-        begun = self._scheduler.now()
+    # -- one POST
+
+    def _carry_out(self, post: _Post) -> None:
+        started = self._scheduler.now()
+        lines = [self._reports[message_id].line for message_id in post.message_ids if message_id in self._reports]
         try:
-            status = self._post(one, b"".join(self._due[name].line for name in one.names if name in self._due))
+            status = self._post(b"".join(lines))
         finally:
-            del self._tries[one]
-        debug_event("notices: %s after %d ms: %d", " ".join(one.names), (self._scheduler.now() - begun) // MS, status)
-        if status == 204:
-            self._pause, self._most = FIRST_PAUSE_US, MOST_LINES
-            for name in one.names:
-                if self._due.pop(name, None) is not None:
-                    self._delivered(name)
-        elif status == 400:  # one line that cannot be read must not hold back the others
-            self._unreadable(one.names)
-        if self._task is not None and (status or one.alone):
-            self._scheduler.wake(self._task, status == 204)
-
-    def _unreadable(self, names: list[str]) -> None:
-        self._most = 1
-        if len(names) == 1 and names[0] in self._due:
-            log.error("notice for %s cannot be read by the platform; tried again behind the others", names[0])
-            last = max(notice.due for notice in self._due.values())
-            self._due[names[0]].due = max(last, self._due[names[0]].due) + 1
-
-    def _post(self, one: Try, body: bytes) -> int:
-        """The answer's status; 0 if none came. An idle connection that has gone meanwhile is replaced at once."""
-        while body:
-            sock, self._sock = self._sock, None
+            del self._posts[post]
+        elapsed_ms = (self._scheduler.now() - started) // MS
+        debug_event("notices: %s after %d ms: %d", " ".join(post.message_ids), elapsed_ms, status)
+        if status == NO_CONTENT:
+            self._confirm(post.message_ids)
+        elif status == BAD_REQUEST:
+            self._isolate_unreadable(post.message_ids)
+        if self._task is not None and (status != NO_STATUS or post.alone):
+            delivered = status == NO_CONTENT
+            self._scheduler.wake(self._task, _PostEnd.DELIVERED if delivered else _PostEnd.NOT_DELIVERED)
+
+    def _confirm(self, message_ids: list[str]) -> None:
+        self._backoff_us = MIN_BACKOFF_US
+        self._max_lines = MAX_LINES
+        for message_id in message_ids:
+            if self._reports.pop(message_id, None) is not None:
+                self._delivered(message_id)
+
+    def _isolate_unreadable(self, message_ids: list[str]) -> None:
+        """Send one report at a time, and one that the platform cannot read after the others: it must not block them."""
+        self._max_lines = 1
+        if len(message_ids) == 1 and message_ids[0] in self._reports:
+            log.error("notice for %s cannot be read by the platform; tried again behind the others", message_ids[0])
+            self._reports[message_ids[0]].due_us = max(report.due_us for report in self._reports.values()) + 1
+
+    def _post(self, body: bytes) -> int:
+        """Post a body; an idle connection that has gone meanwhile is replaced at once.
+
+        Returns:
+            The answer's status; NO_STATUS if none came, or all of the body's reports were delivered meanwhile.
+        """
+        if not body:
+            return NO_STATUS
+        while True:
+            sock, self._idle_socket = self._idle_socket, None
             try:
-                return self._try(sock, body)
+                return self._exchange(sock, body)
             except (OSError, http.Malformed) as error:
                 if sock is not None and not isinstance(error, streams.TimeUp):
                     continue
-                now = self._scheduler.now()
-                if now >= self._said_at + SAID_US:
-                    self._said_at = now
-                    log.warning(
-                        "notices: %d not delivered (%s), trying again", len(self._due), error or type(error).__name__
-                    )
-                return 0
-        return 0
-
-    def _try(self, sock: socket.socket | None, body: bytes) -> int:
-        until, at = self._scheduler.now() + TRY_US, self._at
+                self._log_failure(error)
+                return NO_STATUS
+
+    def _log_failure(self, error: Exception) -> None:
+        now = self._scheduler.now()
+        if now >= self._logged_at + LOG_INTERVAL_US:
+            self._logged_at = now
+            log.warning("notices: %d not delivered (%s), trying again", len(self._reports), error)
+
+    def _exchange(self, sock: socket.socket | None, body: bytes) -> int:
+        """Post a body over an idle connection, or else over a new one; the answer's status.
+
+        Raises:
+            OSError: The connection was not made, or broke.
+            http.Malformed: The answer is no HTTP.
+        """
+        until = self._scheduler.now() + POST_US
+        peer = self._idle_socket_peer
         try:
             if sock is None:
-                at = self._platform
-                sock = streams.dial(self._scheduler, at, until)
-            reader = http.AnswerReader()
+                peer = self._platform
+                sock = streams.dial(self._scheduler, peer, until)
             streams.send(self._scheduler, sock, http.request("POST", "/reports", "discovery", [], body), until)
-            while not reader.complete:
-                data = streams.receive(self._scheduler, sock, until)
-                if not data:
-                    reader.ended()
-                    if reader.complete:
-                        break
-                    raise OSError("the platform closed the connection")
-                reader.feed(data)
-            if reader.keep and not reader.rest and self._sock is None and at == self._platform:
-                self._sock, self._at, sock = sock, at, None
+            reader = self._read_answer(sock, until)
+            if reader.keep and not reader.rest and self._idle_socket is None and peer == self._platform:
+                self._idle_socket, self._idle_socket_peer = sock, peer
+                sock = None
             return reader.status
         finally:
             if sock is not None:
                 sock.close()
 
-    def _drop(self) -> None:
-        if self._sock is not None:
-            self._sock.close()
-            self._sock = None
+    def _read_answer(self, sock: socket.socket, until: int) -> http.AnswerReader:
+        reader = http.AnswerReader()
+        while not reader.complete:
+            data = streams.receive(self._scheduler, sock, until)
+            if data:
+                reader.feed(data)
+                continue
+            reader.ended()
+            if not reader.complete:
+                raise OSError("the platform closed the connection")
+        return reader
+
+
+def _urgency(report: _Report, late: int) -> tuple[bool, int]:
+    """A key to sort by: reports of messages whose deadline was before a time come last."""
+    return report.due_us < late, report.due_us
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 
 from scalefall.net import http, streams
-from scalefall.net.invariants import log
 from scalefall.net.list_stream import Entry, ListUpdate, ObjectStream, read_list
+from scalefall.net.logs import log
 from scalefall.net.scheduler import Scheduler, Task
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
--- a/scalefall/net/final_answers.py
+++ b/scalefall/net/final_answers.py
@@ -4,12 +4,13 @@
 
 import logging
 
-from scalefall.net.invariants import debug_event, log
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_request import DeliveryRequest, GivenUp, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
-from scalefall.net.journal import FAILED, RETURNED, Journal
-from scalefall.net.delivery_reports import LoggedDeliveryReports, DeliveryReports
+from scalefall.net.journal import Journal
+from scalefall.net.journal_records import FinalAnswer
+from scalefall.net.logs import debug_event, log
 from scalefall.net.route_table import RouteTable
-from scalefall.net.delivery_request import GivenUp, DeliveryRequest, Rejected
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 
@@ -53,7 +54,7 @@
             request.decide(Rejected(retry_after_us))
             return
         retry_after_ms = -(-retry_after_us // MILLISECOND_US)
-        self._journal.record_final_answer(message_id, RETURNED, retry_after_ms)
+        self._journal.record_final_answer(message_id, FinalAnswer.RETURNED, retry_after_ms)
         self._delivery_reports.report_returned(message_id, retry_after_ms, request.due_us)
 
     def fail(self, message_id: str) -> None:
@@ -66,7 +67,7 @@
         if request.admission is None:
             request.decide(GivenUp())
             return
-        self._journal.record_final_answer(message_id, FAILED, 0)
+        self._journal.record_final_answer(message_id, FinalAnswer.FAILED, 0)
         self._delivery_reports.report_failed(message_id, request.due_us)
 
 
--- a/scalefall/net/front.py
+++ b/scalefall/net/front.py
@@ -11,7 +11,7 @@
 
 from scalefall.net import http, streams
 from scalefall.net.delivery_request import Accepted, AdmissionResult, Conflict, DeliveryRequest, GivenUp, NotServed
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
 from scalefall.policy.settings import Idempotency, MessageClass
 
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -1,321 +1,309 @@
-"""The sender's journal in the lasting folder: what was taken on, the attempts begun, their outcomes and the ends.
+"""The sender's journal: a file in the state folder with all that the sender is responsible for.
 
-Records are appended to one file, each with its length and a checksum, with absolute wall time. A torn tail is cut.
-When the file and a fresh copy of what is still owed would no longer both fit into the folder's limit, the copy takes
-the file's place. Nothing is taken on for which that could not be kept.
+Records are appended before what they say takes effect, so that the next process knows of each message that was accepted
+and of each attempt that may have run. A tail that was torn by the death of the process is cut off. When the file and a
+compacted copy of it would no longer both fit into the folder's limit, the copy takes the file's place. Nothing is
+accepted for which that could not be kept.
 """
 
 from __future__ import annotations
 
+import contextlib
 import os
-import struct
-import zlib
-from dataclasses import dataclass, field
-
-from scalefall.net.invariants import assert_invariant, log
-from scalefall.policy.settings import Idempotency
-
-HEAD = struct.Struct("<II")  # length of the record's body, its CRC-32
-TAKEN = struct.Struct("<qiIqBB")  # due, destination, attempts, ran at (0: not), flags, state of the end
-OUT, ZONED = 1, 8  # of the flags; between them the effect: 0 where the record does not say
-IDEMPOTENCIES = (None, Idempotency.IDEMPOTENT, Idempotency.WITH_KEY, Idempotency.NOT_IDEMPOTENT)
-BLOCK = 512  # files are counted in whole blocks of this size
-SPARE = 64 * 1024  # kept free for the small records between two compactions, where there is room
-ZONES = 128  # room in a copy for the zones that a transaction's history may name
-FAILED, RETURNED = 1, 2  # ends that the platform is owed a notice of
-MARK = b"scalefall journal 1\n"
-
-
-@dataclass(slots=True)
-class PendingDelivery:
-    """A transaction as the journal knows it: not over yet, or over with its notice still to be delivered."""
-
-    id: str
-    class_name: str
-    destination: int
-    due_wall_us: int  # microseconds since the epoch
-    idempotency_key: str | None
-    body: bytes
-    attempts: int = 0
-    may_have_run_wall_us: int = 0  # begin of the first pass that may have run
-    may_have_run_zone: str = ""
-    in_flight: bool = False  # an attempt has begun and has no outcome yet
-    attempt_started_wall_us: int = 0
-    attempt_zone: str = ""
-    final_answer: int = 0  # FAILED or RETURNED: a notice is owed
-    retry_after_ms: int = 0
-    idempotency: Idempotency | None = None  # its class's, as it was when it was taken on; None: the record does not say
-    key_scope_zone: bool = False
-    key_ttl_us: int = 0
-    size: int = field(default=0, repr=False)
-    zones: int = field(default=ZONES, repr=False)  # of it, the room for zones
-
-
-def _text(*values: str | None) -> bytes:
-    parts = []
-    for value in values:
-        raw = b"" if value is None else value.encode()
-        parts.append(struct.pack("<H", 0xFFFF if value is None else len(raw)) + raw)
-    return b"".join(parts)
-
-
-def _untext(data: bytes, at: int, number: int) -> tuple[list[str | None], int]:
-    values: list[str | None] = []
-    for _ in range(number):
-        (length,) = struct.unpack_from("<H", data, at)
-        at += 2
-        if length == 0xFFFF:
-            values.append(None)
-            continue
-        if at + length > len(data):
-            raise ValueError("text cut short")
-        values.append(data[at : at + length].decode())
-        at += length
-    return values, at
-
-
-def _snapshot(owed: PendingDelivery) -> bytes:
-    """One record that holds all of a transaction; its begin, and its history after a compaction."""
-    flags = OUT * owed.in_flight | IDEMPOTENCIES.index(owed.idempotency) << 1 | ZONED * owed.key_scope_zone
-    head = TAKEN.pack(
-        owed.due_wall_us, owed.destination, owed.attempts, owed.may_have_run_wall_us, flags, owed.final_answer
-    )
-    span = (
-        owed.retry_after_ms if owed.final_answer else min(owed.key_ttl_us // 1000, 0xFFFFFFFF)
-    )  # each is of use to one alone
-    tail = struct.pack("<Iq", span, owed.attempt_started_wall_us)
-    return (
-        b"T"
-        + head
-        + tail
-        + _text(owed.id, owed.class_name, owed.idempotency_key, owed.may_have_run_zone, owed.attempt_zone)
-        + (b"" if owed.final_answer else owed.body)
-    )
+from types import TracebackType
+from typing import NamedTuple
+
+from scalefall.net import journal_records
+from scalefall.net.files import BLOCK_BYTES
+from scalefall.net.invariants import assert_invariant
+from scalefall.net.journal_records import (
+    FILE_HEADER,
+    FRAME,
+    ZONE_BYTES,
+    AttemptFinished,
+    AttemptStarted,
+    FinalAnswer,
+    FinalAnswerGiven,
+    Finished,
+    PendingDelivery,
+    Record,
+    RecordError,
+)
+from scalefall.net.logs import log
+
+FILE_NAME = "journal"
+FILE_MODE = 0o600  # the messages' bodies are nobody else's
+ROUNDING_BYTES = 4 * BLOCK_BYTES  # the file and its copy take whole blocks, and each begins with FILE_HEADER
+MAX_SPARE_BYTES = 64 * 1024  # kept free for the small records between two compactions,
+SPARE_DIVISOR = 8  # but no more than this part of a limit that is small
+
+
+class _OpenFile(NamedTuple):
+    descriptor: int
+    size: int
 
 
 class Journal:
-    def __init__(self, folder: str, most_bytes: int) -> None:
-        self._path, self._new = os.path.join(folder, "journal"), os.path.join(folder, "journal.new")
-        self._most, self.pending = most_bytes, {}
-        self._spare = min(SPARE, most_bytes // 8)
-        self._live = 0  # bytes that a fresh copy would take
-        self._remove_new()
-        self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
-        self._size = self._read()
-        if self._size != len(MARK) + self._live:
+    """The open file, and what it holds. Closing it is the caller's part; it is a context manager too.
+
+    Attributes:
+        pending: What the sender is responsible for, by the id of the message.
+    """
+
+    def __init__(self, folder: str, limit_bytes: int) -> None:
+        """Open the journal of a folder, or start one, and read what the process before was responsible for.
+
+        Args:
+            folder: The state folder.
+            limit_bytes: What the file and its compacted copy may take together.
+
+        Raises:
+            OSError: The file cannot be opened or read.
+        """
+        self.pending: dict[str, PendingDelivery] = {}
+        self._path = os.path.join(folder, FILE_NAME)
+        self._copy_path = self._path + ".new"
+        self._limit_bytes = limit_bytes
+        self._spare_bytes = min(MAX_SPARE_BYTES, limit_bytes // SPARE_DIVISOR)
+        self._copy_bytes = 0  # what all of pending takes in a compacted copy
+        self._remove_copy()
+        self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_APPEND, FILE_MODE)
+        self._size = self._load()
+        if self._size != len(FILE_HEADER) + self._copy_bytes:
             self.compact()
 
-    # -- what is written
+    def __enter__(self) -> Journal:
+        """Return the journal, to be closed at the end of the block."""
+        return self
 
-    def has_capacity(self, length: int) -> bool:
-        """Whether one more with a body so long would fit; take_on has the last word."""
-        return self._fits(self._live + length + 4 * BLOCK)
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
+    ) -> None:
+        """Close the file."""
+        self.close()
 
-    def record_accepted(self, owed: PendingDelivery) -> bool:
-        """False, and nothing is taken on, if it would not fit or can't be written."""
-        size = HEAD.size + len(_snapshot(owed)) + ZONES
-        if not self._fits(self._live + size) or not self._append(_snapshot(owed), size):
+    def close(self) -> None:
+        """Close the file; no record can be written any more."""
+        os.close(self._file)
+
+    @property
+    def unused_bytes(self) -> int:
+        """What is left of the limit beside the file and its compacted copy."""
+        return self._limit_bytes - self._size - self._copy_bytes
+
+    # -- records that are written
+
+    def has_capacity(self, body_bytes: int) -> bool:
+        """Whether a message with so long a body would fit; record_accepted has the last word."""
+        return self._fits(self._copy_bytes + body_bytes + ROUNDING_BYTES)
+
+    def record_accepted(self, delivery: PendingDelivery) -> bool:
+        """Write that the sender is responsible for a message.
+
+        Returns:
+            False if it does not fit or cannot be written: the message must not be accepted then.
+        """
+        record = journal_records.encode_accepted(delivery)
+        copy_bytes = FRAME.size + len(record) + ZONE_BYTES
+        if not self._fits(self._copy_bytes + copy_bytes) or not self._append(record, copy_bytes):
             return False
-        assert_invariant(owed.id not in self.pending, "an id is taken on once")
-        owed.size = size
-        self.pending[owed.id] = owed
-        self._live += size
+        assert_invariant(delivery.id not in self.pending, "an id is taken on once")
+        delivery.copy_bytes = copy_bytes
+        self.pending[delivery.id] = delivery
+        self._copy_bytes += copy_bytes
         return True
 
-    def record_attempt_started(self, ids: list[str], wall: int, zone: str) -> bool:
-        """False if it can't be written, or a copy would no longer fit: then the attempt must not begin."""
-        ids = [name for name in ids if name in self.pending]
-        wider = sum(max(0, self._zones(zone) - self.pending[name].zones) for name in ids)
-        if wider and not self._fits(self._live, wider):
+    def record_attempt_started(self, message_ids: list[str], wall_us: int, zone: str) -> bool:
+        """Write that an attempt is about to start.
+
+        Args:
+            message_ids: The messages that it carries; those that are no longer pending are left out.
+            wall_us: The present time, microseconds since the epoch.
+            zone: The zone of the endpoint.
+
+        Returns:
+            False if a compacted copy would no longer fit, or it cannot be written: the attempt must not start then.
+        """
+        message_ids = [message_id for message_id in message_ids if message_id in self.pending]
+        needed = _zone_bytes(zone)
+        more = sum(max(0, needed - self.pending[message_id].zone_bytes) for message_id in message_ids)
+        if more and not self._fits(self._copy_bytes + more):
             return False
-        if not self._append(b"P" + struct.pack("<qH", wall, len(ids)) + _text(zone, *ids)):
+        if not self._append(journal_records.encode_attempt_started(message_ids, wall_us, zone)):
             return False
-        for name in ids:
-            self._begin(self.pending[name], wall, zone)
+        for message_id in message_ids:
+            self._start_attempt(self.pending[message_id], wall_us, zone)
         return True
 
-    @staticmethod
-    def _zones(zone: str) -> int:
-        """A copy may have to name it twice: as that of the first pass that may have run, and of the one out."""
-        return 2 * len(zone.encode())
+    def record_attempt_finished(self, message_id: str, may_have_run: bool) -> None:
+        """Write how the attempt in flight ended; one that delivered the message is a record_finished instead."""
+        if message_id in self.pending:
+            self._append(journal_records.encode_attempt_finished(message_id, may_have_run))
+            self._finish_attempt(self.pending[message_id], may_have_run)
 
-    def _widen(self, owed: PendingDelivery, zone: str) -> None:
-        more = self._zones(zone) - owed.zones
-        if more > 0:
-            owed.zones += more
-            owed.size += more
-            self._live += more
-
-    def record_attempt_finished(self, name: str, may_have_run: bool) -> None:
-        """How the attempt that is out ended; a delivery is told by over()."""
-        if name in self.pending:
-            self._append(b"O" + bytes([may_have_run]) + _text(name))
-            self._settle(self.pending[name], may_have_run)
-
-    def record_finished(self, name: str) -> None:
-        """Delivered, withdrawn, or its notice has arrived: nothing more is owed."""
-        if name in self.pending:
-            self._append(b"E" + _text(name))
-            self._live -= self.pending.pop(name).size
-
-    def record_final_answer(self, name: str, final_answer: int, retry_after_ms: int) -> None:
-        """Ended by the module; the platform is owed a notice."""
-        if name in self.pending:
-            self._append(b"N" + struct.pack("<BI", final_answer, retry_after_ms) + _text(name))
-            self._end(self.pending[name], final_answer, retry_after_ms)
+    def record_finished(self, message_id: str) -> None:
+        """Write that the sender is no longer responsible: delivered, withdrawn, or its final answer reported."""
+        if message_id in self.pending:
+            self._append(journal_records.encode_finished(message_id))
+            self._copy_bytes -= self.pending.pop(message_id).copy_bytes
 
-    def close(self) -> None:
-        os.close(self._file)
+    def record_final_answer(self, message_id: str, final_answer: FinalAnswer, retry_after_ms: int) -> None:
+        """Write that a message will not be delivered any more, which has to be reported."""
+        if message_id in self.pending:
+            self._append(journal_records.encode_final_answer(message_id, final_answer, retry_after_ms))
+            self._give_final_answer(self.pending[message_id], final_answer, retry_after_ms)
 
-    # -- what the records do to what is owed
+    # -- what the records do to what is pending
 
-    def _begin(self, owed: PendingDelivery, wall: int, zone: str) -> None:
-        self._widen(owed, zone)
-        owed.attempts += 1
-        owed.in_flight, owed.attempt_started_wall_us, owed.attempt_zone = True, wall, zone
+    def _start_attempt(self, delivery: PendingDelivery, wall_us: int, zone: str) -> None:
+        more = _zone_bytes(zone) - delivery.zone_bytes
+        if more > 0:
+            delivery.zone_bytes += more
+            delivery.copy_bytes += more
+            self._copy_bytes += more
+        delivery.attempts += 1
+        delivery.in_flight = True
+        delivery.attempt_started_wall_us = wall_us
+        delivery.attempt_zone = zone
 
     @staticmethod
-    def _settle(owed: PendingDelivery, may_have_run: bool) -> None:
-        if may_have_run and not owed.may_have_run_wall_us:
-            owed.may_have_run_wall_us, owed.may_have_run_zone = owed.attempt_started_wall_us, owed.attempt_zone
-        owed.in_flight = False
-
-    def _end(self, owed: PendingDelivery, final_answer: int, retry_after_ms: int) -> None:
-        owed.final_answer, owed.retry_after_ms = final_answer, retry_after_ms
-        self._live -= len(owed.body)
-        owed.size -= len(owed.body)
-        owed.body = b""
+    def _finish_attempt(delivery: PendingDelivery, may_have_run: bool) -> None:
+        if may_have_run and not delivery.may_have_run_wall_us:
+            delivery.may_have_run_wall_us = delivery.attempt_started_wall_us
+            delivery.may_have_run_zone = delivery.attempt_zone
+        delivery.in_flight = False
+
+    def _give_final_answer(self, delivery: PendingDelivery, final_answer: FinalAnswer, retry_after_ms: int) -> None:
+        delivery.final_answer = final_answer
+        delivery.retry_after_ms = retry_after_ms
+        self._copy_bytes -= len(delivery.body)
+        delivery.copy_bytes -= len(delivery.body)
+        delivery.body = b""
+
+    def _replay(self, record: Record) -> None:
+        """Do to what is pending what the process before has written; what is not pending any more is passed over."""
+        if isinstance(record, PendingDelivery):
+            self.pending[record.id] = record
+            self._copy_bytes += record.copy_bytes
+            return
+        message_ids = record.message_ids if isinstance(record, AttemptStarted) else [record.message_id]
+        for message_id in message_ids:
+            if message_id in self.pending:
+                self._replay_on(self.pending[message_id], record)
+
+    def _replay_on(
+        self, delivery: PendingDelivery, record: AttemptStarted | AttemptFinished | FinalAnswerGiven | Finished
+    ) -> None:
+        match record:
+            case AttemptStarted():
+                self._start_attempt(delivery, record.wall_us, record.zone)
+            case AttemptFinished():
+                self._finish_attempt(delivery, record.may_have_run)
+            case FinalAnswerGiven():
+                self._give_final_answer(delivery, record.final_answer, record.retry_after_ms)
+            case Finished():
+                self._copy_bytes -= self.pending.pop(delivery.id).copy_bytes
 
     # -- the file
 
-    def _fits(self, live: int, more: int = 0) -> bool:
-        """Whether twice what is owed, the old file and the new one, stays within the limit."""
-        return 2 * (live + more) + self._spare + 4 * BLOCK <= self._most
+    def _fits(self, copy_bytes: int) -> bool:
+        """Whether an old file and a new one with so many bytes of records stay within the limit together."""
+        return 2 * copy_bytes + self._spare_bytes + ROUNDING_BYTES <= self._limit_bytes
 
-    def _append(self, record: bytes, grows: int = 0) -> bool:
-        framed = HEAD.pack(len(record), zlib.crc32(record)) + record
-        if self._size + len(framed) + self._live + grows + 4 * BLOCK > self._most and not self.compact():
+    def _append(self, record: bytes, more_copy_bytes: int = 0) -> bool:
+        """Write a record at the end, after a compaction if it needs one; False if it cannot be written.
+
+        Args:
+            record: The record without its frame.
+            more_copy_bytes: What the record will add to a compacted copy.
+        """
+        framed = journal_records.frame(record)
+        used_bytes = self._size + len(framed) + self._copy_bytes + more_copy_bytes + ROUNDING_BYTES
+        if used_bytes > self._limit_bytes and not self.compact():
             return False
         try:
-            written = 0
-            while written < len(framed):
-                written += os.write(self._file, framed[written:])
+            _write_all(self._file, framed)
         except OSError as error:
             log.error("journal: cannot write (%s)", error)
-            self._cut(self._size)  # half a record in the middle would hide all that follows
+            self._truncate(self._size)  # half a record in the middle would hide all that follows
             return False
         self._size += len(framed)
         return True
 
-    def _cut(self, size: int) -> None:
+    def _truncate(self, size: int) -> None:
         try:
             os.ftruncate(self._file, size)
         except OSError as error:
             log.error("journal: cannot cut (%s)", error)
 
     def compact(self) -> bool:
+        """Replace the file by a copy that holds what is pending and nothing else; False if that cannot be written."""
         try:
-            new = os.open(self._new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
-            try:
-                size = os.write(new, MARK)
-                for owed in self.pending.values():
-                    record = _snapshot(owed)
-                    data = HEAD.pack(len(record), zlib.crc32(record)) + record
-                    while data:
-                        done = os.write(new, data)
-                        size, data = size + done, data[done:]
-                os.rename(self._new, self._path)
-            except OSError:
-                os.close(new)
-                raise
+            copy = self._write_copy()
         except OSError as error:
             log.error("journal: cannot compact (%s)", error)
-            self._remove_new()
+            self._remove_copy()
             return False
         os.close(self._file)
-        self._file, self._size = new, size
+        self._file, self._size = copy
         return True
 
-    def _remove_new(self) -> None:
-        """A compaction that the process did not live to finish: the old file still holds everything."""
+    def _write_copy(self) -> _OpenFile:
+        """Write the copy and put it in the file's place; OSError if it cannot be written, and the file is as it was."""
+        flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
+        descriptor = os.open(self._copy_path, flags, FILE_MODE)
         try:
-            os.unlink(self._new)
-        except FileNotFoundError:
-            pass
-
-    def _read(self) -> int:
-        """Take in the file; give back the size up to which it is whole, having cut the rest."""
+            size = os.write(descriptor, FILE_HEADER)
+            for delivery in self.pending.values():
+                framed = journal_records.frame(journal_records.encode_accepted(delivery))
+                _write_all(descriptor, framed)
+                size += len(framed)
+            os.rename(self._copy_path, self._path)
+        except OSError:
+            os.close(descriptor)
+            raise
+        return _OpenFile(descriptor, size)
+
+    def _remove_copy(self) -> None:
+        """Remove the copy of a compaction that was not finished: the file still holds everything."""
+        with contextlib.suppress(FileNotFoundError):
+            os.unlink(self._copy_path)
+
+    def _load(self) -> int:
+        """Replay the file's records and cut off what cannot be read; the file's size afterwards."""
         with open(self._path, "rb") as file:
             data = file.read()
-        at = len(MARK)
-        if not data.startswith(MARK):
-            if data:
-                log.error("journal: not one of ours, or its head is torn; %d bytes are thrown away", len(data))
-            self._cut(0)
-            os.write(self._file, MARK)
-            return at
-        while at + HEAD.size <= len(data):
-            length, checksum = HEAD.unpack_from(data, at)
-            record = data[at + HEAD.size : at + HEAD.size + length]
-            if len(record) != length or zlib.crc32(record) != checksum:
-                break
+        if not data.startswith(FILE_HEADER):
+            return self._start_anew(len(data))
+        end = len(FILE_HEADER)
+        while (record := journal_records.read_frame(data, end)) is not None:
             try:
-                self._replay(record)
-            except (ValueError, struct.error, KeyError, IndexError) as error:
-                log.error("journal: a record cannot be read (%r)", error)
+                self._replay(journal_records.decode(record))
+            except RecordError as error:
+                log.error("journal: a record cannot be read (%s)", error)
                 break
-            at += HEAD.size + length
-        if at < len(data):
-            log.warning("journal: torn tail of %d bytes cut", len(data) - at)
-            self._cut(at)
-        return at
-
-    def _replay(self, record: bytes) -> None:
-        kind = record[:1]
-        if kind == b"T":
-            due, destination, attempts, may_have_run_wall_us, flags, final_answer = TAKEN.unpack_from(record, 1)
-            span, attempt_started_wall_us = struct.unpack_from("<Iq", record, 1 + TAKEN.size)
-            texts, at = _untext(record, 1 + TAKEN.size + 12, 5)
-            owed = PendingDelivery(
-                texts[0] or "",
-                texts[1] or "",
-                destination,
-                due,
-                texts[2],
-                record[at:],
-                attempts,
-                may_have_run_wall_us,
-                texts[3] or "",
-                bool(flags & OUT),
-                attempt_started_wall_us,
-                texts[4] or "",
-                final_answer,
-                span if final_answer else 0,
-                IDEMPOTENCIES[flags >> 1 & 3],
-                bool(flags & ZONED),
-                0 if final_answer else span * 1000,
-            )
-            owed.size = HEAD.size + len(record) + ZONES
-            self.pending[owed.id] = owed
-            self._live += owed.size
-        elif kind == b"P":
-            wall, number = struct.unpack_from("<qH", record, 1)
-            texts, _ = _untext(record, 11, number + 1)
-            for name in texts[1:]:
-                if name in self.pending:
-                    self._begin(self.pending[name], wall, texts[0] or "")
-        elif kind == b"O":
-            name = _untext(record, 2, 1)[0][0]
-            if name in self.pending:
-                self._settle(self.pending[name], bool(record[1]))
-        elif kind == b"E":
-            name = _untext(record, 1, 1)[0][0]
-            if name in self.pending:
-                self._live -= self.pending.pop(name).size
-        elif kind == b"N":
-            final_answer, retry_after_ms = struct.unpack_from("<BI", record, 1)
-            name = _untext(record, 6, 1)[0][0]
-            if name in self.pending:
-                self._end(self.pending[name], final_answer, retry_after_ms)
-        else:
-            raise ValueError(f"unknown record {kind!r}")
+            end += FRAME.size + len(record)
+        if end < len(data):
+            log.warning("journal: torn tail of %d bytes cut", len(data) - end)
+            self._truncate(end)
+        return end
+
+    def _start_anew(self, foreign_bytes: int) -> int:
+        """Drop what the file holds, which is no journal; the file's size afterwards."""
+        if foreign_bytes:
+            log.error("journal: not one of ours, or its head is torn; %d bytes are thrown away", foreign_bytes)
+        self._truncate(0)
+        os.write(self._file, FILE_HEADER)
+        return len(FILE_HEADER)
+
+
+def _zone_bytes(zone: str) -> int:
+    """What a copy may need for a zone's name: that of the first attempt that may have run, and of the one in flight."""
+    return 2 * len(zone.encode())
+
+
+def _write_all(descriptor: int, data: bytes) -> None:
+    """Write all of the data, in as many parts as the system takes; OSError if it cannot."""
+    written = 0
+    while written < len(data):
+        written += os.write(descriptor, data[written:])
--- /dev/null
+++ b/scalefall/net/journal_records.py
@@ -0,0 +1,344 @@
+"""The records of the sender's journal: what each holds, and its bytes. No I/O and no clock.
+
+A journal is ``FILE_HEADER`` and then records, each behind a ``FRAME`` with its length and its CRC-32. The first byte of
+a record is its kind; what follows it is in the table of ``RecordKind``. Integers are little-endian. A text is its
+length in bytes, of 16 bits, and its UTF-8; the length ``NO_TEXT`` stands for None.
+
+Times are wall-clock times, in microseconds since the epoch: the monotonic clock may begin anew with the machine.
+"""
+
+from __future__ import annotations
+
+import struct
+import zlib
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import NamedTuple
+
+from scalefall.errors import StorageError
+from scalefall.policy.settings import Idempotency
+
+FILE_HEADER = b"scalefall journal 1\n"
+FRAME = struct.Struct("<II")  # length of the record, CRC-32 of it
+NO_TEXT = 0xFFFF  # in place of a text's length
+MAX_SPAN = 0xFFFFFFFF  # the largest time span that a record can hold, in milliseconds
+ZONE_BYTES = 128  # reserved in each copy of a delivery for the names of zones that attempts will add
+
+# What an ACCEPTED record holds before its texts and its body:
+#   due, destination, attempts, when an attempt that may have run started (0: none did), flags, final answer (0: none),
+#   a time span in milliseconds, when the attempt in flight started (0: none was ever)
+# The span is the time to retry after where there is a final answer, and that of the idempotency key otherwise.
+ACCEPTED = struct.Struct("<qiIqBBIq")
+ACCEPTED_TEXTS = 5  # id, class, idempotency key, zone where it may have run, zone of the attempt in flight
+ATTEMPT_STARTED = struct.Struct("<qH")  # when, number of messages; then the zone and the messages' ids
+FINAL_ANSWER = struct.Struct("<BI")  # the answer, the time to retry after in milliseconds; then the message's id
+TEXT_LENGTH = struct.Struct("<H")
+
+IN_FLIGHT = 1  # flag: an attempt has started and has not finished
+IDEMPOTENCY_SHIFT, IDEMPOTENCY_MASK = 1, 3  # two bits of the flags, an index into IDEMPOTENCIES
+KEY_SCOPE_ZONE = 8  # flag: the idempotency key holds within a zone only
+IDEMPOTENCIES = (
+    None,
+    Idempotency.IDEMPOTENT,
+    Idempotency.WITH_KEY,
+    Idempotency.NOT_IDEMPOTENT,
+)  # None: the record does not say
+
+
+class RecordKind:
+    """The first byte of a record, and what follows it."""
+
+    ACCEPTED = b"T"  # ACCEPTED, its texts, and the body to the record's end
+    ATTEMPT_STARTED = b"P"  # ATTEMPT_STARTED, its texts
+    ATTEMPT_FINISHED = b"O"  # one byte, whether it may have run; the message's id
+    FINAL_ANSWER = b"N"  # FINAL_ANSWER, its text
+    FINISHED = b"E"  # the message's id
+
+
+class RecordError(StorageError):
+    """A record has the right checksum and yet cannot be read: another version of the program wrote it."""
+
+
+class FinalAnswer(Enum):
+    """How an accepted message ended that was not delivered. The values are those of the records."""
+
+    FAILED = 1
+    RETURNED = 2
+
+
+_FINAL_ANSWERS = {answer.value: answer for answer in FinalAnswer}
+
+
+@dataclass(slots=True)
+class PendingDelivery:
+    """A message that the sender is responsible for: not delivered yet, or with its final answer not reported yet.
+
+    Attributes:
+        id: The client's id of the message.
+        class_name: Its class.
+        destination: The number of the destination that it is for.
+        due_wall_us: When it has to have been delivered.
+        idempotency_key: What tells the destination that two attempts are of one message; None if there is none.
+        body: What is delivered; empty once there is a final answer.
+        attempts: How many attempts have started.
+        may_have_run_wall_us: When the first attempt started that may have run; 0 if there was none.
+        may_have_run_zone: The zone that this attempt went to.
+        in_flight: Whether an attempt has started and has not finished.
+        attempt_started_wall_us: When the last attempt started.
+        attempt_zone: The zone that it went to.
+        final_answer: How it ended, if it did without being delivered.
+        retry_after_ms: With the answer RETURNED, how long the client should wait before it submits the message again.
+        idempotency: Whether it may be sent again, by its class at the time when it was accepted. None: not known.
+        key_scope_zone: Whether its idempotency key holds within a zone only, by the same class.
+        key_ttl_us: For how long a destination remembers the key, by the same class.
+        copy_bytes: What a compacted journal needs for it.
+        zone_bytes: How much of that is reserved for names of zones.
+    """
+
+    id: str
+    class_name: str
+    destination: int
+    due_wall_us: int
+    idempotency_key: str | None
+    body: bytes
+    attempts: int = 0
+    may_have_run_wall_us: int = 0
+    may_have_run_zone: str = ""
+    in_flight: bool = False
+    attempt_started_wall_us: int = 0
+    attempt_zone: str = ""
+    final_answer: FinalAnswer | None = None
+    retry_after_ms: int = 0
+    idempotency: Idempotency | None = None
+    key_scope_zone: bool = False
+    key_ttl_us: int = 0
+    copy_bytes: int = field(default=0, repr=False)
+    zone_bytes: int = field(default=ZONE_BYTES, repr=False)
+
+
+class AttemptStarted(NamedTuple):
+    """One attempt with one or several messages is about to start.
+
+    Attributes:
+        wall_us: When.
+        zone: The zone of its endpoint.
+        message_ids: The messages that it carries.
+    """
+
+    wall_us: int
+    zone: str
+    message_ids: list[str]
+
+
+class AttemptFinished(NamedTuple):
+    """The attempt with a message has ended without delivering it.
+
+    Attributes:
+        message_id: The message.
+        may_have_run: Whether the destination may have acted on it.
+    """
+
+    message_id: str
+    may_have_run: bool
+
+
+class FinalAnswerGiven(NamedTuple):
+    """A message will not be delivered any more; this has to be reported.
+
+    Attributes:
+        message_id: The message.
+        final_answer: How it ended.
+        retry_after_ms: How long the client should wait before it submits the message again.
+    """
+
+    message_id: str
+    final_answer: FinalAnswer
+    retry_after_ms: int
+
+
+class Finished(NamedTuple):
+    """The sender is no longer responsible for a message.
+
+    Attributes:
+        message_id: The message.
+    """
+
+    message_id: str
+
+
+Record = PendingDelivery | AttemptStarted | AttemptFinished | FinalAnswerGiven | Finished
+
+
+# -- from typed records to bytes
+
+
+def frame(record: bytes) -> bytes:
+    """A record as it stands in the file, behind its length and its checksum."""
+    return FRAME.pack(len(record), zlib.crc32(record)) + record
+
+
+def encode_accepted(delivery: PendingDelivery) -> bytes:
+    """All of a delivery: written when it is accepted, and with its history when the journal is compacted."""
+    answer = delivery.final_answer
+    if answer is None:
+        span_ms, body = min(delivery.key_ttl_us // 1000, MAX_SPAN), delivery.body
+    else:
+        span_ms, body = delivery.retry_after_ms, b""
+    fixed = ACCEPTED.pack(
+        delivery.due_wall_us,
+        delivery.destination,
+        delivery.attempts,
+        delivery.may_have_run_wall_us,
+        _flags(delivery),
+        0 if answer is None else answer.value,
+        span_ms,
+        delivery.attempt_started_wall_us,
+    )
+    texts = _encode_texts(
+        delivery.id,
+        delivery.class_name,
+        delivery.idempotency_key,
+        delivery.may_have_run_zone,
+        delivery.attempt_zone,
+    )
+    return RecordKind.ACCEPTED + fixed + texts + body
+
+
+def encode_attempt_started(message_ids: list[str], wall_us: int, zone: str) -> bytes:
+    """The record of an AttemptStarted."""
+    fixed = ATTEMPT_STARTED.pack(wall_us, len(message_ids))
+    return RecordKind.ATTEMPT_STARTED + fixed + _encode_texts(zone, *message_ids)
+
+
+def encode_attempt_finished(message_id: str, may_have_run: bool) -> bytes:
+    """The record of an AttemptFinished."""
+    return RecordKind.ATTEMPT_FINISHED + bytes([may_have_run]) + _encode_texts(message_id)
+
+
+def encode_final_answer(message_id: str, final_answer: FinalAnswer, retry_after_ms: int) -> bytes:
+    """The record of a FinalAnswerGiven."""
+    fixed = FINAL_ANSWER.pack(final_answer.value, retry_after_ms)
+    return RecordKind.FINAL_ANSWER + fixed + _encode_texts(message_id)
+
+
+def encode_finished(message_id: str) -> bytes:
+    """The record of a Finished."""
+    return RecordKind.FINISHED + _encode_texts(message_id)
+
+
+def _flags(delivery: PendingDelivery) -> int:
+    idempotency = IDEMPOTENCIES.index(delivery.idempotency) << IDEMPOTENCY_SHIFT
+    return IN_FLIGHT * delivery.in_flight | idempotency | KEY_SCOPE_ZONE * delivery.key_scope_zone
+
+
+def _encode_texts(*texts: str | None) -> bytes:
+    parts = []
+    for text in texts:
+        if text is None:
+            parts.append(TEXT_LENGTH.pack(NO_TEXT))
+        else:
+            encoded = text.encode()
+            parts.append(TEXT_LENGTH.pack(len(encoded)) + encoded)
+    return b"".join(parts)
+
+
+# -- from bytes to typed records
+
+
+def read_frame(data: bytes, start: int) -> bytes | None:
+    """The record that begins at a place in a journal; None if the journal is at its end, torn or damaged there."""
+    if start + FRAME.size > len(data):
+        return None
+    length, checksum = FRAME.unpack_from(data, start)
+    start += FRAME.size
+    record = data[start : start + length]
+    return record if len(record) == length and zlib.crc32(record) == checksum else None
+
+
+def decode(record: bytes) -> Record:
+    """The typed record of a frame's bytes.
+
+    Raises:
+        RecordError: It is of no known kind, or does not hold what its kind does.
+    """
+    decoder = _DECODERS.get(record[:1])
+    if decoder is None:
+        raise RecordError(f"unknown record {record[:1]!r}")
+    try:
+        return decoder(record)
+    except (ValueError, struct.error, KeyError, IndexError) as error:
+        raise RecordError(f"record {record[:1]!r}: {error!r}") from error
+
+
+def _decode_accepted(record: bytes) -> PendingDelivery:
+    due, destination, attempts, ran_at, flags, answer, span_ms, started_at = ACCEPTED.unpack_from(record, 1)
+    texts, end = _decode_texts(record, 1 + ACCEPTED.size, ACCEPTED_TEXTS)
+    return PendingDelivery(
+        id=texts[0] or "",
+        class_name=texts[1] or "",
+        destination=destination,
+        due_wall_us=due,
+        idempotency_key=texts[2],
+        body=record[end:],
+        attempts=attempts,
+        may_have_run_wall_us=ran_at,
+        may_have_run_zone=texts[3] or "",
+        in_flight=bool(flags & IN_FLIGHT),
+        attempt_started_wall_us=started_at,
+        attempt_zone=texts[4] or "",
+        final_answer=_FINAL_ANSWERS[answer] if answer else None,
+        retry_after_ms=span_ms if answer else 0,
+        idempotency=IDEMPOTENCIES[flags >> IDEMPOTENCY_SHIFT & IDEMPOTENCY_MASK],
+        key_scope_zone=bool(flags & KEY_SCOPE_ZONE),
+        key_ttl_us=0 if answer else span_ms * 1000,
+        copy_bytes=FRAME.size + len(record) + ZONE_BYTES,
+    )
+
+
+def _decode_attempt_started(record: bytes) -> AttemptStarted:
+    wall_us, number = ATTEMPT_STARTED.unpack_from(record, 1)
+    texts, _ = _decode_texts(record, 1 + ATTEMPT_STARTED.size, number + 1)
+    return AttemptStarted(wall_us, texts[0] or "", [text or "" for text in texts[1:]])
+
+
+def _decode_attempt_finished(record: bytes) -> AttemptFinished:
+    texts, _ = _decode_texts(record, 2, 1)
+    return AttemptFinished(texts[0] or "", bool(record[1]))
+
+
+def _decode_final_answer(record: bytes) -> FinalAnswerGiven:
+    answer, retry_after_ms = FINAL_ANSWER.unpack_from(record, 1)
+    texts, _ = _decode_texts(record, 1 + FINAL_ANSWER.size, 1)
+    return FinalAnswerGiven(texts[0] or "", _FINAL_ANSWERS[answer], retry_after_ms)
+
+
+def _decode_finished(record: bytes) -> Finished:
+    texts, _ = _decode_texts(record, 1, 1)
+    return Finished(texts[0] or "")
+
+
+_DECODERS: dict[bytes, Callable[[bytes], Record]] = {
+    RecordKind.ACCEPTED: _decode_accepted,
+    RecordKind.ATTEMPT_STARTED: _decode_attempt_started,
+    RecordKind.ATTEMPT_FINISHED: _decode_attempt_finished,
+    RecordKind.FINAL_ANSWER: _decode_final_answer,
+    RecordKind.FINISHED: _decode_finished,
+}
+
+
+def _decode_texts(data: bytes, start: int, number: int) -> tuple[list[str | None], int]:
+    """So many texts from a place on, and the place behind them."""
+    texts: list[str | None] = []
+    for _ in range(number):
+        (length,) = TEXT_LENGTH.unpack_from(data, start)
+        start += TEXT_LENGTH.size
+        if length == NO_TEXT:
+            texts.append(None)
+            continue
+        end = start + length
+        if end > len(data):
+            raise RecordError("a text is cut short")
+        texts.append(data[start:end].decode())
+        start = end
+    return texts, start
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -10,8 +10,9 @@
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.invariants import log
-from scalefall.net.journal import FAILED, RETURNED, Journal, PendingDelivery
+from scalefall.net.journal import Journal
+from scalefall.net.journal_records import FinalAnswer, PendingDelivery
+from scalefall.net.logs import log
 from scalefall.policy.events import LearnedRate, Message
 from scalefall.policy.settings import MessageClass
 
@@ -68,9 +69,9 @@
         restored = 0
         for pending in list(self._journal.pending.values()):
             due_us = pending.due_wall_us - self._wall_offset_us
-            if pending.final_answer == RETURNED:
+            if pending.final_answer is FinalAnswer.RETURNED:
                 self._delivery_reports.report_returned(pending.id, pending.retry_after_ms, due_us)
-            elif pending.final_answer == FAILED:
+            elif pending.final_answer is FinalAnswer.FAILED:
                 self._delivery_reports.report_failed(pending.id, due_us)
             else:
                 restored += 1
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -9,7 +9,7 @@
 from scalefall.net.config import Config, ConfigError, Fleet
 from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.endpoint_list import EndpointList
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.static_list import StaticList
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -15,7 +15,8 @@
 
 from greenlet import getcurrent, greenlet
 
-from scalefall.net.invariants import assert_invariant, log
+from scalefall.net.invariants import assert_invariant
+from scalefall.net.logs import log
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 THREAD_DONE = 255  # a byte to the waker that is no signal's number
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -6,8 +6,9 @@
 from dataclasses import replace
 
 from scalefall.net import http, invariants, learned_rates
-from scalefall.net.admin import AdminServer, AdminState, MaintenanceStore
+from scalefall.net.admin import AdminServer
 from scalefall.net.admin_actions import AdminActions
+from scalefall.net.admin_state import AdminState
 from scalefall.net.admission import Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
 from scalefall.net.config import Address, Config
@@ -18,8 +19,9 @@
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.front import Front
-from scalefall.net.invariants import log
 from scalefall.net.journal import Journal
+from scalefall.net.logs import log
+from scalefall.net.maintenance_store import MaintenanceStore
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.recovery import Recovery
 from scalefall.net.reloader import FleetReloader, ReadAgain, Reloader, SettingsReloader, forget_endpoints_after_us
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -11,7 +11,8 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
-from scalefall.net.invariants import assert_invariant, log
+from scalefall.net.invariants import assert_invariant
+from scalefall.net.logs import log
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.actions import (
     Action,
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -11,7 +11,7 @@
 from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
-from scalefall.net.invariants import log
+from scalefall.net.logs import log
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import ShuttingDown
--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -16,7 +16,8 @@
 from nethelp import listed
 
 from scalefall.net import learned_rates
-from scalefall.net.journal import Journal, PendingDelivery
+from scalefall.net.journal import Journal
+from scalefall.net.journal_records import PendingDelivery
 from scalefall.policy.events import LearnedRate
 from scalefall.policy.settings import Idempotency
 
@@ -56,7 +57,7 @@
     while journal.record_accepted(_message(taken, wall)):
         taken += 1
     for name in cycle(list(journal.pending)):
-        if journal._size + journal._live + SPARE > journal._most:
+        if journal.unused_bytes < SPARE:
             break
         if journal.pending[name].in_flight:
             journal.record_attempt_finished(name, True)
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -13,7 +13,8 @@
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.state import StateDirectory
 from scalefall.net import journal, learned_rates
-from scalefall.net.admin import MaintenanceStore
+from scalefall.net.journal_records import FinalAnswer, PendingDelivery
+from scalefall.net.maintenance_store import MaintenanceStore
 from scalefall.policy.actions import RouteAllowance
 from scalefall.policy.events import EndpointReport, LearnedRate, Outcome
 from scalefall.policy.settings import Idempotency
@@ -25,7 +26,7 @@
     "with key": Idempotency.WITH_KEY,
     "never": Idempotency.NOT_IDEMPOTENT,
 }
-ENDS = {"none": 0, "failed": journal.FAILED, "returned": journal.RETURNED}
+ENDS = {"none": None, "failed": FinalAnswer.FAILED, "returned": FinalAnswer.RETURNED}
 LATEST = {"rates": learned_rates.MAX_AGE_US}  # us from which on what is stored is too old
 OUTCOMES = {"not sent": Outcome.NOT_SENT, "cannot connect": Outcome.CONNECT_FAILED}
 
@@ -61,7 +62,7 @@
 
 
 def delivery(row):
-    return journal.PendingDelivery(
+    return PendingDelivery(
         id=row["id"],
         class_name=row["class"],
         destination=row["destination"],
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -4,11 +4,13 @@
 import socket
 
 import pytest
-from nethelp import MS, Peer, S, chunk, closed, listed, read, list_update
+from nethelp import MS, Peer, S, chunk, closed, list_update, listed, read
 from test_sender import Firm
 
 from scalefall.net import http
-from scalefall.net.admin import MAX_CALLERS, AdminState, MaintenanceStore
+from scalefall.net.admin import MAX_CALLERS
+from scalefall.net.admin_state import AdminAction, AdminCommand, AdminDecision, AdminState
+from scalefall.net.maintenance_store import MaintenanceStore
 
 
 @pytest.fixture
@@ -211,9 +213,9 @@
         idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_CALLERS)]
         firm.world.sleep(10 * MS)
         assert call(firm, "GET", "/healthcheck") == 200
-        assert len(firm.sender.admin_server._callers) <= MAX_CALLERS
+        assert firm.sender.admin_server.waiting_callers <= MAX_CALLERS
         firm.world.sleep(3 * S)
-        assert not firm.sender.admin_server._callers
+        assert firm.sender.admin_server.waiting_callers == 0
         for sock in idle:
             sock.close()
 
@@ -229,11 +231,15 @@
         assert file.load() == set()
 
 
-def test_duty_changes_only_once_a_call_is_carried_out():
-    duty = AdminState(set())
-    assert duty.call("PUT", "/endpoints/a%20b/maint", True, lambda name: name == "a b") == (200, "out a b")
-    assert duty.in_maintenance == set()
-    duty.done("out a b")
-    assert duty.call("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == (200, "back a b")  # gone
-    duty.done("back a b")
-    assert duty.in_maintenance == set() and duty.call("GET", "/healthcheck", False, bool) == (503, "")
+def test_the_state_changes_only_once_a_call_is_carried_out():
+    state = AdminState(set())
+    start = AdminCommand(AdminAction.START_MAINTENANCE, "a b")
+    assert state.decide("PUT", "/endpoints/a%20b/maint", True, lambda name: name == "a b") == AdminDecision(200, start)
+    assert state.in_maintenance == set()
+    state.apply(start)
+    assert state.in_maintenance == {"a b"}
+    end = AdminCommand(AdminAction.END_MAINTENANCE, "a b")
+    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(200, end)  # gone
+    state.apply(end)
+    assert state.in_maintenance == set()
+    assert state.decide("GET", "/healthcheck", False, bool) == AdminDecision(503, None)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -420,7 +420,7 @@
         told(peer, peer.accept())
         world.until(lambda: "c" in done)
         assert world.now() - end < 400 * MS and len(silent) < 60
-        world.until(lambda: not notices._tries)  # those that were silent end, and nothing goes on
+        world.until(lambda: not notices.posts_in_flight)  # those that were silent end, and nothing goes on
         world.sleep(S)
         accepted = peer.accepted
         world.sleep(5 * S)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -9,8 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from scalefall.net import journal as j
 from scalefall.net import learned_rates
+from scalefall.net.journal import Journal
+from scalefall.net.journal_records import IDEMPOTENCIES, FinalAnswer, PendingDelivery
 from scalefall.policy.events import LearnedRate
 from scalefall.policy.settings import Idempotency
 
@@ -18,7 +19,7 @@
 
 
 def owed(name, body=b"body", key=None, idempotency=None):
-    return j.PendingDelivery(
+    return PendingDelivery(
         name,
         "fee-order",
         7,
@@ -60,7 +61,7 @@
     @initialize()
     def start(self):
         self.folder, self.model, self.number = tempfile.mkdtemp(), {}, 0
-        self.journal = j.Journal(self.folder, MOST)
+        self.journal = Journal(self.folder, MOST)
 
     def some(self, data, **wanted):
         names = [n for n, o in self.model.items() if all(getattr(o, k) == v for k, v in wanted.items())]
@@ -69,7 +70,7 @@
     @rule(
         size=st.sampled_from([0, 10, 3000, 65536]),
         key=st.sampled_from([None, "", "k"]),
-        idempotency=st.sampled_from(j.IDEMPOTENCIES),
+        idempotency=st.sampled_from(IDEMPOTENCIES),
     )
     def record_accepted(self, size, key, idempotency):
         self.number += 1
@@ -81,7 +82,7 @@
 
     @rule(data=st.data(), zone=st.sampled_from(["a", "zone-b"]))
     def begin(self, data, zone):
-        name = self.some(data, in_flight=False, final_answer=0)
+        name = self.some(data, in_flight=False, final_answer=None)
         if name:
             self.number += 1
             assert self.journal.record_attempt_started([name], self.number, zone)
@@ -103,9 +104,9 @@
             if ran and not one.may_have_run_wall_us:
                 one.may_have_run_wall_us, one.may_have_run_zone = one.attempt_started_wall_us, one.attempt_zone
 
-    @rule(data=st.data(), final_answer=st.sampled_from([j.FAILED, j.RETURNED]))
+    @rule(data=st.data(), final_answer=st.sampled_from(list(FinalAnswer)))
     def ended(self, data, final_answer):
-        name = self.some(data, final_answer=0)
+        name = self.some(data, final_answer=None)
         if name:
             self.journal.record_final_answer(name, final_answer, 250)
             self.model[name].final_answer, self.model[name].retry_after_ms, self.model[name].body = (
@@ -131,7 +132,7 @@
         if half:
             with open(os.path.join(self.folder, "journal.new"), "wb") as file:
                 file.write(torn)
-        self.journal = j.Journal(self.folder, MOST)
+        self.journal = Journal(self.folder, MOST)
 
     @invariant()
     def all_is_kept_within_the_limit(self):
@@ -149,7 +150,7 @@
 
 
 def test_a_tail_cut_at_any_byte_costs_only_what_was_cut(tmp_path):
-    book = j.Journal(str(tmp_path), MOST)
+    book = Journal(str(tmp_path), MOST)
     sizes = []
     for name in ("a", "b"):
         book.record_accepted(owed(name))
@@ -158,14 +159,14 @@
     data = (tmp_path / "journal").read_bytes()
     for length in range(len(data)):
         (tmp_path / "journal").write_bytes(data[:length])
-        again = j.Journal(str(tmp_path), MOST)
+        again = Journal(str(tmp_path), MOST)
         assert sorted(again.pending) == [n for n, size in zip("ab", sizes) if size <= length]
         assert again.record_accepted(owed("next"))
         again.close()
 
 
 def test_a_flipped_bit_ends_what_can_be_trusted(tmp_path):
-    book = j.Journal(str(tmp_path), MOST)
+    book = Journal(str(tmp_path), MOST)
     book.record_accepted(owed("a"))
     size = os.path.getsize(tmp_path / "journal")
     book.record_accepted(owed("b"))
@@ -173,12 +174,12 @@
     data = bytearray((tmp_path / "journal").read_bytes())
     data[size + 12] ^= 1
     (tmp_path / "journal").write_bytes(data)
-    assert list(j.Journal(str(tmp_path), MOST).pending) == ["a"]
+    assert list(Journal(str(tmp_path), MOST).pending) == ["a"]
 
 
 @pytest.mark.parametrize("most", [100_000, 3_000_000])
 def test_what_would_not_fit_is_refused_and_the_rest_is_still_written(tmp_path, most):
-    book = j.Journal(str(tmp_path), most)
+    book = Journal(str(tmp_path), most)
     taken = [n for n in range(200) if book.has_capacity(60_000) and book.record_accepted(owed(str(n), b"x" * 60_000))]
     assert len(taken) < 200 and used(tmp_path) <= most
     for name in list(book.pending) * 20:
@@ -189,7 +190,7 @@
 
 
 def test_a_journal_that_cannot_be_written_takes_nothing_on(tmp_path, monkeypatch):
-    book = j.Journal(str(tmp_path), MOST)
+    book = Journal(str(tmp_path), MOST)
     book.record_accepted(owed("a"))
     whole = (tmp_path / "journal").read_bytes()
     real = os.write
@@ -212,7 +213,7 @@
 
 def test_long_names_of_zones_have_their_room_before_a_pass_begins(tmp_path):
     """128 bytes were kept for both; with longer ones the copy that takes the file's place went over the limit."""
-    book, most = j.Journal(tmp_path, 100_000), 100_000
+    book, most = Journal(tmp_path, 100_000), 100_000
     taken = [f"m{n}" for n in range(100) if book.record_accepted(owed(f"m{n}", b"x" * 50))]
     begun = [name for name in taken for _ in range(3) if book.record_attempt_started([name], 1, "z" * 250)]
     assert taken and begun and len(begun) < 3 * len(taken)  # what would not fit does not begin
@@ -222,7 +223,7 @@
         assert used(tmp_path) <= most
     assert book.compact() and used(tmp_path) <= most
     book.close()
-    assert plain(j.Journal(tmp_path, most).pending) == plain(book.pending)
+    assert plain(Journal(tmp_path, most).pending) == plain(book.pending)
 
 
 def test_paces_are_kept_for_the_next_process_while_they_are_fresh_and_within_their_room(tmp_path, caplog):
@@ -263,7 +264,7 @@
 
 def test_a_record_of_the_version_before_is_read_and_one_of_this_version_is_no_less_careful_there(tmp_path):
     """It had 0 or 1 where the flags stand, whether an attempt was out, and read any other value as one that was."""
-    book = j.Journal(str(tmp_path), MOST)
+    book = Journal(str(tmp_path), MOST)
     for number, in_flight in enumerate((False, True)):
         before = owed(f"m{number}")
         before.in_flight = in_flight
@@ -274,7 +275,7 @@
     names = b"m0", b"m1", b"\1\0n"
     flags = [data[data.index(name) - 2 * (name[0] != 1) - 12 - 2] for name in names]  # a span, a time, a length
     assert flags[:2] == [0, 1] and flags[2] & ~1
-    again = j.Journal(str(tmp_path), MOST)
+    again = Journal(str(tmp_path), MOST)
     assert [(one.in_flight, one.idempotency) for one in again.pending.values()] == [
         (False, None),
         (True, None),
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -10,7 +10,7 @@
 from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
 from scalefall.net.endpoint_list import read_list
-from scalefall.net.journal import PendingDelivery
+from scalefall.net.journal_records import PendingDelivery
 from scalefall.net.sender import Sender
 from scalefall.policy.actions import Send
 from scalefall.policy.engine import Engine
