--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -68,13 +68,13 @@
         """Set what is called with the id of each message that is reported."""
         self._delivered = delivered
 
-    def report_failed(self, message_id: str, due_us: int = 0) -> None:  # noqa: ARG002 - of DeliveryReporter
+    def report_failed(self, message_id: str, due_us: int = 0) -> None:
         """Log that a message was given up."""
         fields = {"id": message_id, "state": "failed"}
         log.warning("notice: %s failed", message_id, extra={"fields": fields})
         self._delivered(message_id)
 
-    def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:  # noqa: ARG002 - as above
+    def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:
         """Log that a message may be submitted again, and when."""
         fields = {"id": message_id, "state": "returned", "after_ms": retry_after_ms}
         log.warning(
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -185,18 +185,19 @@
         if isinstance(record, PendingDelivery):
             self.pending[record.id] = record
             self._copy_bytes += record.copy_bytes
-            return
-        message_ids = record.message_ids if isinstance(record, AttemptStarted) else [record.message_id]
-        for message_id in message_ids:
-            if message_id in self.pending:
-                self._replay_on(self.pending[message_id], record)
-
-    def _replay_on(
-        self, delivery: PendingDelivery, record: AttemptStarted | AttemptFinished | FinalAnswerGiven | Finished
-    ) -> None:
+        elif isinstance(record, AttemptStarted):
+            for message_id in record.message_ids:
+                delivery = self.pending.get(message_id)
+                if delivery is not None:
+                    self._start_attempt(delivery, record.wall_us, record.zone)
+        else:
+            delivery = self.pending.get(record.message_id)
+            if delivery is not None:
+                self._replay_end(delivery, record)
+
+    def _replay_end(self, delivery: PendingDelivery, record: AttemptFinished | FinalAnswerGiven | Finished) -> None:
+        """The same for the end of an attempt or of the message itself."""
         match record:
-            case AttemptStarted():
-                self._start_attempt(delivery, record.wall_us, record.zone)
             case AttemptFinished():
                 self._finish_attempt(delivery, record.may_have_run)
             case FinalAnswerGiven():
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -274,25 +274,26 @@
 def _decode_accepted(record: bytes) -> PendingDelivery:
     due, destination, attempts, ran_at, flags, answer, span_ms, started_at = ACCEPTED.unpack_from(record, 1)
     texts, end = _decode_texts(record, 1 + ACCEPTED.size, ACCEPTED_TEXTS)
-    return PendingDelivery(
-        id=texts[0] or "",
-        class_name=texts[1] or "",
-        destination=destination,
-        due_wall_us=due,
-        idempotency_key=texts[2],
-        body=record[end:],
-        attempts=attempts,
-        may_have_run_wall_us=ran_at,
-        may_have_run_zone=texts[3] or "",
-        in_flight=bool(flags & IN_FLIGHT),
-        attempt_started_wall_us=started_at,
-        attempt_zone=texts[4] or "",
-        final_answer=_FINAL_ANSWERS[answer] if answer else None,
-        retry_after_ms=span_ms if answer else 0,
-        idempotency=IDEMPOTENCIES[flags >> IDEMPOTENCY_SHIFT & IDEMPOTENCY_MASK],
-        key_scope_zone=bool(flags & KEY_SCOPE_ZONE),
-        key_ttl_us=0 if answer else span_ms * 1000,
-        copy_bytes=FRAME.size + len(record) + ZONE_BYTES,
+    message_id, class_name, idempotency_key, ran_in_zone, attempt_zone = texts
+    return PendingDelivery(  # by position, which takes a start with a full journal 2 us less for each message
+        message_id or "",
+        class_name or "",
+        destination,
+        due,
+        idempotency_key,
+        record[end:],
+        attempts,
+        ran_at,
+        ran_in_zone or "",
+        bool(flags & IN_FLIGHT),
+        started_at,
+        attempt_zone or "",
+        _FINAL_ANSWERS[answer] if answer else None,
+        span_ms if answer else 0,
+        IDEMPOTENCIES[flags >> IDEMPOTENCY_SHIFT & IDEMPOTENCY_MASK],
+        bool(flags & KEY_SCOPE_ZONE),
+        0 if answer else span_ms * 1000,
+        FRAME.size + len(record) + ZONE_BYTES,
     )
 
 
@@ -330,15 +331,16 @@
 def _decode_texts(data: bytes, start: int, number: int) -> tuple[list[str | None], int]:
     """So many texts from a place on, and the place behind them."""
     texts: list[str | None] = []
+    unpack_length = TEXT_LENGTH.unpack_from
     for _ in range(number):
-        (length,) = TEXT_LENGTH.unpack_from(data, start)
-        start += TEXT_LENGTH.size
+        end = start + TEXT_LENGTH.size
+        length = unpack_length(data, start)[0]
         if length == NO_TEXT:
             texts.append(None)
+            start = end
             continue
-        end = start + length
-        if end > len(data):
+        start = end + length
+        if start > len(data):
             raise RecordError("a text is cut short")
-        texts.append(data[start:end].decode())
-        start = end
+        texts.append(data[end:start].decode())
     return texts, start
