--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -49,7 +49,7 @@
     }
     for count in LISTED[mode]:
         events: list = []
-        kept = EndpointList(Scheduler(), None, ListUpdate(0, True, []), events.append)
+        kept = EndpointList(Scheduler(), ListUpdate(0, True, []), events.append)
         parts["entries"].add(count, memory_of(_learn, kept, count))
         module = Sender(configuration.settings(), 1)
         parts["module"].add(count, memory_of(_tell, module, events))
@@ -61,7 +61,7 @@
     series = Series(ROLE, "list, one changed", Quantity.TIME, "steps an endpoint of the list", "endpoints")
     for count in LISTED[mode]:
         module, events = Sender(configuration.settings(), 1), []
-        kept = EndpointList(Scheduler(), None, ListUpdate(0, True, []), events.append)
+        kept = EndpointList(Scheduler(), ListUpdate(0, True, []), events.append)
         _learn(kept, count)
         _tell(module, events)
         versions = iter(range(3, 1 << 20))
@@ -115,12 +115,12 @@
 
 def _learn(kept: EndpointList, count: int) -> None:
     """As its watch does with an object of the list."""
-    kept._learn(read_list(lists.whole(count)))
+    kept.learn(read_list(lists.whole(count)))
 
 
 def _learn_change(kept: EndpointList, module: Sender, events: list, versions: Iterator[int]) -> None:
     events.clear()
-    kept._learn(read_list(lists.change(1) | {"seq": next(versions)}))
+    kept.learn(read_list(lists.change(1) | {"seq": next(versions)}))
     _tell(module, events)
 
 
--- a/scalefall/cli/reader.py
+++ b/scalefall/cli/reader.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from scalefall.net.config import Config, ConfigError, Fleet
-from scalefall.net.endpoint_list import Entry, ListUpdate
+from scalefall.net.list_stream import Entry, ListUpdate
 
 PIECE = 200  # endpoints
 MOST_SECONDS = 120
--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -8,7 +8,7 @@
 from scalefall.lab.classes import ANY
 from scalefall.lab.world import settings as world_settings
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 
 DOWN_EVERY = 91  # one destination of so many is down: 1.1%
 DOWN_FIRST = 2  # and it is not the one that Zipf traffic has the most of
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -18,16 +18,16 @@
 from scalefall import interface as i
 from scalefall.control import snapshot
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.grants import Grant
 from scalefall.control.endpoint_health import endpoint_states
+from scalefall.control.grants import Grant
 from scalefall.control.members import Joined
-from scalefall.control.service import ResourceBuilder, ControlService
+from scalefall.control.service import ControlService, ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.lab.classes import ANY, REPEAT
 from scalefall.lab.partner.model import Partner, Shape
 from scalefall.lab.proxy.contract import ASK_US, ATTEMPTS, Contract, Fall, Refuse, Send, given_up, may_repeat
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 
 MS, SECOND = 1000, 1_000_000
 ROUTE = 7
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -14,7 +14,7 @@
 from scalefall.lang.units import SECOND, Rate
 from scalefall.lang.wire import settings_table
 from scalefall.net.config import Config, Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry, ListUpdate
+from scalefall.net.list_stream import Entry, ListUpdate
 from scalefall.policy import DEPTH_US
 from scalefall.settings import read_settings
 
--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -17,7 +17,7 @@
 from scalefall.lang.schema import BLOCKS, NAME, POLICY, Repeat, Setting
 from scalefall.lang.text import Problems, listed
 from scalefall.net.config import read_address
-from scalefall.net.endpoint_list import ListUpdate, read_list
+from scalefall.net.list_stream import ListUpdate, read_list
 from scalefall.settings import read_settings
 
 EFFECTS = {"never": "unsafe", "keyed": "keyed", "freely": "safe"}
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -52,23 +52,23 @@
 
     def resume_maintenance(self) -> None:
         """Take out the endpoints that were in maintenance when the last process ended."""
-        self._endpoint_list.take_out(self.state.out)
+        self._endpoint_list.start_maintenance(self.state.out)
 
     def handle(self, method: str, target: str) -> int:
         """Carry out a call, and return its HTTP status: success only once it is done and kept."""
         ready = not self._ingress.closing
-        status, command = self.state.call(method, target, ready, self._endpoint_list.names)
+        status, command = self.state.call(method, target, ready, self._endpoint_list.has_endpoint)
         verb, _, endpoint = command.partition(" ")
         match verb:
             case "out":
                 if not self._keep(self.state.out | {endpoint}):
                     return INSUFFICIENT_STORAGE
-                self._endpoint_list.take_out({endpoint})
+                self._endpoint_list.start_maintenance({endpoint})
             case "back":
                 if not self._keep(self.state.out - {endpoint}):
                     return INSUFFICIENT_STORAGE
                 if endpoint in self.state.out:
-                    self._endpoint_list.put_back(endpoint)
+                    self._endpoint_list.end_maintenance(endpoint)
                     self._report_restarted(endpoint)
             case "drain" | "resume":
                 self._ingress.drain(verb == "drain")
@@ -85,7 +85,7 @@
         It has been restarted, so it gets a few calls and then more. Where its neighbours have served meanwhile, the
         destination as a whole was not down.
         """
-        if self._endpoint_list.names(endpoint):
+        if self._endpoint_list.has_endpoint(endpoint):
             now_us = self._scheduler.now()
             # The second call counts as sent after the moment at which the engine hears of the first.
             for sent_us in (now_us - OUTAGE_SEEN_US, now_us + 2 * self._tick_us):
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -166,7 +166,7 @@
         drained = now_us - left_at_us > self._settings.drain_grace_us - DRAIN_MARGIN_US
         return (
             not drained
-            and not self._endpoint_list.replaced(entry)
+            and not self._endpoint_list.is_replaced(entry)
             and self._retry_after_until.get(self._wait_scope(endpoint), 0) <= now_us
         )
 
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from scalefall.interface import Settings
-from scalefall.net.endpoint_list import Entry, ListUpdate, read_list
+from scalefall.net.list_stream import Entry, ListUpdate, read_list
 from scalefall.settings import read_settings
 
 Address = tuple[str, int]
--- /dev/null
+++ b/scalefall/net/discovery_list.py
@@ -0,0 +1,104 @@
+"""Discovery's list of endpoints, kept up by a watch."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from scalefall.interface import Listed, ListKind
+from scalefall.net.endpoint_list import FORGET_US, EndpointList
+from scalefall.net.list_stream import ListUpdate
+from scalefall.net.list_watch import ListWatch
+from scalefall.net.scheduler import Scheduler
+
+MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # of one object of the list, also where the memory that is set allows less
+INTRODUCE_AFTER_US = 2_000_000  # so long after a start the old list is taken as it is, if nothing has been heard
+
+
+class DiscoveryList(EndpointList):
+    """The endpoints that discovery lists.
+
+    Where lists are pushed, what discovery has counts as told whether or not a watch is open. So one is open all the
+    time, and the engine hears of what was known before only when discovery has said what of it still holds. Where they
+    are polled, each failure of the watch is one FAILED event.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        discovery: tuple[str, int],
+        known: ListUpdate,
+        on_change: Callable[[Listed], None],
+        pushed: bool = False,
+        max_object_bytes: int = MIN_OBJECT_LIMIT_BYTES,
+        seed: int = 0,
+        forget_us: int = FORGET_US,
+    ) -> None:
+        """Start with the list as this sender had it last.
+
+        Args:
+            scheduler: The clock, and the task of the watch.
+            discovery: Discovery's address.
+            known: The list that this sender had last.
+            on_change: Takes what the engine is to hear of the list.
+            pushed: Discovery pushes lists; else they are polled when the engine asks for it.
+            max_object_bytes: How long one object of the list may be, where that is more than 1 MiB.
+            seed: The seed of the random spread of the watch.
+            forget_us: After how many microseconds an endpoint that has gone is forgotten, where that is more than 60 s.
+        """
+        super().__init__(scheduler, known, on_change, forget_us)
+        self._pushed = pushed
+        self._is_announced = not pushed
+        self._reports_failure = False  # the last event said that the watch failed
+        max_object_bytes = max(max_object_bytes, MIN_OBJECT_LIMIT_BYTES)
+        self._watch = ListWatch(scheduler, discovery, self, pushed, max_object_bytes, seed)
+
+    def start(self) -> None:
+        """Tell the engine of the list that is known, now or once discovery is heard, and open the watch if it is due.
+
+        Without endpoints nothing can go out before a list comes: the watch is opened at once then too.
+        """
+        if self._pushed:
+            self._scheduler.call_at(self._scheduler.now() + INTRODUCE_AFTER_US, self._introduce)
+        else:
+            self._on_change(self.initial_list())
+        if self._pushed or not self.entries:
+            self.subscribe()
+
+    def subscribe(self) -> None:
+        """Open a watch, unless there is one.
+
+        From then on it is opened anew whenever it breaks: the engine's backoff after a failure may be longer than a
+        change has time.
+        """
+        self._watch.open()
+
+    def move(self, discovery: tuple[str, int]) -> None:
+        """Watch discovery at another address from now on."""
+        self._watch.move(discovery)
+
+    def learn(self, update: ListUpdate) -> None:
+        """Take in a list, or what of it has changed, and tell the engine."""
+        if update.unread:
+            self._log_unread(update)
+        self._introduce()
+        if self._is_news(update):
+            self._reports_failure = False
+            self._put_into_force(update)
+
+    def word_received(self) -> None:
+        """Take in that discovery has said something: a poll was heard, whether or not anything is new."""
+        self._introduce()
+        if self._reports_failure:
+            self._reports_failure = False
+            self._on_change(Listed(ListKind.CHANGES, []))
+
+    def watch_failed(self) -> None:
+        """Tell the engine that the watch broke."""
+        self._reports_failure = True
+        self._on_change(Listed(ListKind.FAILED))
+
+    def _introduce(self) -> None:
+        """Tell the engine, once, of what was known before, ahead of what is new."""
+        if not self._is_announced:
+            self._is_announced = True
+            self._on_change(self.initial_list())
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -1,311 +1,207 @@
-"""Discovery's list of endpoints, kept up by a watch. What it learns goes to the host as Listed events."""
+"""The endpoints that a sender may call, by id, and what the engine hears of them.
+
+`discovery_list` keeps them up by a watch on discovery, `static_list` has them from the operator's file.
+"""
 
 from __future__ import annotations
 
-import random
-import socket
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
 
-from scalefall import interface as i
-from scalefall.net import http, streams
+from scalefall.interface import Endpoint, Listed, ListKind, Status
 from scalefall.net.checks import log
-from scalefall.net.list_stream import Entry, ObjectStream, ListUpdate, read_list
-from scalefall.net.scheduler import Scheduler, Task
+from scalefall.net.list_stream import Entry, ListUpdate
+from scalefall.net.scheduler import Scheduler
 
-SECOND = 1_000_000
-DIAL_US = SECOND  # a dial to discovery is given up after this
-FIRST_US = 3 * SECOND  # and a watch that has not answered after this
-BEAT_US = 2 * SECOND  # discovery sends a line at least so often
-SILENT_US = 3 * SECOND  # a watch with no line for this long is broken: told counts from 6 s on
-BULK = 64 * 1024  # of an object that is still coming, for each of which it may take so long again
-MOVING_US, MOVING_STEP_US = 3 * SECOND, SECOND // 10  # after a move it is asked again at once for so long
-FORGET_US = 60 * SECOND  # an endpoint gone for so long is forgotten, or for as long as any message may take
-MOST_LIST = 1024 * 1024  # bytes of one object of the list, where the settings' memory allows no more
-# A change counts as told 6 s after discovery had it and could be reached: docs/design/crossings.md adds these up.
-SILENT_SPREAD_US = SECOND // 2  # within this a watch that fell silent is opened anew, and
-CLOSED_SPREAD_US = 2 * SECOND  # within this one that was heard and broke otherwise: not all senders in one moment
-AGAIN_US = SECOND // 20  # doubled by each try that fails, up to these, where lists are pushed and where asked for
-MOST_AGAIN_US, MOST_RETRY_US = SECOND // 2, 4 * SECOND // 5
-PIECE, MANY = 32 * 1024, 100  # bytes and entries of a list after which the others have their turn
-UNHEARD_US = 2 * SECOND  # and so long after a start the old list is taken as it is, if nothing has been heard
+FORGET_US = 60_000_000  # an endpoint gone for so long is forgotten: no call is out there; or as long as messages take
 
 
 class EndpointList:
+    """A list of endpoints, without a source of its own.
+
+    Attributes:
+        entries: The endpoints by id, with those that have gone lately.
+        left_at: When each endpoint that drains or has gone began to, in monotonic microseconds, by id.
+        seq: The list's version.
+        unread: How many entries could not be read so far.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
-        discovery: tuple[str, int] | None,
         known: ListUpdate,
-        tell: Callable[[i.Listed], None],
-        pushed: bool = False,
-        most: int = MOST_LIST,
-        seed: int = 0,
+        on_change: Callable[[Listed], None],
         forget_us: int = FORGET_US,
     ) -> None:
-        """Where lists are pushed, what discovery has counts as told whether or not a watch is open: so one is open all
-        the time, and what was known before is told only when discovery has said what of it still holds."""
-        self._scheduler, self._discovery, self._tell = scheduler, discovery, tell
-        self._pushed, self._most, self._introduced = pushed, max(most, MOST_LIST), not pushed
-        self._forget_us, self._random = max(forget_us, FORGET_US), random.Random(seed)
-        self._heard_at, self._silent = -1, False  # when a watch last said anything; it broke by saying nothing
-        self._failed = False  # the module was told so last
+        """Start with a list.
+
+        Args:
+            scheduler: The clock.
+            known: The list.
+            on_change: Takes what the engine is to hear of the list.
+            forget_us: After how many microseconds an endpoint that has gone is forgotten, where that is more than 60 s.
+        """
+        self._scheduler = scheduler
+        self._on_change = on_change
+        self._forget_us = max(forget_us, FORGET_US)
+        self._is_announced = True  # the engine has heard of the list, or hears of it before any change
         self.entries: dict[str, Entry] = {}
-        self._served: Counter[int] = Counter()  # entries by destination
-        self.left_at: dict[str, int] = {}  # when we were told that an endpoint drains or is gone
-        self._out: set[str] = set()  # taken out by the operators: they drain, whatever the list says
-        self._listed: dict[str, Entry] = {}  # what it says of these
-        self._gone: dict[str, int] = {}  # when we were told that it is gone, in this order
-        self._owners: dict[tuple[str, int], str] = {}  # the endpoint in service that was told last at an address
+        self.left_at: dict[str, int] = {}
+        self._gone_at: dict[str, int] = {}  # when each that has gone went, in monotonic microseconds, in this order
+        self._entry_counts: Counter[int] = Counter()  # by destination
+        self._owners: dict[tuple[str, int], str] = {}  # the endpoint in service that came last at an address
+        self._in_maintenance: set[str] = set()  # these drain, whatever the list says
+        self._listed: dict[str, Entry] = {}  # what the list says of those that drain for their maintenance
         self.seq = known.seq
-        self.unread, self._said = 0, ()  # entries that could not be read
-        self._task: Task | None = None
-        self._moved_at = -MOVING_US
-        self._keep(known)
+        self.unread = 0
+        self._last_unread: tuple[str, ...] = ()  # the entries that could not be read last, as they are logged once
+        self._apply(known)
 
     def start(self) -> None:
-        if self._pushed:
-            self._scheduler.call_at(self._scheduler.now() + UNHEARD_US, self._introduce)
-        else:
-            self._tell(self.known())
-        if self._pushed or not self.entries:
-            self.subscribe()  # nothing can go out before the list comes: not after the others' turns
+        """Tell the engine of the list."""
+        self._on_change(self.initial_list())
 
-    def _introduce(self) -> None:
-        """Once, where lists are pushed: what was known before goes to the module, ahead of what is new."""
-        if not self._introduced:
-            self._introduced = True
-            self._tell(self.known())
+    def initial_list(self) -> Listed:
+        """Return the event for the list as this sender had it last; it may be old."""
+        return Listed(ListKind.CACHED, [entry.endpoint for entry in self.entries.values()])
 
-    def known(self) -> i.Listed:
-        """The list as this sender had it last; it may be old."""
-        return i.Listed(i.ListKind.CACHED, [entry.endpoint for entry in self.entries.values()])
+    def subscribe(self) -> None:
+        """Ask for newer lists; a list without a source has none."""
 
     def serves(self, destination: int) -> bool:
-        """Whether the list names, or has lately named, an endpoint of the destination; an empty one tells nothing."""
-        return not self.entries or destination in self._served
+        """Return whether the list names, or has lately named, an endpoint of a destination; an empty one says yes."""
+        return not self.entries or destination in self._entry_counts
 
-    def keep_for(self, forget_us: int) -> None:
-        """Messages may take longer now; what is out may still be there for as long as before."""
-        self._forget_us = max(self._forget_us, forget_us)
+    def has_endpoint(self, endpoint_id: str) -> bool:
+        """Return whether the list has an endpoint that has not gone."""
+        return endpoint_id in self.entries and endpoint_id not in self._gone_at
 
-    def names(self, name: str) -> bool:
-        """Whether the list has the endpoint, and has not told that it is gone."""
-        return name in self.entries and name not in self._gone
+    def is_replaced(self, entry: Entry) -> bool:
+        """Return whether a call meant for this endpoint, which has left, would reach another one at its address."""
+        endpoint_id = entry.endpoint.id
+        return endpoint_id in self.left_at and self._owners.get(entry.address, endpoint_id) != endpoint_id
 
-    def take_out(self, names: set[str]) -> None:
-        """These endpoints drain from now on, also where the list names them only later."""
-        self._out |= names
-        self._again(names)
+    def remember_for(self, forget_us: int) -> None:
+        """Remember endpoints that have gone for so many microseconds, if that is longer than before.
 
-    def put_back(self, name: str) -> None:
-        """The list holds for it again."""
-        self._out.discard(name)
-        self._again({name})
+        Messages may take longer now; what is out may still be there for as long as before.
+        """
+        self._forget_us = max(self._forget_us, forget_us)
 
-    def _again(self, names: set[str]) -> None:
-        known = sorted(name for name in names if self.names(name))
-        if known:
-            self._keep(
-                ListUpdate(self.seq, False, [self._listed.pop(name, None) or self.entries[name] for name in known])
-            )
-            if self._introduced:
-                self._tell(i.Listed(i.ListKind.CHANGES, self._endpoints(known)))
+    def start_maintenance(self, endpoint_ids: set[str]) -> None:
+        """Let endpoints drain from now on, also where the list names them only later."""
+        self._in_maintenance |= endpoint_ids
+        self._apply_again(endpoint_ids)
 
-    def _endpoints(self, names: list[str]) -> list[i.Endpoint]:
-        """As the module is told of them: as they are kept."""
-        return [self.entries[name].endpoint for name in names]
+    def end_maintenance(self, endpoint_id: str) -> None:
+        """Let an endpoint be as the list has it again."""
+        self._in_maintenance.discard(endpoint_id)
+        self._apply_again({endpoint_id})
 
-    def replaced(self, entry: Entry) -> bool:
-        """Whether a call meant for this endpoint, which has left, would reach another one at its address."""
-        name = entry.endpoint.id
-        return name in self.left_at and self._owners.get(entry.address, name) != name
+    def learn(self, update: ListUpdate) -> None:
+        """Take in a list, or what of it has changed, and tell the engine.
 
-    def subscribe(self) -> None:
-        """Open a watch, unless there is one. From then on it is opened anew whenever it breaks: where lists are asked
-        for, each failure is one FAILED event, but the module's pause after it may be longer than a change has time."""
-        if self._task is None:
-            self._task = self._scheduler.spawn(self._watch)
+        An entry that could not be read stays as it was.
+        """
+        if update.unread:
+            self._log_unread(update)
+        if self._is_news(update):
+            self._put_into_force(update)
 
-    def move(self, discovery: tuple[str, int]) -> None:
-        """Discovery is at another address now: watch it there at once, from its whole list, as it may number its
-        versions anew. What was watched or asked for there is no failure that the module should hear of."""
-        if discovery == self._discovery:
-            return
-        self._discovery, self.seq, self._moved_at = discovery, 0, self._scheduler.now()
-        if self._task is not None:
-            self._scheduler.wake(self._task, streams.Interrupted("discovery has moved"))
+    def _is_news(self, update: ListUpdate) -> bool:
+        """Return whether an update is more than what is known already."""
+        return update.whole or update.seq > self.seq
+
+    def _put_into_force(self, update: ListUpdate) -> None:
+        """Apply an update, and tell the engine."""
+        log.info(
+            "endpoint list: version %d, %s %d", update.seq, "all" if update.whole else "changed", len(update.entries)
+        )
+        self._apply(update)
+        kind = ListKind.WHOLE if update.whole else ListKind.CHANGES
+        endpoint_ids = [entry.endpoint.id for entry in update.entries]
+        if update.whole:
+            endpoint_ids += [endpoint_id for endpoint_id in update.unread if endpoint_id in self.entries]
+        self._on_change(Listed(kind, self._endpoints(endpoint_ids)))
 
-    def _keep(self, update: ListUpdate) -> None:
-        now = self._scheduler.now()
+    def _endpoints(self, endpoint_ids: list[str]) -> list[Endpoint]:
+        """Return endpoints as the engine hears of them: as they are kept."""
+        return [self.entries[endpoint_id].endpoint for endpoint_id in endpoint_ids]
+
+    def _apply(self, update: ListUpdate) -> None:
+        """Take over an update's entries and version."""
+        now_us = self._scheduler.now()
         if update.whole:
-            for gone in self.entries.keys() - {entry.endpoint.id for entry in update.entries} - set(update.unread):
-                self._listed.pop(gone, None)
-                self.left_at.setdefault(gone, now)  # what is not in the whole list is gone
-                self._gone.setdefault(gone, now)
+            self._mark_missing(update, now_us)
         for entry in update.entries:
-            name = entry.endpoint.id
-            if name in self._out and entry.endpoint.status is i.Status.READY:
-                self._listed[name] = entry
-                entry = replace(entry, endpoint=replace(entry.endpoint, status=i.Status.DRAINING))
+            endpoint_id = entry.endpoint.id
+            if endpoint_id in self._in_maintenance and entry.endpoint.status is Status.READY:
+                self._listed[endpoint_id] = entry
+                entry = replace(entry, endpoint=replace(entry.endpoint, status=Status.DRAINING))
             else:
-                self._listed.pop(name, None)
-            self._put(name, entry)
-            if entry.endpoint.status is i.Status.READY:
-                self.left_at.pop(name, None)
-                self._owners[entry.address] = name
+                self._listed.pop(endpoint_id, None)
+            self._put(endpoint_id, entry)
+            if entry.endpoint.status is Status.READY:
+                self.left_at.pop(endpoint_id, None)
+                self._owners[entry.address] = endpoint_id
             else:
-                self.left_at.setdefault(name, now)
-            self._gone.pop(name, None)
-            if entry.endpoint.status is i.Status.GONE:
-                self._gone[name] = now
+                self.left_at.setdefault(endpoint_id, now_us)
+            self._gone_at.pop(endpoint_id, None)
+            if entry.endpoint.status is Status.GONE:
+                self._gone_at[endpoint_id] = now_us
         self.seq = update.seq
-        self._forget(now)
-
-    def _put(self, name: str, entry: Entry | None) -> None:
-        old = self.entries.pop(name, None)
+        self._forget_gone(now_us)
+
+    def _mark_missing(self, update: ListUpdate, now_us: int) -> None:
+        """Mark as gone what a whole list does not name."""
+        listed = {entry.endpoint.id for entry in update.entries}
+        for endpoint_id in self.entries.keys() - listed - set(update.unread):
+            self._listed.pop(endpoint_id, None)
+            self.left_at.setdefault(endpoint_id, now_us)
+            self._gone_at.setdefault(endpoint_id, now_us)
+
+    def _apply_again(self, endpoint_ids: set[str]) -> None:
+        """Put into force anew what the list says of endpoints whose maintenance begins or ends."""
+        present = sorted(endpoint_id for endpoint_id in endpoint_ids if self.has_endpoint(endpoint_id))
+        if not present:
+            return
+        entries = []
+        for endpoint_id in present:
+            listed = self._listed.pop(endpoint_id, None)
+            entries.append(listed or self.entries[endpoint_id])
+        self._apply(ListUpdate(self.seq, False, entries))
+        if self._is_announced:
+            self._on_change(Listed(ListKind.CHANGES, self._endpoints(present)))
+
+    def _put(self, endpoint_id: str, entry: Entry | None) -> None:
+        """Replace the entry of an endpoint; None removes it."""
+        old = self.entries.pop(endpoint_id, None)
         if old is not None:
-            self._served[old.endpoint.destination] -= 1
-            if not self._served[old.endpoint.destination]:
-                del self._served[old.endpoint.destination]
+            destination = old.endpoint.destination
+            self._entry_counts[destination] -= 1
+            if not self._entry_counts[destination]:
+                del self._entry_counts[destination]
         if entry is not None:
-            self.entries[name] = entry
-            self._served[entry.endpoint.destination] += 1
-
-    def _forget(self, now: int) -> None:
-        """Ids and addresses are ever new: what went so long ago that nothing is out there is forgotten."""
-        while self._gone and next(iter(self._gone.values())) < now - self._forget_us:
-            name = next(iter(self._gone))
-            address = self.entries[name].address
-            self._put(name, None)
-            self._listed.pop(name, None)
-            del self._gone[name], self.left_at[name]
-            if self._owners.get(address) == name:
+            self.entries[endpoint_id] = entry
+            self._entry_counts[entry.endpoint.destination] += 1
+
+    def _forget_gone(self, now_us: int) -> None:
+        """Forget what went so long ago that nothing is out there: ids and addresses are ever new."""
+        while self._gone_at and next(iter(self._gone_at.values())) < now_us - self._forget_us:
+            endpoint_id = next(iter(self._gone_at))
+            address = self.entries[endpoint_id].address
+            self._put(endpoint_id, None)
+            self._listed.pop(endpoint_id, None)
+            del self._gone_at[endpoint_id], self.left_at[endpoint_id]
+            if self._owners.get(address) == endpoint_id:
                 del self._owners[address]
 
-    def _watch(self) -> None:
-        pause = AGAIN_US
-        while True:
-            at, begun = self._discovery, self._scheduler.now()
-            why = self._watch_at(at)
-            now = self._scheduler.now()
-            if at != self._discovery:
-                continue
-            if now < self._moved_at + MOVING_US:
-                self._scheduler.sleep(MOVING_STEP_US)  # it may come up there a moment later than we were told
-                continue
-            log.info("watch on the endpoint list broken: %s", why)
-            if not self._pushed and not self._silent:
-                self._failed = True
-                self._tell(i.Listed(i.ListKind.FAILED))
-            pause = self._rest(self._heard_at >= begun, pause)
-
-    def _rest(self, heard: bool, pause: int) -> int:
-        """Wait until the watch is to be opened anew; gives back the pause that the next one doubles."""
-        if self._pushed:
-            pause = AGAIN_US if heard else min(2 * pause, MOST_AGAIN_US)
-            span = pause * (0.5 + self._random.random())
-        elif heard or self._silent:
-            pause = AGAIN_US
-            span = (SILENT_SPREAD_US if self._silent else CLOSED_SPREAD_US) * self._random.random()
-        else:
-            pause = min(2 * pause, MOST_RETRY_US)
-            span = pause * (1 + self._random.random()) / 2
-        self._scheduler.sleep(int(span))
-        return pause
-
-    def _watch_at(self, address: tuple[str, int]) -> str:
-        """Follow the watch there to its end; says why it ended."""
-        sock, self._silent = None, False
-        try:
-            sock = streams.dial(self._scheduler, address, self._scheduler.now() + DIAL_US)
-            self._follow(sock, address)
-        except (OSError, http.Malformed, ValueError, RecursionError) as error:
-            return str(error) or type(error).__name__
-        finally:
-            if sock is not None:
-                sock.close()
-        return "ended"
-
-    def _follow(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        streams.send(
-            self._scheduler,
-            sock,
-            http.request("GET", f"/v1/servers?stream=1&index={self.seq}", "discovery", []),
-            self._scheduler.now() + DIAL_US,
-        )
-        reader, objects, first = http.AnswerReader(self._most), ObjectStream(self._most), True
-        said_at, most, coming = self._scheduler.now(), FIRST_US, 0
-        came_at = said_at
-        while not reader.complete:
-            self._stays(address)
-            until = min(said_at + most * (1 + coming // BULK), came_at + most)
-            try:
-                data = streams.receive(self._scheduler, sock, until)
-            except streams.TimeUp:
-                self._silent = reader.head_done  # what it would have told counts as told soon, heard or not
-                raise
-            self._stays(address)
-            if not data:
-                raise OSError("discovery closed it")
-            came_at = self._scheduler.now()
-            reader.feed(data)
-            if not reader.head_done:
-                continue
-            if reader.status != 200:
-                raise OSError(f"discovery answered {reader.status}")
-            data, between = reader.take(), objects.between
-            tables = objects.feed(data)
-            for table in tables:
-                if len(data) >= PIECE:
-                    self._scheduler.sleep(0)  # a long list takes its turns
-                update = read_list(table, strict=False)
-                if len(update.entries) >= MANY:
-                    self._scheduler.sleep(0)
-                if first and not update.whole and update.seq < self.seq:
-                    self.seq, self._silent = 0, True
-                    raise OSError("discovery counts its versions anew")
-                first = False
-                self._stays(address)
-                self._learn(update)
-            coming += len(data)
-            if tables or data and between and data.isspace():  # a part of an object is no word: it may drip for good
-                self._introduce()
-                if self._failed:  # an ask that was heard, whether or not anything is new
-                    self._failed = False
-                    self._tell(i.Listed(i.ListKind.CHANGES, []))
-                said_at, most, coming = self._scheduler.now(), SILENT_US, 0
-                self._heard_at = said_at
-            if len(data) >= PIECE:
-                self._scheduler.sleep(0)
-
-    def _stays(self, address: tuple[str, int]) -> None:
-        """Moved while this task was not paused, so nothing woke it: the old address counts otherwise than the new one,
-        and what it still says must not become the version that the new one is asked from."""
-        if address != self._discovery:
-            raise OSError("discovery has moved")
-
-    def _learn(self, update: ListUpdate) -> None:
-        if update.unread:
-            self._unread(update)
-        self._introduce()
-        if not update.whole and update.seq <= self.seq:
-            return  # what we have already
-        log.info(
-            "endpoint list: version %d, %s %d", update.seq, "all" if update.whole else "changed", len(update.entries)
-        )
-        self._keep(update)
-        self._failed = False
-        kind = i.ListKind.WHOLE if update.whole else i.ListKind.CHANGES
-        stays = [name for name in update.unread if update.whole and name in self.entries]
-        self._tell(i.Listed(kind, self._endpoints([*(entry.endpoint.id for entry in update.entries), *stays])))
-
-    def _unread(self, update: ListUpdate) -> None:
-        """Entries that cannot be read: each costs itself, once in the log, and what was known of it stays."""
+    def _log_unread(self, update: ListUpdate) -> None:
+        """Count the entries of an update that could not be read, and log them once."""
         self.unread += len(update.unread)
-        if update.unread != self._said:
-            self._said = update.unread
+        if update.unread != self._last_unread:
+            self._last_unread = update.unread
             log.warning(
                 "endpoint list: %d entries of version %d cannot be read and stay as they were, the first %r",
                 len(update.unread),
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -7,127 +7,214 @@
 from dataclasses import dataclass
 from typing import Any
 
-from scalefall import interface as i
-
-MOST_NAME = 255  # characters of an id, a zone, a kind: they go into the journal with each call
-MOST_DEPTH = 32  # objects within one another; a list has two
-STATES = {"in_service": i.Status.READY, "terminating": i.Status.DRAINING, "terminated": i.Status.GONE}
+from scalefall.errors import RemoteProtocolError
+from scalefall.interface import Endpoint, Status
+
+MAX_NAME_LENGTH = 255  # characters of an id, a zone, a kind: they go into the journal with each call
+MAX_DEPTH = 32  # objects within one another; a list has two
+SHOWN_BYTES = 40  # of what is no list, in the error's text
+SHOWN_CHARACTERS = 20  # of a name that is too long, in the error's text
+HEALTH_STATUS = {"in_service": Status.READY, "terminating": Status.DRAINING, "terminated": Status.GONE}
 TEXT = rb'"(?:[^"\\]++|\\.)*+"'
 FLAT = rb'\{(?:[^{}"]++|' + TEXT + rb")*+\}"  # an object with none in it, as an entry is: one step
 TOKEN = re.compile(FLAT + b"|" + TEXT + rb'|[{}"]', re.DOTALL)  # a lone quotation mark: a text that has not all come
 SPACE = b" \t\r\n"
 
 
+class EndpointListError(RemoteProtocolError, ValueError):
+    """A list of endpoints cannot be read; the text says what is wrong.
+
+    Also a ValueError: it has come as JSON, and a value in it is unacceptable.
+    """
+
+
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One endpoint as the list has it: what the module is told, and where to dial."""
+    """One endpoint as the list has it: what the engine hears of it, and where to dial.
 
-    endpoint: i.Endpoint
+    Attributes:
+        endpoint: What the engine hears.
+        address: Where to dial, host and port.
+        host: What it is called in a request's Host field; empty: by its id.
+        dial_us: How many microseconds a dial to it may take; 0: as the settings say.
+        idle_us: After how many microseconds it closes an idle connection; 0: as the settings say.
+    """
+
+    endpoint: Endpoint
     address: tuple[str, int]
-    host: str = ""  # what it is called in a request's Host; else its id
-    dial_us: int = 0  # how long a dial to it may take, and when it closes an idle connection; 0: as the
-    idle_us: int = 0  # settings say
+    host: str = ""
+    dial_us: int = 0
+    idle_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """The list, or what of it has changed, at a version."""
+    """The list, or what of it has changed, at a version.
+
+    Attributes:
+        seq: The version.
+        whole: It is the whole list; else what has changed.
+        entries: Its entries.
+        unread: The entries that could not be read, by id where that much could, else as empty texts.
+    """
 
     seq: int
     whole: bool
     entries: list[Entry]
-    unread: tuple[str, ...] = ()  # entries that could not be read, by id where that much could
+    unread: tuple[str, ...] = ()
 
 
 class ObjectStream:
     """Cuts a stream of JSON objects into single ones, on one line each or indented over many."""
 
-    def __init__(self, most: int) -> None:
-        """An object of more than so many bytes is a ValueError, before it is held whole."""
-        self._most, self._text = most, bytearray()
-        self._scanned = self._depth = 0
+    def __init__(self, max_bytes: int) -> None:
+        """Start at the beginning of a stream.
+
+        Args:
+            max_bytes: How long one object may be; a longer one is an error before it is held whole.
+        """
+        self._max_bytes = max_bytes
+        self._text = bytearray()  # from the first object on that is not whole
+        self._scanned = 0  # bytes of the text that have been looked at
+        self._depth = 0  # of the object within which these end
 
     @property
-    def between(self) -> bool:
+    def is_between_objects(self) -> bool:
         """Whether no part of an object has come yet that is not whole."""
         return not self._text
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that are whole by now, parsed; ValueError or RecursionError where it is none."""
+        """Return the objects that are whole by now, parsed from JSON.
+
+        Raises:
+            EndpointListError: This is no stream of objects, or one is too long or nests too deep.
+            ValueError: An object is no JSON.
+            RecursionError: Its arrays nest too deep.
+        """
         self._text += data
-        found, begin = [], 0
+        found: list[Any] = []
+        start = 0
         for token in TOKEN.finditer(self._text, self._scanned):
             text = token.group()
             if text == b'"':
                 break
             self._scanned = token.end()
-            if text.startswith(b"{"):
-                if not self._depth:
-                    begin = self._between(begin, token.start())
-                self._depth += text == b"{"
-                if self._depth > MOST_DEPTH:
-                    raise ValueError("a list nests too deep")
-            elif text == b"}":
-                self._depth -= 1
-            elif not self._depth:
-                raise ValueError("no list")
-            if self._depth < 0:
-                raise ValueError("no list")
+            if self._depth and len(text) > 1:
+                continue  # an entry, or a text within an object
+            if not self._depth and text.startswith(b"{"):
+                start = self._skip_space(start, token.start())
+            self._track_depth(text)
             if not self._depth:
-                found.append(json.loads(self._text[begin : self._scanned]))
-                begin = self._scanned
+                found.append(json.loads(self._text[start : self._scanned]))
+                start = self._scanned
         if not self._depth:
-            begin = self._between(begin, len(self._text))
+            start = self._skip_space(start, len(self._text))
             self._scanned = len(self._text)
-        del self._text[:begin]
-        self._scanned -= begin
-        if len(self._text) > self._most:
-            raise ValueError("an object of the list is too long")
+        del self._text[:start]
+        self._scanned -= start
+        if len(self._text) > self._max_bytes:
+            raise EndpointListError("an object of the list is too long")
         return found
 
-    def _between(self, begin: int, end: int) -> int:
-        if self._text[begin:end].strip(SPACE):
-            raise ValueError(f"no list: {bytes(self._text[begin:end].strip(SPACE)[:40])!r}")
+    def _track_depth(self, text: bytes) -> None:
+        """Follow the depth past one token.
+
+        Raises:
+            EndpointListError: It nests too deep, or stands outside of an object.
+        """
+        if text == b"{":
+            self._depth += 1
+            if self._depth > MAX_DEPTH:
+                raise EndpointListError("a list nests too deep")
+        elif text == b"}":
+            self._depth -= 1
+            if self._depth < 0:
+                raise EndpointListError("no list")
+        elif not self._depth and not text.startswith(b"{"):
+            raise EndpointListError("no list")
+
+    def _skip_space(self, start: int, end: int) -> int:
+        """Return the end of a stretch between two objects.
+
+        Raises:
+            EndpointListError: There is more than white space in it.
+        """
+        between = self._text[start:end].strip(SPACE)
+        if between:
+            raise EndpointListError(f"no list: {bytes(between[:SHOWN_BYTES])!r}")
         return end
 
 
 def read_list(table: Any, strict: bool = True) -> ListUpdate:
-    """Discovery's object as an update; a ValueError names what is wrong. If not strict, an entry that cannot be
-    read costs that entry alone, unless none can be read."""
-    entries, unread, why = [], [], ""
+    """Return discovery's object as an update.
+
+    Args:
+        table: The object, parsed from JSON.
+        strict: Every entry has to be readable; else one that is not costs that entry alone, unless none can be read.
+
+    Raises:
+        EndpointListError: It cannot be read; the text names what is wrong.
+        ValueError: A number in it cannot be read.
+        OverflowError: A number in it is infinite.
+    """
+    entries: list[Entry] = []
+    unread: list[str] = []
+    first_reason = ""
     try:
         seq, whole, rows = table["seq"], table.get("whole", False), table["hosts"]
         if isinstance(seq, bool) or not isinstance(seq, int):
-            raise ValueError(f"seq must be a whole number, not {seq!r}")
+            raise EndpointListError(f"seq must be a whole number, not {seq!r}")
         for row in rows:
             try:
                 entries.append(_read_entry(row))
             except (TypeError, KeyError, AttributeError, ValueError, OverflowError) as error:
                 if strict:
                     raise
-                name = row.get("host") if isinstance(row, dict) else None
-                unread.append(name if isinstance(name, str) else "")
-                why = why or (str(error) if type(error) is ValueError else f"missing or wrong value ({error!r})")
+                unread.append(_id_of(row))
+                first_reason = first_reason or _reason(error)
     except (TypeError, KeyError, AttributeError) as error:
-        raise ValueError(f"list of endpoints: missing or wrong value ({error!r})") from error
+        raise EndpointListError(f"list of endpoints: missing or wrong value ({error!r})") from error
     if unread and not entries:
-        raise ValueError(f"list of endpoints: no entry can be read: {why}")
+        raise EndpointListError(f"list of endpoints: no entry can be read: {first_reason}")
     return ListUpdate(seq, bool(whole), entries, tuple(unread))
 
 
+def _id_of(row: Any) -> str:
+    """Return the id of an entry that cannot be read; empty if not even that can."""
+    endpoint_id = row.get("host") if isinstance(row, dict) else None
+    return endpoint_id if isinstance(endpoint_id, str) else ""
+
+
+def _reason(error: Exception) -> str:
+    """Return why an entry cannot be read."""
+    if type(error) in (ValueError, EndpointListError):
+        return str(error)
+    return f"missing or wrong value ({error!r})"
+
+
 def _read_entry(row: Any) -> Entry:
+    """Return one entry of discovery's list.
+
+    Raises:
+        EndpointListError: A value is wrong.
+        ValueError: A number cannot be read.
+        OverflowError: A number is infinite.
+        TypeError: A value has the wrong type, or the row is no object.
+        KeyError: A value is missing.
+        AttributeError: A text is none.
+    """
     host, port = row["dial"].rsplit(":", 1)
-    if not isinstance(row["host"], str) or not isinstance(row["block"], int) or row["health"] not in STATES:
-        raise ValueError(f"list of endpoints: {row['host']!r} has a wrong value")
-    if max(len(row["host"]), len(host), len(str(row["site"])), len(str(row["class"]))) > MOST_NAME:
-        raise ValueError(f"list of endpoints: a name of {row['host'][:20]!r} is too long")
+    if not isinstance(row["host"], str) or not isinstance(row["block"], int) or row["health"] not in HEALTH_STATUS:
+        raise EndpointListError(f"list of endpoints: {row['host']!r} has a wrong value")
+    if max(len(row["host"]), len(host), len(str(row["site"])), len(str(row["class"]))) > MAX_NAME_LENGTH:
+        raise EndpointListError(f"list of endpoints: a name of {row['host'][:SHOWN_CHARACTERS]!r} is too long")
     return Entry(
-        i.Endpoint(
+        Endpoint(
             row["host"],
             str(row["site"]),
             str(row["class"]),
             row["block"],
-            STATES[row["health"]],
+            HEALTH_STATUS[row["health"]],
             float(row.get("share") or 0),
         ),
         (host, int(port)),
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -9,7 +9,7 @@
 from scalefall.interface import Settings
 from scalefall.net.checks import log
 from scalefall.net.config import Config, ConfigError, Fleet
-from scalefall.net.endpoint_list import EndpointList
+from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.notices import LoggedNotices, Notices
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, settings: Settings, endpoint_list: EndpointList, delivery_reports: Notices | LoggedNotices
+        self, settings: Settings, endpoint_list: DiscoveryList, delivery_reports: Notices | LoggedNotices
     ) -> None:
         """Reload into these parts.
 
@@ -65,7 +65,7 @@
         self._settings.classes.clear()
         self._settings.classes.update(classes)
         self._settings.max_attempts = new.max_attempts
-        self._endpoint_list.keep_for(forget_endpoints_after_us(self._settings))
+        self._endpoint_list.remember_for(forget_endpoints_after_us(self._settings))
 
     def _log_changes(self, new: Settings) -> None:
         """Log what differs from the settings in force, if anything does."""
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -14,6 +14,7 @@
 from scalefall.net.config import Address, Config
 from scalefall.net.deadline_watch import DeadlineWatch
 from scalefall.net.delivery_tracker import DeliveryTracker
+from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
@@ -146,7 +147,8 @@
         """Make the endpoint list, from discovery or from the operator's file, and what reloads the one or the other."""
         scheduler, config, settings = self._scheduler, self.config, self._settings
         if config.fleet is None:
-            endpoint_list = EndpointList(
+            assert config.discovery is not None, "only a fleet comes without discovery"
+            endpoint_list = DiscoveryList(
                 scheduler,
                 config.discovery,
                 config.known,
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -8,66 +8,86 @@
 
 from collections.abc import Callable
 from dataclasses import replace
+from typing import NamedTuple
 
-from scalefall import interface as i
-from scalefall.net.endpoint_list import Entry, EndpointList, ListUpdate
+from scalefall.interface import Listed, ListKind, Status
+from scalefall.net.endpoint_list import EndpointList
+from scalefall.net.list_stream import Entry, ListUpdate
 from scalefall.net.scheduler import Scheduler
 
 
+class ListChange(NamedTuple):
+    """How many endpoints differ between one list and the next."""
+
+    added: int
+    removed: int
+    changed: int
+
+
 class StaticList(EndpointList):
+    """The endpoints that the operator's file has."""
+
     def __init__(
-        self, scheduler: Scheduler, known: ListUpdate, tell: Callable[[i.Listed], None], grace_us: int
+        self, scheduler: Scheduler, known: ListUpdate, on_change: Callable[[Listed], None], drain_grace_us: int
     ) -> None:
-        super().__init__(scheduler, None, known, tell)
-        self._grace = grace_us
-        self._leaving: dict[str, int] = {}  # endpoints that drain as they are no more in the list: since which one
-
-    def start(self) -> None:
-        self._tell(self.known())
+        """Start with the file's list.
 
-    def known(self) -> i.Listed:
-        """The list is the file's, so it is no old one."""
-        return i.Listed(i.ListKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
+        Args:
+            scheduler: The clock.
+            known: The list.
+            on_change: Takes what the engine is to hear of the list.
+            drain_grace_us: How many microseconds an endpoint drains before it has gone.
+        """
+        super().__init__(scheduler, known, on_change)
+        self._drain_grace_us = drain_grace_us
+        self._removed_in: dict[str, int] = {}  # endpoints that drain as they were removed, and in which version
 
-    def subscribe(self) -> None:
-        """There is nothing to watch: a new list comes with replace()."""
+    def initial_list(self) -> Listed:
+        """Return the event for the list, which is no old one, as it is the file's."""
+        return Listed(ListKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
 
     def serves(self, destination: int) -> bool:
-        return destination in self._served
+        """Return whether the list names, or has lately named, an endpoint of a destination."""
+        return destination in self._entry_counts
 
-    def replace(self, entries: list[Entry]) -> tuple[int, int, int]:
-        """The list from now on, in one step; how many endpoints are new, gone and changed."""
+    def replace(self, entries: list[Entry]) -> ListChange:
+        """Replace the list in one step; return how many endpoints were added, removed and changed."""
         wanted = {entry.endpoint.id for entry in entries}
-        new = [entry for entry in entries if not self._has(entry.endpoint.id)]
-        changed = [
-            entry for entry in entries if self._has(entry.endpoint.id) and self.entries[entry.endpoint.id] != entry
+        added = [entry for entry in entries if not self._is_listed(entry.endpoint.id)]
+        kept = [entry for entry in entries if self._is_listed(entry.endpoint.id)]
+        changed = [entry for entry in kept if self.entries[entry.endpoint.id] != entry]
+        removed = [
+            entry
+            for endpoint_id, entry in self.entries.items()
+            if endpoint_id not in wanted and self._is_listed(endpoint_id)
         ]
-        gone = [entry for name, entry in self.entries.items() if name not in wanted and self._has(name)]
         version = self.seq + 1
         for entry in entries:
-            self._leaving.pop(entry.endpoint.id, None)
-        for entry in gone:
-            self._leaving[entry.endpoint.id] = version
-        if new or gone or changed:
-            self._learn(
-                ListUpdate(version, False, [*(_as(entry, i.Status.DRAINING) for entry in gone), *new, *changed])
-            )
-        if gone:
-            self._scheduler.call_at(self._scheduler.now() + self._grace, self._left, version)
-        return len(new), len(gone), len(changed)
-
-    def _has(self, name: str) -> bool:
-        """In the list now: neither leaving nor gone."""
-        entry = self.entries.get(name)
-        return entry is not None and name not in self._leaving and entry.endpoint.status is not i.Status.GONE
-
-    def _left(self, version: int) -> None:
-        names = [name for name, since in self._leaving.items() if since == version]
-        for name in names:
-            del self._leaving[name]
-        if names:
-            self._learn(ListUpdate(self.seq + 1, False, [_as(self.entries[name], i.Status.GONE) for name in names]))
-
-
-def _as(entry: Entry, status: i.Status) -> Entry:
+            self._removed_in.pop(entry.endpoint.id, None)
+        for entry in removed:
+            self._removed_in[entry.endpoint.id] = version
+        if added or removed or changed:
+            draining = [_with_status(entry, Status.DRAINING) for entry in removed]
+            self.learn(ListUpdate(version, False, [*draining, *added, *changed]))
+        if removed:
+            self._scheduler.call_at(self._scheduler.now() + self._drain_grace_us, self._end_grace, version)
+        return ListChange(len(added), len(removed), len(changed))
+
+    def _is_listed(self, endpoint_id: str) -> bool:
+        """Return whether an endpoint is in the list now: it neither drains after its removal nor has gone."""
+        entry = self.entries.get(endpoint_id)
+        return entry is not None and endpoint_id not in self._removed_in and entry.endpoint.status is not Status.GONE
+
+    def _end_grace(self, version: int) -> None:
+        """Let the endpoints be gone that were removed in a version and have not come back."""
+        endpoint_ids = [endpoint_id for endpoint_id, removed_in in self._removed_in.items() if removed_in == version]
+        for endpoint_id in endpoint_ids:
+            del self._removed_in[endpoint_id]
+        if endpoint_ids:
+            gone = [_with_status(self.entries[endpoint_id], Status.GONE) for endpoint_id in endpoint_ids]
+            self.learn(ListUpdate(self.seq + 1, False, gone))
+
+
+def _with_status(entry: Entry, status: Status) -> Entry:
+    """Return an entry with another status."""
     return replace(entry, endpoint=replace(entry.endpoint, status=status))
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -17,7 +17,7 @@
 from scalefall.lab.proxy.contract import Fall, Refuse, Send
 from scalefall.lab.proxy.sharded import ShardedContract
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 
 MS, S = 1000, 1_000_000
 LEASE, DELAY, TTL = 2 * S, S // 2, 900 * MS
--- a/tests/control/test_configure.py
+++ b/tests/control/test_configure.py
@@ -4,10 +4,10 @@
 
 from scalefall import interface as i
 from scalefall.control.catalog import EDS, Resource
-from scalefall.control.service import ResourceBuilder, ControlService
+from scalefall.control.service import ControlService, ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 
 S = 1_000_000
 RULES = RouteRules(frozenset({"c"}), 3, S)
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -30,18 +30,19 @@
 from scalefall.assignment.model import ShardGrant
 from scalefall.control.allocator import MAX_LIMITED, UNLIMITED
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
+from scalefall.control.grants import Grant
+from scalefall.control.streams import Response
 from scalefall.control.transport import quota_wire, resources, wire
 from scalefall.control.transport.options import ServerOptions, ShardingOptions
 from scalefall.control.transport.peers import Peer as StreamPeer
 from scalefall.control.transport.server import ControlServer
 from scalefall.control.transport.state import StateDirectory
-from scalefall.control.grants import Grant
-from scalefall.control.streams import Response
 from scalefall.net import http, streams
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.config import Config, Fleet, RouteRules
-from scalefall.net.endpoint_list import EndpointList, Entry, read_list
+from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.front import Front
+from scalefall.net.list_stream import Entry, read_list
 from scalefall.net.notices import Notices
 from scalefall.net.transaction import Conflict, Failed, NotCarried, Taken, UnavailableAnswer
 
@@ -367,10 +368,10 @@
 
     def steps():
         peer, other, here = Peer(world), Peer(world), ("127.0.0.1", 1)
-        EndpointList(world, peer.address, read_list(list_update(0)), lambda event: None).start()
+        DiscoveryList(world, peer.address, read_list(list_update(0)), lambda event: None).start()
         watch(peer, "list")
         known = read_list(list_update(41, listed("e", here)))
-        endpoint_list = EndpointList(world, peer.address, known, lambda event: None, True)
+        endpoint_list = DiscoveryList(world, peer.address, known, lambda event: None, True)
         endpoint_list.start()
         sock = watch(peer, "watch-after-41")
         sock.send(STREAM + chunk(list_update(50, listed("f", here), whole=False)))
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -11,9 +11,9 @@
 
 from scalefall import interface as i
 from scalefall.net import http, streams
-from scalefall.net.endpoint_list import Entry
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
+from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import READ, READY, Scheduler
 
 MS, S = 1000, 1_000_000
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -13,7 +13,7 @@
 
 from scalefall import interface as i
 from scalefall.net import http, streams
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 
 O = i.Outcome  # noqa: E741
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -8,7 +8,8 @@
 
 from scalefall import interface as i
 from scalefall.net import http
-from scalefall.net.endpoint_list import EndpointList, read_list
+from scalefall.net.discovery_list import DiscoveryList
+from scalefall.net.list_stream import read_list
 from scalefall.net.notices import Notices
 from scalefall.net.scheduler import READY
 
@@ -18,7 +19,7 @@
 
 def watched(world, **more):
     peer, told = Peer(world), []
-    endpoint_list = EndpointList(
+    endpoint_list = DiscoveryList(
         world, peer.address, read_list(list_update(41, listed("e", HERE))), told.append, **more
     )
     return peer, endpoint_list, told
@@ -38,7 +39,9 @@
 
     def play():
         peer, endpoint_list, told = watched(world)
-        assert endpoint_list.known().kind is K.CACHED and [e.id for e in endpoint_list.known().endpoints] == ["e"]
+        assert endpoint_list.initial_list().kind is K.CACHED and [
+            e.id for e in endpoint_list.initial_list().endpoints
+        ] == ["e"]
         endpoint_list.subscribe()
         endpoint_list.subscribe()  # one watch at a time
         sock = peer.accept()
@@ -512,7 +515,7 @@
         woken(world)
         old.send(chunk(list_update(99, *(listed(f"x{n}", HERE) for n in range(length)), whole=False)))
         if said_first:  # its task has been woken by these bytes as the move comes
-            world.wake(endpoint_list._task, READY)
+            world.wake(endpoint_list._watch._task, READY)
         endpoint_list.move(new.address)
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
@@ -528,13 +531,13 @@
 
     def play():
         endpoint_list, told, old, new = about_to_move(world)
-        moved = endpoint_list._learn
+        moved = endpoint_list.learn
 
         def learn(update):
             moved(update)
             endpoint_list.move(new.address)  # while the watch's task runs, so that nothing wakes it
 
-        endpoint_list._learn = learn
+        endpoint_list.learn = learn
         old.send(
             chunk(list_update(50, listed("f", HERE), whole=False), list_update(51, listed("g", HERE), whole=False))
         )
@@ -607,13 +610,13 @@
             world.sleep(S)
         assert (
             len(endpoint_list.entries) < 35
-            and len(endpoint_list.left_at) == len(endpoint_list._gone) < 33
+            and len(endpoint_list.left_at) == len(endpoint_list._gone_at) < 33
             and len(endpoint_list._owners) < 35
         )
-        assert endpoint_list.serves(7) and not endpoint_list.serves(8) and not endpoint_list.replaced(old)
+        assert endpoint_list.serves(7) and not endpoint_list.serves(8) and not endpoint_list.is_replaced(old)
         sock.send(chunk(list_update(300, listed("g", HERE))))
         world.until(lambda: endpoint_list.seq == 300)
-        assert endpoint_list.replaced(old) and not endpoint_list.replaced(endpoint_list.entries["g"])
+        assert endpoint_list.is_replaced(old) and not endpoint_list.is_replaced(endpoint_list.entries["g"])
         for _ in range(31):
             sock.send(chunk(None))
             world.sleep(2 * S)
@@ -621,7 +624,7 @@
         world.until(lambda: endpoint_list.seq == 301)
         assert (
             set(endpoint_list.entries) == {"g"}
-            and endpoint_list.left_at == endpoint_list._gone == {}
+            and endpoint_list.left_at == endpoint_list._gone_at == {}
             and endpoint_list._owners == {HERE: "g"}
         )
 
--- a/tests/test_list_stream.py
+++ b/tests/test_list_stream.py
@@ -5,9 +5,9 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from nethelp import listed, list_update
+from nethelp import list_update, listed
 
-from scalefall.net.list_stream import MOST_DEPTH, ObjectStream, read_list
+from scalefall.net.list_stream import MAX_DEPTH, ObjectStream, read_list
 
 HERE = ("127.0.0.1", 1)
 VALUES = st.recursive(
@@ -38,7 +38,7 @@
         b'"{"',
         b"{'a':1}",
         b'{"a":}',
-        b'{"a":1' * (MOST_DEPTH + 1),
+        b'{"a":1' * (MAX_DEPTH + 1),
         b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}",
         b'{"a":"' + b"x" * 20_000,
     ],
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -122,7 +122,7 @@
         firm.send(firm.watch, chunk(list_update(2, listed("f", firm.endpoint.address))))
         firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         assert call(firm, "PUT", "/endpoints/e/ready") == 200
-        assert "e" in firm.sender.endpoint_list.left_at and not firm.sender.endpoint_list.names("e")
+        assert "e" in firm.sender.endpoint_list.left_at and not firm.sender.endpoint_list.has_endpoint("e")
         assert call(firm, "PUT", "/endpoints/e/maint") == 404
 
     play(firm, steps)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,13 +4,13 @@
 
 import pytest
 from helpers import message_class, settings
-from nethelp import S, listed, reset, list_update
+from nethelp import S, list_update, listed, reset
 from test_sender import Firm, play
 
 from scalefall import interface as i
 from scalefall.net import http
 from scalefall.net.config import ConfigError
-from scalefall.net.endpoint_list import read_list
+from scalefall.net.list_stream import read_list
 
 
 @pytest.fixture
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,13 +5,13 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, STREAM, Peer, S, World, chunk, listed, read, list_update
+from nethelp import MS, STREAM, Peer, S, World, chunk, list_update, listed, read
 
 from scalefall import interface as i
 from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
-from scalefall.net.endpoint_list import read_list
 from scalefall.net.journal import Owed
+from scalefall.net.list_stream import read_list
 from scalefall.net.sender import Sender
 from scalefall.policy import Sender as Engine
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -3,11 +3,11 @@
 import json
 
 import pytest
-from nethelp import S, listed, list_update
+from nethelp import S, list_update, listed
 from test_sender import Firm
 
 from scalefall.net import learned_rates
-from scalefall.net.endpoint_list import read_list
+from scalefall.net.list_stream import read_list
 
 SIZE = 1024
 
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -10,7 +10,7 @@
 
 from scalefall import interface as i
 from scalefall.net.config import ConfigError
-from scalefall.net.endpoint_list import Entry, ListUpdate
+from scalefall.net.list_stream import Entry, ListUpdate
 from scalefall.net.sender import Sender
 from scalefall.net.static_list import StaticList
 from scalefall.net.transaction import NotCarried, Taken, Transaction, UnavailableAnswer
@@ -42,7 +42,7 @@
 
     def play():
         endpoint_list, told = static_list(world, "a", "b")
-        assert endpoint_list.known().kind is i.ListKind.WHOLE
+        assert endpoint_list.initial_list().kind is i.ListKind.WHOLE
         assert endpoint_list.replace([entry("b"), entry("c")]) == (1, 1, 0)
         assert [statuses(event) for event in told] == [{"a": "DRAINING", "c": "READY"}]
         assert endpoint_list.left_at["a"] == world.now()
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -9,7 +9,7 @@
 from nethelp import MS, STREAM, S, chunk, list_update, listed
 from test_sender import Firm
 
-from scalefall.net import endpoint_list, http
+from scalefall.net import http, list_watch
 
 TOLD = 6 * S
 ANSWER = 140 * MS  # discovery serves one call at a time, and takes about so long for it (docs/performance.md),
@@ -25,9 +25,9 @@
     def __init__(self, folder, pushed):
         self.firm = Firm(folder, ask=not pushed, siblings=30)
         self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
-        self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch_at
-        self.list._watch_at, self.waiting, self.sockets = self._ends, None, []
-        for source in (self.list._random, self.firm.sender.engine.random):
+        self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch._watch_once
+        self.list._watch._watch_once, self.waiting, self.sockets = self._ends, None, []
+        for source in (self.list._watch._random, self.firm.sender.engine.random):
             source.random = lambda: LONGEST
 
     def _ends(self, address):
@@ -98,7 +98,7 @@
 
     def play():
         discovery.firm.watched()
-        world.until(lambda: discovery.list._heard_at > 0)
+        world.until(lambda: discovery.list._watch._heard_at_us > 0)
         fell = world.now()
         if end == "closed":
             discovery.firm.watch.close()
@@ -143,7 +143,7 @@
     def play():
         discovery.firm.watched()
         hosts = (listed(f"x{number}", discovery.firm.endpoint.address) for number in range(2000))
-        data = chunk(list_update(2, *hosts))[: 3 * endpoint_list.BULK]
+        data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_WAIT]
         discovery.firm.send(discovery.firm.watch, data)
         world.sleep(MS)
         fell = world.now()
