--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from scalefall.interface import Listed, ListKind
 from scalefall.net.endpoint_list import FORGET_US, EndpointList
 from scalefall.net.list_stream import ListUpdate
 from scalefall.net.list_watch import ListWatch
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import EndpointListUpdate, ListUpdateKind
 
 MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # of one object of the list, also where the memory that is set allows less
 INTRODUCE_AFTER_US = 2_000_000  # so long after a start the old list is taken as it is, if nothing has been heard
@@ -27,7 +27,7 @@
         scheduler: Scheduler,
         discovery: tuple[str, int],
         known: ListUpdate,
-        on_change: Callable[[Listed], None],
+        on_change: Callable[[EndpointListUpdate], None],
         pushed: bool = False,
         max_object_bytes: int = MIN_OBJECT_LIMIT_BYTES,
         seed: int = 0,
@@ -90,12 +90,12 @@
         self._introduce()
         if self._reports_failure:
             self._reports_failure = False
-            self._on_change(Listed(ListKind.CHANGES, []))
+            self._on_change(EndpointListUpdate(ListUpdateKind.CHANGES, []))
 
     def watch_failed(self) -> None:
         """Tell the engine that the watch broke."""
         self._reports_failure = True
-        self._on_change(Listed(ListKind.FAILED))
+        self._on_change(EndpointListUpdate(ListUpdateKind.FAILED))
 
     def _introduce(self) -> None:
         """Tell the engine, once, of what was known before, ahead of what is new."""
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from scalefall.interface import Endpoint, Listed, ListKind, Status
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.list_stream import Entry, ListUpdate
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
 FORGET_US = 60_000_000  # an endpoint gone for so long is forgotten: no call is out there; or as long as messages take
 
@@ -31,7 +31,7 @@
         self,
         scheduler: Scheduler,
         known: ListUpdate,
-        on_change: Callable[[Listed], None],
+        on_change: Callable[[EndpointListUpdate], None],
         forget_us: int = FORGET_US,
     ) -> None:
         """Start with a list.
@@ -62,9 +62,9 @@
         """Tell the engine of the list."""
         self._on_change(self.initial_list())
 
-    def initial_list(self) -> Listed:
+    def initial_list(self) -> EndpointListUpdate:
         """Return the event for the list as this sender had it last; it may be old."""
-        return Listed(ListKind.CACHED, [entry.endpoint for entry in self.entries.values()])
+        return EndpointListUpdate(ListUpdateKind.CACHED, [entry.endpoint for entry in self.entries.values()])
 
     def subscribe(self) -> None:
         """Ask for newer lists; a list without a source has none."""
@@ -119,11 +119,11 @@
             "endpoint list: version %d, %s %d", update.seq, "all" if update.whole else "changed", len(update.entries)
         )
         self._apply(update)
-        kind = ListKind.WHOLE if update.whole else ListKind.CHANGES
+        kind = ListUpdateKind.WHOLE if update.whole else ListUpdateKind.CHANGES
         endpoint_ids = [entry.endpoint.id for entry in update.entries]
         if update.whole:
             endpoint_ids += [endpoint_id for endpoint_id in update.unread if endpoint_id in self.entries]
-        self._on_change(Listed(kind, self._endpoints(endpoint_ids)))
+        self._on_change(EndpointListUpdate(kind, self._endpoints(endpoint_ids)))
 
     def _endpoints(self, endpoint_ids: list[str]) -> list[Endpoint]:
         """Return endpoints as the engine hears of them: as they are kept."""
@@ -136,19 +136,19 @@
             self._mark_missing(update, now_us)
         for entry in update.entries:
             endpoint_id = entry.endpoint.id
-            if endpoint_id in self._in_maintenance and entry.endpoint.status is Status.READY:
+            if endpoint_id in self._in_maintenance and entry.endpoint.status is EndpointStatus.READY:
                 self._listed[endpoint_id] = entry
-                entry = replace(entry, endpoint=replace(entry.endpoint, status=Status.DRAINING))
+                entry = replace(entry, endpoint=replace(entry.endpoint, status=EndpointStatus.DRAINING))
             else:
                 self._listed.pop(endpoint_id, None)
             self._put(endpoint_id, entry)
-            if entry.endpoint.status is Status.READY:
+            if entry.endpoint.status is EndpointStatus.READY:
                 self.left_at.pop(endpoint_id, None)
                 self._owners[entry.address] = endpoint_id
             else:
                 self.left_at.setdefault(endpoint_id, now_us)
             self._gone_at.pop(endpoint_id, None)
-            if entry.endpoint.status is Status.GONE:
+            if entry.endpoint.status is EndpointStatus.GONE:
                 self._gone_at[endpoint_id] = now_us
         self.seq = update.seq
         self._forget_gone(now_us)
@@ -172,7 +172,7 @@
             entries.append(listed or self.entries[endpoint_id])
         self._apply(ListUpdate(self.seq, False, entries))
         if self._is_announced:
-            self._on_change(Listed(ListKind.CHANGES, self._endpoints(present)))
+            self._on_change(EndpointListUpdate(ListUpdateKind.CHANGES, self._endpoints(present)))
 
     def _put(self, endpoint_id: str, entry: Entry | None) -> None:
         """Replace the entry of an endpoint; None removes it."""
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -8,13 +8,17 @@
 from typing import Any
 
 from scalefall.errors import RemoteProtocolError
-from scalefall.interface import Endpoint, Status
+from scalefall.policy.events import Endpoint, EndpointStatus
 
 MAX_NAME_LENGTH = 255  # characters of an id, a zone, a kind: they go into the journal with each call
 MAX_DEPTH = 32  # objects within one another; a list has two
 SHOWN_BYTES = 40  # of what is no list, in the error's text
 SHOWN_CHARACTERS = 20  # of a name that is too long, in the error's text
-HEALTH_STATUS = {"in_service": Status.READY, "terminating": Status.DRAINING, "terminated": Status.GONE}
+HEALTH_STATUS = {
+    "in_service": EndpointStatus.READY,
+    "terminating": EndpointStatus.DRAINING,
+    "terminated": EndpointStatus.GONE,
+}
 TEXT = rb'"(?:[^"\\]++|\\.)*+"'
 FLAT = rb'\{(?:[^{}"]++|' + TEXT + rb")*+\}"  # an object with none in it, as an entry is: one step
 TOKEN = re.compile(FLAT + b"|" + TEXT + rb'|[{}"]', re.DOTALL)  # a lone quotation mark: a text that has not all come
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from scalefall.net import http, streams
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.list_stream import ListUpdate, ObjectStream, read_list
 from scalefall.net.scheduler import Scheduler, Task
 
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from scalefall.interface import Settings
-from scalefall.net.checks import log
 from scalefall.net.config import Config, ConfigError, Fleet
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.discovery_list import DiscoveryList
-from scalefall.net.notices import LoggedNotices, Notices
+from scalefall.net.invariants import log
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.static_list import StaticList
+from scalefall.policy.settings import Settings
 
 ReadAgain = Callable[[], Config]
 
@@ -32,7 +32,10 @@
     """
 
     def __init__(
-        self, settings: Settings, endpoint_list: DiscoveryList, delivery_reports: Notices | LoggedNotices
+        self,
+        settings: Settings,
+        endpoint_list: DiscoveryList,
+        delivery_reports: DeliveryReports | LoggedDeliveryReports,
     ) -> None:
         """Reload into these parts.
 
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -10,10 +10,10 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from scalefall.interface import Listed, ListKind, Status
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.list_stream import Entry, ListUpdate
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import EndpointListUpdate, EndpointStatus, ListUpdateKind
 
 
 class ListChange(NamedTuple):
@@ -28,7 +28,11 @@
     """The endpoints that the operator's file has."""
 
     def __init__(
-        self, scheduler: Scheduler, known: ListUpdate, on_change: Callable[[Listed], None], drain_grace_us: int
+        self,
+        scheduler: Scheduler,
+        known: ListUpdate,
+        on_change: Callable[[EndpointListUpdate], None],
+        drain_grace_us: int,
     ) -> None:
         """Start with the file's list.
 
@@ -42,9 +46,9 @@
         self._drain_grace_us = drain_grace_us
         self._removed_in: dict[str, int] = {}  # endpoints that drain as they were removed, and in which version
 
-    def initial_list(self) -> Listed:
+    def initial_list(self) -> EndpointListUpdate:
         """Return the event for the list, which is no old one, as it is the file's."""
-        return Listed(ListKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
+        return EndpointListUpdate(ListUpdateKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
 
     def serves(self, destination: int) -> bool:
         """Return whether the list names, or has lately named, an endpoint of a destination."""
@@ -67,7 +71,7 @@
         for entry in removed:
             self._removed_in[entry.endpoint.id] = version
         if added or removed or changed:
-            draining = [_with_status(entry, Status.DRAINING) for entry in removed]
+            draining = [_with_status(entry, EndpointStatus.DRAINING) for entry in removed]
             self.learn(ListUpdate(version, False, [*draining, *added, *changed]))
         if removed:
             self._scheduler.call_at(self._scheduler.now() + self._drain_grace_us, self._end_grace, version)
@@ -76,7 +80,11 @@
     def _is_listed(self, endpoint_id: str) -> bool:
         """Return whether an endpoint is in the list now: it neither drains after its removal nor has gone."""
         entry = self.entries.get(endpoint_id)
-        return entry is not None and endpoint_id not in self._removed_in and entry.endpoint.status is not Status.GONE
+        return (
+            entry is not None
+            and endpoint_id not in self._removed_in
+            and entry.endpoint.status is not EndpointStatus.GONE
+        )
 
     def _end_grace(self, version: int) -> None:
         """Let the endpoints be gone that were removed in a version and have not come back."""
@@ -84,10 +92,10 @@
         for endpoint_id in endpoint_ids:
             del self._removed_in[endpoint_id]
         if endpoint_ids:
-            gone = [_with_status(self.entries[endpoint_id], Status.GONE) for endpoint_id in endpoint_ids]
+            gone = [_with_status(self.entries[endpoint_id], EndpointStatus.GONE) for endpoint_id in endpoint_ids]
             self.learn(ListUpdate(self.seq + 1, False, gone))
 
 
-def _with_status(entry: Entry, status: Status) -> Entry:
+def _with_status(entry: Entry, status: EndpointStatus) -> Entry:
     """Return an entry with another status."""
     return replace(entry, endpoint=replace(entry.endpoint, status=status))
--- a/scalefall/policy.py
+++ b/scalefall/policy/engine.py
@@ -1,7 +1,5 @@
-"""Every decision of a sender. The ordinary path is LMAC (Kanodia & Knightly): request and service envelopes
-for each class of each route; a message is admitted only if the predicted high-percentile delay keeps its
-class and all others in target. A route has one limit and one pace: a destination, or an endpoint apart.
-"""
+"""Every decision of a sender. A route has one limit and one pace: a destination, or an endpoint apart."""
+
 from __future__ import annotations
 
 import heapq
@@ -11,61 +9,86 @@
 from itertools import chain
 from math import ceil, inf, log2, sqrt
 
-from scalefall.interface import (Action, Allowed, Attempted, Cancel, Close, Closing, Dropped, Effect,
-                                 Endpoint, Event, Fail, Known, Listed, ListKind, Log, Message, MessageClass,
-                                 Outcome, Refuse, Reported, Send, SetTimer, Settings, Status, Subscribe,
-                                 Timer)
+from scalefall.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    RouteAllowance,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.events import (
+    AttemptFinished,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointReport,
+    EndpointStatus,
+    Event,
+    LearnedRate,
+    ListUpdateKind,
+    Message,
+    MessageWithdrawn,
+    Outcome,
+    ShuttingDown,
+    TimerFired,
+)
+from scalefall.policy.settings import Idempotency, MessageClass, Settings
 
 SECOND = 1_000_000
-BIN_US = 250_000            # the finest step of the request envelope
-BINS = 40                   # T, the window of both envelopes, in steps: 10 s
-TAUS = (1, 2, 5, 10)        # the interval lengths tested, in steps, up to T/4
+BIN_US = 250_000  # the finest step of the request envelope
+BINS = 40  # T, the window of both envelopes, in steps: 10 s
+TAUS = (1, 2, 5, 10)  # the interval lengths tested, in steps, up to T/4
 WINDOW_US = BIN_US * BINS
-QUANTILE = 1.645            # the 95th percentile of a Gaussian
-MOST_K = 8                  # calls in one chain of overlaps that the service envelope follows
-FREE_COMPLETIONS = 5        # admission is free until a class has so many completions on the route
-MARGIN = 0.1                # share of the deadline that the delay target keeps back
-KEPT = 0.5                  # a message that has lost more than this share of its worth goes behind
-LEAST_HELD = 4              # messages that a destination may always hold
-SMALL_LIMIT = 4.0           # calls a second that a destination takes at least, where no limit is told
-GROWTH = 0.1                # for each call that it allows, a pace that was cut grows by this share
-FIRST_RATE = 2.0            # calls a second that a pace is first cut from where the sender sends fewer
-UNUSED = 0.5                # share of a told limit that may be left by chance; of what is left beyond it
-TAKEN = 0.5                 # a pace may have this share on top of its even part of the limit, and no more
-RISEN = 1.25                # a told limit that is so many times the one told before has risen, beyond noise
-RAMP_SHARE = 2 / 3          # of what the rule allows a cold route; with less no told senders break it
-QUESTIONS = 1               # calls that a sender sends to a route in doubt before its budget holds
-TRIAL_SHARE = (2 - QUESTIONS) / 3   # of the same, before a success (see _failed)
-SPREAD = 4                  # times a told wait over which senders come back after it
-LATE = 3.0                  # calls not yet told are at most 1 / (e * age) a sender: by then too few to matter
-ROUGH = 1.5                 # times that a rough weight may be too high
-FEW = 20                    # served calls at which a sender's part goes half by these, half by an even part
-RECENT_US = 2 * SECOND      # span over which the recent send rate is taken
-DEPTH_US = SECOND // 4      # the pace lets through at once what it gathers in this time
-TIMEOUT_TIMES = 4           # a call is overdue, or timed out, after so many times its high-percentile time
+QUANTILE = 1.645  # the 95th percentile of a Gaussian
+MOST_K = 8  # calls in one chain of overlaps that the service envelope follows
+FREE_COMPLETIONS = 5  # admission is free until a class has so many completions on the route
+MARGIN = 0.1  # share of the deadline that the delay target keeps back
+KEPT = 0.5  # a message that has lost more than this share of its worth goes behind
+LEAST_HELD = 4  # messages that a destination may always hold
+SMALL_LIMIT = 4.0  # calls a second that a destination takes at least, where no limit is told
+GROWTH = 0.1  # for each call that it allows, a pace that was cut grows by this share
+FIRST_RATE = 2.0  # calls a second that a pace is first cut from where the sender sends fewer
+UNUSED = 0.5  # share of a told limit that may be left by chance; of what is left beyond it
+TAKEN = 0.5  # a pace may have this share on top of its even part of the limit, and no more
+RISEN = 1.25  # a told limit that is so many times the one told before has risen, beyond noise
+RAMP_SHARE = 2 / 3  # of what the rule allows a cold route; with less no told senders break it
+QUESTIONS = 1  # calls that a sender sends to a route in doubt before its budget holds
+TRIAL_SHARE = (2 - QUESTIONS) / 3  # of the same, before a success (see _failed)
+SPREAD = 4  # times a told wait over which senders come back after it
+LATE = 3.0  # calls not yet told are at most 1 / (e * age) a sender: by then too few to matter
+ROUGH = 1.5  # times that a rough weight may be too high
+FEW = 20  # served calls at which a sender's part goes half by these, half by an even part
+RECENT_US = 2 * SECOND  # span over which the recent send rate is taken
+DEPTH_US = SECOND // 4  # the pace lets through at once what it gathers in this time
+TIMEOUT_TIMES = 4  # a call is overdue, or timed out, after so many times its high-percentile time
 LEAST_TIMEOUT_US = SECOND // 2  # and never before this
-UNKNOWN_SHARE = 4           # before there are figures, a call is given this part of its class's deadline
-RETRY_US = SECOND // 5      # first pause before a message goes out again after a failure
-ASKED_US = SECOND // 5      # a sender's part of the directory's time, which fails what waits too long
-ASK_IN = (0.9, 3.6)         # times the time for asking: it is four times as long after a call that failed
-KNOWN_US = 60 * SECOND      # so long after a start what the process before knew counts
-FORGET_US = 60 * SECOND     # a destination with no endpoint for so long is forgotten, with its pace
-CAPPED_US = 2 * SECOND      # an endpoint that served so lately and turns a connection away has too many
+UNKNOWN_SHARE = 4  # before there are figures, a call is given this part of its class's deadline
+RETRY_US = SECOND // 5  # first pause before a message goes out again after a failure
+ASKED_US = SECOND // 5  # a sender's part of the directory's time, which fails what waits too long
+ASK_IN = (0.9, 3.6)  # times the time for asking: it is four times as long after a call that failed
+KNOWN_US = 60 * SECOND  # so long after a start what the process before knew counts
+FORGET_US = 60 * SECOND  # a destination with no endpoint for so long is forgotten, with its pace
+CAPPED_US = 2 * SECOND  # an endpoint that served so lately and turns a connection away has too many
 TIMER_WAKE, TIMER_ASK = 1, 2
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class Envelope:
     """Request and service envelope of one class on one route (the paper's 4.1 and 4.2)."""
+
     __slots__ = ("bins", "bin", "total", "sigma", "calls", "samples", "sums", "prior")
 
     def __init__(self, prior: Envelope | None = None) -> None:
         self.prior = prior
-        self.bins: list[int] = [0] * BINS            # admissions for each step, newest last
+        self.bins: list[int] = [0] * BINS  # admissions for each step, newest last
         self.bin, self.total, self.sigma = 0, 0, [0.0] * len(TAUS)
-        self.calls: deque[list[int]] = deque(maxlen=4 * MOST_K)   # [start, end or 0] in order of start
-        self.samples: deque[tuple[int, int, int]] = deque()       # (when, k, time to serve k)
-        self.sums: dict[int, list[float]] = {}    # k: [number, sum, sum of squares], in seconds
+        self.calls: deque[list[int]] = deque(maxlen=4 * MOST_K)  # [start, end or 0] in order of start
+        self.samples: deque[tuple[int, int, int]] = deque()  # (when, k, time to serve k)
+        self.sums: dict[int, list[float]] = {}  # k: [number, sum, sum of squares], in seconds
 
     def roll(self, now: int) -> None:
         steps = now // BIN_US - self.bin
@@ -75,7 +98,7 @@
             self.total = sum(self.bins)
             for n, tau in enumerate(TAUS if self.total else ()):
                 mean = self.total * tau / BINS
-                squares = sum((sum(self.bins[at:at + tau]) - mean) ** 2 for at in range(0, BINS, tau))
+                squares = sum((sum(self.bins[at : at + tau]) - mean) ** 2 for at in range(0, BINS, tau))
                 self.sigma[n] = sqrt(squares / (BINS // tau - 2))
         while self.samples and self.samples[0][0] < now - WINDOW_US:
             _, k, took = self.samples.popleft()
@@ -143,8 +166,7 @@
 
     def passes(self, target: int, extra: float, cut: int | None = None) -> bool:
         """The LMAC test; with cut (the target of the message let in) the service shrinks instead."""
-        known = self.known()
-        if known is None:
+        if (known := self.known()) is None:
             return True
         for n, tau in enumerate(TAUS):
             k = self.bound(n, extra if cut is None else 0)
@@ -162,26 +184,27 @@
     destination: int
     due: int
     seq: int
-    most: int                   # attempts
+    most: int  # attempts
     key: str | None
     admitted: bool = False
     attempts: int = 0
-    call: Call | None = None    # the attempt that is out
+    call: Call | None = None  # the attempt that is out
     mark: list[int] | None = None
-    ran_at: int = -1            # send of the first attempt that may have run
-    ran_zone: str = ""          # the zone that it must keep to since
+    ran_at: int = -1  # send of the first attempt that may have run
+    ran_zone: str = ""  # the zone that it must keep to since
     not_before: int = 0
 
 
 @dataclass(slots=True)
 class Call:
     """One call out; it holds a slot until the last of its messages has its outcome."""
+
     server: Server
     sent: int
     open: int = 0
     carried: int = 0
     judged: bool = False
-    doubted: bool = False       # counted as a failure since it is overdue
+    doubted: bool = False  # counted as a failure since it is overdue
     called_off: bool = False
     overdue_at: int = 0
 
@@ -189,12 +212,13 @@
 @dataclass(slots=True)
 class Guard:
     """Stands over a route, or over one endpoint whose neighbours serve, from a failure until it is warm."""
-    doubts: int = 0             # failures in a row; 0: off; above QUESTIONS its budget holds
-    part: float = 0.0           # calls a second, this sender's part of what a warm one takes
-    since: int = -1             # when the last of these was told
-    late: int = 0               # by then all but a few senders have been told
+
+    doubts: int = 0  # failures in a row; 0: off; above QUESTIONS its budget holds
+    part: float = 0.0  # calls a second, this sender's part of what a warm one takes
+    since: int = -1  # when the last of these was told
+    late: int = 0  # by then all but a few senders have been told
     last_ok: int = -1
-    warm_from: int = -1         # the first success after the last failure
+    warm_from: int = -1  # the first success after the last failure
     next_call: int = 0
 
 
@@ -220,17 +244,17 @@
     sent: deque[int] = field(default_factory=deque)
     served: deque[int] = field(default_factory=deque)
     guard: Guard = field(default_factory=Guard)
-    top: float = inf            # the most that the pace may reach, where answers tell the limit
-    grown_at: int = 0           # when it last grew by what answers tell is left
-    limit: float = 0.0          # calls a second from all senders, where it is told
-    known: float = 0.0          # part of the process before
+    top: float = inf  # the most that the pace may reach, where answers tell the limit
+    grown_at: int = 0  # when it last grew by what answers tell is left
+    limit: float = 0.0  # calls a second from all senders, where it is told
+    known: float = 0.0  # part of the process before
 
 
 @dataclass(slots=True)
 class Destination:
     number: int
-    wake: int = -1              # the next look that is planned
-    left: int = 0               # when it was first heard of, or an endpoint of it last went
+    wake: int = -1  # the next look that is planned
+    left: int = 0  # when it was first heard of, or an endpoint of it last went
     routes: dict[str, Route] = field(default_factory=dict)
     waiting: dict[str, Held] = field(default_factory=dict)
 
@@ -243,12 +267,12 @@
     rests_for: str = ""
 
 
-class Sender:
+class Engine:
     def __init__(self, settings: Settings, seed: int) -> None:
         self.set, self.random = settings, random.Random(seed)
         self.now = self.seq = self.calls_out = self.ask_fails = 0
         self.timer_at = self.started = -1
-        self.ends_at: float = inf        # the process ends then, on purpose
+        self.ends_at: float = inf  # the process ends then, on purpose
         self.actions: list[Action] = []
         self.held: dict[str, Held] = {}
         self.attempts_out: dict[tuple[str, int], tuple[Held, Call]] = {}
@@ -256,13 +280,13 @@
         self.servers: dict[str, Server] = {}
         self.keys: dict[str, Key] = {}
         self.wide: dict[str, Envelope] = {}
-        self.capped: dict[str, int] = {}    # until when idle connections are closed there
-        self.touched: dict[int, Destination] = {}    # what this turn's events have changed
-        self.starved: dict[int, Destination] = {}    # what waits for a slot
-        self.wakes: list[tuple[int, int]] = []       # when a destination is to be looked at again
-        self.due: list[tuple[int, int, str]] = []    # when a message is to be looked at again
+        self.capped: dict[str, int] = {}  # until when idle connections are closed there
+        self.touched: dict[int, Destination] = {}  # what this turn's events have changed
+        self.starved: dict[int, Destination] = {}  # what waits for a slot
+        self.wakes: list[tuple[int, int]] = []  # when a destination is to be looked at again
+        self.due: list[tuple[int, int, str]] = []  # when a message is to be looked at again
         self.turn_calls: dict[str, Call] = {}
-        self.targets: dict[str, int] = {}    # by class, like what follows, as it was when last handed in
+        self.targets: dict[str, int] = {}  # by class, like what follows, as it was when last handed in
         self.keeps: dict[str, int] = {}
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
@@ -271,34 +295,35 @@
         for event in events:
             if isinstance(event, Message):
                 self._arrive(event)
-            elif isinstance(event, Attempted):
+            elif isinstance(event, AttemptFinished):
                 self._outcome(event)
-            elif isinstance(event, Reported):
+            elif isinstance(event, EndpointReport):
                 self._reported(event)
-            elif isinstance(event, Listed):
+            elif isinstance(event, EndpointListUpdate):
                 self._listed(event)
-            elif isinstance(event, Dropped) and event.id in self.held:
+            elif isinstance(event, MessageWithdrawn) and event.id in self.held:
                 self._forget(self.held[event.id])
-            elif isinstance(event, Timer) and event.token == TIMER_ASK:
-                self.actions.append(Subscribe())
-            elif isinstance(event, Known):
+            elif isinstance(event, TimerFired) and event.token == TIMER_ASK:
+                self.actions.append(PollEndpointList())
+            elif isinstance(event, LearnedRate):
                 self._known(event)
-            elif isinstance(event, Closing):
-                self.ends_at = event.until_us
+            elif isinstance(event, ShuttingDown):
+                self.ends_at = event.ends_at_us
         self._dispatch()
         return self.actions
 
     # -- knowing the fleet
 
-    def _listed(self, event: Listed) -> None:
-        self.ask_fails = min(self.ask_fails + 1, 4) if event.kind is ListKind.FAILED else 0
-        if event.kind is ListKind.FAILED or (self.set.ask and event.kind is ListKind.CACHED):
-            most = self.set.ask_within_us * ASK_IN[self.ask_fails > 1]
-            pause = min(most, ASKED_US * self.set.siblings << self.ask_fails)
+    def _listed(self, event: EndpointListUpdate) -> None:
+        self.ask_fails = min(self.ask_fails + 1, 4) if event.kind is ListUpdateKind.FAILED else 0
+        cached = event.kind is ListUpdateKind.CACHED
+        if event.kind is ListUpdateKind.FAILED or (self.set.polls_endpoint_list and cached):
+            most = self.set.poll_within_us * ASK_IN[self.ask_fails > 1]
+            pause = min(most, ASKED_US * self.set.replica_count << self.ask_fails)
             self.actions.append(SetTimer(TIMER_ASK, int(pause * self.random.random())))
-        if event.kind is ListKind.FAILED:
+        if event.kind is ListUpdateKind.FAILED:
             return
-        if event.kind is not ListKind.CHANGES:
+        if event.kind is not ListUpdateKind.CHANGES:
             for server in self.servers.values():
                 server.ready, server.gone = False, True
         for entry in event.endpoints:
@@ -308,8 +333,8 @@
                     server.ready, server.gone = False, True
                     self._drop(server)
                 server = self.servers[entry.id] = self._new_server(entry)
-            server.entry, server.ready = entry, entry.status is Status.READY
-            server.gone = entry.status is Status.GONE
+            server.entry, server.ready = entry, entry.status is EndpointStatus.READY
+            server.gone = entry.status is EndpointStatus.GONE
             if self.set.weights in ("nominal", "rough"):
                 server.route.limit = entry.weight
             elif self.set.weights == "told" and server.ready:
@@ -321,21 +346,25 @@
             if destination.left < self.now - FORGET_US and not self._needed(number):
                 del self.destinations[number]
 
-    def _known(self, event: Known) -> None:
+    def _known(self, event: LearnedRate) -> None:
         """A partner that is down at a restart would otherwise come back to a part of almost nothing."""
         destination = self.destinations.get(event.destination)
         route = destination.routes.get(event.route) if destination else None
         if route is not None:
-            route.known, route.limit = event.part, route.limit or event.limit
+            route.known, route.limit = event.own_rate, route.limit or event.limit
 
-    def known(self) -> list[Known]:
+    def learned_rates(self) -> list[LearnedRate]:
         """What a later process of this sender should know; to be asked at any time."""
-        return [Known(d.number, name, r.guard.part if r.guard.doubts else self._part(r), r.limit)
-                for d in self.destinations.values() for name, r in d.routes.items()]
+        return [
+            LearnedRate(d.number, name, r.guard.part if r.guard.doubts else self._part(r), r.limit)
+            for d in self.destinations.values()
+            for name, r in d.routes.items()
+        ]
 
     def _new_server(self, entry: Endpoint) -> Server:
         destination = self._destination(entry.destination)
-        route = destination.routes.setdefault(entry.id if self.set.apart.get(entry.kind) else "", Route())
+        name = entry.id if self.set.route_per_endpoint.get(entry.kind) else ""
+        route = destination.routes.setdefault(name, Route())
         server = Server(entry, route)
         route.servers.append(server)
         return server
@@ -343,7 +372,7 @@
     def _drop(self, server: Server) -> None:
         """A gone endpoint with nothing out and no wait is forgotten, and its route where routes are apart."""
         guard, rests = server.route.guard, server.route.silent_until
-        rests = max(rests, guard.since + self.set.cold_us if guard.doubts else 0)
+        rests = max(rests, guard.since + self.set.slow_start_us if guard.doubts else 0)
         if not server.gone or server.calls or rests > self.now:
             return
         server.route.servers.remove(server)
@@ -355,9 +384,12 @@
         destination.left = self.now
 
     def _needed(self, number: int) -> bool:
-        return (any(route.servers for route in self.destinations[number].routes.values())
-                or number in self.touched or number in self.starved
-                or any(message.destination == number for message in self.held.values()))
+        return (
+            any(route.servers for route in self.destinations[number].routes.values())
+            or number in self.touched
+            or number in self.starved
+            or any(message.destination == number for message in self.held.values())
+        )
 
     def _destination(self, number: int) -> Destination:
         return self.destinations.setdefault(number, Destination(number, left=self.now))
@@ -365,24 +397,32 @@
     # -- a message arrives
 
     def _arrive(self, event: Message) -> None:
-        cls = event.cls or self.set.classes.get(event.class_name)
+        cls = event.message_class or self.set.classes.get(event.class_name)
         if cls is None:
             self.actions.append(Fail(event.id))
             return
         self.seq += 1
         most = self.set.attempts.get(event.destination, self.set.max_attempts)
-        message = Held(event.id, cls, event.destination, event.due_us, self.seq, most,
-                       event.key if cls.in_order else None, attempts=event.attempts)
+        message = Held(
+            event.id,
+            cls,
+            event.destination,
+            event.due_us,
+            self.seq,
+            most,
+            event.ordering_key if cls.ordered else None,
+            attempts=event.attempts,
+        )
         self.targets[cls.name], self.keeps[cls.name] = int(cls.deadline_us * (1 - MARGIN)), self._keeps(cls)
-        if event.ran_us is not None:
-            message.ran_at = max(0, event.ran_us)
-            message.ran_zone = event.ran_zone if cls.key_scope_zone else ""
+        if event.may_have_run_at_us is not None:
+            message.ran_at = max(0, event.may_have_run_at_us)
+            message.ran_zone = event.may_have_run_zone if cls.key_scope_zone else ""
         destination = self._destination(event.destination)
         self.held[message.id] = destination.waiting[message.id] = message
         if message.key is not None:
             self.keys.setdefault(message.key, Key()).queue.append(message.id)
         self.touched[destination.number] = destination
-        if self._spent(message) or self._late_at(message) <= self.now:     # as after a restart
+        if self._spent(message) or self._late_at(message) <= self.now:  # as after a restart
             self._give_up(message)
             return
         self._watch(message)
@@ -400,8 +440,9 @@
             own = self._envelope(route, message.cls.name)
             for name, envelope in route.envelopes.items():
                 envelope.roll(self.now)
-                if not (own.passes(target, 1.0) if envelope is own else
-                        envelope.passes(self.targets[name], 1.0, target)):
+                if not (
+                    own.passes(target, 1.0) if envelope is own else envelope.passes(self.targets[name], 1.0, target)
+                ):
                     break
             else:
                 own.admitted(self.now)
@@ -415,7 +456,7 @@
     def _bound(self, destination: Destination, message: Held) -> float:
         """None may hold more than is left free: a hanging one fills all room; a burst is refused early too.
         What is not admitted waits only as far as the destination can serve in time."""
-        room = self.set.max_held - len(self.held)
+        room = self.set.max_queued - len(self.held)
         if message.admitted:
             return room
         served = sum(map(self._served, destination.routes.values()))
@@ -439,10 +480,15 @@
                 self.touched[number] = self.destinations[number]
         self._free_slots()
         shut: set[int | tuple[int, str]] = set()
-        for message in sorted(chain.from_iterable(d.waiting.values() for d in self.touched.values()),
-                              key=self._urgency):
-            if message.destination in shut or (message.destination, message.cls.name) in shut \
-                    or message.not_before > self.now or not self._in_turn(message):
+        for message in sorted(
+            chain.from_iterable(d.waiting.values() for d in self.touched.values()), key=self._urgency
+        ):
+            if (
+                message.destination in shut
+                or (message.destination, message.cls.name) in shut
+                or message.not_before > self.now
+                or not self._in_turn(message)
+            ):
                 continue
             if not self._admit(message):
                 shut.add((message.destination, message.cls.name))
@@ -474,7 +520,7 @@
         if message.call is not None:
             return message.due
         late = message.due - self._mean(message)
-        if message.ran_at >= 0 and message.cls.effect is Effect.KEYED:
+        if message.ran_at >= 0 and message.cls.idempotency is Idempotency.WITH_KEY:
             late = min(late, message.ran_at + message.cls.key_ttl_us - self.set.tick_us + 1)
         return late
 
@@ -490,7 +536,7 @@
         if route.silent_until > self.now:
             return route.silent_until
         guards = [route.guard] if route.guard.doubts else [server.guard for server in route.servers]
-        times = [at for g in guards if g.doubts for at in (g.next_call, g.warm_from + self.set.cold_us)]
+        times = [at for g in guards if g.doubts for at in (g.next_call, g.warm_from + self.set.slow_start_us)]
         if self._tokens(route) < 1:
             times.append(self.now + ceil((1 - route.tokens) * SECOND / route.rate))
         return min((at for at in times if at > self.now), default=self.now + BIN_US)
@@ -507,33 +553,38 @@
         """Oldest first, what is worth twice as much as if it had waited twice as long; then what has lost
         most of its worth, as it would make all late under a backlog."""
         age = self.now - message.due + message.cls.deadline_us
-        return (age >= self.keeps[message.cls.name], -age * message.cls.worth)
+        return (age >= self.keeps[message.cls.name], -age * message.cls.priority_weight)
 
     def _keeps(self, cls: MessageClass) -> int:
         """How long after it was handed in a message of the class keeps KEPT of its worth."""
-        if cls.late_worth >= KEPT:
+        if cls.late_priority_weight >= KEPT:
             return cls.deadline_us
-        if self.set.halving:
-            return min(cls.deadline_us, int(cls.aim_us * (1 - log2(KEPT))))
-        return cls.aim_us + int((cls.deadline_us - cls.aim_us) * (1 - KEPT) / (1 - cls.late_worth))
+        if self.set.halves_after_objective:
+            return min(cls.deadline_us, int(cls.latency_objective_us * (1 - log2(KEPT))))
+        falls_for = cls.deadline_us - cls.latency_objective_us
+        return cls.latency_objective_us + int(falls_for * (1 - KEPT) / (1 - cls.late_priority_weight))
 
     def _free_slots(self) -> None:
         """Calls overdue (hung, or the answer lost) are called off; one that is only slow may be ended too."""
-        if self.calls_out < self.set.slots or not self.set.cancelling:
+        if self.calls_out < self.set.call_slots or not self.set.cancelling:
             return
         wanted = sum(1 for d in chain(self.starved.values(), self.touched.values()) if d.waiting)
-        late = [(call.overdue_at, *attempt) for attempt, (message, call) in self.attempts_out.items()
-                if call.overdue_at <= self.now and not call.called_off and message.id in self.held]
+        late = [
+            (call.overdue_at, *attempt)
+            for attempt, (message, call) in self.attempts_out.items()
+            if call.overdue_at <= self.now and not call.called_off and message.id in self.held
+        ]
         for _, message_id, attempt in sorted(late)[:wanted]:
             self.attempts_out[message_id, attempt][1].called_off = True
-            self.actions.append(Cancel(message_id, attempt))
+            self.actions.append(CancelAttempt(message_id, attempt))
 
     def _in_turn(self, message: Held) -> bool:
         if message.key is None:
             return True
         key = self.keys[message.key]
-        return (key.queue[0] == message.id and not key.out
-                and (key.rests_until <= self.now or key.rests_for == message.id))
+        return (
+            key.queue[0] == message.id and not key.out and (key.rests_until <= self.now or key.rests_for == message.id)
+        )
 
     def _choose(self, message: Held) -> Server | None:
         open_to: list[Server] = []
@@ -544,7 +595,7 @@
                 if not server.ready or (message.ran_zone and server.entry.zone != message.ran_zone):
                     continue
                 joined = self.turn_calls.get(server.entry.id)
-                most = self.set.per_call.get(server.entry.kind, 1)
+                most = self.set.messages_per_call.get(server.entry.kind, 1)
                 if joined and joined.carried < most:
                     return server
                 self._overdue(server)
@@ -554,12 +605,14 @@
 
     def _in_time(self, route: Route, message: Held) -> bool:
         """Before the process ends, only what may be over by then: a call out at its end may have run."""
-        return self.ends_at == inf or \
-            self.now + self._expected(self._envelope(route, message.cls.name), message.cls) <= self.ends_at
+        return (
+            self.ends_at == inf
+            or self.now + self._expected(self._envelope(route, message.cls.name), message.cls) <= self.ends_at
+        )
 
     def _rank(self, server: Server) -> tuple[bool, int, bool, float, float]:
         """Ties are broken at random: by list order all senders would meet at the same endpoint."""
-        fee = self.set.zone_fee.get(server.entry.zone, 0.0)
+        fee = self.set.zone_cost.get(server.entry.zone, 0.0)
         rests = server.guard.doubts > 0 and server.guard.next_call > self.now
         return rests, len(server.calls), server.route.rate < inf, fee, self.random.random()
 
@@ -571,11 +624,11 @@
                 self._failed(call, 0)
 
     def _may_call(self, route: Route, server: Server) -> bool:
-        free = self.set.slots - self.calls_out
+        free = self.set.call_slots - self.calls_out
         if free <= 0 or sum(len(s.calls) for s in route.servers) >= max(1, free):
             self.starved[server.entry.destination] = self.destinations[server.entry.destination]
             return False
-        if 0 < server.entry.most_calls <= len(server.calls):
+        if 0 < server.entry.max_calls <= len(server.calls):
             return False
         guard = self._guard(route, server)
         return not (guard.doubts and guard.next_call > self.now) and self._tokens(route) >= 1
@@ -583,8 +636,8 @@
     def _guard(self, route: Route, server: Server) -> Guard:
         """The one whose budget a call draws from: the route's while it is on, for all its endpoints."""
         for guard in (route.guard, server.guard):
-            if guard.doubts and 0 <= guard.warm_from <= self.now - self.set.cold_us:
-                guard.doubts, guard.warm_from, route.tokens = 0, -1, 0.0    # no burst
+            if guard.doubts and 0 <= guard.warm_from <= self.now - self.set.slow_start_us:
+                guard.doubts, guard.warm_from, route.tokens = 0, -1, 0.0  # no burst
                 route.rate = min(route.rate, max(self._even_part(route), route.guard.part, guard.part))
         return route.guard if route.guard.doubts else server.guard
 
@@ -599,7 +652,7 @@
     def _send(self, message: Held, server: Server) -> None:
         route, call = server.route, self.turn_calls.get(server.entry.id)
         envelope = self._envelope(route, message.cls.name)
-        if call is None or call.carried >= self.set.per_call.get(server.entry.kind, 1):
+        if call is None or call.carried >= self.set.messages_per_call.get(server.entry.kind, 1):
             call = self._new_call(server, envelope, message)
         call.open += 1
         call.carried += 1
@@ -628,25 +681,25 @@
 
     def _gap(self, guard: Guard) -> float:
         """Time between calls: the part of what the rule lets a cold route have, growing with its warmth."""
-        warmth = (self.now - guard.warm_from) / max(1, self.set.cold_us) if guard.warm_from >= 0 else 0.0
-        share = RAMP_SHARE * self.set.fall_multiple * (self.set.cold_from + (1 - self.set.cold_from) * warmth)
+        first, warm_for = self.set.slow_start_from, self.now - guard.warm_from
+        warmth = warm_for / max(1, self.set.slow_start_us) if guard.warm_from >= 0 else 0.0
+        share = RAMP_SHARE * self.set.overload_multiple * (first + (1 - first) * warmth)
         gap = SECOND / max(1e-6, guard.part * min(1.0, share))
         trial = min(gap * RAMP_SHARE / TRIAL_SHARE, max(0, guard.late - self.now) + gap)
         return gap if guard.warm_from >= 0 else trial
 
     def _expected(self, envelope: Envelope, cls: MessageClass) -> int:
-        known = envelope.known()
-        if known is None:
+        if (known := envelope.known()) is None:
             return cls.deadline_us // UNKNOWN_SHARE
         return max(LEAST_TIMEOUT_US, int(TIMEOUT_TIMES * known.delay(1)))
 
     def _timeout(self, message: Held, envelope: Envelope) -> int:
         """Only what may be sent again is cut short; each further attempt is given twice the time."""
         left = message.due - self.now
-        if message.cls.effect is Effect.UNSAFE or message.attempts + 1 >= message.most:
+        if message.cls.idempotency is Idempotency.NOT_IDEMPOTENT or message.attempts + 1 >= message.most:
             return left
         wait = self._expected(envelope, message.cls) << min(message.attempts, 4)
-        if message.cls.effect is Effect.KEYED:
+        if message.cls.idempotency is Idempotency.WITH_KEY:
             first = message.ran_at if message.ran_at >= 0 else self.now
             if self.now + wait + self._expected(envelope, message.cls) > first + message.cls.key_ttl_us:
                 return left
@@ -654,17 +707,16 @@
 
     # -- an outcome
 
-    def _outcome(self, event: Attempted) -> None:
-        found = self.attempts_out.pop((event.id, event.attempt), None)
-        if found is None:
+    def _outcome(self, event: AttemptFinished) -> None:
+        if (found := self.attempts_out.pop((event.id, event.attempt), None)) is None:
             return
         message, call = found
         self.touched[message.destination] = self.destinations[message.destination]
         if message.key is not None:
             self._key_outcome(message, event.outcome)
-        if event.wait_us:   # each outcome tells its own wait, also the later ones of a call already judged
+        if event.retry_after_us:  # each outcome tells its own, also the later ones of a call already judged
             route = call.server.route
-            route.silent_until = max(route.silent_until, self.now + event.wait_us)
+            route.silent_until = max(route.silent_until, self.now + event.retry_after_us)
         self._close(call)
         if not call.judged:
             call.judged = True
@@ -685,35 +737,41 @@
         key = self.keys[message.key]
         key.out = False
         if outcome in MAY_HAVE_RUN:
-            key.rests_until, key.rests_for = self.now + self.set.turn_gap_us, message.id
+            key.rests_until, key.rests_for = self.now + self.set.ordering_gap_us, message.id
         self._key_moved(message.key, key)
 
     def _key_moved(self, name: str, key: Key) -> None:
         following = self.held.get(key.queue[0]) if key.queue else None
         if following is not None:
-            destination = self.destinations[following.destination]
-            self.touched[destination.number] = destination
+            self.touched[following.destination] = self.destinations[following.destination]
             if key.rests_until > self.now:
-                heapq.heappush(self.wakes, (key.rests_until, destination.number))
+                heapq.heappush(self.wakes, (key.rests_until, following.destination))
         elif not key.out and key.rests_until <= self.now:
             del self.keys[name]
 
-    def _reported(self, event: Reported) -> None:
+    def _reported(self, event: EndpointReport) -> None:
         """A call that another proxy made under a grant: it counts, and is judged, as one of our own."""
         server = self.servers.get(event.endpoint)
         if server is not None:
             server.route.sent.append(self.now)
             self._trim(server.route.sent, RECENT_US)
-            self._tokens(server.route)      # a pace that was cut grows with the calls that it allows
-            server.route.silent_until = max(server.route.silent_until, self.now + event.wait_us)
+            self._tokens(server.route)  # a pace that was cut grows with the calls that it allows
+            server.route.silent_until = max(server.route.silent_until, self.now + event.retry_after_us)
             self._judge(Call(server, event.sent_us), event)
 
-    def allowances(self, among: set[int] | None = None) -> list[Allowed]:
+    def allowances(self, among: set[int] | None = None) -> list[RouteAllowance]:
         """What all proxies together may send on each route, of some destinations or of all; after a turn."""
-        return [Allowed(n, name, {s.entry.id: self._budget(self._guard(r, s)) for s in r.servers if s.ready},
-                        min(r.rate, self._budget(r.guard)), r.silent_until)
-                for n in (self.destinations if among is None else self.destinations.keys() & among)
-                for name, r in self.destinations[n].routes.items()]
+        return [
+            RouteAllowance(
+                n,
+                name,
+                {s.entry.id: self._budget(self._guard(r, s)) for s in r.servers if s.ready},
+                min(r.rate, self._budget(r.guard)),
+                r.silent_until,
+            )
+            for n in (self.destinations if among is None else self.destinations.keys() & among)
+            for name, r in self.destinations[n].routes.items()
+        ]
 
     def _budget(self, guard: Guard) -> float:
         return inf if not guard.doubts else 0.0 if guard.next_call > self.now else SECOND / self._gap(guard)
@@ -726,20 +784,20 @@
             self.touched.update(self.starved)
             self.starved = {}
             if not call.server.calls and self.capped.get(call.server.entry.id, 0) > self.now:
-                self.actions.append(Close(call.server.entry.id))
+                self.actions.append(CloseIdleConnections(call.server.entry.id))
             self._drop(call.server)
 
-    def _judge(self, call: Call, event: Attempted) -> None:
+    def _judge(self, call: Call, event: AttemptFinished) -> None:
         server, route, outcome = call.server, call.server.route, event.outcome
-        if event.report.get("x1"):
-            alone = self.set.per_call.get(server.entry.kind, 1) == 1
-            self._told_limit(route, event.report["x1"], event.report.get("x0", 0.0), alone)
+        if event.load_report.get("x1"):
+            alone = self.set.messages_per_call.get(server.entry.kind, 1) == 1
+            self._told_limit(route, event.load_report["x1"], event.load_report.get("x0", 0.0), alone)
         if outcome is Outcome.OK:
             route.served.append(self.now)
             self._trim(route.served, WINDOW_US)
             self._succeeded(server.guard)
             self._succeeded(route.guard)
-        elif outcome is Outcome.FULL and call.sent >= route.cut_at:
+        elif outcome is Outcome.OVERLOADED and call.sent >= route.cut_at:
             self._tokens(route)
             recent = max(FIRST_RATE, self._trim(route.sent, RECENT_US) * SECOND / RECENT_US)
             route.rate = max(self._even_part(route), min(recent, route.rate) / 2)
@@ -747,9 +805,13 @@
         elif outcome is Outcome.CONNECT_FAILED and server.guard.last_ok >= max(0, self.now - CAPPED_US):
             self.capped[server.entry.id] = self.now + CAPPED_US
         # Above its limit a partner tells the rest of a span or less; that is no sign of an outage.
-        above = outcome is Outcome.FULL and 0 < event.wait_us <= self.set.fall_us and route.limit > 0
-        if outcome not in (Outcome.OK, Outcome.NOT_SENT, Outcome.CROWDED) and not above:
-            self._failed(call, event.wait_us)
+        above = (
+            outcome is Outcome.OVERLOADED
+            and route.limit > 0
+            and 0 < event.retry_after_us <= self.set.overload_window_us
+        )
+        if outcome not in (Outcome.OK, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED) and not above:
+            self._failed(call, event.retry_after_us)
 
     def _told_limit(self, route: Route, limit: float, left: float, alone: bool) -> None:
         """No pace goes far above its even part: refused calls cost, and at many partners use up the limit.
@@ -761,7 +823,7 @@
         even, over = self._even_part(route), max(0.0, left - UNUSED) / (1 - UNUSED)
         route.rate = max(route.rate, even) if risen else route.rate
         if over and alone:
-            sure = max(0.0, 1 - 2 / sqrt(self.set.siblings))
+            sure = max(0.0, 1 - 2 / sqrt(self.set.replica_count))
             route.rate += sure * over * even * min(SECOND, self.now - route.grown_at) / SECOND
             route.grown_at = self.now
         route.top = even + TAKEN * over * (limit - even)
@@ -782,7 +844,7 @@
             guard.next_call = self.now + int(self._gap(guard) * self.random.random())
 
     def _even_part(self, route: Route) -> float:
-        return (route.limit if route.limit > 0 else SMALL_LIMIT) / self.set.siblings
+        return (route.limit if route.limit > 0 else SMALL_LIMIT) / self.set.replica_count
 
     def _failed(self, call: Call, wait_us: int) -> None:
         """A failure or refusal that no success since its send gainsays. Told senders break the rule only when
@@ -795,21 +857,21 @@
         server, route = call.server, call.server.route
         part = self._part(route)
         for guard, among in ((server.guard, len(route.servers)), (route.guard, 1)):
-            if guard.last_ok > call.sent and wait_us <= self.set.fall_us:  # longer: it is shut
+            if guard.last_ok > call.sent and wait_us <= self.set.overload_window_us:  # longer: it is shut
                 continue
             if not guard.doubts:
                 guard.part = part / max(1, among)
             held, served = guard.doubts > QUESTIONS, self.now - guard.last_ok
             if not guard.doubts or call.sent >= guard.since:
                 guard.doubts, guard.since = guard.doubts + 1, self.now
-            lately = not held and served <= self.set.fall_us and guard.last_ok >= 0
+            lately = not held and served <= self.set.overload_window_us and guard.last_ok >= 0
             guard.doubts = min(guard.doubts, QUESTIONS) if lately else guard.doubts
-            guard.doubts += QUESTIONS if wait_us > self.set.fall_us else 0
+            guard.doubts += QUESTIONS if wait_us > self.set.overload_window_us else 0
             holds = guard.doubts > QUESTIONS
             if holds and not held:
-                cold = self.set.fall_multiple * self.set.cold_from
+                cold = self.set.overload_multiple * self.set.slow_start_from
                 guard.late = self.now + int(LATE * SECOND / (cold * self._even_guess(route)))
-                self.actions.append(Log(f"held {server.entry.id}: part of {guard.part:.2f} calls/s"))
+                self.actions.append(LogLine(f"held {server.entry.id}: part of {guard.part:.2f} calls/s"))
             anew = guard.warm_from >= 0 and guard.doubts > QUESTIONS + 2
             guard.warm_from = -1 if anew else guard.warm_from
             if anew or not held or wait_us:
@@ -829,14 +891,12 @@
         return max(part, self._even_part(route)) if route.limit > 0 and self.set.weights == "none" else part
 
     def _again(self, message: Held, call: Call, outcome: Outcome) -> None:
-        if outcome in MAY_HAVE_RUN:
-            if message.ran_at < 0:
-                message.ran_at = call.sent
-                if message.cls.key_scope_zone:
-                    message.ran_zone = call.server.entry.zone
-        if outcome in MAY_HAVE_RUN or outcome in (Outcome.CONNECT_FAILED, Outcome.CROWDED):
+        if outcome in MAY_HAVE_RUN and message.ran_at < 0:
+            message.ran_at = call.sent
+            message.ran_zone = call.server.entry.zone if message.cls.key_scope_zone else ""
+        if outcome in MAY_HAVE_RUN or outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTIONS_EXHAUSTED):
             message.not_before = self.now + int(RETRY_US * message.attempts * self.random.uniform(0.5, 1.5))
-        if self._late_at(message) <= self.now or self._spent(message):    # its key's time may be up by now
+        if self._late_at(message) <= self.now or self._spent(message):  # its key's time may be up by now
             self._give_up(message)
             return
         self.destinations[message.destination].waiting[message.id] = message
@@ -845,15 +905,18 @@
 
     def _spent(self, message: Held) -> bool:
         """No further attempt is allowed; before a restart it may have run too."""
-        return (message.attempts >= message.most
-                or (message.ran_at >= 0 and message.cls.effect is Effect.UNSAFE))
+        return message.attempts >= message.most or (
+            message.ran_at >= 0 and message.cls.idempotency is Idempotency.NOT_IDEMPOTENT
+        )
 
     # -- final answers
 
     def _give_up(self, message: Held) -> None:
         harmless = message.call is None and (
-            message.ran_at < 0 or message.cls.effect is Effect.SAFE
-            or (message.cls.effect is Effect.KEYED and not message.cls.key_scope_zone))
+            message.ran_at < 0
+            or message.cls.idempotency is Idempotency.IDEMPOTENT
+            or (message.cls.idempotency is Idempotency.WITH_KEY and not message.cls.key_scope_zone)
+        )
         if harmless:
             self._refuse(message)
         else:
@@ -861,7 +924,7 @@
             self._forget(message)
 
     def _refuse(self, message: Held) -> None:
-        self.actions.append(Refuse(message.id, self._mean(message)))
+        self.actions.append(Shed(message.id, self._mean(message)))
         self._forget(message)
 
     def _forget(self, message: Held) -> None:
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -4,12 +4,23 @@
 from helpers import settings
 from nethelp import MS, S, World
 
-from scalefall.interface import Cancel, Close, Fail, Log, Message, Probe, Refuse, Send, SetTimer, Subscribe, Timer
 from scalefall.net import sender_loop
+from scalefall.net.delivery_request import Accepted, DeliveryRequest, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.sender_loop import SenderLoop
-from scalefall.net.transaction import Taken, Transaction, UnavailableAnswer
+from scalefall.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    LogLine,
+    PollEndpointList,
+    Probe,
+    Send,
+    SetTimer,
+    Shed,
+)
+from scalefall.policy.events import Message, TimerFired
 
 
 class Engine:
@@ -41,7 +52,7 @@
 
     def shed(self, message_id, retry_after_us):
         self.asked.append(("shed", message_id, retry_after_us))
-        self.tracker.finish(message_id).decide(UnavailableAnswer(retry_after_us))
+        self.tracker.finish(message_id).decide(Rejected(retry_after_us))
 
     def fail(self, message_id):
         self.asked.append(("fail", message_id))
@@ -71,24 +82,24 @@
         self.events.connect(self.loop.step)
 
     def submit(self, *message_ids):
-        requests = [Transaction(name, "safe", 7, self.world.now() + S, None, b"body") for name in message_ids]
+        requests = [DeliveryRequest(name, "safe", 7, self.world.now() + S, None, b"body") for name in message_ids]
         for request in requests:
             self.tracker.add(request)
-            self.events.gather(Message(request.id, 7, "safe", request.due))
+            self.events.gather(Message(request.id, 7, "safe", request.due_us))
         return requests
 
 
 def test_final_answers_come_first_then_what_is_accepted_and_its_sends_last():
     loop = Loop()
     kept, shed = loop.submit("kept", "shed")
-    loop.engine.actions = [Send("kept", "e", S), Refuse("shed", 100 * MS)]
+    loop.engine.actions = [Send("kept", "e", S), Shed("shed", 100 * MS)]
     loop.loop.step()
     assert loop.parts.asked == [
         ("shed", "shed", 100 * MS),
         ("accept", "kept"),
         ("dispatch", {"e": [Send("kept", "e", S)]}),
     ]
-    assert (kept.verdict, shed.verdict) == (Taken(), UnavailableAnswer(100 * MS))
+    assert (kept.admission, shed.admission) == (Accepted(), Rejected(100 * MS))
 
 
 def test_sends_are_grouped_by_endpoint_in_the_engines_order():
@@ -106,7 +117,14 @@
 def test_actions_that_belong_to_no_message_go_to_their_parts_and_unknown_endpoints_are_passed_over():
     loop = Loop()
     loop.submit("m")
-    loop.engine.actions = [Fail("x"), Cancel("y", 2), Close("e"), Close("gone"), Subscribe(), Log("line")]
+    loop.engine.actions = [
+        Fail("x"),
+        CancelAttempt("y", 2),
+        CloseIdleConnections("e"),
+        CloseIdleConnections("gone"),
+        PollEndpointList(),
+        LogLine("line"),
+    ]
     loop.loop.step()
     assert loop.parts.asked[:4] == [("fail", "x"), ("cancel", "y", 2), ("close_idle", "entry of e"), ("subscribe",)]
 
@@ -119,16 +137,16 @@
     def steps():
         loop.loop.step()
         loop.world.sleep(299 * MS)
-        assert Timer(7) not in loop.engine.heard
+        assert TimerFired(7) not in loop.engine.heard
         loop.world.sleep(100 * MS)
-        assert Timer(7) in loop.engine.heard
+        assert TimerFired(7) in loop.engine.heard
 
     loop.world.play(steps)
 
 
 def test_an_action_that_a_sender_does_not_perform_breaks_an_invariant(monkeypatch):
     broken = []
-    monkeypatch.setattr(sender_loop, "check", lambda condition, name: broken.append(name))
+    monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: broken.append(name))
     loop = Loop()
     loop.submit("m")
     loop.engine.actions = [Probe("e")]
@@ -138,15 +156,15 @@
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_step_that_fails_rejects_what_was_submitted_and_leaves_what_had_its_answer(monkeypatch, answered):
-    monkeypatch.setattr(sender_loop, "check", lambda condition, name: None)
+    monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: None)
     loop = Loop()
     (request,) = loop.submit("m")
     if answered:
-        request.decide(Taken())
+        request.decide(Accepted())
     loop.engine.actions = None
     loop.loop.step()
     assert loop.parts.asked == ([] if answered else [("withdraw", "m")])
-    assert request.verdict == (Taken() if answered else UnavailableAnswer(S, True))
+    assert request.admission == (Accepted() if answered else Rejected(S, True))
 
 
 def test_without_events_the_engine_is_not_asked():
