--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -112,9 +112,7 @@
     weights = _weights(loads, wanted)
     mean = sum(weights.values()) / len(nodes)
     working = WorkingTable(node_loads, cap=int(mean * limits.bound), floor=ceil(mean / limits.bound))
-    holder_counts = {
-        shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, len(nodes)) for shard in wanted
-    }
+    holder_counts = _holder_counts(table, loads, limits, wanted, node_loads)
     if not may_move:
         _retain_all_survivors(holder_counts, table, node_loads)
     lacking = _retain_holders(working, table, weights, holder_counts)
@@ -145,6 +143,14 @@
     return weights
 
 
+def _holder_counts(
+    table: Table, loads: Mapping[int, float], limits: PlacementLimits, shards: Sequence[int], node_loads: NodeLoads
+) -> dict[int, int]:
+    """How many nodes each shard should have."""
+    node_count = len(node_loads.names)
+    return {shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, node_count) for shard in shards}
+
+
 def _holder_count(load: float | None, present: int, limits: PlacementLimits, nodes: int) -> int:
     """How many nodes a shard should have."""
     if limits.replica_load == 0:
