--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -13,14 +13,16 @@
 
 MS, S = 1000, 1_000_000
 LEASE, DELAY = 2 * S, S // 2
-O = i.Outcome  # noqa: E741
+Outcome = i.Outcome
 
 
 def listed(*names, status=i.Status.READY):
+    """An update of the endpoint list: these endpoints of destination 1."""
     return i.Listed(i.ListKind.CHANGES, [i.Endpoint(name, "a", "one", 1, status, 0.0) for name in names])
 
 
 def started(*holders, **changes):
+    """An allocator whose ledger has these holders, each with a large demand."""
     allocator = Allocator(Sender(settings(siblings=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
     for holder in holders:
         allocator._ledger.join(holder)
@@ -29,55 +31,67 @@
 
 
 def reports(outcome, times=1, at=0, wait=0, report=None, endpoint="e"):
+    """The same report several times."""
     return [i.Reported(endpoint, at, outcome, wait, report or {}) for _ in range(times)]
 
 
 def amounts(grants):
+    """What each holder is granted."""
     return {grant.holder: grant.amount for grant in grants}
 
 
-def test_what_the_module_does_not_pace_is_not_held_back():
+def test_a_destination_without_a_rate_limit_is_granted_without_limit():
+    """The module has no figure for a destination that has not failed."""
     allocator = started("a")
     assert amounts(allocator.step(0, [listed("e")])) == {"a": UNLIMITED}
 
 
-def test_a_limit_that_answers_tell_is_divided_among_all():
+def test_a_limit_that_answers_report_is_divided_among_all():
+    """The sum of the grants is within the limit."""
     allocator = started("a", "b")
     allocator.step(0, [listed("e")])
-    grants = allocator.step(S, reports(O.OK, report={"x0": 0.0, "x1": 8.0}))
-    assert sum(amounts(grants).values()) <= 8 * UNITS_PER_CALL and allocator.allowed[0].rate <= 8
+    grants = allocator.step(S, reports(Outcome.OK, report={"x0": 0.0, "x1": 8.0}))
+    assert sum(amounts(grants).values()) <= 8 * UNITS_PER_CALL
+    assert allocator.allowed[0].rate <= 8
 
 
-def test_a_told_wait_stops_every_proxy_until_it_is_over():
+def test_retry_after_stops_every_proxy_until_it_is_over():
+    """It binds all proxies, whichever of them got it, and ends by time alone."""
     allocator = started("a", "b")
     allocator.step(0, [listed("e")])
-    assert amounts(allocator.step(S, reports(O.OK, wait=3 * S))) == {"a": 0, "b": 0}  # a good answer may tell one too
-    assert allocator.allowed[0].silent_until == 4 * S and allocator.allowed[0].rate == inf
+    grants = allocator.step(S, reports(Outcome.OK, wait=3 * S))  # a good answer may have one too
+    assert amounts(grants) == {"a": 0, "b": 0}
+    assert allocator.allowed[0].silent_until == 4 * S
+    assert allocator.allowed[0].rate == inf
     assert not any(amounts(allocator.step(4 * S - 1, [])).values())
     assert any(amounts(allocator.step(20 * S, [])).values())
 
 
 def test_after_a_failure_nothing_goes_out_for_a_while_and_then_little():
+    """The slow start of a route without other endpoints."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
-    allocator.step(S, reports(O.CONNECT_FAILED, at=S))
+    allocator.step(S, reports(Outcome.CONNECT_FAILED, at=S))
     assert allocator.allowed[0].rate == 0
     allocator.step(60 * S, [])
     assert 0 < allocator.allowed[0].rate < 10
 
 
-def test_a_pace_that_was_cut_grows_with_the_calls_that_are_reported():
+def test_a_decreased_rate_grows_with_the_calls_that_are_reported():
+    """Successes raise it step by step, up to a bound."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
-    allocator.step(S, reports(O.OK, 40, S) + reports(O.FULL, at=S))
+    allocator.step(S, reports(Outcome.OK, 40, S) + reports(Outcome.FULL, at=S))
     rates = []
     for tenth in range(11, 18):
-        allocator.step(tenth * S // 10, reports(O.OK, at=tenth * S // 10))
+        allocator.step(tenth * S // 10, reports(Outcome.OK, at=tenth * S // 10))
         rates.append(allocator.allowed[0].rate)
-    assert rates == sorted(rates) and 1.2 * rates[0] < rates[-1] < inf
+    assert rates == sorted(rates)
+    assert 1.2 * rates[0] < rates[-1] < inf
 
 
-def test_a_draining_endpoint_is_no_state_of_ready_and_the_last_one_leaves_no_allowance():
+def test_a_draining_endpoint_has_no_allowance():
+    """Not even where it is the last one of its destination."""
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
     allocator.step(1, [listed("e", status=i.Status.DRAINING)])
@@ -85,25 +99,31 @@
     assert amounts(allocator.step(2, [listed("f", status=i.Status.DRAINING)])) == {"a": 0}
 
 
-def test_an_endpoint_in_doubt_beside_one_that_serves_has_a_budget_of_its_own():
+def test_an_endpoint_with_failures_beside_one_that_serves_has_a_budget_of_its_own():
+    """Once the other drains, that budget is all that there is."""
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
     for second in range(1, 8):
         allocator.step(
             second * S,
-            reports(O.OK, 5, second * S, endpoint="f") + reports(O.CONNECT_FAILED, 2, second * S - 1, endpoint="e"),
+            reports(Outcome.OK, 5, second * S, endpoint="f")
+            + reports(Outcome.CONNECT_FAILED, 2, second * S - 1, endpoint="e"),
         )
     [row] = allocator.allowed
-    assert row.endpoints["f"] == inf and row.endpoints["e"] < 5 and row.rate == inf
+    assert row.endpoints["f"] == inf
+    assert row.endpoints["e"] < 5
+    assert row.rate == inf
     allocator.step(9 * S, [listed("f", status=i.Status.DRAINING)])  # now that one's budget is all there is
-    assert allocator.allowed[0].rate == inf and allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
+    assert allocator.allowed[0].rate == inf
+    assert allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
 
-def test_a_report_on_an_endpoint_that_nobody_knows_changes_nothing():
+def test_a_report_on_an_unknown_endpoint_changes_nothing():
+    """Reports may come later than the list."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
     before = allocator.allowances()
-    allocator.step(1, reports(O.TIMEOUT, 5, endpoint="never"))
+    allocator.step(1, reports(Outcome.TIMEOUT, 5, endpoint="never"))
     assert allocator.allowances() == before
 
 
@@ -111,38 +131,44 @@
     """Takes so many calls a second; down for a while, then cold, and warm after cold_us; counts what reaches it."""
 
     def __init__(self, warm, down, back, set_):
+        """Warm, it takes `warm` calls a second; it is down from `down` to `back`."""
         self.warm, self.down, self.back, self.set, self.calls, self.tokens, self.at = warm, down, back, set_, [], 0.0, 0
 
     def capacity(self, now):
+        """Calls a second that it takes now."""
         if now < self.back:
             return self.warm
         part = min(1.0, (now - self.back) / self.set.cold_us)
         return self.warm * (self.set.cold_from + (1 - self.set.cold_from) * part)
 
     def call(self, now):
+        """One call, and how it ends."""
         self.calls.append(now)
         if self.down <= now < self.back:
-            return O.CONNECT_FAILED
+            return Outcome.CONNECT_FAILED
         self.tokens = min(2.0, self.tokens + self.capacity(now) * (now - self.at) / S)
         self.at = now
         if self.tokens < 1:
-            return O.FULL
+            return Outcome.FULL
         self.tokens -= 1
-        return O.OK
+        return Outcome.OK
 
 
 class Proxy:
     """Sends all that its grant lets it: one call at once, and then at the grant's pace. Reports what became of them."""
 
     def __init__(self, name, backlog):
+        """Has `backlog` calls a second to make."""
         self.name, self.backlog, self.number, self.amount, self.until = name, backlog, 0, 0, 0
         self.tokens, self.at, self.report, self.linked = 0.0, 0, [], True
 
     def get(self, grant, now):
+        """A grant has come."""
         if grant.number > self.number:
             self.number, self.amount, self.until = grant.number, grant.amount, now + grant.lease_us
 
     def send(self, now, partner):
+        """Make the calls that the grant allows now."""
         rate = min(self.backlog, self.amount / UNITS_PER_CALL) if now < self.until else 0.0
         self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / S), now
         if self.tokens >= 1:
@@ -183,7 +209,8 @@
 
 
 @pytest.mark.parametrize("cut", [None, ("a", 30 * S, 45 * S), ("b", 19 * S, 36 * S)])
-def test_a_partner_that_returns_cold_is_not_flooded_and_is_used_again(cut):
+def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(cut):
+    """No window has more calls than it can bear, also with a proxy cut off around its return."""
     partner, set_ = play(cut)
     window = set_.fall_us
     for start in range(35 * S, 70 * S - window, 100 * MS):
@@ -193,14 +220,15 @@
     assert sum(at >= 60 * S for at in partner.calls) >= 10 * 30 / 3
 
 
-def test_a_turn_asks_for_what_has_news_or_may_change_by_time_and_for_nothing_else(monkeypatch):
+def test_a_step_evaluates_what_changed_or_may_change_by_time_and_nothing_else(monkeypatch):
+    """An endpoint that moves to another destination changes both."""
     allocator = started("a")
     many = [i.Endpoint(f"e{n}", "a", "one", n, i.Status.READY, 0.0) for n in range(50)]
     allocator.step(0, [i.Listed(i.ListKind.CHANGES, many)])
     asked, real = [], allocator._module.allowances
     monkeypatch.setattr(allocator._module, "allowances", lambda among=None: asked.append(set(among)) or real(among))
-    allocator.step(S, reports(O.CONNECT_FAILED, 3, S, endpoint="e7"))
-    allocator.step(2 * S, reports(O.OK, at=2 * S, endpoint="e9"))
+    allocator.step(S, reports(Outcome.CONNECT_FAILED, 3, S, endpoint="e7"))
+    allocator.step(2 * S, reports(Outcome.OK, at=2 * S, endpoint="e9"))
     allocator.step(3 * S, [])
     moved = i.Endpoint("e9", "a", "one", 8, i.Status.READY, 0.0)
     allocator.step(4 * S, [i.Listed(i.ListKind.CHANGES, [moved])])
--- a/tests/control/test_configure.py
+++ b/tests/control/test_configure.py
@@ -14,6 +14,7 @@
 
 
 def fleet(*routes, draining=()):
+    """A fleet with one endpoint for each route."""
     entries = [
         Entry(
             i.Endpoint(f"e{n}", "a", "one", n, i.Status.DRAINING if n in draining else i.Status.READY, 0.0),
@@ -25,15 +26,16 @@
 
 
 def test_only_routes_that_differ_are_built_and_sent():
+    """One route drains, one is new and one is removed; the other three are not touched."""
     built = []
 
-    def endpoints(number, rows, allowed, now):
+    def endpoints(number, rows, _allowed, _now):
         built.append(number)
         version = ",".join(entry.endpoint.status.name for entry in rows)
         return Resource(EDS, f"route-{number}", version, None, destination=number)
 
     service = ControlService(
-        0, settings(siblings=1), 3, ResourceBuilder(lambda rows, routes: [], endpoints), 2 * S, S // 2, 2 * S
+        0, settings(siblings=1), 3, ResourceBuilder(lambda _rows, _routes: [], endpoints), 2 * S, S // 2, 2 * S
     )
     service.resource_stream_opened(1, "a", True, False)
     service.request(1, Request(EDS, names=("*",)), 0)
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -20,10 +20,12 @@
 
 
 def resource(kind, name, version="1", *needs, ttl=0):
+    """A resource whose body names its version."""
     return Resource(kind, name, version, f"{name}:{version}", frozenset(needs), ttl)
 
 
 def simple(cluster="1", endpoints="1"):
+    """One consistent set, a resource of each type."""
     return [
         resource(CDS, "c", cluster),
         resource(EDS, "c", endpoints),
@@ -33,10 +35,12 @@
 
 
 def sent(actions):
+    """The types, names and removed names of the responses."""
     return [(a.type, [r.name for r in a.resources], a.removed) for a in actions if isinstance(a, Response)]
 
 
 def started(incremental, *resources):
+    """A catalog of these resources, and a stream of it."""
     catalog = Catalog()
     catalog.replace(resources or simple())
     return catalog, XdsStream(catalog, "p/x", incremental)
@@ -52,22 +56,27 @@
 
 
 def names_of(stream, action):
+    """What a state-of-the-world client names in each request."""
     return () if stream._incremental else tuple(sorted(stream._watches[action.type].names))
 
 
-def test_a_set_with_a_reference_to_nothing_is_refused_whole():
+def test_an_inconsistent_set_is_rejected_and_changes_nothing():
+    """The same set again changes nothing either."""
     catalog, _ = started(True)
     before = catalog.generation
     with pytest.raises(InconsistentResourcesError, match="r needs gone"):
         catalog.update([resource(CDS, "d"), resource(RDS, "r", "2", (CDS, "gone"))])
     with pytest.raises(InconsistentResourcesError, match="r needs c"):
         catalog.update([], [(CDS, "c")])
-    assert catalog.get((CDS, "d")) is None and catalog.generation == before
-    assert catalog.update(simple()) == set() and catalog.generation == before
+    assert catalog.get((CDS, "d")) is None
+    assert catalog.generation == before
+    assert catalog.update(simple()) == set()
+    assert catalog.generation == before
 
 
 @pytest.mark.parametrize("incremental", [True, False])
 def test_one_endpoints_change_goes_to_who_watches_it_and_nothing_else_does(incremental):
+    """A client that watches listeners alone gets nothing."""
     catalog, stream = started(incremental)
     ack(stream, stream.request(Request(CDS)))
     ack(stream, stream.request(Request(EDS, names=("c",))))
@@ -81,6 +90,7 @@
 
 @pytest.mark.parametrize("incremental", [True, False])
 def test_a_route_waits_for_its_new_cluster_and_the_old_cluster_for_the_route(incremental):
+    """Make before break, by reference."""
     catalog, stream = started(incremental)
     for request in (Request(CDS), Request(RDS, names=("r",))):
         ack(stream, stream.request(request))
@@ -93,7 +103,8 @@
 
 
 @pytest.mark.parametrize("incremental", [True, False])
-def test_a_rejected_version_is_logged_kept_from_that_client_and_stops_nobody_else(incremental):
+def test_a_rejected_version_is_logged_and_concerns_that_client_alone(incremental):
+    """The next version goes out to it again."""
     catalog, stream = started(incremental)
     other = XdsStream(catalog, "q/x", incremental)
     for each in (stream, other):
@@ -112,15 +123,18 @@
 
 
 def test_a_client_that_never_answers_costs_a_window_and_then_the_latest():
+    """What changed in between is never sent."""
     catalog, stream = started(True)
     responses = stream.request(Request(EDS, names=("c",)))
     for version in range(2, 50):
         responses += stream.changed(catalog.update([resource(EDS, "c", str(version))]))
-    assert len(responses) == MAX_UNANSWERED and stream.pending_names == 1
+    assert len(responses) == MAX_UNANSWERED
+    assert stream.pending_names == 1
     assert ack(stream, responses[-1:])[0].resources[0].version == "49"
 
 
-def test_a_client_that_comes_back_gets_what_changed_meanwhile_and_is_told_what_went():
+def test_a_client_that_reconnects_gets_what_changed_and_what_was_removed():
+    """By the initial versions that it has; a name that never was is removed too."""
     catalog, stream = started(True)
     known = (("c", "1"), ("gone", "1"))
     catalog.update([resource(CDS, "d")])
@@ -128,7 +142,8 @@
     assert sent(stream.request(Request(CDS, names=("c", "none")))) == [(CDS, ["c"], ()), (CDS, [], ("none",))]
 
 
-def test_an_old_answer_changes_nothing_and_a_foreign_one_at_the_start_ends_the_stream():
+def test_a_stale_answer_changes_nothing_and_an_unknown_one_at_the_start_ends_the_stream():
+    """A client may still answer what it was sent before the last response."""
     catalog, stream = started(False)
     first = stream.request(Request(EDS, names=("c",)))
     second = stream.changed(catalog.update([resource(EDS, "c", "2")]))
@@ -147,15 +162,19 @@
         Request(EDS, names=tuple(f"n{n}" for n in range(MAX_NAMES + 1))),
     ],
 )
-def test_what_is_too_much_ends_the_stream_and_frees_it(request_):
+def test_a_request_beyond_the_limits_ends_the_stream_and_frees_it(request_):
+    """Unknown types, and names that are too many, too long or empty."""
     _, stream = started(True)
     [close] = stream.request(request_)
-    assert isinstance(close, CloseStream) and len(close.reason) < 1000 and not stream._watches
+    assert isinstance(close, CloseStream)
+    assert len(close.reason) < 1000
+    assert not stream._watches
     assert stream.request(Request(CDS)) == stream.changed({(CDS, "c")}) == []
 
 
-def test_what_a_client_would_drop_is_kept_alive_by_beats_and_not_for_one_that_does_not_answer():
-    catalog, stream = started(True, resource(EDS, "c", ttl=9), resource(EDS, "d"))
+def test_heartbeats_keep_what_has_a_time_to_live_for_a_client_that_answers():
+    """Two in a time to live; none goes out while one has no answer."""
+    _catalog, stream = started(True, resource(EDS, "c", ttl=9), resource(EDS, "d"))
     ack(stream, stream.request(Request(EDS, names=("c", "d"))))
     now, beats = 0, []
     while now < 30:
@@ -164,16 +183,19 @@
         if now < 12:
             ack(stream, new)
         now = stream.next_heartbeat(now) if stream.next_heartbeat(now) > now else now + 1
-    assert beats[:3] == [(at, ["c"], True) for at in (0, 4, 8)] and len(beats) == 4  # the one at 12 had no answer
+    assert beats[:3] == [(at, ["c"], True) for at in (0, 4, 8)]
+    assert len(beats) == 4  # the one at 12 had no answer
 
 
-def test_own_resources_go_before_the_shared_ones_for_their_holder_alone():
+def test_overrides_go_before_the_shared_resources_for_their_node_alone():
+    """Without them the shared ones are back; an override needs a shared resource."""
     catalog, stream = started(True)
     other = XdsStream(catalog, "q/x", True)
     for each in (stream, other):
         ack(each, each.request(Request(EDS, names=("c",))))
     keys = catalog.override("p/x", [resource(EDS, "c", "own")])
-    assert [a.resources[0].version for a in stream.changed(keys)] == ["own"] and other.changed(keys) == []
+    assert [a.resources[0].version for a in stream.changed(keys)] == ["own"]
+    assert other.changed(keys) == []
     assert [a.resources[0].version for a in stream.changed(catalog.override("p/x", []))] == ["1"]
     with pytest.raises(InconsistentResourcesError):
         catalog.override("p/x", [resource(EDS, "nowhere")])
@@ -184,6 +206,7 @@
 
     @initialize()
     def start(self):
+        """Both clients subscribe to all clusters and to three routes."""
         self.catalog, self.version = Catalog(), 0
         self.streams = [XdsStream(self.catalog, "a", True), XdsStream(self.catalog, "b", False)]
         self.wire, self.has = [[], []], [{CDS: {}, RDS: {}}, {CDS: {}, RDS: {}}]
@@ -230,15 +253,17 @@
             self.wire[n] += self.streams[n].request(
                 Request(action.type, action.nonce, asked, error="bad" if bad else None)
             )
-            self.whole()
+            self.is_consistent()
 
     @invariant()
-    def whole(self):
+    def is_consistent(self):
+        """No client has a route without its cluster, and no window is exceeded."""
         for n, stream in enumerate(getattr(self, "streams", [])):
             assert all(name in self.has[n][kind] for r in self.has[n][RDS].values() for kind, name in r.needs)
             assert all(len(watch.unanswered) <= MAX_UNANSWERED for watch in stream._watches.values())
 
     def teardown(self):
+        """Once everything is read, each client has what the catalog has."""
         if not hasattr(self, "streams"):
             return
         self.edit({0: False, 1: False}, [0, 1])
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -10,17 +10,20 @@
 
 
 def verdicts(world):
+    """The audit's findings on a whole run, by rule."""
     rows, foreign = audit.read_log(json.dumps(row) for row in world.run())
     assert not foreign
     return {found.rule: found for found in audit.audit(rows)}
 
 
 def broken(found):
+    """The rules that are broken, each with its first lines."""
     return {rule: each.violations[:3] for rule, each in found.items() if each.violations}
 
 
 @pytest.mark.parametrize("seed", [*range(8), 5116])  # the last one: two falls within one lease
 def test_with_links_that_fail_while_endpoints_drain_every_rule_is_kept(seed):
+    """And each of them has something to judge."""
     found = verdicts(World(Plan(shape=Shape(30.0, resets=0.1)), seed))
     assert not broken(found)
     assert all(found[rule].checked for rule in ("drain", "grants", "twice", "answer"))
@@ -36,10 +39,13 @@
     ],
     ids=["whole", "cut", "restart", "restart in the ramp"],
 )
-def test_a_partner_that_returns_cold_is_not_flooded_and_is_used_again(more):
+def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(more):
+    """With a proxy cut off, and with control restarted at its return or in its slow start."""
     world = returning(1, **more)
     found = verdicts(world)
-    assert not broken(found) and found["fall"].checked > 50 and not world.partner.fell
+    assert not broken(found)
+    assert found["fall"].checked > 50
+    assert not world.partner.fell
     assert sum(row["event"] == "took" and row["at"] > 40 * SECOND for row in world.rows) > 50
 
 
@@ -47,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule, plan",
+    ("rule", "plan"),
     [
         ("drain", Plan(mistakes=frozenset({"unleased", "greedy"}), drains=1.0, **CUT)),
         ("wait", Plan(mistakes=frozenset({"deaf"}), load=40.0, shape=Shape(8.0))),
@@ -55,17 +61,20 @@
     ],
 )
 def test_what_a_proxy_does_wrong_is_caught_by_its_rule(rule, plan):
+    """Mistakes made on purpose: the audit sees each."""
     assert any(verdicts(World(plan, seed))[rule].verdict == "broken" for seed in range(5))
 
 
 def test_a_lease_that_counts_from_the_arrival_breaks_the_drain_rule_where_links_are_slow():
+    """This is why a lease counts from what control has proved to have received."""
     found = [
         verdicts(World(Plan(mistakes=frozenset({"late"}), drains=1.0, faults=0.5), seed))["drain"] for seed in range(20)
     ]
     assert any(each.violations for each in found)
 
 
-def test_proxies_whose_grants_do_not_end_flood_a_partner_that_returns_cold():
+def test_proxies_whose_grants_do_not_expire_overload_a_destination_that_returns_cold():
+    """This is why grants are leases."""
     more = {
         "mistakes": frozenset({"greedy", "unleased", "deaf"}),
         "cuts": ((0, 10 * SECOND, 45 * SECOND), (1, 10 * SECOND, 45 * SECOND)),
@@ -104,7 +113,9 @@
 
 
 @pytest.mark.parametrize("rule", audit.RULE_NAMES)
-def test_each_rule_is_told_broken_at_its_edge_and_kept_just_before_it(rule):
+def test_each_rule_is_reported_broken_at_its_edge_and_kept_just_before_it(rule):
+    """No other rule is concerned by the same lines."""
+
     def judge(rows):
         read, _ = audit.read_log(json.dumps({"at": 0} | row) for row in rows)
         return {found.rule: found.verdict for found in audit.audit(read)}
@@ -117,12 +128,15 @@
 
 
 def test_what_a_rule_cannot_judge_is_no_proof_and_foreign_lines_are_counted():
+    """A line that lacks a field makes its rule broken, not kept."""
     rows, foreign = audit.read_log(['{"event": "granted", "at": 1, "route": 1}', "Traceback", "", "[1]", '{"at": 1}'])
     found = {each.rule: each for each in audit.audit(rows)}
-    assert foreign == 3 and "nothing is proved" in found["grants"].violations[0]
+    assert foreign == 3
+    assert "nothing is proved" in found["grants"].violations[0]
     assert "passed over" in audit.format_findings(list(found.values()), foreign)
 
 
 def test_a_line_of_the_log_counts_by_its_timestamp():
+    """A timestamp in UTC is the same as `at` in us."""
     rows, _ = audit.read_log(['{"event": "x", "timestamp": "1970-01-01T00:00:01.500000Z"}'])
     assert rows[0].at == 1_500_000
