--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -5,25 +5,31 @@
 import pytest
 from helpers import settings
 
-from scalefall import interface as i
 from scalefall.control.allocator import UNLIMITED, Allocator
 from scalefall.control.grants import UNITS_PER_CALL
 from scalefall.control.ledger import Ledger
-from scalefall.policy import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import (
+    Endpoint,
+    EndpointListUpdate,
+    EndpointReport,
+    EndpointStatus,
+    ListUpdateKind,
+    Outcome,
+)
 
 MS, S = 1000, 1_000_000
 LEASE, DELAY = 2 * S, S // 2
-Outcome = i.Outcome
 
 
-def listed(*names, status=i.Status.READY):
+def listed(*names, status=EndpointStatus.READY):
     """An update of the endpoint list: these endpoints of destination 1."""
-    return i.Listed(i.ListKind.CHANGES, [i.Endpoint(name, "a", "one", 1, status, 0.0) for name in names])
+    return EndpointListUpdate(ListUpdateKind.CHANGES, [Endpoint(name, "a", "one", 1, status, 0.0) for name in names])
 
 
 def started(*holders, **changes):
     """An allocator whose ledger has these holders, each with a large demand."""
-    allocator = Allocator(Sender(settings(siblings=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
+    allocator = Allocator(Engine(settings(replica_count=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
     for holder in holders:
         allocator._ledger.join(holder)
         allocator._ledger.set_demand(holder, 1, 1000 * UNITS_PER_CALL)
@@ -32,7 +38,7 @@
 
 def reports(outcome, times=1, at=0, wait=0, report=None, endpoint="e"):
     """The same report several times."""
-    return [i.Reported(endpoint, at, outcome, wait, report or {}) for _ in range(times)]
+    return [EndpointReport(endpoint, at, outcome, wait, report or {}) for _ in range(times)]
 
 
 def amounts(grants):
@@ -61,7 +67,7 @@
     allocator.step(0, [listed("e")])
     grants = allocator.step(S, reports(Outcome.OK, wait=3 * S))  # a good answer may have one too
     assert amounts(grants) == {"a": 0, "b": 0}
-    assert allocator.allowed[0].silent_until == 4 * S
+    assert allocator.allowed[0].retry_after_until == 4 * S
     assert allocator.allowed[0].rate == inf
     assert not any(amounts(allocator.step(4 * S - 1, [])).values())
     assert any(amounts(allocator.step(20 * S, [])).values())
@@ -81,7 +87,7 @@
     """Successes raise it step by step, up to a bound."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
-    allocator.step(S, reports(Outcome.OK, 40, S) + reports(Outcome.FULL, at=S))
+    allocator.step(S, reports(Outcome.OK, 40, S) + reports(Outcome.OVERLOADED, at=S))
     rates = []
     for tenth in range(11, 18):
         allocator.step(tenth * S // 10, reports(Outcome.OK, at=tenth * S // 10))
@@ -94,9 +100,9 @@
     """Not even where it is the last one of its destination."""
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
-    allocator.step(1, [listed("e", status=i.Status.DRAINING)])
+    allocator.step(1, [listed("e", status=EndpointStatus.DRAINING)])
     assert set(allocator.allowed[0].endpoints) == {"f"}
-    assert amounts(allocator.step(2, [listed("f", status=i.Status.DRAINING)])) == {"a": 0}
+    assert amounts(allocator.step(2, [listed("f", status=EndpointStatus.DRAINING)])) == {"a": 0}
 
 
 def test_an_endpoint_with_failures_beside_one_that_serves_has_a_budget_of_its_own():
@@ -113,7 +119,7 @@
     assert row.endpoints["f"] == inf
     assert row.endpoints["e"] < 5
     assert row.rate == inf
-    allocator.step(9 * S, [listed("f", status=i.Status.DRAINING)])  # now that one's budget is all there is
+    allocator.step(9 * S, [listed("f", status=EndpointStatus.DRAINING)])  # now that one's budget is all there is
     assert allocator.allowed[0].rate == inf
     assert allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
@@ -138,8 +144,8 @@
         """Calls a second that it takes now."""
         if now < self.back:
             return self.warm
-        part = min(1.0, (now - self.back) / self.set.cold_us)
-        return self.warm * (self.set.cold_from + (1 - self.set.cold_from) * part)
+        part = min(1.0, (now - self.back) / self.set.slow_start_us)
+        return self.warm * (self.set.slow_start_from + (1 - self.set.slow_start_from) * part)
 
     def call(self, now):
         """One call, and how it ends."""
@@ -149,7 +155,7 @@
         self.tokens = min(2.0, self.tokens + self.capacity(now) * (now - self.at) / S)
         self.at = now
         if self.tokens < 1:
-            return Outcome.FULL
+            return Outcome.OVERLOADED
         self.tokens -= 1
         return Outcome.OK
 
@@ -173,12 +179,12 @@
         self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / S), now
         if self.tokens >= 1:
             self.tokens -= 1
-            self.report.append(i.Reported("e", now, partner.call(now)))
+            self.report.append(EndpointReport("e", now, partner.call(now)))
 
 
 def play(cut=None, seconds=70):
     """Three proxies with work for three times what the partner takes; it is down from 20 s to 35 s and returns cold."""
-    set_ = settings(siblings=1)
+    set_ = settings(replica_count=1)
     partner = Partner(30.0, 20 * S, 35 * S, set_)
     proxies = [Proxy(name, 30.0) for name in "abc"]
     allocator, wire = started("a", "b", "c"), []
@@ -212,10 +218,10 @@
 def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(cut):
     """No window has more calls than it can bear, also with a proxy cut off around its return."""
     partner, set_ = play(cut)
-    window = set_.fall_us
+    window = set_.overload_window_us
     for start in range(35 * S, 70 * S - window, 100 * MS):
         got = sum(start <= at < start + window for at in partner.calls)
-        room = set_.fall_multiple * window / S * partner.capacity(start + window)
+        room = set_.overload_multiple * window / S * partner.capacity(start + window)
         assert got <= room + 3, (start / S, got, room)
     assert sum(at >= 60 * S for at in partner.calls) >= 10 * 30 / 3
 
@@ -223,13 +229,13 @@
 def test_a_step_evaluates_what_changed_or_may_change_by_time_and_nothing_else(monkeypatch):
     """An endpoint that moves to another destination changes both."""
     allocator = started("a")
-    many = [i.Endpoint(f"e{n}", "a", "one", n, i.Status.READY, 0.0) for n in range(50)]
-    allocator.step(0, [i.Listed(i.ListKind.CHANGES, many)])
+    many = [Endpoint(f"e{n}", "a", "one", n, EndpointStatus.READY, 0.0) for n in range(50)]
+    allocator.step(0, [EndpointListUpdate(ListUpdateKind.CHANGES, many)])
     asked, real = [], allocator._module.allowances
     monkeypatch.setattr(allocator._module, "allowances", lambda among=None: asked.append(set(among)) or real(among))
     allocator.step(S, reports(Outcome.CONNECT_FAILED, 3, S, endpoint="e7"))
     allocator.step(2 * S, reports(Outcome.OK, at=2 * S, endpoint="e9"))
     allocator.step(3 * S, [])
-    moved = i.Endpoint("e9", "a", "one", 8, i.Status.READY, 0.0)
-    allocator.step(4 * S, [i.Listed(i.ListKind.CHANGES, [moved])])
+    moved = Endpoint("e9", "a", "one", 8, EndpointStatus.READY, 0.0)
+    allocator.step(4 * S, [EndpointListUpdate(ListUpdateKind.CHANGES, [moved])])
     assert asked == [{7}, {7, 9}, {7}, {7, 8, 9}]
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,22 +5,28 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, STREAM, Peer, S, World, chunk, listed, read, list_update
+from nethelp import MS, STREAM, Peer, S, World, chunk, list_update, listed, read
 
-from scalefall import interface as i
 from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
 from scalefall.net.endpoint_list import read_list
-from scalefall.net.journal import Owed
+from scalefall.net.journal import PendingDelivery
 from scalefall.net.sender import Sender
-from scalefall.policy import Sender as Engine
+from scalefall.policy.actions import Send
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import AttemptFinished, Message, Outcome
 
 
 class Firm:
     """One sender, one endpoint for destination 7, the platform, and a folder that outlives the sender."""
 
     def __init__(self, folder, kind="one", disk=3_000_000, host="127.0.0.1", admin=None, **changes):
-        self.world, self.folder, self.disk, self.changes = World(), folder, disk, {"ask": True} | changes
+        self.world, self.folder, self.disk, self.changes = (
+            World(),
+            folder,
+            disk,
+            {"polls_endpoint_list": True} | changes,
+        )
         self.endpoint, self.platform = Peer(self.world, host), Peer(self.world)
         self.known = read_list(list_update(1, listed("e", self.endpoint.address, kind=kind)))
         self.watch, self.posts, self.admin = None, [], admin
@@ -96,12 +102,12 @@
         return [json.loads(line) for line in request.body.splitlines()]
 
     def owed(self):
-        return sorted(self.sender.journal.owed)
+        return sorted(self.sender.journal.pending)
 
 
 def owed(firm, name, cls):
     """A record as of a message that was just taken on."""
-    return Owed(name, cls, 7, firm.world.wall() + 8 * S, "k" if cls in ("keyed", "zoned") else None, b"body")
+    return PendingDelivery(name, cls, 7, firm.world.wall() + 8 * S, "k" if cls in ("keyed", "zoned") else None, b"body")
 
 
 @pytest.fixture
@@ -118,7 +124,7 @@
         firm.taken("m")
         assert firm.owed() == ["m"]
         sock, request = firm.call()
-        assert request.fields["x-request-id"] == "m" and firm.sender.journal.owed["m"].out
+        assert request.fields["x-request-id"] == "m" and firm.sender.journal.pending["m"].in_flight
         sock.send(http.answer(200, []))
         firm.world.until(lambda: firm.owed() == [])
 
@@ -266,7 +272,7 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        firm.world.until(lambda: not firm.sender.journal.owed["m"].out)
+        firm.world.until(lambda: not firm.sender.journal.pending["m"].in_flight)
         firm.die()
 
     play(firm, steps)
@@ -275,7 +281,9 @@
     def again():
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        assert firm.notices() == [{"id": "m", "state": "returned", "after_ms": firm.sender.journal.owed["m"].after_ms}]
+        assert firm.notices() == [
+            {"id": "m", "state": "returned", "after_ms": firm.sender.journal.pending["m"].retry_after_ms}
+        ]
 
     play(firm, again)
 
@@ -287,7 +295,7 @@
 def test_all_that_a_restart_finds_and_may_be_sent_has_its_call(tmp_path, cls, ran, ask):
     """Before a pushed list had come the module knew no route: it kept four a destination and refused the others, also
     such as may have run in a zone, whose clients come again where nobody knows the repeat."""
-    firm = Firm(tmp_path, ask=ask, max_held=24, slots=30)
+    firm = Firm(tmp_path, polls_endpoint_list=ask, max_queued=24, call_slots=30)
     names = [f"m{number}" for number in range(24)]
 
     def gone(health):
@@ -297,9 +305,9 @@
         gone("terminating")  # so nothing goes out before the death
         firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
         for name in names:
-            firm.sender.journal.take_on(owed(firm, name, cls))
+            firm.sender.journal.record_accepted(owed(firm, name, cls))
             if ran:
-                firm.sender.journal.pass_begun([name], firm.world.wall(), "a")
+                firm.sender.journal.record_attempt_started([name], firm.world.wall(), "a")
         firm.die()
 
     play(firm, steps)
@@ -383,10 +391,12 @@
 
 def test_a_module_that_fails_in_a_turn_refuses_what_came_and_the_rest_carries_on(firm, monkeypatch):
     counted, handle = [], firm.sender.engine.handle
-    monkeypatch.setattr(sender_loop, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(
+        sender_loop, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
+    )
 
     def fails(now, events):
-        if any(isinstance(event, i.Message) for event in events):
+        if any(isinstance(event, Message) for event in events):
             monkeypatch.setattr(firm.sender.engine, "handle", handle)
             raise RuntimeError("seen in a test")
         return handle(now, events)
@@ -405,7 +415,9 @@
 def test_what_the_module_never_ends_has_its_notice_all_the_same(firm, monkeypatch, restart):
     """Its end hung on the module's own book alone: lost from it, a message taken on stayed open for good."""
     counted = []
-    monkeypatch.setattr(deadline_watch, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(
+        deadline_watch, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
+    )
 
     def steps():
         firm.taken("m")
@@ -440,13 +452,15 @@
 
 def test_a_send_to_an_endpoint_that_no_list_has_costs_that_attempt_and_not_the_turn(firm, monkeypatch):
     counted, handle, outcomes = [], firm.sender.engine.handle, []
-    monkeypatch.setattr(attempt_dispatcher, "check", lambda condition, name: bool(condition) or counted.append(name))
+    monkeypatch.setattr(
+        attempt_dispatcher, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
+    )
 
     def strays(now, events):
-        outcomes.extend(event for event in events if isinstance(event, i.Attempted))
+        outcomes.extend(event for event in events if isinstance(event, AttemptFinished))
         actions = handle(now, events)
-        if any(isinstance(event, i.Message) for event in events):
-            actions.insert(0, i.Send("m", "ghost", S))
+        if any(isinstance(event, Message) for event in events):
+            actions.insert(0, Send("m", "ghost", S))
         return actions
 
     monkeypatch.setattr(firm.sender.engine, "handle", strays)
@@ -456,7 +470,7 @@
         _, call = firm.call()
         assert call.fields["x-request-id"] == "m"
         firm.world.until(lambda: outcomes)
-        assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", i.Outcome.NOT_SENT)
+        assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", Outcome.NOT_SENT)
         assert counted == ["the module sends to endpoints that the list has"]
 
     play(firm, steps)
