--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -6,14 +6,14 @@
 import pytest
 from nethelp import MS, STREAM, Peer, S, World, chunk, closed, list_update, listed, reset, woken
 
-from scalefall import interface as i
 from scalefall.net import http
-from scalefall.net.endpoint_list import EndpointList, read_list
 from scalefall.net.delivery_reports import DeliveryReports
+from scalefall.net.endpoint_list import EndpointList, read_list
 from scalefall.net.scheduler import READY
+from scalefall.policy.events import EndpointStatus, ListUpdateKind
 
 HERE = ("127.0.0.1", 1)
-K = i.ListKind
+K = ListUpdateKind
 
 
 def watched(world, **more):
@@ -57,9 +57,9 @@
         )
         world.until(lambda: len(told) == 3)
         assert [(t.kind, [(e.id, e.status) for e in t.endpoints]) for t in told] == [
-            (K.CHANGES, [("f", i.Status.READY)]),
-            (K.CHANGES, [("e", i.Status.DRAINING)]),
-            (K.WHOLE, [("f", i.Status.READY)]),
+            (K.CHANGES, [("f", EndpointStatus.READY)]),
+            (K.CHANGES, [("e", EndpointStatus.DRAINING)]),
+            (K.WHOLE, [("f", EndpointStatus.READY)]),
         ]
         assert set(endpoint_list.left_at) == {"e"} and endpoint_list.seq == 50 and peer.accepted == 1
 
@@ -420,7 +420,7 @@
         told(peer, peer.accept())
         world.until(lambda: "c" in done)
         assert world.now() - end < 400 * MS and len(silent) < 60
-        world.until(lambda: not notices._tries)  # those that were silent end, and nothing goes on
+        world.until(lambda: not notices.posts_in_flight)  # those that were silent end, and nothing goes on
         world.sleep(S)
         accepted = peer.accepted
         world.sleep(5 * S)
