--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from scalefall.net.invariants import log
 from scalefall.net.list_stream import Entry, ListUpdate
+from scalefall.net.logs import log
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from scalefall.net import http, streams
-from scalefall.net.invariants import log
 from scalefall.net.list_stream import ListUpdate, ObjectStream, read_list
+from scalefall.net.logs import log
 from scalefall.net.scheduler import Scheduler, Task
 
 SECOND_US = 1_000_000  # microseconds in a second
