--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -9,7 +9,6 @@
 import socket
 from collections.abc import Callable
 
-from scalefall.interface import Attempted, Outcome, Settings
 from scalefall.net import http, streams
 from scalefall.net.attempt_request import encode_request
 from scalefall.net.attempt_result import (
@@ -21,10 +20,12 @@
     read_retry_after,
 )
 from scalefall.net.attempt_state import Attempt, MessageInCall
-from scalefall.net.checks import check, log
 from scalefall.net.connection_pool import MAX_STALE_LOSS, Connection, ConnectionPool
+from scalefall.net.invariants import assert_invariant, log
 from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import Scheduler
+from scalefall.policy.events import AttemptFinished, Outcome
+from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 MAX_ANSWER_US = 1000 * MILLISECOND_US  # from an answer's first byte to its last: a retry needs the rest of the time
@@ -39,7 +40,7 @@
         scheduler: Scheduler,
         settings: Settings,
         max_sockets: int,
-        report_outcome: Callable[[Attempted, bool], None],
+        report_outcome: Callable[[AttemptFinished, bool], None],
         may_begin: Callable[[Entry], bool],
         is_wanted: Callable[[str], bool] = lambda _: True,
     ) -> None:
@@ -71,7 +72,7 @@
         """Begin an attempt with these messages, at least one; it goes on as a task of its own."""
         attempt = Attempt(entry, messages, self._scheduler.now())
         for message in messages:
-            check((message.id, message.attempt) not in self._in_flight, "an attempt is begun once")
+            assert_invariant((message.id, message.attempt) not in self._in_flight, "an attempt is begun once")
             self._in_flight[message.id, message.attempt] = attempt
         attempt.task = self._scheduler.spawn(self._run, attempt)
 
@@ -137,20 +138,21 @@
             http.Malformed: What came is no answer.
         """
         until_us = max(message.ends_at_us for message in attempt.messages)
-        avoid_stale = self._pool.stale_loss > MAX_STALE_LOSS and any(
-            message.not_idempotent for message in attempt.messages
-        )
-        connection = attempt.connection = self._pool.connect(attempt.entry, until_us, avoid_stale)
+        pool = self._pool
+        avoid_stale = pool.stale_loss > MAX_STALE_LOSS and any(message.not_idempotent for message in attempt.messages)
+        connection = attempt.connection = pool.connect(attempt.entry, until_us, avoid_stale)
         if attempt.over:
             self._close_connection(attempt)
             return
         if not self._may_begin(attempt.entry):  # drained, or told to wait, while the connection came up
-            self._release(attempt, connection)
+            pool.release(connection, attempt.entry)
+            attempt.connection = None
             self._end(attempt, MessageResult(Outcome.NOT_SENT))
             return
-        self._leave_out_late(attempt)
+        self._drop_late_messages(attempt)
         if not attempt.messages:
-            self._release(attempt, connection)
+            pool.release(connection, attempt.entry)
+            attempt.connection = None
             attempt.over = True
             return
         request = encode_request(attempt, self._scheduler.now())
@@ -162,8 +164,8 @@
         if self._receive(attempt, connection.sock, reader, until_us):
             self._end_answered(attempt, connection, reader)
 
-    def _leave_out_late(self, attempt: Attempt) -> None:
-        """Leave out messages that might take effect twice by now, or are over.
+    def _drop_late_messages(self, attempt: Attempt) -> None:
+        """Drop messages from the call that might take effect twice by now, or are over.
 
         A dial may take over a second, and a call with several messages waits for the one that has most time.
         """
@@ -206,21 +208,22 @@
     def _end_answered(self, attempt: Attempt, connection: Connection, reader: http.AnswerReader) -> None:
         """End an attempt with its whole answer, and keep its connection if it can serve another."""
         self._pool.record_use(connection, was_lost=False)
-        results = read_answer(attempt, reader, self._settings.answers_report)
+        results = read_answer(attempt, reader, self._settings.answers_carry_report)
         if connection.is_new:
-            if isinstance(results, MessageResult) and results.outcome is Outcome.CROWDED:
+            if isinstance(results, MessageResult) and results.outcome is Outcome.CONNECTIONS_EXHAUSTED:
                 self._pool.retention.connection_rejected(connection.key)
             else:
                 self._pool.retention.connection_accepted(connection.key)
         if results is None:
             results = MessageResult(Outcome.ERROR, read_retry_after(reader.fields))
         elif reader.keep and not reader.rest:
-            self._release(attempt, connection)
+            self._pool.release(connection, attempt.entry)
+            attempt.connection = None
         self._end(attempt, results, reader)
 
     def _end_broken(self, attempt: Attempt, reader: http.AnswerReader, error: Exception) -> None:
         """End an attempt to which no whole answer came."""
-        result = read_broken_answer(attempt, reader, error, self._settings.answers_report)
+        result = read_broken_answer(attempt, reader, error, self._settings.answers_carry_report)
         if attempt.written and attempt.connection is not None:
             self._pool.record_use(attempt.connection, was_lost=result.outcome is Outcome.RESET)
         self._end(attempt, result, reader)
@@ -239,7 +242,7 @@
     ) -> None:
         """Report how the attempt has ended for one message."""
         del self._in_flight[message.id, message.attempt]
-        event = Attempted(
+        event = AttemptFinished(
             message.id,
             message.attempt,
             attempt.entry.endpoint.id,
@@ -251,11 +254,6 @@
         )
         self._report_outcome(event, result.unreadable)
 
-    def _release(self, attempt: Attempt, connection: Connection) -> None:
-        """Give an attempt's connection back to the pool."""
-        self._pool.release(connection, attempt.entry)
-        attempt.connection = None
-
     def _close_connection(self, attempt: Attempt) -> None:
         """Close an attempt's connection, if it has one, and end its task's pause on it."""
         if attempt.task is not None:
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -5,22 +5,21 @@
 import signal
 from dataclasses import replace
 
-from scalefall.interface import Listed
-from scalefall.net import checks, http, learned_rates
+from scalefall.net import http, invariants, learned_rates
+from scalefall.net.admin import AdminServer, AdminState, MaintenanceStore
 from scalefall.net.admin_actions import AdminActions
 from scalefall.net.admission import Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
-from scalefall.net.checks import log
 from scalefall.net.config import Address, Config
 from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
 from scalefall.net.front import Front
+from scalefall.net.invariants import log
 from scalefall.net.journal import Journal
-from scalefall.net.notices import LoggedNotices, Notices
-from scalefall.net.operators import Duty, Operators, OutFile
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.recovery import Recovery
 from scalefall.net.reloader import FleetReloader, ReadAgain, Reloader, SettingsReloader, forget_endpoints_after_us
@@ -29,7 +28,8 @@
 from scalefall.net.sender_loop import SenderLoop
 from scalefall.net.shutdown import Shutdown
 from scalefall.net.static_list import StaticList
-from scalefall.policy import Sender as Engine
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import EndpointListUpdate
 
 HOUSEKEEPING_US = 10_000_000  # microseconds between two reports of broken invariants, and clean-ups
 OWN_SOCKETS = 24  # descriptors that are neither a client's nor an endpoint's
@@ -76,7 +76,7 @@
             OSError: The state folder cannot be used.
         """
         max_sockets = (config.sockets - OWN_SOCKETS) // 2  # as many for clients as for endpoints
-        settings = replace(config.settings, slots=min(config.settings.slots, max_sockets))
+        settings = replace(config.settings, call_slots=min(config.settings.call_slots, max_sockets))
         self.config = config
         self.address: Address = config.listen
         self.admin_address: Address | None = config.admin
@@ -95,12 +95,12 @@
     def _open_state_folder(self) -> None:
         """Divide the state folder's limit, and open what is kept there."""
         config = self.config
-        rates_bytes = learned_rates.room(config.disk_bytes)
-        self._maintenance_store = OutFile(config.state, config.disk_bytes) if config.admin else None
-        self._admin_state = Duty(self._maintenance_store.load() if self._maintenance_store else set())
-        maintenance_bytes = self._maintenance_store.room if self._maintenance_store else 0
+        rates_bytes = learned_rates.reserved_bytes(config.disk_bytes)
+        self._maintenance_store = MaintenanceStore(config.state, config.disk_bytes) if config.admin else None
+        self._admin_state = AdminState(self._maintenance_store.load() if self._maintenance_store else set())
+        maintenance_bytes = self._maintenance_store.reserved_bytes if self._maintenance_store else 0
         self.journal = Journal(config.state, config.disk_bytes - rates_bytes - maintenance_bytes)
-        self.rate_keeper = RateKeeper(self._scheduler, self.engine.known, config.state, rates_bytes)
+        self.rate_keeper = RateKeeper(self._scheduler, self.engine.learned_rates, config.state, rates_bytes)
 
     def _connect_delivery(self, max_sockets: int) -> None:
         """Connect what a message passes through, from its submission to its final answer."""
@@ -151,7 +151,7 @@
                 config.discovery,
                 config.known,
                 self._endpoint_list_changed,
-                not settings.ask,
+                not settings.polls_endpoint_list,
                 config.memory_bytes // LIST_MEMORY_DIVISOR,
                 config.seed,
                 forget_endpoints_after_us(settings),
@@ -162,12 +162,12 @@
         reloader.apply_routes(config.fleet)
         return static_list, reloader
 
-    def _make_delivery_reports(self) -> Notices | LoggedNotices:
+    def _make_delivery_reports(self) -> DeliveryReports | LoggedDeliveryReports:
         """Make what tells the platform of messages that were given up; without a platform that is the log."""
         platform = self.config.discovery or self.config.reports
         if platform is None:
-            return LoggedNotices(self.journal.over)
-        return Notices(self._scheduler, platform, self.journal.over)
+            return LoggedDeliveryReports(self.journal.record_finished)
+        return DeliveryReports(self._scheduler, platform, self.journal.record_finished)
 
     def _connect_lifecycle(self, max_clients: int) -> None:
         """Connect the ingress, and what starts, serves operators and ends."""
@@ -183,7 +183,7 @@
             self.wall_offset_us,
         )
         self.admin_actions: AdminActions | None = None
-        self.admin_server: Operators | None = None
+        self.admin_server: AdminServer | None = None
         if self._maintenance_store is not None:
             self.admin_actions = AdminActions(
                 scheduler,
@@ -194,7 +194,7 @@
                 self.endpoint_list,
                 self.ingress,
             )
-            self.admin_server = Operators(scheduler, self.admin_actions.handle)
+            self.admin_server = AdminServer(scheduler, self.admin_actions.handle)
         self.shutdown = Shutdown(
             scheduler,
             open_requests=self.tracker.open,
@@ -236,7 +236,7 @@
         """Shut down gracefully, as SIGTERM asks for; the scheduler stops within 3.3 s."""
         self.shutdown.start()
 
-    def _endpoint_list_changed(self, event: Listed) -> None:
+    def _endpoint_list_changed(self, event: EndpointListUpdate) -> None:
         """Pass on what the endpoint list has learned."""
         self.dispatcher.close_unwanted_connections()
         self.events.gather(event)
@@ -244,7 +244,7 @@
 
     def _run_housekeeping(self) -> None:
         """Report broken invariants, and forget what is over; every so often."""
-        checks.report()
+        invariants.log_violations()
         self.dispatcher.forget_expired_waits()
         self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
 
