--- a/tests/transport/test_state_directory.py
+++ b/tests/transport/test_state_directory.py
@@ -29,7 +29,7 @@
     def unsettled_allowances(self):
         return []
 
-    def known(self):
+    def learned_rates(self):
         return []
 
     def generation(self):
