--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -81,7 +81,7 @@
         if update.unread:
             self._log_unread(update)
         self._introduce()
-        if self._is_news(update):
+        if self._is_newer(update):
             self._reports_failure = False
             self._put_into_force(update)
 
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -48,7 +48,7 @@
         self._is_announced = True  # the engine has heard of the list, or hears of it before any change
         self.entries: dict[str, Entry] = {}
         self.left_at: dict[str, int] = {}
-        self._gone_at: dict[str, int] = {}  # when each that has gone went, in monotonic microseconds, in this order
+        self._removed_at: dict[str, int] = {}  # when each that has gone went, in monotonic microseconds, in this order
         self._entry_counts: Counter[int] = Counter()  # by destination
         self._owners: dict[tuple[str, int], str] = {}  # the endpoint in service that came last at an address
         self._in_maintenance: set[str] = set()  # these drain, whatever the list says
@@ -75,7 +75,7 @@
 
     def has_endpoint(self, endpoint_id: str) -> bool:
         """Return whether the list has an endpoint that has not gone."""
-        return endpoint_id in self.entries and endpoint_id not in self._gone_at
+        return endpoint_id in self.entries and endpoint_id not in self._removed_at
 
     def is_replaced(self, entry: Entry) -> bool:
         """Return whether a call meant for this endpoint, which has left, would reach another one at its address."""
@@ -92,12 +92,12 @@
     def start_maintenance(self, endpoint_ids: set[str]) -> None:
         """Let endpoints drain from now on, also where the list names them only later."""
         self._in_maintenance |= endpoint_ids
-        self._apply_again(endpoint_ids)
+        self._reapply(endpoint_ids)
 
     def end_maintenance(self, endpoint_id: str) -> None:
         """Let an endpoint be as the list has it again."""
         self._in_maintenance.discard(endpoint_id)
-        self._apply_again({endpoint_id})
+        self._reapply({endpoint_id})
 
     def learn(self, update: ListUpdate) -> None:
         """Take in a list, or what of it has changed, and tell the engine.
@@ -106,10 +106,10 @@
         """
         if update.unread:
             self._log_unread(update)
-        if self._is_news(update):
+        if self._is_newer(update):
             self._put_into_force(update)
 
-    def _is_news(self, update: ListUpdate) -> bool:
+    def _is_newer(self, update: ListUpdate) -> bool:
         """Return whether an update is more than what is known already."""
         return update.whole or update.seq > self.seq
 
@@ -147,11 +147,11 @@
                 self._owners[entry.address] = endpoint_id
             else:
                 self.left_at.setdefault(endpoint_id, now_us)
-            self._gone_at.pop(endpoint_id, None)
+            self._removed_at.pop(endpoint_id, None)
             if entry.endpoint.status is EndpointStatus.GONE:
-                self._gone_at[endpoint_id] = now_us
+                self._removed_at[endpoint_id] = now_us
         self.seq = update.seq
-        self._forget_gone(now_us)
+        self._forget_removed(now_us)
 
     def _mark_missing(self, update: ListUpdate, now_us: int) -> None:
         """Mark as gone what a whole list does not name."""
@@ -159,9 +159,9 @@
         for endpoint_id in self.entries.keys() - listed - set(update.unread):
             self._listed.pop(endpoint_id, None)
             self.left_at.setdefault(endpoint_id, now_us)
-            self._gone_at.setdefault(endpoint_id, now_us)
+            self._removed_at.setdefault(endpoint_id, now_us)
 
-    def _apply_again(self, endpoint_ids: set[str]) -> None:
+    def _reapply(self, endpoint_ids: set[str]) -> None:
         """Put into force anew what the list says of endpoints whose maintenance begins or ends."""
         present = sorted(endpoint_id for endpoint_id in endpoint_ids if self.has_endpoint(endpoint_id))
         if not present:
@@ -186,14 +186,14 @@
             self.entries[endpoint_id] = entry
             self._entry_counts[entry.endpoint.destination] += 1
 
-    def _forget_gone(self, now_us: int) -> None:
+    def _forget_removed(self, now_us: int) -> None:
         """Forget what went so long ago that nothing is out there: ids and addresses are ever new."""
-        while self._gone_at and next(iter(self._gone_at.values())) < now_us - self._forget_us:
-            endpoint_id = next(iter(self._gone_at))
+        while self._removed_at and next(iter(self._removed_at.values())) < now_us - self._forget_us:
+            endpoint_id = next(iter(self._removed_at))
             address = self.entries[endpoint_id].address
             self._put(endpoint_id, None)
             self._listed.pop(endpoint_id, None)
-            del self._gone_at[endpoint_id], self.left_at[endpoint_id]
+            del self._removed_at[endpoint_id], self.left_at[endpoint_id]
             if self._owners.get(address) == endpoint_id:
                 del self._owners[address]
 
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -207,7 +207,7 @@
                 continue
             if reader.status != 200:
                 raise OSError(f"discovery answered {reader.status}")
-            self._take_in(connection, reader.take(), discovery)
+            self._process(connection, reader.take(), discovery)
 
     def _receive(self, sock: socket.socket, connection: _Connection) -> bytes:
         """Return the next bytes of a watch; a TimeUp means that it fell silent if its answer had begun."""
@@ -217,7 +217,7 @@
             self._fell_silent = connection.reader.head_done  # what it would have told counts as told soon
             raise
 
-    def _take_in(self, connection: _Connection, data: bytes, discovery: tuple[str, int]) -> None:
+    def _process(self, connection: _Connection, data: bytes, discovery: tuple[str, int]) -> None:
         """Take in the next bytes of a watch's body. A long list lets other tasks have their turns."""
         was_between = connection.objects.is_between_objects
         tables = connection.objects.feed(data)
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -58,8 +58,8 @@
         """Replace the list in one step; return how many endpoints were added, removed and changed."""
         wanted = {entry.endpoint.id for entry in entries}
         added = [entry for entry in entries if not self._is_listed(entry.endpoint.id)]
-        kept = [entry for entry in entries if self._is_listed(entry.endpoint.id)]
-        changed = [entry for entry in kept if self.entries[entry.endpoint.id] != entry]
+        known = [entry for entry in entries if self._is_listed(entry.endpoint.id)]
+        changed = [entry for entry in known if self.entries[entry.endpoint.id] != entry]
         removed = [
             entry
             for endpoint_id, entry in self.entries.items()
@@ -92,8 +92,8 @@
         for endpoint_id in endpoint_ids:
             del self._removed_in[endpoint_id]
         if endpoint_ids:
-            gone = [_with_status(self.entries[endpoint_id], EndpointStatus.GONE) for endpoint_id in endpoint_ids]
-            self.learn(ListUpdate(self.seq + 1, False, gone))
+            terminated = [_with_status(self.entries[endpoint_id], EndpointStatus.GONE) for endpoint_id in endpoint_ids]
+            self.learn(ListUpdate(self.seq + 1, False, terminated))
 
 
 def _with_status(entry: Entry, status: EndpointStatus) -> Entry:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -610,7 +610,7 @@
             world.sleep(S)
         assert (
             len(endpoint_list.entries) < 35
-            and len(endpoint_list.left_at) == len(endpoint_list._gone_at) < 33
+            and len(endpoint_list.left_at) == len(endpoint_list._removed_at) < 33
             and len(endpoint_list._owners) < 35
         )
         assert endpoint_list.serves(7) and not endpoint_list.serves(8) and not endpoint_list.is_replaced(old)
@@ -624,7 +624,7 @@
         world.until(lambda: endpoint_list.seq == 301)
         assert (
             set(endpoint_list.entries) == {"g"}
-            and endpoint_list.left_at == endpoint_list._gone_at == {}
+            and endpoint_list.left_at == endpoint_list._removed_at == {}
             and endpoint_list._owners == {HERE: "g"}
         )
 
