--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -16,7 +16,7 @@
 from scalefall.lab.proxy.contract import Fall, Refuse, Send
 from scalefall.lab.proxy.sharded import ShardedContract
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Endpoint, EndpointReport, EndpointStatus, Outcome
 
 MS, S = 1000, 1_000_000
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -12,7 +12,7 @@
 from scalefall.net import http, streams
 from scalefall.net.attempt_state import MessageInCall
 from scalefall.net.attempts import Attempts
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 from scalefall.net.scheduler import READ, READY, Scheduler
 from scalefall.policy.events import Endpoint, EndpointStatus
 
