--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -277,13 +277,11 @@
         if not data.startswith(FILE_HEADER):
             return self._start_anew(len(data))
         end = len(FILE_HEADER)
-        while (record := journal_records.read_frame(data, end)) is not None:
-            try:
-                self._replay(journal_records.decode(record))
-            except RecordError as error:
-                log.error("journal: a record cannot be read (%s)", error)
-                break
-            end += FRAME.size + len(record)
+        try:
+            for record, end in journal_records.read_records(data):  # noqa: B007 - used behind the loop
+                self._replay(record)
+        except RecordError as error:
+            log.error("journal: a record cannot be read (%s)", error)
         if end < len(data):
             log.warning("journal: torn tail of %d bytes cut", len(data) - end)
             self._truncate(end)
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -11,7 +11,7 @@
 
 import struct
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
@@ -246,29 +246,35 @@
 # -- from bytes to typed records
 
 
-def read_frame(data: bytes, start: int) -> bytes | None:
-    """The record that begins at a place in a journal; None if the journal is at its end, torn or damaged there."""
-    if start + FRAME.size > len(data):
-        return None
-    length, checksum = FRAME.unpack_from(data, start)
-    start += FRAME.size
-    record = data[start : start + length]
-    return record if len(record) == length and zlib.crc32(record) == checksum else None
+def read_records(data: bytes) -> Iterator[tuple[Record, int]]:
+    """Read a journal up to its end, or up to where it is torn or damaged.
 
+    Args:
+        data: The journal, which begins with FILE_HEADER.
 
-def decode(record: bytes) -> Record:
-    """The typed record of a frame's bytes.
+    Yields:
+        Each record, and the place in the data behind it.
 
     Raises:
-        RecordError: It is of no known kind, or does not hold what its kind does.
+        RecordError: A record is of no known kind, or does not hold what its kind does.
     """
-    decoder = _DECODERS.get(record[:1])
-    if decoder is None:
-        raise RecordError(f"unknown record {record[:1]!r}")
+    end = len(FILE_HEADER)
+    while end + FRAME.size <= len(data):
+        length, checksum = FRAME.unpack_from(data, end)
+        end += FRAME.size
+        record = data[end : end + length]
+        if len(record) != length or zlib.crc32(record) != checksum:
+            return
+        end += length
+        yield _decode(record), end
+
+
+def _decode(record: bytes) -> Record:
+    kind = record[:1]
     try:
-        return decoder(record)
+        return _DECODERS[kind](record)
     except (ValueError, struct.error, KeyError, IndexError) as error:
-        raise RecordError(f"record {record[:1]!r}: {error!r}") from error
+        raise RecordError(f"record {kind!r}: {error!r}") from error
 
 
 def _decode_accepted(record: bytes) -> PendingDelivery:
@@ -304,19 +310,16 @@
 
 
 def _decode_attempt_finished(record: bytes) -> AttemptFinished:
-    texts, _ = _decode_texts(record, 2, 1)
-    return AttemptFinished(texts[0] or "", bool(record[1]))
+    return AttemptFinished(_decode_last_text(record, 2), bool(record[1]))
 
 
 def _decode_final_answer(record: bytes) -> FinalAnswerGiven:
     answer, retry_after_ms = FINAL_ANSWER.unpack_from(record, 1)
-    texts, _ = _decode_texts(record, 1 + FINAL_ANSWER.size, 1)
-    return FinalAnswerGiven(texts[0] or "", _FINAL_ANSWERS[answer], retry_after_ms)
+    return FinalAnswerGiven(_decode_last_text(record, 1 + FINAL_ANSWER.size), _FINAL_ANSWERS[answer], retry_after_ms)
 
 
 def _decode_finished(record: bytes) -> Finished:
-    texts, _ = _decode_texts(record, 1, 1)
-    return Finished(texts[0] or "")
+    return Finished(_decode_last_text(record, 1))
 
 
 _DECODERS: dict[bytes, Callable[[bytes], Record]] = {
@@ -328,6 +331,18 @@
 }
 
 
+def _decode_last_text(data: bytes, start: int) -> str:
+    """The one text that a short record ends with; a start reads many of these."""
+    length = TEXT_LENGTH.unpack_from(data, start)[0]
+    if length == NO_TEXT:
+        return ""
+    start += TEXT_LENGTH.size
+    end = start + length
+    if end > len(data):
+        raise RecordError("a text is cut short")
+    return data[start:end].decode()
+
+
 def _decode_texts(data: bytes, start: int, number: int) -> tuple[list[str | None], int]:
     """So many texts from a place on, and the place behind them."""
     texts: list[str | None] = []
