--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -14,15 +14,16 @@
 from benchmarks.scaling.figures import Quantity, Role
 from benchmarks.scaling.processor import Steps, memory_of
 from benchmarks.scaling.series import Series
-from scalefall import interface as i
 from scalefall.cli.run import configuration as configuration_on_file
 from scalefall.lab.hollow import configuration
 from scalefall.net.config import Config
-from scalefall.net.sender import Sender
-from scalefall.net.journal import Journal, Owed
+from scalefall.net.delivery_request import DeliveryRequest
+from scalefall.net.journal import Journal, PendingDelivery
 from scalefall.net.scheduler import Scheduler
-from scalefall.net.transaction import Transaction
-from scalefall.policy import Sender as Engine
+from scalefall.net.sender import Sender
+from scalefall.policy.engine import Engine
+from scalefall.policy.events import EndpointListUpdate, ListUpdateKind, Message, MessageWithdrawn
+from scalefall.policy.settings import Idempotency
 
 ROLE = Role.SENDER_MESSAGES
 BODY = 200  # bytes of a message
@@ -83,7 +84,7 @@
     }
     for count in HELD[mode]:
         with tempfile.TemporaryDirectory() as folder:
-            transactions: list[Transaction] = []
+            transactions: list[DeliveryRequest] = []
             module, book = _module(count), Journal(folder, DISK)
             found["transaction"].add(count, memory_of(_make, transactions, count))
             found["module"].add(count, memory_of(_hand_in, module, transactions))
@@ -102,11 +103,11 @@
             book, path = Journal(folder, DISK), os.path.join(folder, "journal")
             transactions = [_transaction(number) for number in range(count)]
             for transaction in transactions:
-                book.take_on(_owed(transaction))
+                book.record_accepted(_owed(transaction))
             owed.add(count, os.path.getsize(path))
             for transaction in transactions:
-                book.pass_begun([transaction.id], DUE_US, "zone-1")
-                book.over(transaction.id)
+                book.record_attempt_started([transaction.id], DUE_US, "zone-1")
+                book.record_finished(transaction.id)
             written.add(count, os.path.getsize(path))
             book.close()
     return [written, owed]
@@ -126,45 +127,45 @@
 
 def _module(count: int) -> Engine:
     """A module with destinations that take nothing more, so that what comes is held."""
-    module = Engine(replace(configuration.settings(), max_held=2 * count, slots=1), 1)
+    module = Engine(replace(configuration.settings(), max_queued=2 * count, call_slots=1), 1)
     endpoints = [configuration.entry(number).endpoint for number in range(HELD_DESTINATIONS)]
-    module.handle(0, [i.Listed(i.ListKind.WHOLE, endpoints)])
-    first = [i.Message(f"first-{number}", number, CLASS, DUE_US, restored=True) for number in range(HELD_DESTINATIONS)]
+    module.handle(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
+    first = [Message(f"first-{number}", number, CLASS, DUE_US, restored=True) for number in range(HELD_DESTINATIONS)]
     module.handle(0, first)
     for message in first:
-        module.handle(0, [i.Dropped(message.id)])
+        module.handle(0, [MessageWithdrawn(message.id)])
     return module
 
 
-def _make(transactions: list[Transaction], count: int) -> None:
+def _make(transactions: list[DeliveryRequest], count: int) -> None:
     transactions.extend(_transaction(number) for number in range(count))
 
 
-def _hand_in(module: Engine, transactions: list[Transaction]) -> None:
+def _hand_in(module: Engine, transactions: list[DeliveryRequest]) -> None:
     module.handle(0, [_message(transaction) for transaction in transactions])
 
 
-def _take_on(journal_: Journal, transactions: list[Transaction]) -> None:
+def _take_on(journal_: Journal, transactions: list[DeliveryRequest]) -> None:
     for transaction in transactions:
-        journal_.take_on(_owed(transaction))
+        journal_.record_accepted(_owed(transaction))
 
 
-def _transaction(number: int) -> Transaction:
+def _transaction(number: int) -> DeliveryRequest:
     body = f"{number:08}".encode() + bytes(BODY - 8)
-    return Transaction(f"message-{number:08}", CLASS, number % HELD_DESTINATIONS, DUE_US, None, body)
+    return DeliveryRequest(f"message-{number:08}", CLASS, number % HELD_DESTINATIONS, DUE_US, None, body)
 
 
-def _message(transaction: Transaction) -> i.Message:
-    return i.Message(transaction.id, transaction.destination, transaction.class_name, transaction.due, restored=True)
+def _message(transaction: DeliveryRequest) -> Message:
+    return Message(transaction.id, transaction.destination, transaction.class_name, transaction.due_us, restored=True)
 
 
-def _owed(transaction: Transaction) -> Owed:
-    return Owed(
+def _owed(transaction: DeliveryRequest) -> PendingDelivery:
+    return PendingDelivery(
         transaction.id,
         transaction.class_name,
         transaction.destination,
         DUE_US,
-        transaction.key,
+        transaction.idempotency_key,
         transaction.body,
-        effect=i.Effect.SAFE,
+        idempotency=Idempotency.IDEMPOTENT,
     )
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -15,7 +15,7 @@
 from scalefall.cli.run import folder as state_folder
 from scalefall.control import audit
 from scalefall.lang.files import ROOT_FILE
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.config import ConfigError, read_address
 
 MISSING = "the control service needs {}: pip install 'scalefall[tools,control]'"
@@ -198,7 +198,7 @@
                 lines += file.read().splitlines()
         except OSError as error:
             output.cannot_run(f"{path}: {error.strerror}")
-    rows, foreign = audit.read(lines)
+    rows, foreign = audit.read_log(lines)
     findings = audit.audit(rows)
-    click.echo(audit.text(findings, foreign), nl=False)
-    raise SystemExit(1 if any(found.broken for found in findings) else 0)
+    click.echo(audit.format_findings(findings, foreign), nl=False)
+    raise SystemExit(1 if any(found.violations for found in findings) else 0)
--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -7,13 +7,14 @@
 from __future__ import annotations
 
 from enum import Enum
-from typing import Any
 
-from scalefall import interface as i
 from scalefall.control import snapshot
-from scalefall.control.service import ControlService
+from scalefall.control.snapshot import SnapshotDocument
+from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.state import NUMBERS_PER_BLOCK, StateDirectory, StateDirectoryError
-from scalefall.net.checks import log
+from scalefall.errors import LeadershipError
+from scalefall.net.invariants import log
+from scalefall.policy.events import Event
 
 RESERVE_AHEAD = NUMBERS_PER_BLOCK // 2  # unused numbers at which the next block is reserved: long before they run out
 
@@ -28,7 +29,7 @@
 class LeaderState:
     """This process's role, and the state that outlives it."""
 
-    def __init__(self, service: ControlService, directory: StateDirectory, quiet_us: int) -> None:
+    def __init__(self, service: AnyControlService, directory: StateDirectory, quiet_us: int) -> None:
         """Stand by.
 
         Args:
@@ -39,7 +40,7 @@
         self._service = service
         self._directory = directory
         self._quiet_us = quiet_us
-        self._saved: dict[str, Any] | None = None  # the snapshot that was written last, without its time
+        self._saved: SnapshotDocument | None = None  # the snapshot that was written last, without its time
         self._saved_generation = 0  # of the assignment that was written last
         self._role = Role.STANDBY
 
@@ -48,6 +49,15 @@
         """Whether this process is the one that grants."""
         return self._role is Role.LEADER
 
+    def require_leadership(self) -> None:
+        """Check that this process leads, for what only the leader serves.
+
+        Raises:
+            LeadershipError: Another process does; the text is for the client.
+        """
+        if not self.is_leader:
+            raise LeadershipError("another process grants here")
+
     def acquire_leadership(self, now_us: int, wall_us: int) -> bool:
         """Try to become the leader; True if this process is one from now on and was not before.
 
@@ -75,7 +85,7 @@
         )
         return True
 
-    def _load_events(self, now_us: int, wall_us: int) -> list[i.Event]:
+    def _load_events(self, now_us: int, wall_us: int) -> list[Event]:
         """What the last leader knew, as events; nothing where it cannot be read."""
         try:
             saved = self._directory.load_snapshot()
@@ -96,16 +106,18 @@
         if not self.is_leader:
             return
         service = self._service
-        current = snapshot.capture(service.allocator.unsettled_allowances(), service.module.known(), now_us, wall_us)
+        current = snapshot.capture(
+            service.allocator.unsettled_allowances(), service.module.learned_rates(), now_us, wall_us
+        )
         try:
             self._save_snapshot(current)
             self._save_assignment()
         except StateDirectoryError as error:
             log.error("figures cannot be kept: %s", error)
 
-    def _save_snapshot(self, current: dict[str, Any]) -> None:
+    def _save_snapshot(self, current: SnapshotDocument) -> None:
         """Write the snapshot if it differs, or has rows whose age counts: doubts and waits."""
-        timeless = current | {"wall": 0}
+        timeless: SnapshotDocument = {**current, "wall": 0}
         if timeless != self._saved or current["doubts"] or current["waits"]:
             self._directory.save_snapshot(current)
             self._saved = timeless
--- a/scalefall/control/transport/quota_streams.py
+++ b/scalefall/control/transport/quota_streams.py
@@ -12,13 +12,12 @@
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2
 
 from scalefall.control.members import JoinRejected
-from scalefall.control.service import ControlService
 from scalefall.control.transport import clock
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEndedError
 from scalefall.control.transport.quotas import Quotas
-from scalefall.control.transport.resource_streams import NOT_LEADER
 from scalefall.control.transport.service_driver import ServiceDriver
+from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.stream_reader import read_messages
 
 MAX_PLACE_LENGTH = 64  # characters of a region or zone; more is cut off, as it is only kept and compared
@@ -30,7 +29,7 @@
 
     def __init__(
         self,
-        service: ControlService,
+        service: AnyControlService,
         quotas: Quotas,
         peers: PeerRegistry,
         driver: ServiceDriver,
@@ -48,8 +47,7 @@
         metadata = _text_metadata(peer.context)
         async for message in read_messages(peer, rlqs_pb2.RateLimitQuotaUsageReports):
             now_us = clock.monotonic_us()
-            if not self._leader_state.is_leader:
-                raise StreamEndedError(grpc.StatusCode.UNAVAILABLE, NOT_LEADER)
+            self._leader_state.require_leadership()
             if not peer.node:
                 self._peers.identify(peer, metadata.get("scalefall-node") or message.domain)
                 self._join(peer, metadata, now_us)
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -6,7 +6,7 @@
     listener        an api_listener (no socket), its routes from RDS
     routes          see route_configuration.py
     cluster         connect timeout, calls in flight (all endpoints together), and load reports to this service
-    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), resting in slow start: UNHEALTHY;
+    endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), ejected by slow start: UNHEALTHY;
                     weights of endpoints in slow start from its budget. Nothing allowed on the whole route
                     (Retry-After, slow start): all calls are dropped at the proxy, which a client that knows no grants
                     keeps too.
@@ -29,14 +29,15 @@
 from envoy.type.v3 import percent_pb2
 from google.protobuf import wrappers_pb2
 
-from scalefall import interface as i
-from scalefall.control import allocator
 from scalefall.control.catalog import CDS, EDS, LDS, RDS, Resource, ResourceKey
+from scalefall.control.endpoint_health import BlockReason, EndpointHealth, endpoint_states
 from scalefall.control.service import RouteEntries
 from scalefall.control.transport.protobuf import SerializableMessage, duration, pack
 from scalefall.control.transport.route_configuration import route_configuration
 from scalefall.net.config import RouteRules
 from scalefall.net.list_stream import Entry
+from scalefall.policy.actions import RouteAllowance
+from scalefall.policy.settings import Settings
 
 LEASE_NAME = "scalefall-lease"  # the resource whose heartbeats stand for those of all endpoint lists
 NAME_PREFIX = "route"
@@ -45,9 +46,9 @@
 FULL_WEIGHT = 100  # of an endpoint at its full rate
 WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # of those in slow start, so that not every step is a change
 HEALTH = {
-    allocator.READY: health_check_pb2.HEALTHY,
-    allocator.DRAINING: health_check_pb2.DRAINING,
-    allocator.RESTING: health_check_pb2.UNHEALTHY,
+    EndpointHealth.READY: health_check_pb2.HEALTHY,
+    EndpointHealth.DRAINING: health_check_pb2.DRAINING,
+    EndpointHealth.EJECTED: health_check_pb2.UNHEALTHY,
 }
 
 
@@ -64,7 +65,7 @@
 
 
 def static_resources(
-    entries_by_route: RouteEntries, rules_by_route: dict[int, RouteRules], settings: i.Settings
+    entries_by_route: RouteEntries, rules_by_route: dict[int, RouteRules], settings: Settings
 ) -> list[Resource]:
     """Return listeners, routes and clusters: what follows from the configuration alone."""
     built = []
@@ -79,7 +80,7 @@
 
 
 def endpoint_resource(
-    destination: int, entries: list[Entry], allowances: list[i.Allowed], now_us: int, ttl_us: int
+    destination: int, entries: list[Entry], allowances: list[RouteAllowance], now_us: int, ttl_us: int
 ) -> Resource:
     """Return the endpoints of a route as they are now.
 
@@ -91,13 +92,14 @@
         ttl_us: The resource's time to live; 0 for none.
     """
     name = resource_name(destination)
-    states, blocked = allocator.endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
-    weights = _Weights(allowances)
+    states, blocked = endpoint_states((entry.endpoint for entry in entries), allowances, now_us)
+    budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
+    fair_share = _fair_share(allowances)
     zones: dict[str, list[endpoint_components_pb2.LbEndpoint]] = {}
     for entry in entries:
         endpoint = entry.endpoint
         if endpoint.id in states:
-            row = _endpoint(entry, states[endpoint.id], weights.of(endpoint.id))
+            row = _endpoint(entry, states[endpoint.id], _weight(budgets.get(endpoint.id), fair_share))
             zones.setdefault(endpoint.zone, []).append(row)
     message = endpoint_pb2.ClusterLoadAssignment(
         cluster_name=name,
@@ -120,27 +122,23 @@
 # -- endpoints
 
 
-class _Weights:
-    """Weights of a route's endpoints by what the module allows of each."""
+def _fair_share(allowances: list[RouteAllowance]) -> float:
+    """Return one endpoint's part of the route's rate; 0 if no rate is set."""
+    return next((row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf), 0.0)
 
-    def __init__(self, allowances: list[i.Allowed]) -> None:
-        self._budgets = {endpoint: budget for row in allowances for endpoint, budget in row.endpoints.items()}
-        fair_shares = (row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf)
-        self._fair_share = next(fair_shares, 0.0)  # of the route's rate, for one endpoint
 
-    def of(self, endpoint: str) -> int:
-        """Return an endpoint's weight: its budget over its fair share, rounded down to a step."""
-        budget = self._budgets.get(endpoint)
-        if budget is None or budget == inf:
-            return FULL_WEIGHT
-        weight = FULL_WEIGHT * budget / self._fair_share if self._fair_share > 0 else 1
-        return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
+def _weight(budget: float | None, fair_share: float) -> int:
+    """Return an endpoint's weight: its own budget over its fair share, rounded down to a step."""
+    if budget is None or budget == inf:
+        return FULL_WEIGHT
+    weight = FULL_WEIGHT * budget / fair_share if fair_share > 0 else 1
+    return max((step for step in WEIGHT_STEPS if step <= weight), default=1)
 
 
-def _endpoint(entry: Entry, state: str, weight: int) -> endpoint_components_pb2.LbEndpoint:
+def _endpoint(entry: Entry, health: EndpointHealth, weight: int) -> endpoint_components_pb2.LbEndpoint:
     return endpoint_components_pb2.LbEndpoint(
         endpoint=endpoint_components_pb2.Endpoint(address=_address(*entry.address)),
-        health_status=HEALTH[state],
+        health_status=HEALTH[health],
         load_balancing_weight=wrappers_pb2.UInt32Value(value=weight),
     )
 
@@ -154,8 +152,8 @@
     )
 
 
-def _drop_policy(blocked: str | None) -> endpoint_pb2.ClusterLoadAssignment.Policy:
-    """Return a policy that drops every call for this reason, or none where there is no reason."""
+def _drop_policy(blocked: BlockReason) -> endpoint_pb2.ClusterLoadAssignment.Policy:
+    """Return a policy that drops every call for this reason, if there is one."""
     policy = endpoint_pb2.ClusterLoadAssignment.Policy()
     if blocked:
         every_call = percent_pb2.FractionalPercent(numerator=100, denominator=percent_pb2.FractionalPercent.HUNDRED)
@@ -192,7 +190,7 @@
 
 def _max_calls(entries: list[Entry]) -> int:
     """Return how many calls all endpoints together take at a time; 0 if one of them has no limit."""
-    limits = [entry.endpoint.most_calls for entry in entries]
+    limits = [entry.endpoint.max_calls for entry in entries]
     return sum(limits) if all(limits) else 0
 
 
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -7,12 +7,12 @@
 import time
 from collections.abc import Callable
 
-from scalefall.control.catalog import InconsistentResources
+from scalefall.control.catalog import InconsistentResourcesError
 from scalefall.control.transport.options import ServerOptions
 from scalefall.control.transport.server import ControlServer
 from scalefall.control.transport.state import StateDirectory
 from scalefall.control.transport.tls import CertificateStore
-from scalefall.net.checks import log, report
+from scalefall.net.invariants import log, log_violations
 from scalefall.net.config import Config, ConfigError
 
 PROCESSING_MARGIN_MS = 500  # for a report's way through this process: the audit adds it to when a wait must be known
@@ -67,7 +67,7 @@
     reloads.cancel()
     await server.stop()
     log.info("ended")
-    report()
+    log_violations()
 
 
 async def _reload(server: ControlServer, wanted: asyncio.Event, read_again: Callable[[], Config]) -> None:
@@ -79,7 +79,7 @@
         try:
             config = await asyncio.get_running_loop().run_in_executor(None, read_again)
             server.configure(config)
-        except (ConfigError, InconsistentResources) as error:
+        except (ConfigError, InconsistentResourcesError) as error:
             log.error("configuration not taken, the one in force stays: %s", error)
             continue
         for line in config.left:
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -27,7 +27,7 @@
 from scalefall.control.transport.state import StateDirectory, StateDirectoryError
 from scalefall.control.transport.stream_server import RpcHandler, StreamServer
 from scalefall.errors import ConfigurationError
-from scalefall.net.checks import log
+from scalefall.net.invariants import log
 from scalefall.net.config import Config
 
 MAX_MESSAGE_BYTES = 4_000_000  # of one request: 20,000 names of 200 bytes
@@ -75,7 +75,7 @@
 
         Raises:
             ConfigurationError: The configuration has no fleet.
-            InconsistentResources: The fleet's resources contradict each other.
+            InconsistentResourcesError: The fleet's resources contradict each other.
         """
         self._options = options
         self._certificates = certificates
@@ -161,7 +161,7 @@
 
         Raises:
             ConfigurationError: The configuration has no fleet.
-            InconsistentResources: Its resources contradict each other; nothing has changed.
+            InconsistentResourcesError: Its resources contradict each other; nothing has changed.
         """
         fleet = config.fleet
         if fleet is None:
--- a/scalefall/control/transport/service_driver.py
+++ b/scalefall/control/transport/service_driver.py
@@ -8,20 +8,23 @@
 import grpc
 
 from scalefall.assignment.service import ShardGrants
-from scalefall.control.grants import Grant
-from scalefall.control.service import ControlService, Outgoing
+from scalefall.control.grants import Grant, QuotaAction
+from scalefall.control.client_streams import Outgoing
 from scalefall.control.streams import CloseStream, Response, ResponseRejected, StreamAction
 from scalefall.control.transport import clock, event_log, wire
 from scalefall.control.transport.leadership import LeaderState
 from scalefall.control.transport.peers import Peer, PeerRegistry
 from scalefall.control.transport.quotas import Quotas
-from scalefall.net.checks import log
+from scalefall.control.transport.services import AnyControlService
+from scalefall.net.invariants import log
 
 
 class ServiceDriver:
     """Runs a service's steps by one timer, and hands what it gives to the peers' queues."""
 
-    def __init__(self, service: ControlService, quotas: Quotas, peers: PeerRegistry, leader_state: LeaderState) -> None:
+    def __init__(
+        self, service: AnyControlService, quotas: Quotas, peers: PeerRegistry, leader_state: LeaderState
+    ) -> None:
         """Take the service and its peers; no step is run before start()."""
         self._service = service
         self._quotas = quotas
@@ -86,7 +89,7 @@
             if peer is not None:
                 self._deliver(peer, action)
 
-    def _deliver(self, peer: Peer, action: StreamAction | Grant | ShardGrants) -> None:
+    def _deliver(self, peer: Peer, action: StreamAction | QuotaAction) -> None:
         match action:
             case Response():
                 peer.send(self._encoder.encode(action, peer.incremental, peer.understands_ttl))
--- /dev/null
+++ b/scalefall/control/transport/services.py
@@ -0,0 +1,8 @@
+"""The two kinds of control service that this transport serves."""
+
+from __future__ import annotations
+
+from scalefall.assignment.service import ShardedService
+from scalefall.control.service import ControlService
+
+AnyControlService = ControlService | ShardedService
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -125,7 +125,7 @@
     ],
 )
 def test_impossible_settings_name_their_key(path, value):
-    from scalefall.settings import read_settings
+    from scalefall.settings_reader import read_settings
 
     config = copy.deepcopy(CONFIG)
     *above, last = path.split(".")
@@ -146,7 +146,7 @@
     def fails(self, now, events):
         raise RuntimeError("seen in a test")
 
-    monkeypatch.setattr(adapter.Sender, "handle", fails)
+    monkeypatch.setattr(adapter.Engine, "handle", fails)
     assert host.batch(1, [ingress(1)]) == [["fault", "sender_0", "RuntimeError: seen in a test"]]
 
 
