--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -23,7 +23,7 @@
 MOVING_US, MOVING_STEP_US = 3 * SECOND, SECOND // 10  # after a move it is asked again at once for so long
 FORGET_US = 60 * SECOND  # an endpoint gone for so long is forgotten, or for as long as any message may take
 MOST_LIST = 1024 * 1024  # bytes of one object of the list, where the settings' memory allows no more
-# A change counts as told 6 s after discovery had it and could be reached: docs/design/crossings.md adds these up.
+# A change counts as told 6 s after discovery had it and could be reached: docs/design/races.md adds these up.
 SILENT_SPREAD_US = SECOND // 2  # within this a watch that fell silent is opened anew, and
 CLOSED_SPREAD_US = 2 * SECOND  # within this one that was heard and broke otherwise: not all senders in one moment
 AGAIN_US = SECOND // 20  # doubled by each try that fails, up to these, where lists are pushed and where asked for
