--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -7,7 +7,7 @@
 from scalefall.lab.classes import ANY
 from scalefall.lab.world import settings as world_settings
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Endpoint, EndpointStatus
 from scalefall.policy.settings import Settings
 
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -26,7 +26,7 @@
 from scalefall.lab.partner.model import Partner, Shape
 from scalefall.lab.proxy.contract import ASK_US, ATTEMPTS, Contract, Fall, Refuse, Send, given_up, may_repeat
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 from scalefall.policy.actions import RouteAllowance
 from scalefall.policy.events import Endpoint, EndpointReport, EndpointStatus, Outcome
 from scalefall.policy.settings import MessageClass, Settings
--- a/tests/control/test_configure.py
+++ b/tests/control/test_configure.py
@@ -6,7 +6,7 @@
 from scalefall.control.service import ControlService, ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.net.config import Fleet, RouteRules
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Endpoint, EndpointStatus
 
 S = 1_000_000
