--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from itertools import cycle
 from math import inf
-from typing import NamedTuple, TypeAlias
+from typing import TypeAlias
 
 from envoy.config.endpoint.v3 import load_report_pb2
 
@@ -41,12 +41,9 @@
 Stats: TypeAlias = load_report_pb2.UpstreamEndpointStats | load_report_pb2.UpstreamLocalityStats
 
 
-class EndpointAddress(NamedTuple):
-    """Where a load report finds an endpoint."""
-
-    route: int
-    host: str
-    port: int
+# Route, host and port, as a load report finds an endpoint. A plain tuple: a fleet has one for each endpoint, and each
+# row of a report makes one.
+EndpointAddress: TypeAlias = tuple[int, str, int]
 
 
 class LoadReportIndex:
@@ -64,7 +61,7 @@
         self._ids_by_zone: dict[tuple[int, str], list[str]] = {}
         for entry in entries:
             endpoint = entry.endpoint
-            self._ids[EndpointAddress(endpoint.destination, *entry.address)] = endpoint.id
+            self._ids[endpoint.destination, *entry.address] = endpoint.id
             self._ids_by_zone.setdefault((endpoint.destination, endpoint.zone), []).append(endpoint.id)
 
     @staticmethod
@@ -98,7 +95,7 @@
             return
         for row in locality.upstream_endpoint_stats:
             address = row.address.socket_address
-            endpoint = self._ids.get(EndpointAddress(route, address.address, address.port_value))
+            endpoint = self._ids.get((route, address.address, address.port_value))
             if endpoint is not None:
                 yield [endpoint], row
 
