--- a/scalefall/control/transport/stream_server.py
+++ b/scalefall/control/transport/stream_server.py
@@ -28,27 +28,28 @@
         """Return gRPC's handler of one kind of stream."""
 
         async def handle(_request_iterator: object, context: grpc.aio.ServicerContext) -> None:
-            await self._handle(context, serve)
+            peer = await self._admit(context)
+            writer = asyncio.create_task(peer.write_outgoing())
+            try:
+                end = await _serve_to_end(peer, serve)
+            finally:
+                writer.cancel()
+                self._driver.stream_closed(peer)
+            if end is not None:
+                _log_end(peer, end)
+                await context.abort(end.status, end.reason)
 
         return handle
 
-    async def _handle(self, context: grpc.aio.ServicerContext, serve: ServeStream) -> None:
+    async def _admit(self, context: grpc.aio.ServicerContext) -> Peer:
+        """Take in a stream; one that may not be opened is ended here, by the exception that abort() raises."""
         task = asyncio.current_task()
         assert task is not None  # gRPC runs each stream in a task of its own
         try:
-            peer = self._peers.admit(context, task)
+            return self._peers.admit(context, task)
         except StreamEndedError as refused:
             await context.abort(refused.end.status, refused.end.reason)
-            return  # not reached: abort raises
-        writer = asyncio.create_task(peer.write_outgoing())
-        try:
-            end = await _serve_to_end(peer, serve)
-        finally:
-            writer.cancel()
-            self._driver.stream_closed(peer)
-        if end is not None:
-            _log_end(peer, end)
-            await context.abort(end.status, end.reason)
+            raise  # not reached
 
 
 async def _serve_to_end(peer: Peer, serve: ServeStream) -> StreamEnd | None:
