--- a/scalefall/control/audit_rules.py
+++ b/scalefall/control/audit_rules.py
@@ -8,7 +8,7 @@
 
 from scalefall.control.audit_log import SECOND, LogRow, RowsByEvent, between, grouped
 
-DRAIN_US = SECOND  # after a drain, a call may begin for so long: the news is on its way to the proxies
+DRAIN_US = SECOND  # after a drain, a call may begin for so long: the change is on its way to the proxies
 ROUNDING_CALLS = 3  # calls beyond a window's capacity, as whole calls are counted
 NEVER = 1 << 62  # us: later than any row
 
--- a/scalefall/control/endpoint_health.py
+++ b/scalefall/control/endpoint_health.py
@@ -1,4 +1,4 @@
-"""What a proxy is told of each endpoint, from the decision module's allowances. No I/O, no clock."""
+"""What a proxy gets to know of each endpoint, from the decision module's allowances. No I/O, no clock."""
 
 from __future__ import annotations
 
--- a/scalefall/control/grant_division.py
+++ b/scalefall/control/grant_division.py
@@ -87,7 +87,7 @@
 
 
 def must_be_reduced(holder: HolderAccount, target: int, headroom: Headroom) -> bool:
-    """Whether a holder is to have less than it was granted, and is told so before others get more."""
+    """Whether a holder is to have less than it was granted, which goes out before others get more."""
     if target < holder.granted * (1 - MIN_RELATIVE_CHANGE):
         return True
     return target < holder.granted and headroom.is_exceeded
--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -192,10 +192,10 @@
         actions: list[StreamAction] = []
         watches = [self._watches[kind] for kind in RESOURCE_TYPES if kind in self._watches]
         for watch in watches:
-            if watch.window_is_open:
+            if watch.has_unsent and watch.window_is_open:
                 actions += self._send(watch)
         for watch in reversed(watches):
-            if watch.window_is_open:
+            if watch.pending and watch.window_is_open:
                 actions += self._remove(watch)
         return actions
 
@@ -212,7 +212,7 @@
         return [self._respond(watch, ready)]
 
     def _ready(self, watch: Watch) -> list[Resource]:
-        """The pending resources that may go out; names that turn out to need nothing are pending no more."""
+        """The pending resources that may go out; names that turn out to be unchanged are pending no more."""
         ready = []
         for name in list(watch.pending):
             resource = self._catalog.get((watch.type, name), self._node)
--- a/scalefall/control/watch.py
+++ b/scalefall/control/watch.py
@@ -51,6 +51,11 @@
         """Whether a response of the state of the world can say that a resource is removed."""
         return self.type in (LDS, CDS)
 
+    @property
+    def has_unsent(self) -> bool:
+        """Whether there may be anything to send: changes, or the first response."""
+        return bool(self.pending) or not self.was_answered
+
     @property
     def window_is_open(self) -> bool:
         """Whether another response may go out."""
@@ -161,7 +166,7 @@
         self.absent.discard(name)
 
     def record_removed(self, name: str) -> None:
-        """A name has no resource any more, and the client is told so."""
+        """A name has no resource any more, and the client gets to know it."""
         del self.pending[name]
         self.sent.pop(name, None)
         self.acknowledged.pop(name, None)
