--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -12,7 +12,7 @@
 from nethelp import MS, Calls, Peer, S, World, closed, reset, woken
 
 from scalefall.net import http, streams
-from scalefall.net.endpoint_list import Entry
+from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Outcome
 
 O = Outcome  # noqa: E741
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,7 +9,7 @@
 
 from scalefall.net import http
 from scalefall.net.config import ConfigError
-from scalefall.net.endpoint_list import read_list
+from scalefall.net.list_stream import read_list
 from scalefall.policy.settings import Idempotency
 
 
