--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -36,7 +36,7 @@
 
 WEIGHT_UNIT = 2**40  # the heaviest shard's load as a whole number: sums are exact, and the smallest differences count
 IDLE_FRACTION = 1 / 16  # of the mean shard's load: what an unmeasured shard counts; sixteen of them weigh as one
-SHRINK_FRACTION = 0.75  # holders are taken back when this part of them would do: loads measured twice differ by less
+SHRINK_FRACTION = 0.75  # holders are removed when this fraction of them would do: loads measured twice differ by less
 
 
 @dataclass(slots=True, frozen=True)
--- a/scalefall/assignment/shard_leases.py
+++ b/scalefall/assignment/shard_leases.py
@@ -56,10 +56,10 @@
         return True
 
     def join(self, holder: str) -> None:
-        """Do nothing: the service tells the coordinator, with the holder's node."""
+        """Do nothing: the service notifies the coordinator, with the holder's node."""
 
     def disconnected(self, holder: str) -> None:
-        """Do nothing: the service tells the coordinator."""
+        """Do nothing: the service notifies the coordinator."""
 
     def step(self, now: int) -> list[ShardGrant]:
         """Return the grants to send now."""
