--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -16,7 +16,7 @@
 from scalefall.lang.schema import BLOCKS, NAME, POLICY, Repeat, Setting
 from scalefall.lang.text import Problems, listed
 from scalefall.net.config import read_address
-from scalefall.net.endpoint_list import ListUpdate, read_list
+from scalefall.net.list_stream import ListUpdate, read_list
 from scalefall.policy.events import EndpointStatus
 from scalefall.policy.settings import MessageClass, Settings
 from scalefall.settings_reader import read_settings
