--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from scalefall.net.endpoint_list import Entry, ListUpdate, read_list
+from scalefall.net.list_stream import Entry, ListUpdate, read_list
 from scalefall.policy.settings import Settings
 from scalefall.settings_reader import read_settings
 
