--- a/scalefall/control/audit_grants.py
+++ b/scalefall/control/audit_grants.py
@@ -68,8 +68,8 @@
 
 def _expiry_acknowledged(grant: LogRow, acknowledged: LogRow, otherwise: int) -> int:
     """Until when a grant may be in use by what an acknowledgement of the same holder says; `otherwise` if nothing."""
-    says_something = acknowledged.at >= grant.at and acknowledged.number("number") >= grant.number("number")
-    if not says_something:
+    concerns_grant = acknowledged.at >= grant.at and acknowledged.number("number") >= grant.number("number")
+    if not concerns_grant:
         return otherwise
     is_this_one = acknowledged.number("number") == grant.number("number")
     return acknowledged.at + (grant.number("lease_ms") * 1000 if is_this_one else 0)
