--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -5,7 +5,7 @@
 import json
 import re
 from dataclasses import dataclass
-from typing import Any
+from typing import NotRequired, TypedDict
 
 from scalefall.errors import RemoteProtocolError
 from scalefall.policy.events import Endpoint, EndpointStatus
@@ -24,6 +24,33 @@
 TOKEN = re.compile(FLAT + b"|" + TEXT + rb'|[{}"]', re.DOTALL)  # a lone quotation mark: a text that has not all come
 SPACE = b" \t\r\n"
 
+EntryRow = TypedDict(  # one endpoint in discovery's JSON; `class` is no name that a class body could have
+    "EntryRow",
+    {
+        "host": str,
+        "dial": str,
+        "site": str,
+        "class": str,
+        "block": int,
+        "health": str,
+        "share": NotRequired[float],
+    },
+)
+
+
+class ListObject(TypedDict):
+    """One object of discovery's JSON, as it is meant to be: what has come is checked where it is read.
+
+    Attributes:
+        seq: The list's version.
+        whole: It is the whole list; else what has changed.
+        hosts: The endpoints.
+    """
+
+    seq: int
+    whole: NotRequired[bool]
+    hosts: list[EntryRow]
+
 
 class EndpointListError(RemoteProtocolError, ValueError):
     """A list of endpoints cannot be read; the text says what is wrong.
@@ -87,7 +114,7 @@
         """Whether no part of an object has come yet that is not whole."""
         return not self._text
 
-    def feed(self, data: bytes) -> list[Any]:
+    def feed(self, data: bytes) -> list[ListObject]:
         """Return the objects that are whole by now, parsed from JSON.
 
         Raises:
@@ -96,7 +123,7 @@
             RecursionError: Its arrays nest too deep.
         """
         self._text += data
-        found: list[Any] = []
+        found: list[ListObject] = []
         start = 0
         for token in TOKEN.finditer(self._text, self._scanned):
             text = token.group()
@@ -149,7 +176,7 @@
         return end
 
 
-def read_list(table: Any, strict: bool = True) -> ListUpdate:
+def read_list(table: ListObject, strict: bool = True) -> ListUpdate:
     """Return discovery's object as an update.
 
     Args:
@@ -183,7 +210,7 @@
     return ListUpdate(seq, bool(whole), entries, tuple(unread))
 
 
-def _id_of(row: Any) -> str:
+def _id_of(row: EntryRow) -> str:
     """Return the id of an entry that cannot be read; empty if not even that can."""
     endpoint_id = row.get("host") if isinstance(row, dict) else None
     return endpoint_id if isinstance(endpoint_id, str) else ""
@@ -196,7 +223,7 @@
     return f"missing or wrong value ({error!r})"
 
 
-def _read_entry(row: Any) -> Entry:
+def _read_entry(row: EntryRow) -> Entry:
     """Return one entry of discovery's list.
 
     Raises:
