--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -1,5 +1,4 @@
 """Every decision of a sender. A route has one limit and one pace: a destination, or an endpoint apart."""
-
 from __future__ import annotations
 
 import heapq
@@ -9,86 +8,63 @@
 from itertools import chain
 from math import ceil, inf, log2, sqrt
 
-from scalefall.policy.actions import (
-    Action,
-    CancelAttempt,
-    CloseIdleConnections,
-    Fail,
-    LogLine,
-    PollEndpointList,
-    RouteAllowance,
-    Send,
-    SetTimer,
-    Shed,
-)
-from scalefall.policy.events import (
-    AttemptFinished,
-    Endpoint,
-    EndpointListUpdate,
-    EndpointReport,
-    EndpointStatus,
-    Event,
-    LearnedRate,
-    ListUpdateKind,
-    Message,
-    MessageWithdrawn,
-    Outcome,
-    ShuttingDown,
-    TimerFired,
-)
+from scalefall.policy.actions import (Action, CancelAttempt, CloseIdleConnections, Fail, LogLine,
+                                      PollEndpointList, RouteAllowance, Send, SetTimer, Shed)
+from scalefall.policy.events import (AttemptFinished, Endpoint, EndpointListUpdate, EndpointReport,
+                                     EndpointStatus, Event, LearnedRate, ListUpdateKind, Message,
+                                     MessageWithdrawn, Outcome, ShuttingDown, TimerFired)
 from scalefall.policy.settings import Idempotency, MessageClass, Settings
 
 SECOND = 1_000_000
-BIN_US = 250_000  # the finest step of the request envelope
-BINS = 40  # T, the window of both envelopes, in steps: 10 s
-TAUS = (1, 2, 5, 10)  # the interval lengths tested, in steps, up to T/4
+BIN_US = 250_000            # the finest step of the request envelope
+BINS = 40                   # T, the window of both envelopes, in steps: 10 s
+TAUS = (1, 2, 5, 10)        # the interval lengths tested, in steps, up to T/4
 WINDOW_US = BIN_US * BINS
-QUANTILE = 1.645  # the 95th percentile of a Gaussian
-MOST_K = 8  # calls in one chain of overlaps that the service envelope follows
-FREE_COMPLETIONS = 5  # admission is free until a class has so many completions on the route
-MARGIN = 0.1  # share of the deadline that the delay target keeps back
-KEPT = 0.5  # a message that has lost more than this share of its worth goes behind
-LEAST_HELD = 4  # messages that a destination may always hold
-SMALL_LIMIT = 4.0  # calls a second that a destination takes at least, where no limit is told
-GROWTH = 0.1  # for each call that it allows, a pace that was cut grows by this share
-FIRST_RATE = 2.0  # calls a second that a pace is first cut from where the sender sends fewer
-UNUSED = 0.5  # share of a told limit that may be left by chance; of what is left beyond it
-TAKEN = 0.5  # a pace may have this share on top of its even part of the limit, and no more
-RISEN = 1.25  # a told limit that is so many times the one told before has risen, beyond noise
-RAMP_SHARE = 2 / 3  # of what the rule allows a cold route; with less no told senders break it
-QUESTIONS = 1  # calls that a sender sends to a route in doubt before its budget holds
-TRIAL_SHARE = (2 - QUESTIONS) / 3  # of the same, before a success (see _failed)
-SPREAD = 4  # times a told wait over which senders come back after it
-LATE = 3.0  # calls not yet told are at most 1 / (e * age) a sender: by then too few to matter
-ROUGH = 1.5  # times that a rough weight may be too high
-FEW = 20  # served calls at which a sender's part goes half by these, half by an even part
-RECENT_US = 2 * SECOND  # span over which the recent send rate is taken
-DEPTH_US = SECOND // 4  # the pace lets through at once what it gathers in this time
-TIMEOUT_TIMES = 4  # a call is overdue, or timed out, after so many times its high-percentile time
+QUANTILE = 1.645            # the 95th percentile of a Gaussian
+MOST_K = 8                  # calls in one chain of overlaps that the service envelope follows
+FREE_COMPLETIONS = 5        # admission is free until a class has so many completions on the route
+MARGIN = 0.1                # share of the deadline that the delay target keeps back
+KEPT = 0.5                  # a message that has lost more than this share of its worth goes behind
+LEAST_HELD = 4              # messages that a destination may always hold
+SMALL_LIMIT = 4.0           # calls a second that a destination takes at least, where no limit is told
+GROWTH = 0.1                # for each call that it allows, a pace that was cut grows by this share
+FIRST_RATE = 2.0            # calls a second that a pace is first cut from where the sender sends fewer
+UNUSED = 0.5                # share of a told limit that may be left by chance; of what is left beyond it
+TAKEN = 0.5                 # a pace may have this share on top of its even part of the limit, and no more
+RISEN = 1.25                # a told limit that is so many times the one told before has risen, beyond noise
+RAMP_SHARE = 2 / 3          # of what the rule allows a cold route; with less no told senders break it
+QUESTIONS = 1               # calls that a sender sends to a route in doubt before its budget holds
+TRIAL_SHARE = (2 - QUESTIONS) / 3   # of the same, before a success (see _failed)
+SPREAD = 4                  # times a told wait over which senders come back after it
+LATE = 3.0                  # calls not yet told are at most 1 / (e * age) a sender: by then too few to matter
+ROUGH = 1.5                 # times that a rough weight may be too high
+FEW = 20                    # served calls at which a sender's part goes half by these, half by an even part
+RECENT_US = 2 * SECOND      # span over which the recent send rate is taken
+DEPTH_US = SECOND // 4      # the pace lets through at once what it gathers in this time
+TIMEOUT_TIMES = 4           # a call is overdue, or timed out, after so many times its high-percentile time
 LEAST_TIMEOUT_US = SECOND // 2  # and never before this
-UNKNOWN_SHARE = 4  # before there are figures, a call is given this part of its class's deadline
-RETRY_US = SECOND // 5  # first pause before a message goes out again after a failure
-ASKED_US = SECOND // 5  # a sender's part of the directory's time, which fails what waits too long
-ASK_IN = (0.9, 3.6)  # times the time for asking: it is four times as long after a call that failed
-KNOWN_US = 60 * SECOND  # so long after a start what the process before knew counts
-FORGET_US = 60 * SECOND  # a destination with no endpoint for so long is forgotten, with its pace
-CAPPED_US = 2 * SECOND  # an endpoint that served so lately and turns a connection away has too many
+UNKNOWN_SHARE = 4           # before there are figures, a call is given this part of its class's deadline
+RETRY_US = SECOND // 5      # first pause before a message goes out again after a failure
+ASKED_US = SECOND // 5      # a sender's part of the directory's time, which fails what waits too long
+ASK_IN = (0.9, 3.6)         # times the time for asking: it is four times as long after a call that failed
+KNOWN_US = 60 * SECOND      # so long after a start what the process before knew counts
+FORGET_US = 60 * SECOND     # a destination with no endpoint for so long is forgotten, with its pace
+CAPPED_US = 2 * SECOND      # an endpoint that served so lately and turns a connection away has too many
 TIMER_WAKE, TIMER_ASK = 1, 2
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class Envelope:
     """Request and service envelope of one class on one route (the paper's 4.1 and 4.2)."""
-
     __slots__ = ("bins", "bin", "total", "sigma", "calls", "samples", "sums", "prior")
 
     def __init__(self, prior: Envelope | None = None) -> None:
         self.prior = prior
-        self.bins: list[int] = [0] * BINS  # admissions for each step, newest last
+        self.bins: list[int] = [0] * BINS            # admissions for each step, newest last
         self.bin, self.total, self.sigma = 0, 0, [0.0] * len(TAUS)
-        self.calls: deque[list[int]] = deque(maxlen=4 * MOST_K)  # [start, end or 0] in order of start
-        self.samples: deque[tuple[int, int, int]] = deque()  # (when, k, time to serve k)
-        self.sums: dict[int, list[float]] = {}  # k: [number, sum, sum of squares], in seconds
+        self.calls: deque[list[int]] = deque(maxlen=4 * MOST_K)   # [start, end or 0] in order of start
+        self.samples: deque[tuple[int, int, int]] = deque()       # (when, k, time to serve k)
+        self.sums: dict[int, list[float]] = {}    # k: [number, sum, sum of squares], in seconds
 
     def roll(self, now: int) -> None:
         steps = now // BIN_US - self.bin
@@ -98,7 +74,7 @@
             self.total = sum(self.bins)
             for n, tau in enumerate(TAUS if self.total else ()):
                 mean = self.total * tau / BINS
-                squares = sum((sum(self.bins[at : at + tau]) - mean) ** 2 for at in range(0, BINS, tau))
+                squares = sum((sum(self.bins[at:at + tau]) - mean) ** 2 for at in range(0, BINS, tau))
                 self.sigma[n] = sqrt(squares / (BINS // tau - 2))
         while self.samples and self.samples[0][0] < now - WINDOW_US:
             _, k, took = self.samples.popleft()
@@ -184,27 +160,26 @@
     destination: int
     due: int
     seq: int
-    most: int  # attempts
+    most: int                   # attempts
     key: str | None
     admitted: bool = False
     attempts: int = 0
-    call: Call | None = None  # the attempt that is out
+    call: Call | None = None    # the attempt that is out
     mark: list[int] | None = None
-    ran_at: int = -1  # send of the first attempt that may have run
-    ran_zone: str = ""  # the zone that it must keep to since
+    ran_at: int = -1            # send of the first attempt that may have run
+    ran_zone: str = ""          # the zone that it must keep to since
     not_before: int = 0
 
 
 @dataclass(slots=True)
 class Call:
     """One call out; it holds a slot until the last of its messages has its outcome."""
-
     server: Server
     sent: int
     open: int = 0
     carried: int = 0
     judged: bool = False
-    doubted: bool = False  # counted as a failure since it is overdue
+    doubted: bool = False       # counted as a failure since it is overdue
     called_off: bool = False
     overdue_at: int = 0
 
@@ -212,13 +187,12 @@
 @dataclass(slots=True)
 class Guard:
     """Stands over a route, or over one endpoint whose neighbours serve, from a failure until it is warm."""
-
-    doubts: int = 0  # failures in a row; 0: off; above QUESTIONS its budget holds
-    part: float = 0.0  # calls a second, this sender's part of what a warm one takes
-    since: int = -1  # when the last of these was told
-    late: int = 0  # by then all but a few senders have been told
+    doubts: int = 0             # failures in a row; 0: off; above QUESTIONS its budget holds
+    part: float = 0.0           # calls a second, this sender's part of what a warm one takes
+    since: int = -1             # when the last of these was told
+    late: int = 0               # by then all but a few senders have been told
     last_ok: int = -1
-    warm_from: int = -1  # the first success after the last failure
+    warm_from: int = -1         # the first success after the last failure
     next_call: int = 0
 
 
@@ -244,17 +218,17 @@
     sent: deque[int] = field(default_factory=deque)
     served: deque[int] = field(default_factory=deque)
     guard: Guard = field(default_factory=Guard)
-    top: float = inf  # the most that the pace may reach, where answers tell the limit
-    grown_at: int = 0  # when it last grew by what answers tell is left
-    limit: float = 0.0  # calls a second from all senders, where it is told
-    known: float = 0.0  # part of the process before
+    top: float = inf            # the most that the pace may reach, where answers tell the limit
+    grown_at: int = 0           # when it last grew by what answers tell is left
+    limit: float = 0.0          # calls a second from all senders, where it is told
+    known: float = 0.0          # part of the process before
 
 
 @dataclass(slots=True)
 class Destination:
     number: int
-    wake: int = -1  # the next look that is planned
-    left: int = 0  # when it was first heard of, or an endpoint of it last went
+    wake: int = -1              # the next look that is planned
+    left: int = 0               # when it was first heard of, or an endpoint of it last went
     routes: dict[str, Route] = field(default_factory=dict)
     waiting: dict[str, Held] = field(default_factory=dict)
 
@@ -272,7 +246,7 @@
         self.set, self.random = settings, random.Random(seed)
         self.now = self.seq = self.calls_out = self.ask_fails = 0
         self.timer_at = self.started = -1
-        self.ends_at: float = inf  # the process ends then, on purpose
+        self.ends_at: float = inf        # the process ends then, on purpose
         self.actions: list[Action] = []
         self.held: dict[str, Held] = {}
         self.attempts_out: dict[tuple[str, int], tuple[Held, Call]] = {}
@@ -280,13 +254,13 @@
         self.servers: dict[str, Server] = {}
         self.keys: dict[str, Key] = {}
         self.wide: dict[str, Envelope] = {}
-        self.capped: dict[str, int] = {}  # until when idle connections are closed there
-        self.touched: dict[int, Destination] = {}  # what this turn's events have changed
-        self.starved: dict[int, Destination] = {}  # what waits for a slot
-        self.wakes: list[tuple[int, int]] = []  # when a destination is to be looked at again
-        self.due: list[tuple[int, int, str]] = []  # when a message is to be looked at again
+        self.capped: dict[str, int] = {}    # until when idle connections are closed there
+        self.touched: dict[int, Destination] = {}    # what this turn's events have changed
+        self.starved: dict[int, Destination] = {}    # what waits for a slot
+        self.wakes: list[tuple[int, int]] = []       # when a destination is to be looked at again
+        self.due: list[tuple[int, int, str]] = []    # when a message is to be looked at again
         self.turn_calls: dict[str, Call] = {}
-        self.targets: dict[str, int] = {}  # by class, like what follows, as it was when last handed in
+        self.targets: dict[str, int] = {}    # by class, like what follows, as it was when last handed in
         self.keeps: dict[str, int] = {}
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
@@ -355,11 +329,8 @@
 
     def learned_rates(self) -> list[LearnedRate]:
         """What a later process of this sender should know; to be asked at any time."""
-        return [
-            LearnedRate(d.number, name, r.guard.part if r.guard.doubts else self._part(r), r.limit)
-            for d in self.destinations.values()
-            for name, r in d.routes.items()
-        ]
+        return [LearnedRate(d.number, name, r.guard.part if r.guard.doubts else self._part(r), r.limit)
+                for d in self.destinations.values() for name, r in d.routes.items()]
 
     def _new_server(self, entry: Endpoint) -> Server:
         destination = self._destination(entry.destination)
@@ -384,12 +355,9 @@
         destination.left = self.now
 
     def _needed(self, number: int) -> bool:
-        return (
-            any(route.servers for route in self.destinations[number].routes.values())
-            or number in self.touched
-            or number in self.starved
-            or any(message.destination == number for message in self.held.values())
-        )
+        return (any(route.servers for route in self.destinations[number].routes.values())
+                or number in self.touched or number in self.starved
+                or any(message.destination == number for message in self.held.values()))
 
     def _destination(self, number: int) -> Destination:
         return self.destinations.setdefault(number, Destination(number, left=self.now))
@@ -403,16 +371,8 @@
             return
         self.seq += 1
         most = self.set.attempts.get(event.destination, self.set.max_attempts)
-        message = Held(
-            event.id,
-            cls,
-            event.destination,
-            event.due_us,
-            self.seq,
-            most,
-            event.ordering_key if cls.ordered else None,
-            attempts=event.attempts,
-        )
+        message = Held(event.id, cls, event.destination, event.due_us, self.seq, most,
+                       event.ordering_key if cls.ordered else None, attempts=event.attempts)
         self.targets[cls.name], self.keeps[cls.name] = int(cls.deadline_us * (1 - MARGIN)), self._keeps(cls)
         if event.may_have_run_at_us is not None:
             message.ran_at = max(0, event.may_have_run_at_us)
@@ -422,7 +382,7 @@
         if message.key is not None:
             self.keys.setdefault(message.key, Key()).queue.append(message.id)
         self.touched[destination.number] = destination
-        if self._spent(message) or self._late_at(message) <= self.now:  # as after a restart
+        if self._spent(message) or self._late_at(message) <= self.now:     # as after a restart
             self._give_up(message)
             return
         self._watch(message)
@@ -440,9 +400,8 @@
             own = self._envelope(route, message.cls.name)
             for name, envelope in route.envelopes.items():
                 envelope.roll(self.now)
-                if not (
-                    own.passes(target, 1.0) if envelope is own else envelope.passes(self.targets[name], 1.0, target)
-                ):
+                if not (own.passes(target, 1.0) if envelope is own else
+                        envelope.passes(self.targets[name], 1.0, target)):
                     break
             else:
                 own.admitted(self.now)
@@ -480,15 +439,10 @@
                 self.touched[number] = self.destinations[number]
         self._free_slots()
         shut: set[int | tuple[int, str]] = set()
-        for message in sorted(
-            chain.from_iterable(d.waiting.values() for d in self.touched.values()), key=self._urgency
-        ):
-            if (
-                message.destination in shut
-                or (message.destination, message.cls.name) in shut
-                or message.not_before > self.now
-                or not self._in_turn(message)
-            ):
+        for message in sorted(chain.from_iterable(d.waiting.values() for d in self.touched.values()),
+                              key=self._urgency):
+            if message.destination in shut or (message.destination, message.cls.name) in shut \
+                    or message.not_before > self.now or not self._in_turn(message):
                 continue
             if not self._admit(message):
                 shut.add((message.destination, message.cls.name))
@@ -569,11 +523,8 @@
         if self.calls_out < self.set.call_slots or not self.set.cancelling:
             return
         wanted = sum(1 for d in chain(self.starved.values(), self.touched.values()) if d.waiting)
-        late = [
-            (call.overdue_at, *attempt)
-            for attempt, (message, call) in self.attempts_out.items()
-            if call.overdue_at <= self.now and not call.called_off and message.id in self.held
-        ]
+        late = [(call.overdue_at, *attempt) for attempt, (message, call) in self.attempts_out.items()
+                if call.overdue_at <= self.now and not call.called_off and message.id in self.held]
         for _, message_id, attempt in sorted(late)[:wanted]:
             self.attempts_out[message_id, attempt][1].called_off = True
             self.actions.append(CancelAttempt(message_id, attempt))
@@ -582,9 +533,8 @@
         if message.key is None:
             return True
         key = self.keys[message.key]
-        return (
-            key.queue[0] == message.id and not key.out and (key.rests_until <= self.now or key.rests_for == message.id)
-        )
+        return (key.queue[0] == message.id and not key.out
+                and (key.rests_until <= self.now or key.rests_for == message.id))
 
     def _choose(self, message: Held) -> Server | None:
         open_to: list[Server] = []
@@ -605,10 +555,8 @@
 
     def _in_time(self, route: Route, message: Held) -> bool:
         """Before the process ends, only what may be over by then: a call out at its end may have run."""
-        return (
-            self.ends_at == inf
-            or self.now + self._expected(self._envelope(route, message.cls.name), message.cls) <= self.ends_at
-        )
+        return self.ends_at == inf or \
+            self.now + self._expected(self._envelope(route, message.cls.name), message.cls) <= self.ends_at
 
     def _rank(self, server: Server) -> tuple[bool, int, bool, float, float]:
         """Ties are broken at random: by list order all senders would meet at the same endpoint."""
@@ -637,7 +585,7 @@
         """The one whose budget a call draws from: the route's while it is on, for all its endpoints."""
         for guard in (route.guard, server.guard):
             if guard.doubts and 0 <= guard.warm_from <= self.now - self.set.slow_start_us:
-                guard.doubts, guard.warm_from, route.tokens = 0, -1, 0.0  # no burst
+                guard.doubts, guard.warm_from, route.tokens = 0, -1, 0.0    # no burst
                 route.rate = min(route.rate, max(self._even_part(route), route.guard.part, guard.part))
         return route.guard if route.guard.doubts else server.guard
 
@@ -714,7 +662,7 @@
         self.touched[message.destination] = self.destinations[message.destination]
         if message.key is not None:
             self._key_outcome(message, event.outcome)
-        if event.retry_after_us:  # each outcome tells its own, also the later ones of a call already judged
+        if event.retry_after_us:   # each outcome tells its own, also the later ones of a call already judged
             route = call.server.route
             route.silent_until = max(route.silent_until, self.now + event.retry_after_us)
         self._close(call)
@@ -755,23 +703,17 @@
         if server is not None:
             server.route.sent.append(self.now)
             self._trim(server.route.sent, RECENT_US)
-            self._tokens(server.route)  # a pace that was cut grows with the calls that it allows
+            self._tokens(server.route)      # a pace that was cut grows with the calls that it allows
             server.route.silent_until = max(server.route.silent_until, self.now + event.retry_after_us)
             self._judge(Call(server, event.sent_us), event)
 
     def allowances(self, among: set[int] | None = None) -> list[RouteAllowance]:
         """What all proxies together may send on each route, of some destinations or of all; after a turn."""
-        return [
-            RouteAllowance(
-                n,
-                name,
-                {s.entry.id: self._budget(self._guard(r, s)) for s in r.servers if s.ready},
-                min(r.rate, self._budget(r.guard)),
-                r.silent_until,
-            )
-            for n in (self.destinations if among is None else self.destinations.keys() & among)
-            for name, r in self.destinations[n].routes.items()
-        ]
+        return [RouteAllowance(n, name,
+                               {s.entry.id: self._budget(self._guard(r, s)) for s in r.servers if s.ready},
+                               min(r.rate, self._budget(r.guard)), r.silent_until)
+                for n in (self.destinations if among is None else self.destinations.keys() & among)
+                for name, r in self.destinations[n].routes.items()]
 
     def _budget(self, guard: Guard) -> float:
         return inf if not guard.doubts else 0.0 if guard.next_call > self.now else SECOND / self._gap(guard)
@@ -805,11 +747,8 @@
         elif outcome is Outcome.CONNECT_FAILED and server.guard.last_ok >= max(0, self.now - CAPPED_US):
             self.capped[server.entry.id] = self.now + CAPPED_US
         # Above its limit a partner tells the rest of a span or less; that is no sign of an outage.
-        above = (
-            outcome is Outcome.OVERLOADED
-            and route.limit > 0
-            and 0 < event.retry_after_us <= self.set.overload_window_us
-        )
+        above = (outcome is Outcome.OVERLOADED and route.limit > 0
+                 and 0 < event.retry_after_us <= self.set.overload_window_us)
         if outcome not in (Outcome.OK, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED) and not above:
             self._failed(call, event.retry_after_us)
 
@@ -896,7 +835,7 @@
             message.ran_zone = call.server.entry.zone if message.cls.key_scope_zone else ""
         if outcome in MAY_HAVE_RUN or outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTIONS_EXHAUSTED):
             message.not_before = self.now + int(RETRY_US * message.attempts * self.random.uniform(0.5, 1.5))
-        if self._late_at(message) <= self.now or self._spent(message):  # its key's time may be up by now
+        if self._late_at(message) <= self.now or self._spent(message):    # its key's time may be up by now
             self._give_up(message)
             return
         self.destinations[message.destination].waiting[message.id] = message
@@ -905,18 +844,15 @@
 
     def _spent(self, message: Held) -> bool:
         """No further attempt is allowed; before a restart it may have run too."""
-        return message.attempts >= message.most or (
-            message.ran_at >= 0 and message.cls.idempotency is Idempotency.NOT_IDEMPOTENT
-        )
+        return (message.attempts >= message.most
+                or (message.ran_at >= 0 and message.cls.idempotency is Idempotency.NOT_IDEMPOTENT))
 
     # -- final answers
 
     def _give_up(self, message: Held) -> None:
         harmless = message.call is None and (
-            message.ran_at < 0
-            or message.cls.idempotency is Idempotency.IDEMPOTENT
-            or (message.cls.idempotency is Idempotency.WITH_KEY and not message.cls.key_scope_zone)
-        )
+            message.ran_at < 0 or message.cls.idempotency is Idempotency.IDEMPOTENT
+            or (message.cls.idempotency is Idempotency.WITH_KEY and not message.cls.key_scope_zone))
         if harmless:
             self._refuse(message)
         else:
