--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -1,7 +1,7 @@
 """The watch on discovery's list of endpoints: a stream of lists that is opened again whenever it breaks.
 
 A change counts as told 6 s after discovery had it and could be reached. The times here are chosen so that they add up
-to less, whatever failed on the way: docs/design/crossings.md has the sums.
+to less, whatever failed on the way: docs/design/races.md has the sums.
 """
 
 from __future__ import annotations
