--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -71,14 +71,14 @@
     def report_failed(self, message_id: str, due_us: int = 0) -> None:
         """Log that a message was given up."""
         fields = {"id": message_id, "state": "failed"}
-        log.warning("notice: %s failed", message_id, extra={"fields": fields})
+        log.warning("delivery report: %s failed", message_id, extra={"fields": fields})
         self._delivered(message_id)
 
     def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:
         """Log that a message may be submitted again, and when."""
         fields = {"id": message_id, "state": "returned", "after_ms": retry_after_ms}
         log.warning(
-            "notice: %s returned, to come back after %d ms", message_id, retry_after_ms, extra={"fields": fields}
+            "delivery report: %s returned, retry after %d ms", message_id, retry_after_ms, extra={"fields": fields}
         )
         self._delivered(message_id)
 
@@ -216,7 +216,7 @@
         finally:
             del self._posts[post]
         elapsed_ms = (self._scheduler.now() - started) // MS
-        debug_event("notices: %s after %d ms: %d", " ".join(post.message_ids), elapsed_ms, status)
+        debug_event("delivery reports: %s after %d ms: %d", " ".join(post.message_ids), elapsed_ms, status)
         if status == NO_CONTENT:
             self._confirm(post.message_ids)
         elif status == BAD_REQUEST:
@@ -236,7 +236,7 @@
         """Send one report at a time, and one that the platform cannot read after the others: it must not block them."""
         self._max_lines = 1
         if len(message_ids) == 1 and message_ids[0] in self._reports:
-            log.error("notice for %s cannot be read by the platform; tried again behind the others", message_ids[0])
+            log.error("delivery report unreadable for the platform, retried after the others: %s", message_ids[0])
             self._reports[message_ids[0]].due_us = max(report.due_us for report in self._reports.values()) + 1
 
     def _post(self, body: bytes) -> int:
@@ -261,7 +261,7 @@
         now = self._scheduler.now()
         if now >= self._logged_at + LOG_INTERVAL_US:
             self._logged_at = now
-            log.warning("notices: %d not delivered (%s), trying again", len(self._reports), error)
+            log.warning("delivery reports: %d not delivered, retrying: %s", len(self._reports), error)
 
     def _exchange(self, sock: socket.socket | None, body: bytes) -> int:
         """Post a body over an idle connection, or else over a new one; the answer's status.
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -225,7 +225,7 @@
         try:
             _write_all(self._file, framed)
         except OSError as error:
-            log.error("journal: cannot write (%s)", error)
+            log.error("journal: write failed: %s", error)
             self._truncate(self._size)  # half a record in the middle would hide all that follows
             return False
         self._size += len(framed)
@@ -235,14 +235,14 @@
         try:
             os.ftruncate(self._file, size)
         except OSError as error:
-            log.error("journal: cannot cut (%s)", error)
+            log.error("journal: truncation failed: %s", error)
 
     def compact(self) -> bool:
         """Replace the file by a copy that holds what is pending and nothing else; False if that cannot be written."""
         try:
             copy = self._write_copy()
         except OSError as error:
-            log.error("journal: cannot compact (%s)", error)
+            log.error("journal: compaction failed: %s", error)
             self._remove_copy()
             return False
         os.close(self._file)
@@ -281,16 +281,16 @@
             for record, end in journal_records.read_records(data):  # noqa: B007 - used behind the loop
                 self._replay(record)
         except RecordError as error:
-            log.error("journal: a record cannot be read (%s)", error)
+            log.error("journal: unreadable record: %s", error)
         if end < len(data):
-            log.warning("journal: torn tail of %d bytes cut", len(data) - end)
+            log.warning("journal: torn tail cut: %d bytes", len(data) - end)
             self._truncate(end)
         return end
 
     def _start_anew(self, foreign_bytes: int) -> int:
         """Drop what the file holds, which is no journal; the file's size afterwards."""
         if foreign_bytes:
-            log.error("journal: not one of ours, or its head is torn; %d bytes are thrown away", foreign_bytes)
+            log.error("journal: file is no journal, started anew: %d bytes dropped", foreign_bytes)
         self._truncate(0)
         os.write(self._file, FILE_HEADER)
         return len(FILE_HEADER)
--- a/scalefall/net/learned_rates.py
+++ b/scalefall/net/learned_rates.py
@@ -60,7 +60,7 @@
     try:
         replace_file(os.path.join(folder, FILE_NAME), ("\n".join(lines) + "\n").encode("ascii"))
     except OSError as error:
-        log.error("learned rates: cannot write (%s)", error)
+        log.error("learned rates: write failed: %s", error)
 
 
 def _lines(rates: list[LearnedRate], limit_bytes: int, wall_us: int, yield_control: Callable[[], object]) -> list[str]:
@@ -98,7 +98,7 @@
     except FileNotFoundError:
         return []
     except (OSError, ValueError, TypeError, RecursionError) as error:
-        log.warning("learned rates: cannot be read (%s)", error)
+        log.warning("learned rates: unreadable: %s", error)
         return []
 
 
--- a/scalefall/net/maintenance_store.py
+++ b/scalefall/net/maintenance_store.py
@@ -33,7 +33,7 @@
         except FileNotFoundError:
             return set()
         except (OSError, ValueError, RecursionError, StorageError) as error:
-            log.error("maintenance: cannot be read (%s); no endpoint is out", error)
+            log.error("maintenance: unreadable, no endpoint is in maintenance: %s", error)
             return set()
 
     def save(self, endpoints: set[str]) -> bool:
@@ -45,12 +45,12 @@
         """
         data = json.dumps(sorted(endpoints)).encode()
         if len(data) > self.reserved_bytes // 2 - BLOCK_BYTES:
-            log.error("maintenance: no room for %d names", len(endpoints))
+            log.error("maintenance: no capacity for so many endpoints: %d", len(endpoints))
             return False
         try:
             replace_file(self._path, data)
         except OSError as error:
-            log.error("maintenance: cannot write (%s)", error)
+            log.error("maintenance: write failed: %s", error)
             return False
         return True
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -259,7 +259,7 @@
     ):
         (tmp_path / "paces").write_bytes(torn)
         assert learned_rates.load(tmp_path, room, 10**15) == []
-    assert "learned rates: cannot be read" in caplog.text
+    assert "learned rates: unreadable" in caplog.text
 
 
 def test_a_record_of_the_version_before_is_read_and_one_of_this_version_is_no_less_careful_there(tmp_path):
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -232,7 +232,9 @@
         assert not sender.journal.pending
 
     world.play(play)
-    assert [r.fields["id"] for r in caplog.records if r.getMessage().startswith("notice: m1 returned")] == ["m1"]
+    assert [r.fields["id"] for r in caplog.records if r.getMessage().startswith("delivery report: m1 returned")] == [
+        "m1"
+    ]
 
 
 def test_a_thread_that_ends_early_wakes_nobody_by_mistake():
