--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -1,8 +1,8 @@
-"""A control instance in the model: `control.service.Service` and the builders of `control/transport`, without gRPC.
+"""A control instance in the model: `control.service.ControlService` and `control/transport`'s messages, without gRPC.
 
-It does what control/transport/server.py does between its sockets and the service: messages are parsed from bytes and
-made into bytes, a stream is read no faster than its bucket allows, and turns come when the service asks for them. What
-it leaves out: certificates, the durable folder, and the limits of streams and waiting messages.
+It does what control/transport does between its sockets and the service: messages are parsed from bytes and made into
+bytes, a stream is read no faster than its bucket allows, and steps are run when the service asks for them. What it
+leaves out: certificates, the state directory, and the limits of streams and waiting messages.
 """
 
 from __future__ import annotations
