--- a/scalefall/net/final_answers.py
+++ b/scalefall/net/final_answers.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.delivery_request import DeliveryRequest, GivenUp, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.journal import Journal
@@ -26,7 +26,7 @@
         self,
         tracker: DeliveryTracker,
         journal: Journal,
-        delivery_reports: DeliveryReports | LoggedDeliveryReports,
+        delivery_reports: DeliveryReporter,
         routes: RouteTable,
     ) -> None:
         """Give answers for the messages of this tracker.
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from scalefall.net.deadline_watch import DeadlineWatch
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.event_queue import EventQueue
@@ -31,7 +31,7 @@
         tracker: DeliveryTracker,
         deadline_watch: DeadlineWatch,
         journal: Journal,
-        delivery_reports: DeliveryReports | LoggedDeliveryReports,
+        delivery_reports: DeliveryReporter,
         wall_offset_us: int,
     ) -> None:
         """Recover into these parts.
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from scalefall.net.config import Config, ConfigError, Fleet
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.logs import log
 from scalefall.net.route_table import RouteTable
@@ -35,7 +35,7 @@
         self,
         settings: Settings,
         endpoint_list: DiscoveryList,
-        delivery_reports: DeliveryReports | LoggedDeliveryReports,
+        delivery_reports: DeliveryReporter,
     ) -> None:
         """Reload into these parts.
 
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -13,7 +13,7 @@
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
 from scalefall.net.config import Address, Config
 from scalefall.net.deadline_watch import DeadlineWatch
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_reports import DeliveryReporter, DeliveryReports, LoggedDeliveryReports
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.endpoint_list import EndpointList
@@ -166,7 +166,7 @@
         reloader.apply_routes(config.fleet)
         return static_list, reloader
 
-    def _make_delivery_reports(self) -> DeliveryReports | LoggedDeliveryReports:
+    def _make_delivery_reports(self) -> DeliveryReporter:
         """Make what tells the platform of messages that were given up; without a platform that is the log."""
         platform = self.config.discovery or self.config.reports
         if platform is None:
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -8,7 +8,7 @@
 from scalefall.net.admin import AdminServer
 from scalefall.net.admission import Admission
 from scalefall.net.attempts import Attempts
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
 from scalefall.net.logs import log
@@ -43,7 +43,7 @@
         admission: Admission,
         ingress: Front,
         attempts: Attempts,
-        delivery_reports: DeliveryReports | LoggedDeliveryReports,
+        delivery_reports: DeliveryReporter,
         rate_keeper: RateKeeper,
         admin_server: AdminServer | None,
     ) -> None:
