--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -51,11 +51,11 @@
 def fill_state(folder):
     """Take on messages until the folder takes no more, and write attempts until the file is as long as it may be: each
     has one or more that may have run, some have one that is out. Gives back how many messages."""
-    room, wall = learned_rates.reserved_bytes(DISK_BYTES), time.time_ns() // 1000
-    learned_rates.save(folder, room, [LearnedRate(number, "", 1.0, 5.0) for number in range(LIST)], wall)
-    journal, taken = Journal(str(folder), DISK_BYTES - room), 0
-    while journal.record_accepted(_message(taken, wall)):
-        taken += 1
+    limit, wall = learned_rates.reserved_bytes(DISK_BYTES), time.time_ns() // 1000
+    learned_rates.save(folder, limit, [LearnedRate(number, "", 1.0, 5.0) for number in range(LIST)], wall)
+    journal, accepted = Journal(str(folder), DISK_BYTES - limit), 0
+    while journal.record_accepted(_message(accepted, wall)):
+        accepted += 1
     for name in cycle(list(journal.pending)):
         if journal.unused_bytes < SPARE:
             break
@@ -63,15 +63,15 @@
             journal.record_attempt_finished(name, True)
         journal.record_attempt_started([name], wall, "here")
     journal.close()
-    return taken
+    return accepted
 
 
 def _message(number, wall):
     name, idempotency = CLASSES[number % len(CLASSES)]
     key = f"k{number}" if idempotency is Idempotency.WITH_KEY else None
-    ttl = 6_000_000 if idempotency is Idempotency.WITH_KEY else 0
+    key_ttl_us = 6_000_000 if idempotency is Idempotency.WITH_KEY else 0
     return PendingDelivery(
-        f"m{number}", name, number % LIST, wall + TIME_US, key, b"body", idempotency=idempotency, key_ttl_us=ttl
+        f"m{number}", name, number % LIST, wall + TIME_US, key, b"body", idempotency=idempotency, key_ttl_us=key_ttl_us
     )
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -15,10 +15,10 @@
 from scalefall.policy.events import LearnedRate
 from scalefall.policy.settings import Idempotency
 
-MOST = 400_000
+LIMIT_BYTES = 400_000
 
 
-def owed(name, body=b"body", key=None, idempotency=None):
+def pending_delivery(name, body=b"body", key=None, idempotency=None):
     return PendingDelivery(
         name,
         "fee-order",
@@ -32,11 +32,11 @@
     )
 
 
-def used(folder):
+def used_bytes(folder):
     return sum(-(-os.path.getsize(os.path.join(folder, name)) // 512) * 512 for name in os.listdir(folder))
 
 
-def plain(book):
+def without_sizes(journal):
     """What a journal owes, without its book-keeping of sizes."""
     return {
         name: (
@@ -51,17 +51,17 @@
             o.key_scope_zone,
             not o.final_answer and o.key_ttl_us,
         )
-        for name, o in book.items()
+        for name, o in journal.items()
     }
 
 
-class Life(RuleBasedStateMachine):
+class JournalMachine(RuleBasedStateMachine):
     """Random records; at any time the process may die, half a record may be lost, and all must be there again."""
 
     @initialize()
     def start(self):
         self.folder, self.model, self.number = tempfile.mkdtemp(), {}, 0
-        self.journal = Journal(self.folder, MOST)
+        self.journal = Journal(self.folder, LIMIT_BYTES)
 
     def some(self, data, **wanted):
         names = [n for n, o in self.model.items() if all(getattr(o, k) == v for k, v in wanted.items())]
@@ -75,10 +75,10 @@
     def record_accepted(self, size, key, idempotency):
         self.number += 1
         name, body = f"m{self.number}", os.urandom(size)
-        if self.journal.record_accepted(owed(name, body, key, idempotency)):
-            self.model[name] = owed(name, body, key, idempotency)
+        if self.journal.record_accepted(pending_delivery(name, body, key, idempotency)):
+            self.model[name] = pending_delivery(name, body, key, idempotency)
         else:
-            assert sum(len(o.body) for o in self.model.values()) + size > MOST // 2 - 100_000, "there was room"
+            assert sum(len(o.body) for o in self.model.values()) + size > LIMIT_BYTES // 2 - 100_000, "there was room"
 
     @rule(data=st.data(), zone=st.sampled_from(["a", "zone-b"]))
     def begin(self, data, zone):
@@ -132,12 +132,15 @@
         if half:
             with open(os.path.join(self.folder, "journal.new"), "wb") as file:
                 file.write(torn)
-        self.journal = Journal(self.folder, MOST)
+        self.journal = Journal(self.folder, LIMIT_BYTES)
 
     @invariant()
     def all_is_kept_within_the_limit(self):
         if hasattr(self, "journal"):
-            assert plain(self.journal.pending) == plain(self.model) and used(self.folder) <= MOST
+            assert (
+                without_sizes(self.journal.pending) == without_sizes(self.model)
+                and used_bytes(self.folder) <= LIMIT_BYTES
+            )
 
     def teardown(self):
         if hasattr(self, "journal"):
@@ -145,53 +148,57 @@
             shutil.rmtree(self.folder)
 
 
-Life.TestCase.settings = settings(max_examples=40, stateful_step_count=60, deadline=None, derandomize=True)
-TestLife = Life.TestCase
+JournalMachine.TestCase.settings = settings(max_examples=40, stateful_step_count=60, deadline=None, derandomize=True)
+TestJournalMachine = JournalMachine.TestCase
 
 
 def test_a_tail_cut_at_any_byte_costs_only_what_was_cut(tmp_path):
-    book = Journal(str(tmp_path), MOST)
+    journal = Journal(str(tmp_path), LIMIT_BYTES)
     sizes = []
     for name in ("a", "b"):
-        book.record_accepted(owed(name))
+        journal.record_accepted(pending_delivery(name))
         sizes.append(os.path.getsize(tmp_path / "journal"))
-    book.close()
+    journal.close()
     data = (tmp_path / "journal").read_bytes()
     for length in range(len(data)):
         (tmp_path / "journal").write_bytes(data[:length])
-        again = Journal(str(tmp_path), MOST)
+        again = Journal(str(tmp_path), LIMIT_BYTES)
         assert sorted(again.pending) == [n for n, size in zip("ab", sizes) if size <= length]
-        assert again.record_accepted(owed("next"))
+        assert again.record_accepted(pending_delivery("next"))
         again.close()
 
 
 def test_a_flipped_bit_ends_what_can_be_trusted(tmp_path):
-    book = Journal(str(tmp_path), MOST)
-    book.record_accepted(owed("a"))
+    journal = Journal(str(tmp_path), LIMIT_BYTES)
+    journal.record_accepted(pending_delivery("a"))
     size = os.path.getsize(tmp_path / "journal")
-    book.record_accepted(owed("b"))
-    book.close()
+    journal.record_accepted(pending_delivery("b"))
+    journal.close()
     data = bytearray((tmp_path / "journal").read_bytes())
     data[size + 12] ^= 1
     (tmp_path / "journal").write_bytes(data)
-    assert list(Journal(str(tmp_path), MOST).pending) == ["a"]
+    assert list(Journal(str(tmp_path), LIMIT_BYTES).pending) == ["a"]
 
 
-@pytest.mark.parametrize("most", [100_000, 3_000_000])
-def test_what_would_not_fit_is_refused_and_the_rest_is_still_written(tmp_path, most):
-    book = Journal(str(tmp_path), most)
-    taken = [n for n in range(200) if book.has_capacity(60_000) and book.record_accepted(owed(str(n), b"x" * 60_000))]
-    assert len(taken) < 200 and used(tmp_path) <= most
-    for name in list(book.pending) * 20:
-        assert book.record_attempt_started([name], 5, "a")
-        book.record_attempt_finished(name, True)
-        assert used(tmp_path) <= most
-    assert len(taken) == (0 if most == 100_000 else 24)
+@pytest.mark.parametrize("limit_bytes", [100_000, 3_000_000])
+def test_what_would_not_fit_is_refused_and_the_rest_is_still_written(tmp_path, limit_bytes):
+    journal = Journal(str(tmp_path), limit_bytes)
+    accepted = [
+        n
+        for n in range(200)
+        if journal.has_capacity(60_000) and journal.record_accepted(pending_delivery(str(n), b"x" * 60_000))
+    ]
+    assert len(accepted) < 200 and used_bytes(tmp_path) <= limit_bytes
+    for name in list(journal.pending) * 20:
+        assert journal.record_attempt_started([name], 5, "a")
+        journal.record_attempt_finished(name, True)
+        assert used_bytes(tmp_path) <= limit_bytes
+    assert len(accepted) == (0 if limit_bytes == 100_000 else 24)
 
 
-def test_a_journal_that_cannot_be_written_takes_nothing_on(tmp_path, monkeypatch):
-    book = Journal(str(tmp_path), MOST)
-    book.record_accepted(owed("a"))
+def test_a_journal_that_cannot_be_written_accepts_nothing(tmp_path, monkeypatch):
+    journal = Journal(str(tmp_path), LIMIT_BYTES)
+    journal.record_accepted(pending_delivery("a"))
     whole = (tmp_path / "journal").read_bytes()
     real = os.write
 
@@ -204,29 +211,29 @@
 
     monkeypatch.setattr(os, "write", half)
     assert (
-        not book.record_accepted(owed("b"))
-        and not book.record_attempt_started(["a"], 1, "a")
-        and list(book.pending) == ["a"]
+        not journal.record_accepted(pending_delivery("b"))
+        and not journal.record_attempt_started(["a"], 1, "a")
+        and list(journal.pending) == ["a"]
     )
     assert (tmp_path / "journal").read_bytes() == whole
 
 
-def test_long_names_of_zones_have_their_room_before_a_pass_begins(tmp_path):
+def test_long_names_of_zones_have_their_capacity_before_an_attempt_starts(tmp_path):
     """128 bytes were kept for both; with longer ones the copy that takes the file's place went over the limit."""
-    book, most = Journal(tmp_path, 100_000), 100_000
-    taken = [f"m{n}" for n in range(100) if book.record_accepted(owed(f"m{n}", b"x" * 50))]
-    begun = [name for name in taken for _ in range(3) if book.record_attempt_started([name], 1, "z" * 250)]
-    assert taken and begun and len(begun) < 3 * len(taken)  # what would not fit does not begin
-    for name in begun:
-        book.record_attempt_finished(name, True)
-        book.record_attempt_started([name], 2, "y" * 250)
-        assert used(tmp_path) <= most
-    assert book.compact() and used(tmp_path) <= most
-    book.close()
-    assert plain(Journal(tmp_path, most).pending) == plain(book.pending)
-
-
-def test_paces_are_kept_for_the_next_process_while_they_are_fresh_and_within_their_room(tmp_path, caplog):
+    journal, limit_bytes = Journal(tmp_path, 100_000), 100_000
+    accepted = [f"m{n}" for n in range(100) if journal.record_accepted(pending_delivery(f"m{n}", b"x" * 50))]
+    started = [name for name in accepted for _ in range(3) if journal.record_attempt_started([name], 1, "z" * 250)]
+    assert accepted and started and len(started) < 3 * len(accepted)  # what would not fit does not begin
+    for name in started:
+        journal.record_attempt_finished(name, True)
+        journal.record_attempt_started([name], 2, "y" * 250)
+        assert used_bytes(tmp_path) <= limit_bytes
+    assert journal.compact() and used_bytes(tmp_path) <= limit_bytes
+    journal.close()
+    assert without_sizes(Journal(tmp_path, limit_bytes).pending) == without_sizes(journal.pending)
+
+
+def test_learned_rates_are_kept_for_the_next_process_while_they_are_fresh_and_within_their_limit(tmp_path, caplog):
     """A restart in an outage forgot what its partners had taken, and gave them almost nothing once they were back."""
     rows = [LearnedRate(7, "", 12.5, 40.0), LearnedRate(8, "e-1", 0.25, 0.0)]
     room = learned_rates.reserved_bytes(3_000_000)
@@ -264,18 +271,18 @@
 
 def test_a_record_of_the_version_before_is_read_and_one_of_this_version_is_no_less_careful_there(tmp_path):
     """It had 0 or 1 where the flags stand, whether an attempt was out, and read any other value as one that was."""
-    book = Journal(str(tmp_path), MOST)
+    journal = Journal(str(tmp_path), LIMIT_BYTES)
     for number, in_flight in enumerate((False, True)):
-        before = owed(f"m{number}")
+        before = pending_delivery(f"m{number}")
         before.in_flight = in_flight
-        assert book.record_accepted(before)
-    assert book.record_accepted(owed("n", idempotency=Idempotency.NOT_IDEMPOTENT))
+        assert journal.record_accepted(before)
+    assert journal.record_accepted(pending_delivery("n", idempotency=Idempotency.NOT_IDEMPOTENT))
     data = (tmp_path / "journal").read_bytes()
-    book.close()
+    journal.close()
     names = b"m0", b"m1", b"\1\0n"
     flags = [data[data.index(name) - 2 * (name[0] != 1) - 12 - 2] for name in names]  # a span, a time, a length
     assert flags[:2] == [0, 1] and flags[2] & ~1
-    again = Journal(str(tmp_path), MOST)
+    again = Journal(str(tmp_path), LIMIT_BYTES)
     assert [(one.in_flight, one.idempotency) for one in again.pending.values()] == [
         (False, None),
         (True, None),
