--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from scalefall.net.config import Config, ConfigError, Fleet
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
-from scalefall.net.endpoint_list import EndpointList
+from scalefall.net.delivery_reports import DeliveryReporter
+from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.logs import log
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
@@ -32,7 +32,10 @@
     """
 
     def __init__(
-        self, settings: Settings, endpoint_list: EndpointList, delivery_reports: DeliveryReports | LoggedDeliveryReports
+        self,
+        settings: Settings,
+        endpoint_list: DiscoveryList,
+        delivery_reports: DeliveryReporter,
     ) -> None:
         """Reload into these parts.
 
@@ -65,7 +68,7 @@
         self._settings.classes.clear()
         self._settings.classes.update(classes)
         self._settings.max_attempts = new.max_attempts
-        self._endpoint_list.keep_for(forget_endpoints_after_us(self._settings))
+        self._endpoint_list.remember_for(forget_endpoints_after_us(self._settings))
 
     def _log_changes(self, new: Settings) -> None:
         """Log what differs from the settings in force, if anything does."""
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -13,8 +13,9 @@
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
 from scalefall.net.config import Address, Config
 from scalefall.net.deadline_watch import DeadlineWatch
-from scalefall.net.delivery_reports import DeliveryReports, LoggedDeliveryReports
+from scalefall.net.delivery_reports import DeliveryReporter, DeliveryReports, LoggedDeliveryReports
 from scalefall.net.delivery_tracker import DeliveryTracker
+from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
@@ -148,7 +149,8 @@
         """Make the endpoint list, from discovery or from the operator's file, and what reloads the one or the other."""
         scheduler, config, settings = self._scheduler, self.config, self._settings
         if config.fleet is None:
-            endpoint_list = EndpointList(
+            assert config.discovery is not None, "only a fleet comes without discovery"
+            endpoint_list = DiscoveryList(
                 scheduler,
                 config.discovery,
                 config.known,
@@ -164,7 +166,7 @@
         reloader.apply_routes(config.fleet)
         return static_list, reloader
 
-    def _make_delivery_reports(self) -> DeliveryReports | LoggedDeliveryReports:
+    def _make_delivery_reports(self) -> DeliveryReporter:
         """Make what tells the platform of messages that were given up; without a platform that is the log."""
         platform = self.config.discovery or self.config.reports
         if platform is None:
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -41,8 +41,9 @@
 from scalefall.net.config import Config, Fleet, RouteRules
 from scalefall.net.delivery_reports import DeliveryReports
 from scalefall.net.delivery_request import Accepted, Conflict, GivenUp, NotServed, Rejected
-from scalefall.net.endpoint_list import EndpointList, Entry, read_list
+from scalefall.net.discovery_list import DiscoveryList
 from scalefall.net.front import Front
+from scalefall.net.list_stream import Entry, read_list
 from scalefall.policy.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -380,10 +381,10 @@
 
     def steps():
         peer, other, here = Peer(world), Peer(world), ("127.0.0.1", 1)
-        EndpointList(world, peer.address, read_list(list_update(0)), lambda event: None).start()
+        DiscoveryList(world, peer.address, read_list(list_update(0)), lambda event: None).start()
         watch(peer, "list")
         known = read_list(list_update(41, listed("e", here)))
-        endpoint_list = EndpointList(world, peer.address, known, lambda event: None, True)
+        endpoint_list = DiscoveryList(world, peer.address, known, lambda event: None, True)
         endpoint_list.start()
         sock = watch(peer, "watch-after-41")
         sock.send(STREAM + chunk(list_update(50, listed("f", here), whole=False)))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -8,7 +8,8 @@
 
 from scalefall.net import http
 from scalefall.net.delivery_reports import DeliveryReports
-from scalefall.net.endpoint_list import EndpointList, read_list
+from scalefall.net.discovery_list import DiscoveryList
+from scalefall.net.list_stream import read_list
 from scalefall.net.scheduler import READY
 from scalefall.policy.events import EndpointStatus, ListUpdateKind
 
@@ -18,7 +19,7 @@
 
 def watched(world, **more):
     peer, told = Peer(world), []
-    endpoint_list = EndpointList(
+    endpoint_list = DiscoveryList(
         world, peer.address, read_list(list_update(41, listed("e", HERE))), told.append, **more
     )
     return peer, endpoint_list, told
@@ -38,7 +39,9 @@
 
     def play():
         peer, endpoint_list, told = watched(world)
-        assert endpoint_list.known().kind is K.CACHED and [e.id for e in endpoint_list.known().endpoints] == ["e"]
+        assert endpoint_list.initial_list().kind is K.CACHED and [
+            e.id for e in endpoint_list.initial_list().endpoints
+        ] == ["e"]
         endpoint_list.subscribe()
         endpoint_list.subscribe()  # one watch at a time
         sock = peer.accept()
@@ -320,143 +323,6 @@
     world.play(play)
 
 
-def test_notices_go_out_again_until_204():
-    world = World()
-
-    def play():
-        peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        notices.report_failed("a")
-        notices.report_returned("b", 250)
-        for said in (b"", http.answer(503, []), b"junk\r\n", http.answer(500, [], keep=False)):
-            sock = peer.accept()
-            while True:
-                lines = bytes(peer.read(sock).body).splitlines()
-                assert list(map(json.loads, lines)) == [
-                    {"id": "a", "state": "failed"},
-                    {"id": "b", "state": "returned", "after_ms": 250},
-                ]
-                sock.send(said)
-                if said != http.answer(503, []):
-                    break
-                said = b""
-            sock.close()
-            assert done == [] and not notices.idle
-        sock = peer.accept()
-        peer.read(sock)
-        sock.send(http.answer(204, []))
-        world.until(lambda: done == ["a", "b"])
-        notices.report_failed("c")  # over the connection that is kept
-        assert b'"c"' in peer.read(sock).body and notices.idle is False
-        reset(sock)  # which has gone: at once over a new one
-        sock = peer.accept()
-        assert b'"c"' in peer.read(sock).body
-
-    world.play(play)
-
-
-def test_one_notice_that_cannot_be_read_does_not_hold_back_the_others():
-    world = World()
-
-    def play():
-        peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        for name in "abc":
-            notices.report_failed(name)
-        sock = peer.accept()
-        while "c" not in done:
-            bad = b'"a"' in peer.read(sock).body
-            sock.send(http.answer(400 if bad else 204, []))
-            world.sleep(MS)
-        assert done == ["b", "c"] and not notices.idle
-
-    world.play(play)
-
-
-def test_a_silent_platform_is_given_up_and_asked_again():
-    world = World()
-
-    def play():
-        peer, done = Peer(world), []
-        DeliveryReports(world, peer.address, done.append).report_failed("a")
-        sock = peer.accept()
-        peer.read(sock)
-        assert closed(world, sock)
-        sock = peer.accept()
-        peer.read(sock)
-        sock.send(http.answer(204, []))
-        world.until(lambda: done)
-
-    world.play(play)
-
-
-def test_a_kept_connection_that_has_died_unseen_and_a_cut_cost_a_notice_no_more_than_a_step():
-    """One POST at a time had a second each, with pauses up to a second between: a message whose time was up during a
-    cut, or whose notice met a connection that had died, was told up to two seconds late. Seen at its end."""
-    world = World()
-
-    def told(peer, sock):
-        peer.read(sock)
-        sock.send(http.answer(204, []))
-
-    def play():
-        peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        notices.report_failed("a")
-        kept = peer.accept()
-        told(peer, kept)
-        world.until(lambda: done == ["a"])
-        began = world.now()
-        notices.report_failed("b")
-        peer.read(kept)  # and no answer
-        told(peer, peer.accept())
-        world.until(lambda: done == ["a", "b"])
-        assert world.now() - began < 200 * MS
-        reset(kept)
-        notices.report_failed("c")
-        end, silent = world.now() + 6 * S, []
-        while world.now() < end:
-            silent.append(peer.accept())
-        told(peer, peer.accept())
-        world.until(lambda: "c" in done)
-        assert world.now() - end < 400 * MS and len(silent) < 60
-        world.until(lambda: not notices.posts_in_flight)  # those that were silent end, and nothing goes on
-        world.sleep(S)
-        accepted = peer.accepted
-        world.sleep(5 * S)
-        assert peer.accepted == accepted and notices.idle
-
-    world.play(play)
-
-
-def test_of_many_notices_the_most_urgent_go_first_and_those_that_are_late_already_last():
-    world = World()
-
-    def play():
-        peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        now = world.now()
-        for n in range(300):
-            notices.report_returned(f"n{n}", 5, now + (300 - n) * S)
-        notices.report_failed("late", now - S)
-        sock, told = peer.accept(), []
-        while "late" not in done:
-            told.append([json.loads(line)["id"] for line in bytes(peer.read(sock).body).splitlines()])
-            sock.send(http.answer(204, []))
-            world.sleep(MS)
-        assert sum(told, []) == [f"n{299 - n}" for n in range(300)] + ["late"] and len(told) == 4
-        for n in range(300):  # as many as a body may hold, whatever their ids
-            notices.report_failed(f"{n:0>199}", now)
-        size = 0
-        while not notices.idle:
-            size = max(size, len(peer.read(sock).body))
-            sock.send(http.answer(204, []))
-            world.sleep(MS)
-        assert size < 64 * 1024
-
-    world.play(play)
-
-
 def test_when_discovery_moves_the_watch_and_the_notices_move_and_nothing_is_lost():
     """SIGHUP ended the process; the old address takes no connection any more and closes its own a moment later."""
     world = World()
@@ -512,7 +378,7 @@
         woken(world)
         old.send(chunk(list_update(99, *(listed(f"x{n}", HERE) for n in range(length)), whole=False)))
         if said_first:  # its task has been woken by these bytes as the move comes
-            world.wake(endpoint_list._task, READY)
+            world.wake(endpoint_list._watch._task, READY)
         endpoint_list.move(new.address)
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
@@ -528,13 +394,13 @@
 
     def play():
         endpoint_list, told, old, new = about_to_move(world)
-        moved = endpoint_list._learn
+        moved = endpoint_list.learn
 
         def learn(update):
             moved(update)
             endpoint_list.move(new.address)  # while the watch's task runs, so that nothing wakes it
 
-        endpoint_list._learn = learn
+        endpoint_list.learn = learn
         old.send(
             chunk(list_update(50, listed("f", HERE), whole=False), list_update(51, listed("g", HERE), whole=False))
         )
@@ -569,26 +435,6 @@
     world.play(play)
 
 
-def test_a_resting_notice_goes_to_the_new_address_at_once():
-    world = World()
-
-    def play():
-        peer, new, done = Peer(world), Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        peer.listener.close()
-        notices.report_failed("a")
-        world.sleep(5 * S)
-        began = world.now()
-        notices.move(new.address)
-        sock = new.accept()
-        new.read(sock)
-        sock.send(http.answer(204, []))
-        world.until(lambda: done)
-        assert world.now() - began < 100 * MS
-
-    world.play(play)
-
-
 def test_endpoints_that_went_are_forgotten_in_time_and_an_address_belongs_to_the_newest():
     """Ids and addresses are ever new on a long day; everything that had ever been listed was kept."""
     world = World()
@@ -607,13 +453,13 @@
             world.sleep(S)
         assert (
             len(endpoint_list.entries) < 35
-            and len(endpoint_list.left_at) == len(endpoint_list._gone) < 33
+            and len(endpoint_list.left_at) == len(endpoint_list._removed_at) < 33
             and len(endpoint_list._owners) < 35
         )
-        assert endpoint_list.serves(7) and not endpoint_list.serves(8) and not endpoint_list.replaced(old)
+        assert endpoint_list.serves(7) and not endpoint_list.serves(8) and not endpoint_list.is_replaced(old)
         sock.send(chunk(list_update(300, listed("g", HERE))))
         world.until(lambda: endpoint_list.seq == 300)
-        assert endpoint_list.replaced(old) and not endpoint_list.replaced(endpoint_list.entries["g"])
+        assert endpoint_list.is_replaced(old) and not endpoint_list.is_replaced(endpoint_list.entries["g"])
         for _ in range(31):
             sock.send(chunk(None))
             world.sleep(2 * S)
@@ -621,7 +467,7 @@
         world.until(lambda: endpoint_list.seq == 301)
         assert (
             set(endpoint_list.entries) == {"g"}
-            and endpoint_list.left_at == endpoint_list._gone == {}
+            and endpoint_list.left_at == endpoint_list._removed_at == {}
             and endpoint_list._owners == {HERE: "g"}
         )
 
