--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -81,7 +81,7 @@
 
     # -- leadership
 
-    def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:  # noqa: ARG002  # a hook
+    def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:  # a hook
         """Grant from now on, and nothing before what an earlier service granted has expired.
 
         Args:
@@ -190,7 +190,7 @@
     def _holder_reachable(self, holder: str, now: int) -> None:
         """A process is reachable, for the first time or again."""
 
-    def _holder_disconnected(self, change: MembershipChange, now: int) -> None:  # noqa: ARG002  # a hook
+    def _holder_disconnected(self, change: MembershipChange, now: int) -> None:  # a hook
         """A process is unreachable, or forgotten."""
         self.ledger.disconnected(change.holder)
         self._emit("proxy lost", holder=change.holder, state=change.state.value)
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -58,8 +58,8 @@
         node: str,
         instance: str,
         now: int,
-        region: str = "",  # noqa: ARG002  # where a process stands matters to the assignment only
-        zone: str = "",  # noqa: ARG002
+        region: str = "",  # where a process stands matters to the assignment only
+        zone: str = "",
     ) -> Joined | JoinRejected:
         """A quota stream has named its process; where that stands makes no difference here."""
         answer = self.members.join(stream, node, instance, now)
@@ -95,7 +95,7 @@
         self._schedule_step(now)
         return True
 
-    def _holder_reachable(self, holder: str, now: int) -> None:  # noqa: ARG002  # the hook's signature
+    def _holder_reachable(self, holder: str, now: int) -> None:  # the hook's signature
         self.ledger.join(holder)
 
     def _outgoing_grants(self, grants: Sequence[Grant], now: int) -> list[Outgoing]:
--- a/scalefall/control/transport/protobuf.py
+++ b/scalefall/control/transport/protobuf.py
@@ -10,7 +10,7 @@
 class SerializableMessage(Protocol):
     """A message of protobuf, as far as writing goes."""
 
-    def SerializeToString(self) -> bytes:  # noqa: N802 - protobuf's name
+    def SerializeToString(self) -> bytes:
         """Return the message as bytes."""
 
 
