--- a/scalefall/control/transport/protobuf.py
+++ b/scalefall/control/transport/protobuf.py
@@ -10,7 +10,7 @@
 class SerializableMessage(Protocol):
     """A message of protobuf, as far as writing goes."""
 
-    def SerializeToString(self) -> bytes:
+    def SerializeToString(self) -> bytes:  # noqa: N802 - protobuf's name
         """Return the message as bytes."""
 
 
--- a/scalefall/control/transport/stream_reader.py
+++ b/scalefall/control/transport/stream_reader.py
@@ -22,7 +22,7 @@
 class ParsedMessage(Protocol):
     """A message of protobuf, as far as reading goes."""
 
-    def ParseFromString(self, data: bytes) -> int:
+    def ParseFromString(self, data: bytes) -> int:  # noqa: N802 - protobuf's name
         """Parse it; DecodeError if it is malformed."""
 
 
