--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -106,8 +106,7 @@
     _check_loads(loads)
     node_loads = NodeLoads(nodes)
     if not nodes:
-        removed = frozenset(shard for shard, names in table.items() if names)
-        return Plan({}, removed, removed)
+        return _empty_plan(table)
     wanted = sorted(set(shards))
     weights = _weights(loads, wanted)
     mean = sum(weights.values()) / len(nodes)
@@ -123,6 +122,12 @@
     return _plan(working, table, holder_counts, mean)
 
 
+def _empty_plan(table: Table) -> Plan:
+    """Return the plan without a node: every shard that had a holder loses it."""
+    removed = frozenset(shard for shard, names in table.items() if names)
+    return Plan({}, removed, removed)
+
+
 def _check_loads(loads: Mapping[int, float]) -> None:
     for shard, load in loads.items():
         if not 0 < load < inf:
--- a/tests/test_readable_shape.py
+++ b/tests/test_readable_shape.py
@@ -6,7 +6,8 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent
-WHOLE = ("scalefall/errors.py", "scalefall/control")  # grows as more is taken over
+WHOLE = ("scalefall/errors.py", "scalefall/assignment", "scalefall/control", "scalefall/net")
+LEFT = {"config.py", "front.py"}  # of these, not taken over yet
 MOST_LINES = {"file": 400, "class": 250, "function": 40}
 
 
@@ -14,7 +15,8 @@
     for name in WHOLE:
         path = ROOT / name
         assert path.exists(), name
-        yield from [path] if path.is_file() else sorted(path.rglob("*.py"))
+        found = [path] if path.is_file() else sorted(path.rglob("*.py"))
+        yield from [source for source in found if source.name not in LEFT]
 
 
 def too_long(path, text):
