--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -162,9 +162,9 @@
         """What each client is sent for it: all endpoints, as a drain may be among them, before anything else."""
         endpoints = {key for key in keys if key[0] == EDS}
         outgoing: list[Outgoing] = []
-        for some in (endpoints, keys - endpoints):
-            for stream, of_stream in self._receivers(some):
-                outgoing += self._streams.resources_changed(stream, of_stream)
+        for group in (endpoints, keys - endpoints):
+            for stream, keys_of_stream in self._receivers(group):
+                outgoing += self._streams.resources_changed(stream, keys_of_stream)
         return outgoing
 
     def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
