--- a/scalefall/net/__init__.py
+++ b/scalefall/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sender: the module's host interface on sockets, greenlets over select.poll."""
+"""The sender on sockets: ingress, the loop around the engine, attempts, journal; greenlets over `select.poll`."""
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -12,7 +12,7 @@
 from scalefall.policy.settings import Idempotency
 
 WINDOW = S
-TICK = 5 * MS  # the module leaves so much of the window for the host's next look
+TICK = 5 * MS  # the engine leaves so much of the window for the sender's next step
 
 
 @pytest.fixture
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -1,6 +1,6 @@
 """A change counts as told 6 s after discovery had it and could be reached, whatever failed, was refused or given up.
 
-The host with its module, and discovery played by the test. All random draws are the longest."""
+The sender with its engine, and discovery played by the test. All random draws are the longest."""
 
 import socket
 
