--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import message_class
 from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
-from test_journal import used
+from test_journal import used_bytes
 from test_sender import Firm, owed, play
 
 from scalefall.net import http
@@ -267,7 +267,7 @@
             sock, request = firm.call()
             names.discard(request.fields["x-request-id"])
             sock.send(http.answer(200, [], keep=False))
-            assert used(tmp_path) <= 150_000
+            assert used_bytes(tmp_path) <= 150_000
             firm.world.sleep(MS)
         assert not firm.posts
 
