--- a/tests/test_docs_names.py
+++ b/tests/test_docs_names.py
@@ -8,6 +8,7 @@
     `scalefall.net.config.Config`                       a module, or what it defines
     `EndpointList.replaced`, `http.MAX_HEAD`            what a class or a module of that name defines
     `EndpointList`, `_restore`, `SILENT_US`             a class, a private name, a constant, wherever it is defined
+    `net/journal.py`: `compact`, `_load`                names that occur in that file
 
 Anything else in backticks (words of a log line, settings, commands) is not checked here. In indented pictures, which
 have no backticks, files ending in `.py` are.
@@ -42,6 +43,7 @@
 CONFIGURATION = ("limits", "settings", "sender")  # objects of the configuration, whose keys look like attributes
 ENVIRONMENT = ("RELAY_", "SCALEFALL_")  # prefixes of environment variables, which look like constants
 
+NAMES_IN_FILE = re.compile(r"`([\w./-]+\.py)`: (`\w+`(?:, `\w+`)*)")
 CODE_SPAN = re.compile(r"`([^`\n]+)`")
 INDENTED_FILE = re.compile(r"(?<!\S)[\w./-]+\.py(?!\S)")
 FENCE = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
@@ -186,12 +188,22 @@
 def faults(text: str, names: Names) -> list[str]:
     """The names on a page that do not exist, each with its line."""
     text = FENCE.sub(lambda found: "\n" * found[0].count("\n"), text)
-    return [
-        f"{number}: `{span}`: {why}"
-        for number, line in enumerate(text.splitlines(), 1)
-        for span in (INDENTED_FILE if line.startswith("    ") else CODE_SPAN).findall(line)
-        if (why := fault(span, names))
-    ]
+    found = []
+    for number, line in enumerate(text.splitlines(), 1):
+        spans = (INDENTED_FILE if line.startswith("    ") else CODE_SPAN).findall(line)
+        found += [f"{number}: `{span}`: {why}" for span in spans if (why := fault(span, names))]
+        found += [f"{number}: {why}" for why in absent_from_files(line, names)]
+    return found
+
+
+def absent_from_files(line: str, names: Names) -> list[str]:
+    """The names that a line says to be in a file and that do not occur there."""
+    absent = []
+    for path, listed in NAMES_IN_FILE.findall(line):
+        files = [file for file in names.files if file == path or file.endswith("/" + path)]
+        words = {word for file in files for word in re.findall(r"\w+", (ROOT / file).read_text(encoding="utf-8"))}
+        absent += [f"`{name}`: not in {path}" for name in CODE_SPAN.findall(listed) if name not in words]
+    return absent
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda path: path.relative_to(ROOT).as_posix())
@@ -217,6 +229,7 @@
     ]
     found = faults("".join(f"text `{name}` text\n" for name in broken), code_names())
     assert [line.split("`")[1] for line in found] == broken
+    assert faults("`net/config.py`: `Config`, `nowhere`\n", code_names()) == ["1: `nowhere`: not in net/config.py"]
     assert faults("    client --> net/never_there.py   parses\n", code_names()) == [
         "1: `net/never_there.py`: no such file"
     ]
