--- a/tests/test_docs_names.py
+++ b/tests/test_docs_names.py
@@ -229,7 +229,8 @@
     ]
     found = faults("".join(f"text `{name}` text\n" for name in broken), code_names())
     assert [line.split("`")[1] for line in found] == broken
-    assert faults("`net/config.py`: `Config`, `nowhere`\n", code_names()) == ["1: `nowhere`: not in net/config.py"]
+    absent = faults("`net/config.py`: `Config`, `never_there`\n", code_names())
+    assert absent == ["1: `never_there`: not in net/config.py"]
     assert faults("    client --> net/never_there.py   parses\n", code_names()) == [
         "1: `net/never_there.py`: no such file"
     ]
