--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -2,10 +2,10 @@
 
 No second policy stands here. Each figure is the module's own:
 
-    a destination's allowance    Allowed.rate: the route's rate, or the budget of its slow start while it has failures,
+    a destination's allowance    RouteAllowance.rate: the rate, or the budget of its slow start while it has failures,
                                  for all proxies as one sender; nothing before Retry-After, or if no endpoint is ready
-    an endpoint's health         in Allowed.endpoints: ready; not there: draining or removed
-    an endpoint's own budget     Allowed.endpoints[id]: that of its slow start, where its neighbours serve
+    an endpoint's health         in RouteAllowance.endpoints: ready; not there: draining or removed
+    an endpoint's own budget     RouteAllowance.endpoints[id]: that of its slow start, where its neighbours serve
 
 Where each endpoint of a destination has a route of its own, the allowances of the routes add up.
 """
