--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -32,6 +32,7 @@
 from scalefall.net.logs import log
 
 FILE_NAME = "journal"
+COPY_FLAGS = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND  # a copy that was left behind is overwritten
 FILE_MODE = 0o600  # the messages' bodies are nobody else's
 ROUNDING_BYTES = 4 * BLOCK_BYTES  # the file and its copy take whole blocks, and each begins with FILE_HEADER
 MAX_SPARE_BYTES = 64 * 1024  # kept free for the small records between two compactions,
@@ -251,8 +252,7 @@
 
     def _write_copy(self) -> _OpenFile:
         """Write the copy and put it in the file's place; OSError if it cannot be written, and the file is as it was."""
-        flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
-        descriptor = os.open(self._copy_path, flags, FILE_MODE)
+        descriptor = os.open(self._copy_path, COPY_FLAGS, FILE_MODE)
         try:
             size = os.write(descriptor, FILE_HEADER)
             for delivery in self.pending.values():
