--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -27,7 +27,7 @@
         self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
         self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch._watch_once
         self.list._watch._watch_once, self.waiting, self.sockets = self._ends, None, []
-        for source in (self.list._watch._random, self.firm.sender.engine.random):
+        for source in (self.list._watch._random, self.firm.sender.engine.state.random):
             source.random = lambda: LONGEST
 
     def _ends(self, address):
