--- a/tests/transport/test_quotas.py
+++ b/tests/transport/test_quotas.py
@@ -52,6 +52,30 @@
         )
 
 
+def report_connect_failure(channel, node, port):
+    """Report that a connection to this port of route 7 failed."""
+    report = lrs_pb2.LoadStatsRequest(node={"id": node})
+    cluster = report.cluster_stats.add(cluster_name="route-7")
+    row = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add(total_error_requests=1)
+    row.address.socket_address.address, row.address.socket_address.port_value = "127.0.0.1", port
+    row.load_metric_stats.add(metric_name="scalefall.connect_failed", num_requests_finished_with_metric=1)
+    loads = lrs_pb2_grpc.LoadReportingServiceStub(channel)
+    answer = next(loads.StreamLoadStats(iter([report]), timeout=LONG))
+    assert answer.send_all_clusters
+    assert answer.report_endpoint_granularity
+
+
+def drop_category(channel):
+    """Wait until what knows no grants has all its calls on route 7 dropped; the reason."""
+    stream = DiscoveryStream(channel)
+    stream.request(EDS, "route-7")
+    while True:
+        response, load = stream.receive(), endpoint_pb2.ClusterLoadAssignment()
+        if unwrap(response.resources[0])[0].Unpack(load) and load.policy.drop_overloads:
+            return load.policy.drop_overloads[0].category
+        stream.acknowledge(response, "route-7")
+
+
 def test_grants_add_up_to_the_limit_follow_reports_and_are_numbered_on_over_a_restart(folder):
     write_site(folder, 9001, limit="limit 40 per 1s;")
     flags = ("--plain-text", "--lease", "0.5", "--delay", "0.1")
@@ -65,38 +89,15 @@
         one.say(1, route="8")
         while (told := one.receive()) is not None:
             assert told[0] <= 40_000
-        loads = lrs_pb2_grpc.LoadReportingServiceStub(channel)
-        report = lrs_pb2.LoadStatsRequest(node={"id": "one"})
-        cluster = report.cluster_stats.add(cluster_name="route-7")
-        row = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add(total_error_requests=1)
-        row.address.socket_address.address, row.address.socket_address.port_value = "127.0.0.1", 9001
-        row.load_metric_stats.add(metric_name="scalefall.connect_failed", num_requests_finished_with_metric=1)
-        answer = next(loads.StreamLoadStats(iter([report]), timeout=LONG))
-        assert answer.send_all_clusters
-        assert answer.report_endpoint_granularity
-        stream = DiscoveryStream(channel)
-        stream.request(EDS, "route-7")
-        while True:  # the partner is in doubt now: what knows no grants has all its calls dropped
-            load = endpoint_pb2.ClusterLoadAssignment()
-            response = stream.receive()
-            body = unwrap(response.resources[0])[0]
-            if body.Unpack(load) and load.policy.drop_overloads:
-                assert load.policy.drop_overloads[0].category == "guarded"
-                break
-            stream.acknowledge(response, "route-7")
+        report_connect_failure(channel, "one", 9001)
+        assert drop_category(channel) == "guarded"  # the partner is in doubt now
         while (told := two.receive())[0]:
             pass
         last = told[1]
         assert process.end(signal.SIGTERM) == 0
     with running_control(folder, *flags) as process, grpc.insecure_channel(process.address) as channel:
         assert process.event("granting")["recalled"] > 0
-        stream = DiscoveryStream(channel)
-        stream.request(EDS, "route-7")
-        while True:
-            response, load = stream.receive(), endpoint_pb2.ClusterLoadAssignment()
-            if unwrap(response.resources[0])[0].Unpack(load) and load.policy.drop_overloads:
-                break  # the guard has outlasted the process
-            stream.acknowledge(response, "route-7")
+        assert drop_category(channel)  # the guard has outlasted the process
         three = QuotaStream(channel, "three")
         three.say(10)
         assert three.receive()[1] > last
--- a/tests/transport/test_service_driver.py
+++ b/tests/transport/test_service_driver.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import logging
+from dataclasses import dataclass
 
 import grpc
 import pytest
@@ -37,14 +38,14 @@
     def resource_stream_closed(self, stream):
         self.closed.append(("resources", stream))
 
-    def quota_stream_closed(self, stream, now):
+    def quota_stream_closed(self, stream, _now):
         self.closed.append(("quota", stream))
 
 
 class Quotas:
     """Grants as their representation; none for route 0."""
 
-    def grant_message(self, session, grant):
+    def grant_message(self, _session, grant):
         return None if isinstance(grant, Grant) and not grant.destination else repr(grant).encode()
 
 
@@ -61,101 +62,111 @@
         return "here"
 
 
+@dataclass
+class Stage:
+    """A service, its driver and one open stream."""
+
+    service: Service
+    driver: ServiceDriver
+    peer: Peer
+    leader: Leader
+
+
 def played(play):
-    """Run a play of a service, its driver and one open stream."""
+    """Run a play on a stage of its own."""
 
     async def run():
         service, leader, registry = Service(), Leader(), PeerRegistry(None)
         peer = Peer(1, Context(), asyncio.create_task(asyncio.sleep(100)), None, node="n")
         registry.add(peer)
         driver = ServiceDriver(service, Quotas(), registry, leader)
-        await play(service, driver, peer, leader)
+        await play(Stage(service, driver, peer, leader))
         driver.stop()
 
     asyncio.run(run())
 
 
 def test_steps_are_run_when_they_are_due_and_not_before_the_start():
-    async def play(service, driver, peer, leader):
-        driver.schedule()
+    async def play(stage):
+        stage.driver.schedule()
         await asyncio.sleep(0.02)
-        assert service.steps == []
-        driver.start()
-        service.deadline = clock.monotonic_us() + 30 * MS
-        driver.schedule()
+        assert stage.service.steps == []
+        stage.driver.start()
+        stage.service.deadline = clock.monotonic_us() + 30 * MS
+        stage.driver.schedule()
         await asyncio.sleep(0.01)
-        assert service.steps == []
+        assert stage.service.steps == []
         await asyncio.sleep(0.05)
-        assert len(service.steps) == leader.reserved == 1
+        assert len(stage.service.steps) == stage.leader.reserved == 1
 
     played(play)
 
 
 def test_an_earlier_deadline_moves_the_step_and_a_later_one_does_not():
-    async def play(service, driver, peer, leader):
+    async def play(stage):
         began = clock.monotonic_us()
-        driver.start()
-        service.deadline = began + 200 * MS
-        driver.schedule()
-        service.deadline = began + 20 * MS
-        driver.schedule()
-        service.deadline = began + 10_000 * MS
-        driver.schedule()
+        stage.driver.start()
+        stage.service.deadline = began + 200 * MS
+        stage.driver.schedule()
+        stage.service.deadline = began + 20 * MS
+        stage.driver.schedule()
+        stage.service.deadline = began + 10_000 * MS
+        stage.driver.schedule()
         await asyncio.sleep(0.4)
-        assert len(service.steps) == 1  # the one that was set first was cancelled
-        assert service.steps[0] < began + 200 * MS
+        assert len(stage.service.steps) == 1  # the one that was set first was cancelled
+        assert stage.service.steps[0] < began + 200 * MS
 
     played(play)
 
 
 def test_what_a_step_gives_goes_to_its_stream_and_to_none_that_has_closed():
-    async def play(service, driver, peer, leader):
-        peer.incremental = peer.understands_ttl = True
+    async def play(stage):
+        stage.peer.incremental = stage.peer.understands_ttl = True
         response = Response(CDS, "1", "v", ())
         grant, shards = Grant("h", 7, 1, 5, 6), ShardGrants(())
-        service.outgoing = [(1, response), (2, response), (1, grant), (1, Grant("h", 0, 1, 5, 6)), (1, shards)]
-        driver.start()
-        driver.schedule()
+        stage.service.outgoing = [(1, response), (2, response), (1, grant), (1, Grant("h", 0, 1, 5, 6)), (1, shards)]
+        stage.driver.start()
+        stage.driver.schedule()
         await asyncio.sleep(0.02)
         encoded = wire.ResponseEncoder().encode(response, True, True)
-        assert list(peer.outgoing) == [encoded, repr(grant).encode(), repr(shards).encode()]
+        assert list(stage.peer.outgoing) == [encoded, repr(grant).encode(), repr(shards).encode()]
 
     played(play)
 
 
 def test_a_standby_sends_resources_and_no_grants():
-    async def play(service, driver, peer, leader):
-        leader.is_leader = False
-        driver.send([(1, Response(CDS, "1", "v", ())), (1, Grant("h", 7, 1, 5, 6))])
-        assert len(peer.outgoing) == 1
+    async def play(stage):
+        stage.leader.is_leader = False
+        stage.driver.send([(1, Response(CDS, "1", "v", ())), (1, Grant("h", 7, 1, 5, 6))])
+        assert len(stage.peer.outgoing) == 1
 
     played(play)
 
 
 def test_a_rejection_is_logged_and_a_broken_rule_ends_the_stream(caplog):
-    async def play(service, driver, peer, leader):
-        driver.send([(1, ResponseRejected(CDS, ("a", "b"), "no such policy"))])
+    async def play(stage):
+        stage.driver.send([(1, ResponseRejected(CDS, ("a", "b"), "no such policy"))])
         assert caplog.messages == ["rejected: n keeps what it had of a, b: no such policy"]
         assert caplog.records[0].fields == {"node": "n", "type": CDS, "names": ("a", "b")}
-        driver.send([(1, CloseStream("a nonce that was not sent"))])
-        assert peer.end == StreamEnd(grpc.StatusCode.INVALID_ARGUMENT, "a nonce that was not sent")
+        stage.driver.send([(1, CloseStream("a nonce that was not sent"))])
+        assert stage.peer.end == StreamEnd(grpc.StatusCode.INVALID_ARGUMENT, "a nonce that was not sent")
 
     played(play)
 
 
 def test_a_closed_stream_is_told_to_the_service_and_an_earlier_deadline_counts():
-    async def play(service, driver, peer, leader):
-        driver.stream_closed(peer)
-        assert service.closed == [("resources", 1), ("quota", 1)]
+    async def play(stage):
+        stage.driver.stream_closed(stage.peer)
+        assert stage.service.closed == [("resources", 1), ("quota", 1)]
         await asyncio.sleep(0.01)
-        assert service.steps == []  # no timer was set: it has not started
-        driver.start()
-        service.deadline = clock.monotonic_us() + 10_000 * MS
-        driver.schedule()
-        service.deadline = 0
-        driver.stream_closed(peer)
+        assert stage.service.steps == []  # no timer was set: it has not started
+        stage.driver.start()
+        stage.service.deadline = clock.monotonic_us() + 10_000 * MS
+        stage.driver.schedule()
+        stage.service.deadline = 0
+        stage.driver.stream_closed(stage.peer)
         await asyncio.sleep(0.02)
-        assert len(service.steps) == 1
+        assert len(stage.service.steps) == 1
 
     played(play)
 
@@ -164,10 +175,10 @@
 def test_the_service_s_events_are_written_once_with_their_fields(caplog, level, lines):
     caplog.set_level(level, "scalefall")
 
-    async def play(service, driver, peer, leader):
-        service.emitted_events = [LogEvent("endpoint", {"route": 7, "now": "ready"}), LogEvent("had", {}, True)]
-        driver.write_events()
-        driver.write_events()
+    async def play(stage):
+        stage.service.emitted_events = [LogEvent("endpoint", {"route": 7, "now": "ready"}), LogEvent("had", {}, True)]
+        stage.driver.write_events()
+        stage.driver.write_events()
         assert caplog.messages == ["endpoint: route=7 now=ready", "had: "][:lines]
         assert caplog.records[0].fields == {"route": 7, "now": "ready"}
         assert caplog.records[0].msg == "endpoint: %s"
--- a/tests/transport/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -1,5 +1,6 @@
 """The stand-ins as processes: a proxy behind a link that is cut, a partner, control, and the audit of their logs."""
 
+import contextlib
 import http.client
 import signal
 import subprocess
@@ -7,7 +8,7 @@
 
 import pytest
 from test_program import LONG, ROOT
-from transporthelp import CLASSES, LoggedProcess, running_control, write_site
+from transporthelp import CLASSES, LoggedProcess, reload_configuration, running_control, write_site
 
 from scalefall.control import audit
 from scalefall.lab.classes import read_class
@@ -27,53 +28,52 @@
         each.child.kill()
 
 
+@contextlib.contextmanager
+def link_to(address):
+    """A link that can be cut: its address, and a function that tells it what to do."""
+    link = subprocess.Popen(
+        [sys.executable, "-u", "-m", "scalefall.lab.link", address],
+        cwd=ROOT,
+        text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+    )
+
+    def tell(word):
+        link.stdin.write(word + "\n")
+        link.stdin.flush()
+
+    try:
+        yield f"127.0.0.1:{link.stdout.readline().strip()}", tell
+    finally:
+        link.kill()
+        link.communicate()
+
+
+def proxy_flags(address, load):
+    return ("--control", address, "--node", "p", "--routes", "7", "--load", load, *CLASSES)
+
+
 def test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back(tmp_path, children):
     partner = children("scalefall.lab.partner", "--limit", "20", *CLASSES)
     port = partner.event("listening")["port"]
     write_site(tmp_path, port, limit="limit 20 per 1s;")
     flags = ("--plain-text", "--log-level", "debug", "--report-every", "0.2", "--lease", "1")
-    with running_control(tmp_path, *flags) as process:
-        link = subprocess.Popen(
-            [sys.executable, "-u", "-m", "scalefall.lab.link", process.address],
-            cwd=ROOT,
-            text=True,
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-        )
-        try:
-            proxy = children(
-                "scalefall.lab.proxy",
-                "--control",
-                f"127.0.0.1:{link.stdout.readline().strip()}",
-                "--node",
-                "p",
-                "--routes",
-                "7",
-                "--load",
-                "20",
-                *CLASSES,
-            )
-
-            def tell(word):
-                link.stdin.write(word + "\n")
-                link.stdin.flush()
-
-            proxy.event("ended", how="ok")
-            partner.event("effect", repeat="never")  # or the audit has none to check
-            tell("silence")
-            proxy.event("ended", how="fallback")
-            tell("reset")
-            tell("heal")
-            proxy.event("ended", how="ok")
-            write_site(tmp_path, port, limit="limit 20 per 1s;", e0="draining")
-            process.child.send_signal(signal.SIGHUP)
-            process.line("configuration read again")
-            proxy.event("ended", how="refused")
-            assert proxy.end(signal.SIGTERM) == 0
-            assert process.end(signal.SIGTERM) == 0
-        finally:
-            link.kill()
-            link.communicate()
+    with running_control(tmp_path, *flags) as process, link_to(process.address) as (address, tell):
+        proxy = children("scalefall.lab.proxy", *proxy_flags(address, "20"))
+        proxy.event("ended", how="ok")
+        partner.event("effect", repeat="never")  # or the audit has none to check
+        tell("silence")
+        proxy.event("ended", how="fallback")
+        tell("reset")
+        tell("heal")
+        proxy.event("ended", how="ok")
+        write_site(tmp_path, port, limit="limit 20 per 1s;", e0="draining")
+        reload_configuration(process)
+        process.line("configuration read again")
+        proxy.event("ended", how="refused")
+        assert proxy.end(signal.SIGTERM) == 0
+        assert process.end(signal.SIGTERM) == 0
     rows, _ = audit.read_log([*process.printed, *proxy.printed, *partner.printed])
     found = {each.rule: each for each in audit.audit(rows)}
     assert not [each.violations for each in found.values() if each.violations]
@@ -90,20 +90,7 @@
         "scalefall", "run", "--config", str(tmp_path), "--state", str(tmp_path / "sender"), "--listen", "127.0.0.1:0"
     )
     front = sender.line("ready: ").split()[-1]
-    proxy = children(
-        "scalefall.lab.proxy",
-        "--control",
-        "127.0.0.1:1",
-        "--node",
-        "p",
-        "--routes",
-        "7",
-        "--load",
-        "10",
-        "--sender",
-        front,
-        *CLASSES,
-    )
+    proxy = children("scalefall.lab.proxy", *proxy_flags("127.0.0.1:1", "10"), "--sender", front)
     name = proxy.event("ended", how="fallback 202")["id"]
     partner.event("effect", id=name)
     assert proxy.end(signal.SIGTERM) == 0
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -65,7 +65,7 @@
 
 def test_who_is_trusted_follows_the_authorities_that_are_in_use(files, tmp_path):
     authority, paths = files
-    store = tls.CertificateStore(paths, lambda line, is_good: None)
+    store = tls.CertificateStore(paths, lambda _line, _is_good: None)
     with open(authority.pair("n", "n")[0], "rb") as file:
         pem = file.read()
     assert store.trusts(pem)
