--- a/tests/test_readable_shape.py
+++ b/tests/test_readable_shape.py
@@ -6,8 +6,16 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent
-WHOLE = ("scalefall/errors.py", "scalefall/assignment", "scalefall/control", "scalefall/net")
-LEFT = {"config.py", "front.py", "journal.py"}  # of these, not taken over yet
+WHOLE = (
+    "scalefall/adapter.py",
+    "scalefall/errors.py",
+    "scalefall/settings_reader.py",
+    "scalefall/assignment",
+    "scalefall/control",
+    "scalefall/net",
+    "scalefall/policy",
+)
+LEFT = {"config.py", "front.py", "settings_reader.py"}  # of these, not taken over yet
 MOST_LINES = {"file": 400, "class": 250, "function": 40}
 
 
