--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -8,17 +8,20 @@
 """
 
 import argparse
+import contextlib
 import json
+import sys
 import threading
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
-import contextlib
 
 BEAT_S = 2
 
 
 def say(text):
-    print(text, flush=True)
+    """Print a line in one write: print() writes its end apart, and two threads' lines would run together."""
+    sys.stdout.write(f"{text}\n")
+    sys.stdout.flush()
 
 
 class Handler(BaseHTTPRequestHandler):
