--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -64,11 +64,11 @@
         endpoint, in_maintenance = command.endpoint, self.state.in_maintenance
         match command.action:
             case AdminAction.START_MAINTENANCE:
-                if not self._keep(in_maintenance | {endpoint}):
+                if not self._store(in_maintenance | {endpoint}):
                     return INSUFFICIENT_STORAGE
                 self._endpoint_list.start_maintenance({endpoint})
             case AdminAction.END_MAINTENANCE:
-                if not self._keep(in_maintenance - {endpoint}):
+                if not self._store(in_maintenance - {endpoint}):
                     return INSUFFICIENT_STORAGE
                 if endpoint in in_maintenance:
                     self._endpoint_list.end_maintenance(endpoint)
@@ -80,7 +80,7 @@
         self.state.apply(command)
         return status
 
-    def _keep(self, in_maintenance: set[str]) -> bool:
+    def _store(self, in_maintenance: set[str]) -> bool:
         """Store which endpoints are in maintenance, if that changes; False if it could not be written."""
         return in_maintenance == self.state.in_maintenance or self.store.save(in_maintenance)
 
--- a/scalefall/net/event_queue.py
+++ b/scalefall/net/event_queue.py
@@ -44,7 +44,7 @@
         """Run the step at once, on what has been gathered so far."""
         self._step()
 
-    def take(self) -> list[Event]:
+    def take_all(self) -> list[Event]:
         """Return all gathered events and start anew; for the step alone."""
         self._step_planned = False
         events, self._events = self._events, []
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -77,7 +77,7 @@
 
     def step(self) -> None:
         """Hand the gathered events to the engine, perform its actions, and answer the requests among the events."""
-        events = self._events.take()
+        events = self._events.take_all()
         if not events:
             return
         submitted = [
--- a/scalefall/policy/admission.py
+++ b/scalefall/policy/admission.py
@@ -36,22 +36,22 @@
         routes = message.destination.routes.values()
         for route in sorted(routes, key=RouteState.calls_in_flight):
             own = self.envelope(route, name)
-            if self._all_keep_targets(route, own, self._targets[name]):
+            if self._all_meet_targets(route, own, self._targets[name]):
                 own.record_admission(self._state.now)
                 message.admitted = True
                 return True
         return False
 
-    def _all_keep_targets(self, route: RouteState, own: Envelope, own_target_us: int) -> bool:
+    def _all_meet_targets(self, route: RouteState, own: Envelope, own_target_us: int) -> bool:
         """Apply the test to one more message of a class on the route, for it and for each other class there."""
         now = self._state.now
         for name, envelope in route.envelopes.items():
             envelope.advance(now)
             if envelope is own:
-                keeps = own.meets_target(own_target_us, 1.0)
+                is_met = own.meets_target(own_target_us, 1.0)
             else:
-                keeps = envelope.meets_target(self._targets[name], 1.0, own_target_us)
-            if not keeps:
+                is_met = envelope.meets_target(self._targets[name], 1.0, own_target_us)
+            if not is_met:
                 return False
         return True
 
--- a/scalefall/policy/attempts.py
+++ b/scalefall/policy/attempts.py
@@ -123,7 +123,7 @@
         endpoint = attempt.endpoint
         self._state.calls_in_flight -= 1
         del endpoint.attempts[id(attempt)]
-        self._schedule.touch_starved()
+        self._schedule.touch_waiting_for_slot()
         if not endpoint.attempts and self._evaluation.has_too_many_connections(endpoint):
             self._state.actions.append(CloseIdleConnections(endpoint.endpoint.id))
         self._endpoint_list.drop_if_unused(endpoint)
@@ -136,7 +136,7 @@
         state = self._state
         if state.calls_in_flight < state.settings.call_slots or not state.settings.cancelling:
             return
-        evaluated = chain(self._schedule.starved.values(), self._schedule.touched.values())
+        evaluated = chain(self._schedule.waiting_for_slot.values(), self._schedule.touched.values())
         wanted = sum(1 for destination in evaluated if destination.waiting)
         for message_id, number in self._overdue()[:wanted]:
             self.in_flight[message_id, number][1].cancelled = True
--- a/scalefall/policy/dispatch.py
+++ b/scalefall/policy/dispatch.py
@@ -46,7 +46,7 @@
         self._attempts.cancel_overdue()
         self._send_waiting()
         for destination in self._schedule.touched.values():
-            self._plan_wake(destination)
+            self._plan_evaluation(destination)
         self._schedule.touched = {}
         self._schedule.set_timer()
 
@@ -77,10 +77,10 @@
         waiting = (destination.waiting.values() for destination in self._schedule.touched.values())
         return sorted(chain.from_iterable(waiting), key=self._priority.key)
 
-    def _plan_wake(self, destination: DestinationState) -> None:
+    def _plan_evaluation(self, destination: DestinationState) -> None:
         """Plan the next evaluation of a destination that has something waiting."""
         at = min(map(self._routing.next_chance, destination.routes.values()), default=inf)
-        if not destination.waiting or at == inf or self._state.now < destination.next_wake <= at:
+        if not destination.waiting or at == inf or self._state.now < destination.next_evaluation_at <= at:
             return
-        destination.next_wake = int(at)
-        self._schedule.wake_at(destination.next_wake, destination)
+        destination.next_evaluation_at = int(at)
+        self._schedule.evaluate_at(destination.next_evaluation_at, destination)
--- a/scalefall/policy/endpoint_list.py
+++ b/scalefall/policy/endpoint_list.py
@@ -65,7 +65,7 @@
             known = self._state.endpoints[endpoint.id] = self._new_endpoint(endpoint)
         known.endpoint = endpoint
         known.ready = endpoint.status is EndpointStatus.READY
-        known.gone = endpoint.status is EndpointStatus.GONE
+        known.removed = endpoint.status is EndpointStatus.GONE
         weights = self._state.settings.weights
         if weights in ("nominal", "rough"):
             known.route.reported_limit = endpoint.weight
@@ -74,22 +74,22 @@
         self._schedule.touch(self._state.destination(endpoint.destination))
 
     def _new_endpoint(self, endpoint: Endpoint) -> EndpointState:
-        apart = self._state.settings.route_per_endpoint.get(endpoint.kind)
+        has_own_route = self._state.settings.route_per_endpoint.get(endpoint.kind)
         routes = self._state.destination(endpoint.destination).routes
-        route = routes.setdefault(endpoint.id if apart else "", RouteState())
+        route = routes.setdefault(endpoint.id if has_own_route else "", RouteState())
         added = EndpointState(endpoint, route)
         route.endpoints.append(added)
         return added
 
     def drop_if_unused(self, endpoint: EndpointState) -> None:
         """Forget an endpoint that is gone, with nothing in flight and no pause in force; its route if that is apart."""
-        if not endpoint.gone or endpoint.attempts:
+        if not endpoint.removed or endpoint.attempts:
             return
         route, name = endpoint.route, endpoint.endpoint.id
         pause_until = route.retry_after_until
         if route.slow_start.consecutive_failures:
-            cold_until = route.slow_start.last_failure_at + self._state.settings.slow_start_us
-            pause_until = max(pause_until, cold_until)
+            warming_until = route.slow_start.last_failure_at + self._state.settings.slow_start_us
+            pause_until = max(pause_until, warming_until)
         if pause_until > self._state.now:
             return
         route.endpoints.remove(endpoint)
@@ -109,7 +109,7 @@
     def _is_needed(self, number: int) -> bool:
         if any(route.endpoints for route in self._state.destinations[number].routes.values()):
             return True
-        if number in self._schedule.touched or number in self._schedule.starved:
+        if number in self._schedule.touched or number in self._schedule.waiting_for_slot:
             return True
         return any(message.destination.number == number for message in self._state.messages.values())
 
@@ -136,4 +136,4 @@
 
 def _remove(endpoint: EndpointState) -> None:
     endpoint.ready = False
-    endpoint.gone = True
+    endpoint.removed = True
--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -185,7 +185,7 @@
             self.final_answers.give_up(message)  # its key's time may be up by now
             return
         message.destination.waiting[message.id] = message
-        self.schedule.wake_at(message.not_before, message.destination)
+        self.schedule.evaluate_at(message.not_before, message.destination)
         self.final_answers.watch(message)
 
     def learned_rates(self) -> list[LearnedRate]:
--- a/scalefall/policy/ordering.py
+++ b/scalefall/policy/ordering.py
@@ -17,8 +17,8 @@
 
     message_ids: deque[str] = field(default_factory=deque)  # in order of arrival
     in_flight: bool = False
-    rests_until: int = 0
-    rests_for: str = ""  # the message that the rest does not hold for: its own next attempt
+    gap_ends_at: int = 0
+    gap_exempt: str = ""  # the message that the gap does not hold for: its own next attempt
 
 
 class Ordering:
@@ -42,7 +42,7 @@
         queue = self.queues[message.ordering_key]
         if queue.message_ids[0] != message.id or queue.in_flight:
             return False
-        return queue.rests_until <= self._state.now or queue.rests_for == message.id
+        return queue.gap_ends_at <= self._state.now or queue.gap_exempt == message.id
 
     def record_send(self, message: QueuedMessage) -> None:
         """Hold back what is behind the message while it is in flight."""
@@ -56,8 +56,8 @@
         queue = self.queues[message.ordering_key]
         queue.in_flight = False
         if outcome in MAY_HAVE_RUN:
-            queue.rests_until = self._state.now + self._state.settings.ordering_gap_us
-            queue.rests_for = message.id
+            queue.gap_ends_at = self._state.now + self._state.settings.ordering_gap_us
+            queue.gap_exempt = message.id
         self._advance(message.ordering_key, queue)
 
     def remove(self, message: QueuedMessage) -> None:
@@ -73,7 +73,7 @@
         following = self._state.messages.get(queue.message_ids[0]) if queue.message_ids else None
         if following is not None:
             self._schedule.touch(following.destination)
-            if queue.rests_until > now:
-                self._schedule.wake_at(queue.rests_until, following.destination)
-        elif not queue.in_flight and queue.rests_until <= now:
+            if queue.gap_ends_at > now:
+                self._schedule.evaluate_at(queue.gap_ends_at, following.destination)
+        elif not queue.in_flight and queue.gap_ends_at <= now:
             del self.queues[key]
--- a/scalefall/policy/outcomes.py
+++ b/scalefall/policy/outcomes.py
@@ -29,7 +29,7 @@
         endpoint, outcome = attempt.endpoint, event.outcome
         route = endpoint.route
         if event.load_report.get(LIMIT_FIELD):
-            self._take_limit(endpoint, event.load_report)
+            self._apply_limit(endpoint, event.load_report)
         if outcome is Outcome.OK:
             self._pacing.record_served(route)
             self._outliers.record_success(endpoint.slow_start)
@@ -38,16 +38,16 @@
         if outcome is Outcome.OVERLOADED and attempt.sent_at >= route.decreased_at:
             self._pacing.decrease(route)
         elif outcome is Outcome.CONNECT_FAILED:
-            self._note_refused_connection(endpoint)
+            self._note_rejected_connection(endpoint)
         if outcome not in NO_FAULT and not self._is_above_limit(route, event):
             self._outliers.record_failure(attempt, event.retry_after_us)
 
-    def _note_refused_connection(self, endpoint: EndpointState) -> None:
+    def _note_rejected_connection(self, endpoint: EndpointState) -> None:
         now = self._state.now
         if endpoint.slow_start.last_success_at >= max(0, now - CONNECTION_CAP_US):
             self._capped_until[endpoint.endpoint.id] = now + CONNECTION_CAP_US
 
-    def _take_limit(self, endpoint: EndpointState, load_report: dict[str, float]) -> None:
+    def _apply_limit(self, endpoint: EndpointState, load_report: dict[str, float]) -> None:
         batches = self._state.settings.messages_per_call.get(endpoint.endpoint.kind, 1) != 1
         left = load_report.get(UNUSED_FIELD, 0.0)
         self._pacing.report_limit(endpoint.route, load_report[LIMIT_FIELD], left, batches)
--- a/scalefall/policy/pacing.py
+++ b/scalefall/policy/pacing.py
@@ -72,7 +72,7 @@
         self.refill(route)
         recent = count_since(route.sent_at, state.now - RECENT_US) * SECOND / RECENT_US
         halved = min(max(FIRST_RATE, recent), route.rate) / 2
-        route.rate = max(self.even_share(route), halved)
+        route.rate = max(self.even_quota(route), halved)
         route.tokens = state.random.uniform(-0.5, 0.5)
         route.decreased_at = state.now
 
@@ -94,7 +94,7 @@
         self.refill(route)
         risen = limit > RISEN * route.reported_limit > 0
         route.reported_limit = limit
-        even = self.even_share(route)
+        even = self.even_quota(route)
         spare = max(0.0, left - UNUSED) / (1 - UNUSED)
         if risen:
             route.rate = max(route.rate, even)
@@ -114,14 +114,14 @@
             route.rate_ceiling = inf
             route.rate = inf
 
-    def even_share(self, route: RouteState) -> float:
+    def even_quota(self, route: RouteState) -> float:
         """Return this sender's even share of the limit, in calls a second."""
         limit = route.reported_limit if route.reported_limit > 0 else SMALL_LIMIT
         return limit / self._state.settings.replica_count
 
-    def cautious_even_share(self, route: RouteState) -> float:
+    def cautious_even_quota(self, route: RouteState) -> float:
         """Return the even share, less where the limit is only roughly known."""
-        return self.even_share(route) / (ROUGH_FACTOR if self._state.settings.weights == "rough" else 1)
+        return self.even_quota(route) / (ROUGH_FACTOR if self._state.settings.weights == "rough" else 1)
 
     def own_rate(self, route: RouteState) -> float:
         """Return the calls a second that this sender is served with.
@@ -134,8 +134,8 @@
         measured = served * SECOND / max(SECOND, min(WINDOW_US, state.now - state.started_at))
         confidence = served / (served + FEW_SERVED)
         learned = route.learned_rate if state.now - state.started_at < LEARNED_FOR_US else 0.0
-        before = learned or self.cautious_even_share(route)
+        before = learned or self.cautious_even_quota(route)
         rate = confidence * measured + (1 - confidence) * before
         if route.reported_limit > 0 and state.settings.weights == "none":
-            return max(rate, self.even_share(route))
+            return max(rate, self.even_quota(route))
         return rate
--- a/scalefall/policy/routing.py
+++ b/scalefall/policy/routing.py
@@ -88,7 +88,7 @@
         free = state.settings.call_slots - state.calls_in_flight
         if free <= 0 or route.calls_in_flight() >= max(1, free):
             destination = state.destinations[endpoint.endpoint.destination]
-            self._schedule.starved[destination.number] = destination
+            self._schedule.waiting_for_slot[destination.number] = destination
             return False
         if 0 < endpoint.endpoint.max_calls <= len(endpoint.attempts):
             return False
--- a/scalefall/policy/schedule.py
+++ b/scalefall/policy/schedule.py
@@ -15,7 +15,7 @@
 
     Attributes:
         touched: destinations that this step's events have changed, by number, in the order that they did.
-        starved: destinations that wait for a free call slot.
+        waiting_for_slot: destinations that wait for a free call slot.
         deadlines: heap of watched messages: time, sequence and id.
     """
 
@@ -23,7 +23,7 @@
         """Start with nothing planned."""
         self._state = state
         self.touched: dict[int, DestinationState] = {}
-        self.starved: dict[int, DestinationState] = {}
+        self.waiting_for_slot: dict[int, DestinationState] = {}
         self._wakes: list[tuple[int, int]] = []  # heap: time, number of a destination
         self.deadlines: list[tuple[int, int, str]] = []
         self._timer_at = -1
@@ -32,12 +32,12 @@
         """Evaluate the destination in this step."""
         self.touched[destination.number] = destination
 
-    def touch_starved(self) -> None:
+    def touch_waiting_for_slot(self) -> None:
         """Evaluate what waits for a call slot: one is free."""
-        self.touched.update(self.starved)
-        self.starved = {}
+        self.touched.update(self.waiting_for_slot)
+        self.waiting_for_slot = {}
 
-    def wake_at(self, at: int, destination: DestinationState) -> None:
+    def evaluate_at(self, at: int, destination: DestinationState) -> None:
         """Evaluate the destination in the first step from a time on."""
         heapq.heappush(self._wakes, (at, destination.number))
 
--- a/scalefall/policy/slow_start.py
+++ b/scalefall/policy/slow_start.py
@@ -100,9 +100,9 @@
 
     def _begin(self, slow_start: SlowStart, endpoint: EndpointState) -> None:
         state = self._state
-        cold_share = state.settings.overload_multiple * state.settings.slow_start_from
-        even = self._pacing.cautious_even_share(endpoint.route)
-        slow_start.widely_known_at = state.now + int(KNOWN_AFTER * SECOND / (cold_share * even))
+        slow_start_fraction = state.settings.overload_multiple * state.settings.slow_start_from
+        even = self._pacing.cautious_even_quota(endpoint.route)
+        slow_start.widely_known_at = state.now + int(KNOWN_AFTER * SECOND / (slow_start_fraction * even))
         name = endpoint.endpoint.id
         state.actions.append(LogLine(f"held {name}: part of {slow_start.own_rate:.2f} calls/s"))
 
@@ -129,8 +129,8 @@
         warming = slow_start.warming_since >= 0
         warmth = (now - slow_start.warming_since) / max(1, settings.slow_start_us) if warming else 0.0
         allowed = settings.slow_start_from + (1 - settings.slow_start_from) * warmth
-        share = RAMP_SHARE * settings.overload_multiple * allowed
-        gap = SECOND / max(MIN_RATE, slow_start.own_rate * min(1.0, share))
+        fraction = RAMP_SHARE * settings.overload_multiple * allowed
+        gap = SECOND / max(MIN_RATE, slow_start.own_rate * min(1.0, fraction))
         if warming:
             return gap
         return min(gap * RAMP_SHARE / TRIAL_SHARE, max(0, slow_start.widely_known_at - now) + gap)
@@ -152,7 +152,7 @@
         slow_start.consecutive_failures = 0
         slow_start.warming_since = -1
         route.tokens = 0.0
-        warm_rate = max(self._pacing.even_share(route), route.slow_start.own_rate, slow_start.own_rate)
+        warm_rate = max(self._pacing.even_quota(route), route.slow_start.own_rate, slow_start.own_rate)
         route.rate = min(route.rate, warm_rate)
 
     def budget(self, slow_start: SlowStart) -> float:
--- a/scalefall/policy/state.py
+++ b/scalefall/policy/state.py
@@ -77,7 +77,7 @@
     endpoint: Endpoint
     route: RouteState
     ready: bool = True  # takes fresh work
-    gone: bool = False  # left the list
+    removed: bool = False  # left the list
     attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by id()
     slow_start: SlowStart = field(default_factory=SlowStart)
 
@@ -111,7 +111,7 @@
     """A destination that messages are addressed to."""
 
     number: int
-    next_wake: int = -1  # the next evaluation that is planned
+    next_evaluation_at: int = -1  # the next evaluation that is planned
     unused_since: int = 0  # when it was first heard of, or an endpoint of it last went
     routes: dict[str, RouteState] = field(default_factory=dict)  # "": the one of all its endpoints
     waiting: dict[str, QueuedMessage] = field(default_factory=dict)  # by id, not in flight
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -11,7 +11,7 @@
     world = World()
     queue = EventQueue(world, 5 * MS)
     taken = []
-    queue.connect(lambda: taken.append((world.now(), queue.take())))
+    queue.connect(lambda: taken.append((world.now(), queue.take_all())))
 
     def steps():
         world.sleep(MS)
@@ -32,7 +32,7 @@
     taken = []
 
     def step():
-        events = queue.take()
+        events = queue.take_all()
         taken.append(events)
         if len(taken) == 1:
             queue.gather(MessageWithdrawn("later"))
