--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -29,7 +29,7 @@
         vars(self.parts).update(busy)
         self.open, self.heard = {}, []
         events = EventQueue(self.world, settings().tick_us)
-        events.connect(lambda: self.heard.extend(events.take()))
+        events.connect(lambda: self.heard.extend(events.take_all()))
         self.shutdown = Shutdown(
             self.world,
             open_requests=self.open,
