--- a/scalefall/policy/admission.py
+++ b/scalefall/policy/admission.py
@@ -10,8 +10,8 @@
 from scalefall.policy.settings import MessageClass
 from scalefall.policy.state import EngineState, QueuedMessage, RouteState
 
-MARGIN = 0.1  # share of the deadline that the delay target keeps back
-MIN_WAITING = 4  # messages that a destination may always have waiting
+DEADLINE_MARGIN_SHARE = 0.1  # share of the deadline that the delay target keeps back
+MIN_WAITING_MESSAGES = 4  # messages that a destination may always have waiting
 
 
 class Admission:
@@ -26,7 +26,7 @@
 
     def set_target(self, message_class: MessageClass) -> None:
         """Take a class's delay target from its present rules."""
-        self._targets[message_class.name] = int(message_class.deadline_us * (1 - MARGIN))
+        self._targets[message_class.name] = int(message_class.deadline_us * (1 - DEADLINE_MARGIN_SHARE))
 
     def admit(self, message: QueuedMessage) -> bool:
         """Return whether the message is admitted now or was before, trying the routes with the fewest calls first."""
@@ -76,7 +76,7 @@
             return free
         served = sum(map(self._pacing.count_served, message.destination.routes.values()))
         in_time = served * self._targets[message.message_class.name] / WINDOW_US
-        return min(max(MIN_WAITING, in_time), free)
+        return min(max(MIN_WAITING_MESSAGES, in_time), free)
 
     def mean_us(self, message: QueuedMessage) -> int:
         """Return the mean time to serve a message of its class on the fastest route; 0 if none is known."""
--- a/scalefall/policy/attempts.py
+++ b/scalefall/policy/attempts.py
@@ -43,15 +43,15 @@
         self._evaluation = evaluation
         self._endpoint_list = endpoint_list
         self.in_flight: dict[tuple[str, int], tuple[QueuedMessage, Attempt]] = {}  # by message and its attempt
-        self._of_step: dict[str, Attempt] = {}  # begun in this step, by endpoint: messages may still join
+        self._calls_of_step: dict[str, Attempt] = {}  # begun in this step, by endpoint: messages may still join
 
     def begin_step(self) -> None:
         """Let no message join a call of an earlier step."""
-        self._of_step = {}
+        self._calls_of_step = {}
 
     def joinable(self, endpoint: EndpointState) -> Attempt | None:
         """Return the call of this step to the endpoint, if it has space for another message."""
-        attempt = self._of_step.get(endpoint.endpoint.id)
+        attempt = self._calls_of_step.get(endpoint.endpoint.id)
         if attempt is None:
             return None
         limit = self._state.settings.messages_per_call.get(endpoint.endpoint.kind, 1)
@@ -80,7 +80,7 @@
         attempt.overdue_at = state.now + expected_us(envelope, message.message_class)
         state.calls_in_flight += 1
         endpoint.attempts[id(attempt)] = attempt
-        self._of_step[endpoint.endpoint.id] = attempt
+        self._calls_of_step[endpoint.endpoint.id] = attempt
         self._pacing.record_call(route)
         if route.rate < inf:
             route.tokens -= 1
@@ -100,7 +100,7 @@
         message, attempt = found
         route = attempt.endpoint.route
         now = self._state.now
-        self._schedule.touch(message.destination)
+        self._schedule.evaluate_in_step(message.destination)
         self._ordering.record_outcome(message, event.outcome)
         if event.retry_after_us:
             route.retry_after_until = max(route.retry_after_until, now + event.retry_after_us)
@@ -123,7 +123,7 @@
         endpoint = attempt.endpoint
         self._state.calls_in_flight -= 1
         del endpoint.attempts[id(attempt)]
-        self._schedule.touch_waiting_for_slot()
+        self._schedule.evaluate_waiting_for_slot()
         if not endpoint.attempts and self._evaluation.has_too_many_connections(endpoint):
             self._state.actions.append(CloseIdleConnections(endpoint.endpoint.id))
         self._endpoint_list.drop_if_unused(endpoint)
@@ -136,7 +136,7 @@
         state = self._state
         if state.calls_in_flight < state.settings.call_slots or not state.settings.cancelling:
             return
-        evaluated = chain(self._schedule.waiting_for_slot.values(), self._schedule.touched.values())
+        evaluated = chain(self._schedule.waiting_for_slot.values(), self._schedule.step_destinations.values())
         wanted = sum(1 for destination in evaluated if destination.waiting)
         for message_id, number in self._overdue()[:wanted]:
             self.in_flight[message_id, number][1].cancelled = True
--- a/scalefall/policy/dispatch.py
+++ b/scalefall/policy/dispatch.py
@@ -42,12 +42,12 @@
     def run(self) -> None:
         """Evaluate the destinations that this step has touched, and plan when to evaluate them again."""
         self._final_answers.answer_late()
-        self._schedule.touch_woken()
+        self._schedule.evaluate_due()
         self._attempts.cancel_overdue()
         self._send_waiting()
-        for destination in self._schedule.touched.values():
+        for destination in self._schedule.step_destinations.values():
             self._plan_evaluation(destination)
-        self._schedule.touched = {}
+        self._schedule.step_destinations = {}
         self._schedule.set_timer()
 
     def _send_waiting(self) -> None:
@@ -74,12 +74,12 @@
                 blocked.add(number)
 
     def _by_priority(self) -> list[QueuedMessage]:
-        waiting = (destination.waiting.values() for destination in self._schedule.touched.values())
+        waiting = (destination.waiting.values() for destination in self._schedule.step_destinations.values())
         return sorted(chain.from_iterable(waiting), key=self._priority.key)
 
     def _plan_evaluation(self, destination: DestinationState) -> None:
         """Plan the next evaluation of a destination that has something waiting."""
-        at = min(map(self._routing.next_chance, destination.routes.values()), default=inf)
+        at = min(map(self._routing.next_call_at, destination.routes.values()), default=inf)
         if not destination.waiting or at == inf or self._state.now < destination.next_evaluation_at <= at:
             return
         destination.next_evaluation_at = int(at)
--- a/scalefall/policy/endpoint_list.py
+++ b/scalefall/policy/endpoint_list.py
@@ -10,11 +10,12 @@
 from scalefall.policy.state import EndpointState, EngineState, RouteState
 from scalefall.policy.units import SECOND
 
-TIMER_POLL = 2  # token of the timer for the next poll
-POLL_US = SECOND // 5  # a sender's part of the directory's time, which fails polls that wait too long
-POLL_BY = (0.9, 3.6)  # times the time within which to poll: it is four times as long after a call that failed
-MAX_FAILED_POLLS = 4  # that double the time over which senders spread their polls
-FORGET_US = 60 * SECOND  # a destination with no endpoint for so long is forgotten, with its pace
+POLL_TIMER = 2  # token of the timer for the next poll
+POLL_SPREAD_PER_SENDER_US = SECOND // 5  # a sender's part of the directory's time, which fails polls that wait too long
+# times the time within which to poll: it is four times as long after a call that failed
+POLL_DEADLINE_FACTORS = (0.9, 3.6)
+MAX_POLL_DOUBLINGS = 4  # that double the time over which senders spread their polls
+DESTINATION_RETENTION_US = 60 * SECOND  # a destination with no endpoint for so long is forgotten, with its pace
 
 
 class EndpointList:
@@ -40,20 +41,20 @@
             self._update_endpoint(endpoint)
         for state in list(self._state.endpoints.values()):
             self.drop_if_unused(state)
-        self._forget_destinations()
+        self._drop_unused_destinations()
 
     def _plan_poll(self, kind: ListUpdateKind) -> None:
         """Poll again after a failure, or for the first list if only the cached one is there; spread at random."""
         settings = self._state.settings
         if kind is ListUpdateKind.FAILED:
-            self._failed_polls = min(self._failed_polls + 1, MAX_FAILED_POLLS)
+            self._failed_polls = min(self._failed_polls + 1, MAX_POLL_DOUBLINGS)
         else:
             self._failed_polls = 0
             if kind is not ListUpdateKind.CACHED or not settings.polls_endpoint_list:
                 return
-        latest = settings.poll_within_us * POLL_BY[self._failed_polls > 1]
-        spread_us = min(latest, POLL_US * settings.replica_count << self._failed_polls)
-        self._state.actions.append(SetTimer(TIMER_POLL, int(spread_us * self._state.random.random())))
+        latest = settings.poll_within_us * POLL_DEADLINE_FACTORS[self._failed_polls > 1]
+        spread_us = min(latest, POLL_SPREAD_PER_SENDER_US * settings.replica_count << self._failed_polls)
+        self._state.actions.append(SetTimer(POLL_TIMER, int(spread_us * self._state.random.random())))
 
     def _update_endpoint(self, endpoint: Endpoint) -> None:
         known = self._state.endpoints.get(endpoint.id)
@@ -71,7 +72,7 @@
             known.route.reported_limit = endpoint.weight
         elif weights == "told" and known.ready:
             self._pacing.configure_limit(known.route, endpoint.weight)
-        self._schedule.touch(self._state.destination(endpoint.destination))
+        self._schedule.evaluate_in_step(self._state.destination(endpoint.destination))
 
     def _new_endpoint(self, endpoint: Endpoint) -> EndpointState:
         has_own_route = self._state.settings.route_per_endpoint.get(endpoint.kind)
@@ -95,13 +96,13 @@
         route.endpoints.remove(endpoint)
         if self._state.endpoints.get(name) is endpoint:
             del self._state.endpoints[name]
-        self._evaluation.forget(name)
+        self._evaluation.remove_endpoint(name)
         destination = self._state.destinations[endpoint.endpoint.destination]
         destination.routes.pop(name, None)
         destination.unused_since = self._state.now
 
-    def _forget_destinations(self) -> None:
-        oldest = self._state.now - FORGET_US
+    def _drop_unused_destinations(self) -> None:
+        oldest = self._state.now - DESTINATION_RETENTION_US
         for number, destination in list(self._state.destinations.items()):
             if destination.unused_since < oldest and not self._is_needed(number):
                 del self._state.destinations[number]
@@ -109,7 +110,7 @@
     def _is_needed(self, number: int) -> bool:
         if any(route.endpoints for route in self._state.destinations[number].routes.values()):
             return True
-        if number in self._schedule.touched or number in self._schedule.waiting_for_slot:
+        if number in self._schedule.step_destinations or number in self._schedule.waiting_for_slot:
             return True
         return any(message.destination.number == number for message in self._state.messages.values())
 
--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -15,7 +15,7 @@
 from scalefall.policy.admission import Admission
 from scalefall.policy.attempts import Attempts
 from scalefall.policy.dispatch import Dispatcher
-from scalefall.policy.endpoint_list import TIMER_POLL, EndpointList
+from scalefall.policy.endpoint_list import POLL_TIMER, EndpointList
 from scalefall.policy.events import (
     AttemptFinished,
     EndpointListUpdate,
@@ -112,13 +112,13 @@
             case AttemptFinished():
                 self._finish_attempt(event)
             case EndpointReport():
-                self.evaluation.evaluate_foreign(event)
+                self.evaluation.evaluate_endpoint_report(event)
             case EndpointListUpdate():
                 self.endpoint_list.update(event)
             case MessageWithdrawn():
                 self.final_answers.withdraw(event.id)
             case TimerFired():
-                if event.token == TIMER_POLL:
+                if event.token == POLL_TIMER:
                     self.state.actions.append(PollEndpointList())
             case LearnedRate():
                 self.endpoint_list.restore_rate(event)
@@ -135,7 +135,7 @@
         if attempts_exhausted(message) or self.final_answers.is_late(message):
             self.final_answers.give_up(message)
             return
-        self.final_answers.watch(message)
+        self.final_answers.plan_deadline_check(message)
         self.admission.admit(message)
         if not event.restored and len(message.destination.waiting) > self.admission.max_waiting(message):
             self.final_answers.shed(message)
@@ -161,7 +161,7 @@
         state.messages[message.id] = message
         message.destination.waiting[message.id] = message
         self.ordering.add(message)
-        self.schedule.touch(message.destination)
+        self.schedule.evaluate_in_step(message.destination)
         return message
 
     def _finish_attempt(self, event: AttemptFinished) -> None:
@@ -174,7 +174,7 @@
             return  # it has its final answer already
         message.attempt = None
         if event.finished or event.outcome is Outcome.OK:
-            self.final_answers.forget(message)
+            self.final_answers.remove(message)
             return
         self._retry(message, attempt, event.outcome)
 
@@ -186,7 +186,7 @@
             return
         message.destination.waiting[message.id] = message
         self.schedule.evaluate_at(message.not_before, message.destination)
-        self.final_answers.watch(message)
+        self.final_answers.plan_deadline_check(message)
 
     def learned_rates(self) -> list[LearnedRate]:
         """Return what a later process of this sender should know; may be asked at any time."""
@@ -209,7 +209,7 @@
     def _allowance(self, number: int, name: str, route: RouteState) -> RouteAllowance:
         outliers = self.outliers
         endpoints = {
-            endpoint.endpoint.id: outliers.budget(outliers.acting(route, endpoint))
+            endpoint.endpoint.id: outliers.budget(outliers.slow_start_in_force(route, endpoint))
             for endpoint in route.endpoints
             if endpoint.ready
         }
--- a/scalefall/policy/envelope.py
+++ b/scalefall/policy/envelope.py
@@ -13,13 +13,13 @@
 from scalefall.policy.units import SECOND
 
 BIN_US = SECOND // 4  # the finest step of the request envelope, in microseconds
-BINS = 40  # T, the window of both envelopes, in steps: 10 s
-TAUS = (1, 2, 5, 10)  # the interval lengths that are tested, in steps, up to T/4
-WINDOW_US = BIN_US * BINS  # T in microseconds
-QUANTILE = 1.645  # standard deviations above the mean: the 95th percentile of a Gaussian
-MAX_K = 8  # calls in one chain of overlaps that the service envelope follows; longer ones are extrapolated
-FREE_COMPLETIONS = 5  # admission is free until a class has so many completions on the route: too few say nothing
-ROUNDING = 1e-9  # keeps a sum that is whole but for rounding from counting as the next whole number
+WINDOW_BINS = 40  # T, the window of both envelopes, in steps: 10 s
+INTERVAL_LENGTHS_BINS = (1, 2, 5, 10)  # the interval lengths that are tested, in steps, up to T/4
+WINDOW_US = BIN_US * WINDOW_BINS  # T in microseconds
+QUANTILE_DEVIATIONS = 1.645  # standard deviations above the mean: the 95th percentile of a Gaussian
+MAX_CHAIN_CALLS = 8  # calls in one chain of overlaps that the service envelope follows; longer ones are extrapolated
+MIN_COMPLETIONS = 5  # admission is free until a class has so many completions on the route: too few say nothing
+ROUNDING_TOLERANCE = 1e-9  # keeps a sum that is whole but for rounding from counting as the next whole number
 
 CallSpan = list[int]  # start and end of a call in microseconds; end is 0 while it is in flight
 
@@ -30,7 +30,7 @@
     Attributes:
         bins: admissions within each step of BIN_US, newest last.
         total: admissions within the window.
-        sigma: standard deviation of the admissions within an interval, for each of TAUS.
+        sigma: standard deviation of the admissions within an interval, for each of INTERVAL_LENGTHS_BINS.
         service_sums: for each k: number of samples, their sum in seconds, and the sum of their squares.
     """
 
@@ -39,11 +39,11 @@
     def __init__(self, class_envelope: Envelope | None = None) -> None:
         """Start empty; class_envelope holds the figures of the class over all routes, to judge by until then."""
         self._class_envelope = class_envelope
-        self.bins: list[int] = [0] * BINS
+        self.bins: list[int] = [0] * WINDOW_BINS
         self._bin = 0  # the newest step, counted from time 0
         self.total = 0
-        self.sigma = [0.0] * len(TAUS)
-        self._calls: deque[CallSpan] = deque(maxlen=4 * MAX_K)  # in order of start
+        self.sigma = [0.0] * len(INTERVAL_LENGTHS_BINS)
+        self._calls: deque[CallSpan] = deque(maxlen=4 * MAX_CHAIN_CALLS)  # in order of start
         self._samples: deque[tuple[int, int, int]] = deque()  # when taken, k, microseconds to serve k
         self.service_sums: dict[int, list[float]] = {}
 
@@ -60,15 +60,15 @@
 
     def _shift(self, steps: int) -> None:
         self._bin += steps
-        bins = (self.bins + [0] * min(steps, BINS))[-BINS:]
+        bins = (self.bins + [0] * min(steps, WINDOW_BINS))[-WINDOW_BINS:]
         self.bins = bins
         self.total = sum(bins)
         if not self.total:
             return  # sigma counts for nothing without admissions
-        for index, tau in enumerate(TAUS):
-            mean = self.total * tau / BINS
-            squares = sum((sum(bins[at : at + tau]) - mean) ** 2 for at in range(0, BINS, tau))
-            self.sigma[index] = sqrt(squares / (BINS // tau - 2))
+        for index, tau in enumerate(INTERVAL_LENGTHS_BINS):
+            mean = self.total * tau / WINDOW_BINS
+            squares = sum((sum(bins[at : at + tau]) - mean) ** 2 for at in range(0, WINDOW_BINS, tau))
+            self.sigma[index] = sqrt(squares / (WINDOW_BINS // tau - 2))
 
     def _remove_sample(self, k: int, seconds: float) -> None:
         sums = self.service_sums[k]
@@ -105,7 +105,7 @@
             started, ended = other
             if started > call[0] or (started == call[0] and other is not call and k == 0):
                 continue
-            if k == MAX_K or (k and 0 < ended <= chain_start):
+            if k == MAX_CHAIN_CALLS or (k and 0 < ended <= chain_start):
                 break
             k, chain_start = k + 1, started
             self._add_sample(now, k, now - chain_start)
@@ -116,7 +116,7 @@
     def basis(self) -> Envelope | None:
         """Return the envelope to judge service by: the route's or, while its samples are few, the class's.
 
-        None while both have fewer than FREE_COMPLETIONS.
+        None while both have fewer than MIN_COMPLETIONS.
         """
         if self._has_figures():
             return self
@@ -125,15 +125,15 @@
 
     def _has_figures(self) -> bool:
         sums = self.service_sums.get(1)
-        return sums is not None and sums[0] >= FREE_COMPLETIONS
+        return sums is not None and sums[0] >= MIN_COMPLETIONS
 
     def max_requests(self, index: int, extra: float) -> int:
-        """Return the high-percentile number of requests within the interval TAUS[index].
+        """Return the high-percentile number of requests within the interval INTERVAL_LENGTHS_BINS[index].
 
         The rate is taken as grown by extra requests a window.
         """
-        mean = (self.total + extra) * TAUS[index] / BINS
-        return max(1, ceil(mean + QUANTILE * self.sigma[index] - ROUNDING))
+        mean = (self.total + extra) * INTERVAL_LENGTHS_BINS[index] / WINDOW_BINS
+        return max(1, ceil(mean + QUANTILE_DEVIATIONS * self.sigma[index] - ROUNDING_TOLERANCE))
 
     def delay_us(self, k: int) -> float:
         """Return the high-percentile time to serve k overlapping calls; linear beyond the largest k seen."""
@@ -145,7 +145,7 @@
         number, total, squares = self.service_sums[seen]
         mean = total / number
         spread = sqrt(max(0.0, squares - number * mean * mean) / (number - 1)) if number > 1 else 0.0
-        return (mean * k / seen + QUANTILE * spread) * SECOND
+        return (mean * k / seen + QUANTILE_DEVIATIONS * spread) * SECOND
 
     def mean_us(self) -> float:
         """Return the mean time to serve one call; 0 if none was served within the window."""
@@ -165,7 +165,7 @@
         if basis is None:
             return True
         own_extra = extra if competing_target_us is None else 0
-        for index, tau in enumerate(TAUS):
+        for index, tau in enumerate(INTERVAL_LENGTHS_BINS):
             interval_us = tau * BIN_US
             k = self.max_requests(index, own_extra)
             if competing_target_us is not None:
--- a/scalefall/policy/final_answers.py
+++ b/scalefall/policy/final_answers.py
@@ -26,11 +26,11 @@
             if self.is_late(message):
                 self.give_up(message)
             else:
-                self.watch(message)
+                self.plan_deadline_check(message)
 
-    def watch(self, message: QueuedMessage) -> None:
+    def plan_deadline_check(self, message: QueuedMessage) -> None:
         """Have the message looked at again when it is late, as far as can be told now."""
-        self._schedule.watch(message, self._late_at(message))
+        self._schedule.plan_deadline_check(message, self._late_at(message))
 
     def is_late(self, message: QueuedMessage) -> bool:
         """Return whether no attempt that is begun now can be of use."""
@@ -52,7 +52,7 @@
             self.shed(message)
         else:
             self._state.actions.append(Fail(message.id))
-            self.forget(message)
+            self.remove(message)
 
     def _repeat_is_harmless(self, message: QueuedMessage) -> bool:
         if message.attempt is not None:
@@ -66,14 +66,14 @@
         """Drop a message that its client withdrew, unless it has its final answer already."""
         message = self._state.messages.get(message_id)
         if message is not None:
-            self.forget(message)
+            self.remove(message)
 
     def shed(self, message: QueuedMessage) -> None:
         """Hand the message back undelivered, to be retried after the mean service time."""
         self._state.actions.append(Shed(message.id, self._admission.mean_us(message)))
-        self.forget(message)
+        self.remove(message)
 
-    def forget(self, message: QueuedMessage) -> None:
+    def remove(self, message: QueuedMessage) -> None:
         """Drop a message that has its final answer."""
         del self._state.messages[message.id]
         message.destination.waiting.pop(message.id, None)
--- a/scalefall/policy/ordering.py
+++ b/scalefall/policy/ordering.py
@@ -72,7 +72,7 @@
         now = self._state.now
         following = self._state.messages.get(queue.message_ids[0]) if queue.message_ids else None
         if following is not None:
-            self._schedule.touch(following.destination)
+            self._schedule.evaluate_in_step(following.destination)
             if queue.gap_ends_at > now:
                 self._schedule.evaluate_at(queue.gap_ends_at, following.destination)
         elif not queue.in_flight and queue.gap_ends_at <= now:
--- a/scalefall/policy/outcomes.py
+++ b/scalefall/policy/outcomes.py
@@ -8,7 +8,7 @@
 from scalefall.policy.state import Attempt, EndpointState, EngineState, RouteState
 from scalefall.policy.units import SECOND
 
-CONNECTION_CAP_US = 2 * SECOND  # an endpoint that served so lately and rejects a connection has too many
+CONNECTION_CAP_WINDOW_US = 2 * SECOND  # an endpoint that served so lately and rejects a connection has too many
 LIMIT_FIELD = "x1"  # of a load report: calls a second that the route takes from all senders
 UNUSED_FIELD = "x0"  # of a load report: share of that limit that is left
 NO_FAULT = (Outcome.OK, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED)  # outcomes that say nothing against it
@@ -22,7 +22,7 @@
         self._state = state
         self._pacing = pacing
         self._outliers = outliers
-        self._capped_until: dict[str, int] = {}  # endpoints whose idle connections are closed until then
+        self._connection_cap_until: dict[str, int] = {}  # endpoints whose idle connections are closed until then
 
     def evaluate(self, attempt: Attempt, event: AttemptFinished | EndpointReport) -> None:
         """Take a call's outcome: for the limit, the pace and the slow starts of its route and endpoint."""
@@ -38,14 +38,14 @@
         if outcome is Outcome.OVERLOADED and attempt.sent_at >= route.decreased_at:
             self._pacing.decrease(route)
         elif outcome is Outcome.CONNECT_FAILED:
-            self._note_rejected_connection(endpoint)
+            self._record_rejected_connection(endpoint)
         if outcome not in NO_FAULT and not self._is_above_limit(route, event):
             self._outliers.record_failure(attempt, event.retry_after_us)
 
-    def _note_rejected_connection(self, endpoint: EndpointState) -> None:
+    def _record_rejected_connection(self, endpoint: EndpointState) -> None:
         now = self._state.now
-        if endpoint.slow_start.last_success_at >= max(0, now - CONNECTION_CAP_US):
-            self._capped_until[endpoint.endpoint.id] = now + CONNECTION_CAP_US
+        if endpoint.slow_start.last_success_at >= max(0, now - CONNECTION_CAP_WINDOW_US):
+            self._connection_cap_until[endpoint.endpoint.id] = now + CONNECTION_CAP_WINDOW_US
 
     def _apply_limit(self, endpoint: EndpointState, load_report: dict[str, float]) -> None:
         batches = self._state.settings.messages_per_call.get(endpoint.endpoint.kind, 1) != 1
@@ -58,7 +58,7 @@
             return False
         return 0 < event.retry_after_us <= self._state.settings.overload_window_us
 
-    def evaluate_foreign(self, event: EndpointReport) -> None:
+    def evaluate_endpoint_report(self, event: EndpointReport) -> None:
         """Take a call that another proxy made under a grant: it counts, and is evaluated, as one of our own."""
         endpoint = self._state.endpoints.get(event.endpoint)
         if endpoint is None:
@@ -71,8 +71,8 @@
 
     def has_too_many_connections(self, endpoint: EndpointState) -> bool:
         """Return whether it lately rejected a connection although it serves: idle ones are better closed."""
-        return self._capped_until.get(endpoint.endpoint.id, 0) > self._state.now
+        return self._connection_cap_until.get(endpoint.endpoint.id, 0) > self._state.now
 
-    def forget(self, endpoint_id: str) -> None:
+    def remove_endpoint(self, endpoint_id: str) -> None:
         """Drop what is known of an endpoint."""
-        self._capped_until.pop(endpoint_id, None)
+        self._connection_cap_until.pop(endpoint_id, None)
--- a/scalefall/policy/pacing.py
+++ b/scalefall/policy/pacing.py
@@ -12,18 +12,19 @@
 from scalefall.policy.state import EngineState, RouteState, count_since
 from scalefall.policy.units import SECOND
 
-GROWTH = 0.1  # for each call that it allows, a rate that was cut grows by this share of itself
-FIRST_RATE = 2.0  # calls a second that a rate is first cut from, where the sender sends fewer
-SMALL_LIMIT = 4.0  # calls a second that a destination takes at least, where no limit is reported
-RECENT_US = 2 * SECOND  # span over which the recent send rate is taken
+GROWTH_PER_CALL = 0.1  # for each call that it allows, a rate that was cut grows by this share of itself
+INITIAL_CALLS_PER_S = 2.0  # calls a second that a rate is first cut from, where the sender sends fewer
+ASSUMED_LIMIT_PER_S = 4.0  # calls a second that a destination takes at least, where no limit is reported
+SEND_RATE_WINDOW_US = 2 * SECOND  # span over which the recent send rate is taken
 BURST_US = SECOND // 4  # the pace lets through at once what it gathers in this time
-UNUSED = 0.5  # share of a reported limit that may be left by chance; a sender takes of what is left beyond it
-MAX_EXTRA = 0.5  # a rate may have this share of what is left on top of its even share of the limit, and no more
-RISEN = 1.25  # a reported limit so many times the one before has risen, beyond noise
-CHANCE_DEVIATIONS = 2  # a sum over N senders strays by 1 / sqrt(N): so many times that may be chance
-ROUGH_FACTOR = 1.5  # times that a rough weight may be too high
-FEW_SERVED = 20  # served calls at which a sender's own rate goes half by these, half by an even share
-LEARNED_FOR_US = 60 * SECOND  # so long after a start what the process before learned counts
+# share of a reported limit that may be left by chance; a sender takes of what is left beyond it
+CHANCE_UNUSED_SHARE = 0.5
+MAX_EXTRA_SHARE = 0.5  # a rate may have this share of what is left on top of its even share of the limit, and no more
+LIMIT_RISE_FACTOR = 1.25  # a reported limit so many times the one before has risen, beyond noise
+CHANCE_STANDARD_DEVIATIONS = 2  # a sum over N senders strays by 1 / sqrt(N): so many times that may be chance
+ROUGH_WEIGHT_FACTOR = 1.5  # times that a rough weight may be too high
+PRIOR_WEIGHT_CALLS = 20  # served calls at which a sender's own rate goes half by these, half by an even share
+LEARNED_RATE_VALID_US = 60 * SECOND  # so long after a start what the process before learned counts
 
 
 class Pacing:
@@ -46,7 +47,7 @@
             return 1.0
         gained = rate * elapsed / SECOND
         route.tokens = min(max(1.0, rate * BURST_US / SECOND), route.tokens + gained)
-        grown = rate / (1 - GROWTH * gained) if GROWTH * gained < 1 else inf
+        grown = rate / (1 - GROWTH_PER_CALL * gained) if GROWTH_PER_CALL * gained < 1 else inf
         route.rate = min(route.rate_ceiling, grown)
         return route.tokens
 
@@ -54,7 +55,7 @@
         """Remember a call for the recent send rate."""
         now = self._state.now
         route.sent_at.append(now)
-        count_since(route.sent_at, now - RECENT_US)
+        count_since(route.sent_at, now - SEND_RATE_WINDOW_US)
 
     def record_served(self, route: RouteState) -> None:
         """Remember a success for the rate that this sender is served with."""
@@ -70,9 +71,9 @@
         """Halve the rate after an endpoint was overloaded; not below the even share of the limit."""
         state = self._state
         self.refill(route)
-        recent = count_since(route.sent_at, state.now - RECENT_US) * SECOND / RECENT_US
-        halved = min(max(FIRST_RATE, recent), route.rate) / 2
-        route.rate = max(self.even_quota(route), halved)
+        recent = count_since(route.sent_at, state.now - SEND_RATE_WINDOW_US) * SECOND / SEND_RATE_WINDOW_US
+        halved = min(max(INITIAL_CALLS_PER_S, recent), route.rate) / 2
+        route.rate = max(self.fair_share_per_s(route), halved)
         route.tokens = state.random.uniform(-0.5, 0.5)
         route.decreased_at = state.now
 
@@ -80,9 +81,9 @@
         """Take a limit that an answer reports, and the share of it that is left unused.
 
         No rate goes far above its even share: calls that are rejected cost, and at many destinations use up the limit.
-        Of what is left beyond UNUSED it takes the even share each second, less what may be chance; routes that batch
-        gather messages in a call instead. When a lowered limit is reported to have risen, the even share is there at
-        once: growing takes calls.
+        Of what is left beyond CHANCE_UNUSED_SHARE it takes the even share each second, less what may be chance; routes
+        that batch gather messages in a call instead. When a lowered limit is reported to have risen, the even share is
+        there at once: growing takes calls.
 
         Args:
             route: the route that was called.
@@ -92,17 +93,17 @@
         """
         now = self._state.now
         self.refill(route)
-        risen = limit > RISEN * route.reported_limit > 0
+        risen = limit > LIMIT_RISE_FACTOR * route.reported_limit > 0
         route.reported_limit = limit
-        even = self.even_quota(route)
-        spare = max(0.0, left - UNUSED) / (1 - UNUSED)
+        even = self.fair_share_per_s(route)
+        spare = max(0.0, left - CHANCE_UNUSED_SHARE) / (1 - CHANCE_UNUSED_SHARE)
         if risen:
             route.rate = max(route.rate, even)
         if spare and not batches:
-            certain = max(0.0, 1 - CHANCE_DEVIATIONS / sqrt(self._state.settings.replica_count))
+            certain = max(0.0, 1 - CHANCE_STANDARD_DEVIATIONS / sqrt(self._state.settings.replica_count))
             route.rate += certain * spare * even * min(SECOND, now - route.increased_at) / SECOND
             route.increased_at = now
-        route.rate_ceiling = even + MAX_EXTRA * spare * (limit - even)
+        route.rate_ceiling = even + MAX_EXTRA_SHARE * spare * (limit - even)
         route.rate = min(route.rate, route.rate_ceiling)
 
     def configure_limit(self, route: RouteState, limit: float) -> None:
@@ -114,14 +115,14 @@
             route.rate_ceiling = inf
             route.rate = inf
 
-    def even_quota(self, route: RouteState) -> float:
+    def fair_share_per_s(self, route: RouteState) -> float:
         """Return this sender's even share of the limit, in calls a second."""
-        limit = route.reported_limit if route.reported_limit > 0 else SMALL_LIMIT
+        limit = route.reported_limit if route.reported_limit > 0 else ASSUMED_LIMIT_PER_S
         return limit / self._state.settings.replica_count
 
-    def cautious_even_quota(self, route: RouteState) -> float:
+    def cautious_fair_share_per_s(self, route: RouteState) -> float:
         """Return the even share, less where the limit is only roughly known."""
-        return self.even_quota(route) / (ROUGH_FACTOR if self._state.settings.weights == "rough" else 1)
+        return self.fair_share_per_s(route) / (ROUGH_WEIGHT_FACTOR if self._state.settings.weights == "rough" else 1)
 
     def own_rate(self, route: RouteState) -> float:
         """Return the calls a second that this sender is served with.
@@ -132,10 +133,10 @@
         state = self._state
         served = self.count_served(route)
         measured = served * SECOND / max(SECOND, min(WINDOW_US, state.now - state.started_at))
-        confidence = served / (served + FEW_SERVED)
-        learned = route.learned_rate if state.now - state.started_at < LEARNED_FOR_US else 0.0
-        before = learned or self.cautious_even_quota(route)
+        confidence = served / (served + PRIOR_WEIGHT_CALLS)
+        learned = route.learned_rate if state.now - state.started_at < LEARNED_RATE_VALID_US else 0.0
+        before = learned or self.cautious_fair_share_per_s(route)
         rate = confidence * measured + (1 - confidence) * before
         if route.reported_limit > 0 and state.settings.weights == "none":
-            return max(rate, self.even_quota(route))
+            return max(rate, self.fair_share_per_s(route))
         return rate
--- a/scalefall/policy/retry.py
+++ b/scalefall/policy/retry.py
@@ -8,11 +8,11 @@
 from scalefall.policy.state import Attempt, EngineState, QueuedMessage
 from scalefall.policy.units import SECOND
 
-TIMEOUT_FACTOR = 4  # a call is overdue, or timed out, after so many times its high-percentile time
+TIMEOUT_MULTIPLE = 4  # a call is overdue, or timed out, after so many times its high-percentile time
 MIN_TIMEOUT_US = SECOND // 2  # and never before this
-UNKNOWN_DIVISOR = 4  # before there are figures, a call is given this part of its class's deadline
-MAX_DOUBLINGS = 4  # of the timeout, one for each further attempt
-BACKOFF_US = SECOND // 5  # first pause before a message goes out again after a failure
+DEADLINE_DIVISOR = 4  # before there are figures, a call is given this part of its class's deadline
+MAX_TIMEOUT_DOUBLINGS = 4  # of the timeout, one for each further attempt
+INITIAL_BACKOFF_US = SECOND // 5  # first pause before a message goes out again after a failure
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 BACKS_OFF = (*MAY_HAVE_RUN, Outcome.CONNECT_FAILED, Outcome.CONNECTIONS_EXHAUSTED)
 
@@ -21,8 +21,8 @@
     """Return the time after which a call that has not ended is overdue."""
     basis = envelope.basis()
     if basis is None:
-        return message_class.deadline_us // UNKNOWN_DIVISOR
-    return max(MIN_TIMEOUT_US, int(TIMEOUT_FACTOR * basis.delay_us(1)))
+        return message_class.deadline_us // DEADLINE_DIVISOR
+    return max(MIN_TIMEOUT_US, int(TIMEOUT_MULTIPLE * basis.delay_us(1)))
 
 
 def timeout_us(state: EngineState, message: QueuedMessage, envelope: Envelope) -> int:
@@ -36,7 +36,7 @@
     idempotency = message.message_class.idempotency
     if idempotency is Idempotency.NOT_IDEMPOTENT or message.attempts + 1 >= message.max_attempts:
         return left
-    timeout = expected_us(envelope, message.message_class) << min(message.attempts, MAX_DOUBLINGS)
+    timeout = expected_us(envelope, message.message_class) << min(message.attempts, MAX_TIMEOUT_DOUBLINGS)
     if idempotency is Idempotency.WITH_KEY:
         first_sent = message.may_have_run_at if message.may_have_run_at >= 0 else now
         another_ends = now + timeout + expected_us(envelope, message.message_class)
@@ -59,5 +59,5 @@
         if message.message_class.key_scope_zone:
             message.required_zone = attempt.endpoint.endpoint.zone
     if outcome in BACKS_OFF:
-        pause = BACKOFF_US * message.attempts * state.random.uniform(0.5, 1.5)
+        pause = INITIAL_BACKOFF_US * message.attempts * state.random.uniform(0.5, 1.5)
         message.not_before = state.now + int(pause)
--- a/scalefall/policy/routing.py
+++ b/scalefall/policy/routing.py
@@ -92,12 +92,12 @@
             return False
         if 0 < endpoint.endpoint.max_calls <= len(endpoint.attempts):
             return False
-        slow_start = self._outliers.acting(route, endpoint)
+        slow_start = self._outliers.slow_start_in_force(route, endpoint)
         if slow_start.consecutive_failures and slow_start.next_attempt_at > state.now:
             return False
         return self._pacing.refill(route) >= 1
 
-    def next_chance(self, route: RouteState) -> float:
+    def next_call_at(self, route: RouteState) -> float:
         """Return when a call might go out on the route if no event comes before; a step of time if none can tell."""
         now = self._state.now
         if not any(endpoint.ready for endpoint in route.endpoints):
--- a/scalefall/policy/schedule.py
+++ b/scalefall/policy/schedule.py
@@ -7,14 +7,14 @@
 from scalefall.policy.actions import SetTimer
 from scalefall.policy.state import DestinationState, EngineState, QueuedMessage
 
-TIMER_WAKE = 1  # token of the one timer for all of this
+EVALUATION_TIMER = 1  # token of the one timer for all of this
 
 
 class Schedule:
     """Keeps what is evaluated in this step and the times of later evaluations.
 
     Attributes:
-        touched: destinations that this step's events have changed, by number, in the order that they did.
+        step_destinations: destinations that this step's events have changed, by number, in the order that they did.
         waiting_for_slot: destinations that wait for a free call slot.
         deadlines: heap of watched messages: time, sequence and id.
     """
@@ -22,26 +22,26 @@
     def __init__(self, state: EngineState) -> None:
         """Start with nothing planned."""
         self._state = state
-        self.touched: dict[int, DestinationState] = {}
+        self.step_destinations: dict[int, DestinationState] = {}
         self.waiting_for_slot: dict[int, DestinationState] = {}
-        self._wakes: list[tuple[int, int]] = []  # heap: time, number of a destination
+        self._planned_evaluations: list[tuple[int, int]] = []  # heap: time, number of a destination
         self.deadlines: list[tuple[int, int, str]] = []
         self._timer_at = -1
 
-    def touch(self, destination: DestinationState) -> None:
+    def evaluate_in_step(self, destination: DestinationState) -> None:
         """Evaluate the destination in this step."""
-        self.touched[destination.number] = destination
+        self.step_destinations[destination.number] = destination
 
-    def touch_waiting_for_slot(self) -> None:
+    def evaluate_waiting_for_slot(self) -> None:
         """Evaluate what waits for a call slot: one is free."""
-        self.touched.update(self.waiting_for_slot)
+        self.step_destinations.update(self.waiting_for_slot)
         self.waiting_for_slot = {}
 
     def evaluate_at(self, at: int, destination: DestinationState) -> None:
         """Evaluate the destination in the first step from a time on."""
-        heapq.heappush(self._wakes, (at, destination.number))
+        heapq.heappush(self._planned_evaluations, (at, destination.number))
 
-    def watch(self, message: QueuedMessage, at: int) -> None:
+    def plan_deadline_check(self, message: QueuedMessage, at: int) -> None:
         """Have the message returned by pop_due from a time on, in a later step than this."""
         heapq.heappush(self.deadlines, (max(self._state.now + 1, at), message.sequence, message.id))
 
@@ -53,13 +53,13 @@
                 return message
         return None
 
-    def touch_woken(self) -> None:
+    def evaluate_due(self) -> None:
         """Evaluate the destinations whose time has come."""
         destinations = self._state.destinations
-        while self._wakes and self._wakes[0][0] <= self._state.now:
-            number = heapq.heappop(self._wakes)[1]
+        while self._planned_evaluations and self._planned_evaluations[0][0] <= self._state.now:
+            number = heapq.heappop(self._planned_evaluations)[1]
             if number in destinations:
-                self.touched[number] = destinations[number]
+                self.step_destinations[number] = destinations[number]
 
     def set_timer(self) -> None:
         """Set the timer for the next time, unless one is set that comes before it."""
@@ -68,9 +68,9 @@
         times = []
         if self.deadlines:
             times.append(self.deadlines[0][0])
-        if self._wakes:
-            times.append(self._wakes[0][0])
+        if self._planned_evaluations:
+            times.append(self._planned_evaluations[0][0])
         at = min(times, default=-1)
         if at >= 0 and not self._state.now < self._timer_at <= at:
             self._timer_at = at
-            self._state.actions.append(SetTimer(TIMER_WAKE, max(0, at - self._state.now)))
+            self._state.actions.append(SetTimer(EVALUATION_TIMER, max(0, at - self._state.now)))
--- a/scalefall/policy/state.py
+++ b/scalefall/policy/state.py
@@ -16,7 +16,7 @@
 from scalefall.policy.events import Endpoint
 from scalefall.policy.settings import MessageClass, Settings
 
-QUESTIONS = 1  # attempts that a sender makes on a failing route before its slow start limits it
+TRIAL_CALLS = 1  # attempts that a sender makes on a failing route before its slow start limits it
 
 
 @dataclass(slots=True, eq=False)
@@ -57,17 +57,17 @@
 class SlowStart:
     """Limits a route, or one endpoint whose neighbours serve, from a failure until it has warmed up again."""
 
-    consecutive_failures: int = 0  # 0: not in force; above QUESTIONS the budget limits
+    consecutive_failures: int = 0  # 0: not in force; above TRIAL_CALLS the budget limits
     own_rate: float = 0.0  # calls a second: what this sender sends once it is warm
     last_failure_at: int = -1
-    widely_known_at: int = 0  # by then all but a few senders have met the failure
+    widely_detected_at: int = 0  # by then all but a few senders have met the failure
     last_success_at: int = -1
     warming_since: int = -1  # the first success after the last failure
     next_attempt_at: int = 0
 
-    def limits(self) -> bool:
+    def budget_applies(self) -> bool:
         """Return whether its budget, and not only one pause, limits what is sent."""
-        return self.consecutive_failures > QUESTIONS
+        return self.consecutive_failures > TRIAL_CALLS
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -785,7 +785,7 @@
     d.list(*((f"e{n}", n) for n in range(200)))
     d.arrive("out")
     looked = []
-    d.engine.routing.next_chance = lambda route: looked.append(route) or d.now + S
+    d.engine.routing.next_call_at = lambda route: looked.append(route) or d.now + S
     d.arrive("m", dest=5)
     assert looked == [d.engine.state.destinations[5].routes[""]]
 
--- a/tests/test_lmac.py
+++ b/tests/test_lmac.py
@@ -4,7 +4,7 @@
 from helpers import MS, Drive, S, message_class
 
 from scalefall.policy.actions import Send, Shed
-from scalefall.policy.envelope import BIN_US, FREE_COMPLETIONS, TAUS, WINDOW_US, Envelope
+from scalefall.policy.envelope import BIN_US, MIN_COMPLETIONS, INTERVAL_LENGTHS_BINS, WINDOW_US, Envelope
 
 
 def filled(counts):
@@ -16,7 +16,7 @@
     return e
 
 
-def served(*chains, repeat=FREE_COMPLETIONS):
+def served(*chains, repeat=MIN_COMPLETIONS):
     """Each chain is a list of (start, end); ends are told in order."""
     e = Envelope()
     for n in range(repeat):
@@ -45,13 +45,13 @@
 
 
 def test_taus_reach_a_quarter_of_the_window():
-    assert max(TAUS) * BIN_US * 4 == WINDOW_US
+    assert max(INTERVAL_LENGTHS_BINS) * BIN_US * 4 == WINDOW_US
 
 
 def test_service_envelope_counts_overlapping_calls():
     e = served([(0, 100 * MS), (50 * MS, 170 * MS)])
-    assert e.service_sums[1][0] == 2 * FREE_COMPLETIONS
-    assert e.service_sums[2][0] == FREE_COMPLETIONS
+    assert e.service_sums[1][0] == 2 * MIN_COMPLETIONS
+    assert e.service_sums[2][0] == MIN_COMPLETIONS
     assert e.service_sums[1][1] / e.service_sums[1][0] == pytest.approx(0.11)  # (100 + 120) / 2 ms
     assert e.service_sums[2][1] / e.service_sums[2][0] == pytest.approx(0.17)  # first start to second end
     assert e.delay_us(2) == pytest.approx(170 * MS)
@@ -75,7 +75,7 @@
 
 def test_own_test_passes_up_to_target_and_no_further():
     e = served([(0, 100 * MS)])
-    e.sigma, e.total = [0.0] * len(TAUS), 79  # with one more 8/s: 2, 4, 10 and 20 messages
+    e.sigma, e.total = [0.0] * len(INTERVAL_LENGTHS_BINS), 79  # with one more 8/s: 2, 4, 10 and 20 messages
     assert e.meets_target(0, 1.0)  # 200 <= 250, 400 <= 500, 1000 <= 1250, 2000 <= 2500 ms
     e.total = 119  # 12/s: 3 in 250 ms take 300 ms
     assert not e.meets_target(0, 1.0)
@@ -85,7 +85,7 @@
 
 def test_other_classes_are_tested_with_their_service_cut():
     e = served([(0, 100 * MS)])
-    e.sigma, e.total = [0.0] * len(TAUS), 80  # 8/s passes with room of 50 ms at the least tau
+    e.sigma, e.total = [0.0] * len(INTERVAL_LENGTHS_BINS), 80  # 8/s passes with room of 50 ms at the least tau
     assert e.meets_target(0, 0, 0)
     assert not e.meets_target(0, 1.0, 10 * S)  # (0.25 + 10) / 10 more: two calls, 400 ms > 250 ms
 
@@ -98,10 +98,10 @@
 
 def test_admission_is_free_until_enough_completions():
     e = Envelope()
-    slow_calls(e, FREE_COMPLETIONS - 1)
+    slow_calls(e, MIN_COMPLETIONS - 1)
     assert e.basis() is None
     assert e.meets_target(S, 1.0)
-    slow_calls(e, 1, (FREE_COMPLETIONS - 1) * 1600 * MS)
+    slow_calls(e, 1, (MIN_COMPLETIONS - 1) * 1600 * MS)
     assert e.basis() is e
     assert not e.meets_target(S, 1.0)
 
@@ -109,17 +109,17 @@
 def test_while_a_route_has_few_figures_those_of_the_class_over_all_routes_decide():
     wide = Envelope()
     busy, quiet = Envelope(wide), Envelope(wide)
-    slow_calls(busy, FREE_COMPLETIONS)
+    slow_calls(busy, MIN_COMPLETIONS)
     assert quiet.basis() is wide
     assert not quiet.meets_target(S, 1.0)
-    slow_calls(quiet, FREE_COMPLETIONS, 20 * S)
+    slow_calls(quiet, MIN_COMPLETIONS, 20 * S)
     assert quiet.basis() is quiet
 
 
 def test_the_prior_is_the_senders_own_of_the_class():
     d = Drive()
     d.list(("e", 1), ("f", 2))
-    for n in range(FREE_COMPLETIONS):
+    for n in range(MIN_COMPLETIONS):
         d.arrive(f"m{n}")
         d.result(f"m{n}", "e", after=50 * MS)
     d.arrive("n", dest=2)
@@ -131,7 +131,7 @@
 def test_a_message_that_fails_the_test_waits_and_is_tested_again():
     d = Drive(classes={c.name: c for c in (message_class(deadline_us=2 * S),)})
     d.list(("e", 1))
-    for n in range(FREE_COMPLETIONS):
+    for n in range(MIN_COMPLETIONS):
         d.arrive(f"m{n}")
         d.result(f"m{n}", "e", after=1500 * MS)
     envelope = d.engine.state.destinations[1].routes[""].envelopes["safe"]
