--- a/scalefall/__main__.py
+++ b/scalefall/__main__.py
@@ -1,11 +1,11 @@
-"""Bare, `python -m scalefall` is the platform's sender; with words behind it, the command line, loaded only then."""
+"""`python -m scalefall` runs the platform's sender; with arguments it runs the command line, imported only then."""
 
 import os
 import sys
 
 
 def sender() -> int:
-    """Run the platform's sender until it is told to end; return the exit code, 2 if it cannot be started."""
+    """Run the platform's sender until it is asked to stop; return the exit code, 2 if it cannot start."""
     from scalefall.net import config, logs, sender
 
     logs.log_to_standard_error(os.environ.get("SCALEFALL_LOG") == "debug")
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run the sender or, with words behind the command, the command line; return the exit code."""
+    """Run the sender or, with arguments, the command line; return the exit code."""
     if len(sys.argv) < 2 and "_SCALEFALL_COMPLETE" not in os.environ:
         return sender()
     from scalefall.cli import entry
--- a/scalefall/adapter.py
+++ b/scalefall/adapter.py
@@ -1,8 +1,8 @@
-"""The engine on the simulator's wire: JSON lines on standard input, one reply a batch on standard output.
+"""Adapter between the engine and the simulator: JSON lines on standard input and output, one reply for each batch.
 
-It decides nothing: events of the wire become the engine's, its actions become the wire's commands. A batch is
-`{"clock": milliseconds, "inbox": [event, ...]}`, its reply `{"cmds": [command, ...]}`; events and commands are rows,
-each with its name first and the instance that it is for second.
+It translates the wire's events to the engine's and the engine's actions to the wire's commands, and decides nothing. A
+batch is `{"clock": milliseconds, "inbox": [event, ...]}`, its reply `{"cmds": [command, ...]}`. Events and commands
+are rows: the name, then the instance that the row is for, then the arguments.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     ProbeFinished,
     TimerFired,
 )
-from scalefall.settings_reader import SettingsError, ms, read_settings, us
+from scalefall.settings_reader import SettingsError, read_settings, to_microseconds, to_milliseconds
 
 OUTCOMES = {
     "done": Outcome.OK,
@@ -53,35 +53,35 @@
 
 
 Row = list[Any]  # one event or command of the wire
-Events = dict[str, list[Event]]  # of one batch, by instance
+Events = dict[str, list[Event]]  # events of one batch by instance
 
 
 class WireError(ProtocolError):
-    """What came in cannot be read; the text says what and where."""
+    """A line of input is malformed; the text names the event and the reason."""
 
 
 class SimulatorAdapter:
-    """The engines of this process, one an instance, and the numbered lists that the wire refers to."""
+    """The engines of this process, one for each instance, and the numbered endpoint lists of the wire."""
 
     def __init__(self) -> None:
         """Start with no instance."""
         self.engines: dict[str, Engine] = {}
         self._report_fields: dict[str, list[str]] = {}  # by instance
-        self._tenants: dict[str, list[str]] = {}  # names by instance, in the order of its settings
+        self._tenants: dict[str, list[str]] = {}  # names by instance, in the order of the settings
         self._inventories: dict[int, list[Endpoint]] = {}  # endpoint lists by number
 
     def batch(self, clock_ms: float, inbox: list[Row]) -> list[Row]:
         """Hand each instance its events, in order, in one step; return the commands.
 
         Raises:
-            WireError: An event cannot be read.
+            WireError: An event is malformed.
         """
-        now_us = us(clock_ms)
+        now_us = to_microseconds(clock_ms)
         events: Events = {}
         reply: list[Row] = []
         for row in inbox:
             try:
-                self._take(now_us, row, events)
+                self._read_row(now_us, row, events)
             except SettingsError as error:
                 reply.append(["fault", row[1], str(error)])
             except ValueError as error:
@@ -89,8 +89,8 @@
             except (TypeError, IndexError, KeyError, AttributeError) as error:
                 name = row[0] if isinstance(row, list) and row else row
                 raise WireError(f"event {str(name)[:80]!r}: missing or wrong value ({error!r})") from error
-        for instance, waiting in events.items():
-            self._handle(now_us, instance, waiting, reply)
+        for instance, instance_events in events.items():
+            self._handle(now_us, instance, instance_events, reply)
         return reply
 
     def _handle(self, now_us: int, instance: str, events: list[Event], reply: list[Row]) -> None:
@@ -99,11 +99,11 @@
             return
         try:
             reply.extend(write_action(instance, action) for action in engine.handle(now_us, events))
-        except Exception as error:  # noqa: BLE001 - the wire has a command for an engine that failed, however it did
+        except Exception as error:  # noqa: BLE001 - any failure of the engine is reported as a command of the wire
             reply.append(["fault", instance, f"{type(error).__name__}: {error}"])
 
-    def _take(self, now_us: int, row: Row, events: Events) -> None:
-        """Take one event: of the process itself, or for an instance, to be handled with the batch."""
+    def _read_row(self, now_us: int, row: Row, events: Events) -> None:
+        """Apply an event that concerns the process; add one for an instance's engine to the batch's events."""
         if not isinstance(row, list) or not row:
             raise WireError(f"event is not a list with a name: {str(row)[:80]}")
         name = row[0]
@@ -128,11 +128,13 @@
 
     def _read_event(self, name: str, row: Row) -> Event:
         if name == "ingress":
-            return Message(row[2], row[9], row[6], us(row[4]), self._tenant(row[1], row[3]), row[8])
+            return Message(row[2], row[9], row[6], to_microseconds(row[4]), self._tenant(row[1], row[3]), row[8])
         if name == "settled":
             return self._read_attempt(row)
         if name == "pong":
-            return ProbeFinished(row[2], OUTCOMES[row[3]], us(row[4]), 0, self._load_report(row[1], row[5]))
+            return ProbeFinished(
+                row[2], OUTCOMES[row[3]], to_microseconds(row[4]), 0, self._load_report(row[1], row[5])
+            )
         if name == "timer":
             return TimerFired(int(row[2]))
         if name == "dropped":
@@ -149,14 +151,14 @@
             attempt=row[3],
             endpoint=row[4],
             outcome=OUTCOMES[row[5]],
-            latency_us=us(row[6]),
+            latency_us=to_microseconds(row[6]),
             finished=bool(row[7]),
-            retry_after_us=us(row[8]) if row[5] == "busy" else 0,
+            retry_after_us=to_microseconds(row[8]) if row[5] == "busy" else 0,
             load_report=self._load_report(row[1], row[9]),
         )
 
     def _tenant(self, instance: str, value: Any) -> str | None:
-        """Return a tenant's name; the wire gives it, or its number in the settings."""
+        """Return a tenant's name from its name or its index in the settings."""
         names = self._tenants.get(instance, [])
         if isinstance(value, int) and not isinstance(value, bool):
             return names[value] if 0 <= value < len(names) else None
@@ -175,11 +177,11 @@
     """Return an action as a command of the wire."""
     match action:
         case Send(id=message, endpoint=endpoint, timeout_us=timeout):
-            return ["deliver", instance, message, ms(timeout), endpoint]
+            return ["deliver", instance, message, to_milliseconds(timeout), endpoint]
         case SetTimer(token=token, delay_us=delay):
-            return ["schedule", instance, token, ms(delay)]
+            return ["schedule", instance, token, to_milliseconds(delay)]
         case Shed(id=message, retry_after_us=after):
-            return ["shed", instance, message, ms(after)]
+            return ["shed", instance, message, to_milliseconds(after)]
         case Fail(id=message):
             return ["giveUp", instance, message]
         case CancelAttempt(id=message, attempt=attempt):
@@ -199,7 +201,7 @@
     """Return the clock in milliseconds and the events of a line.
 
     Raises:
-        WireError: The line is no batch.
+        WireError: The line is not a batch.
     """
     try:
         batch = json.loads(line)
@@ -213,7 +215,7 @@
 
 
 def main() -> int:
-    """Answer standard input line by line; return the exit code, 2 for a line that cannot be read."""
+    """Answer standard input line by line; return the exit code, 2 if a line is malformed."""
     adapter = SimulatorAdapter()
     for number, line in enumerate(sys.stdin, 1):
         try:
--- a/scalefall/errors.py
+++ b/scalefall/errors.py
@@ -1,14 +1,14 @@
-"""The errors that scalefall's packages raise across their borders.
+"""Base classes of the errors that scalefall's packages raise to their callers.
 
-Each package derives its own errors from these, so that a caller can tell apart whose fault a failure is: the operator's
-(configuration), the peer's or ours (protocol), the disk's (storage).
+Each package derives its own errors from these, so that a caller can distinguish the cause of a failure: the
+operator's input (configuration), the peer or this process (protocol), or the disk (storage).
 """
 
 from __future__ import annotations
 
 
 class ScalefallError(Exception):
-    """The base of every error that a caller of scalefall may want to catch."""
+    """Base class of every error that a caller of scalefall may want to catch."""
 
 
 class ConfigurationError(ScalefallError):
@@ -16,15 +16,15 @@
 
 
 class ProtocolError(ScalefallError):
-    """A rule of a protocol was broken; see the subclasses for by whom."""
+    """A rule of a protocol was broken; the subclass says by which side."""
 
 
 class LocalProtocolError(ProtocolError):
-    """This process tried something that the protocol does not allow in the present state."""
+    """This process tried an operation that the protocol does not allow in the current state."""
 
 
 class RemoteProtocolError(ProtocolError):
-    """The peer sent something that the protocol does not allow."""
+    """The peer sent data that the protocol does not allow."""
 
 
 class StorageError(ScalefallError):
@@ -32,11 +32,11 @@
 
 
 class LeadershipError(ScalefallError):
-    """An operation that only the leader may carry out was asked of another process, or leadership was lost."""
+    """An operation that only the leader may perform was requested from another process, or leadership was lost."""
 
 
 class AssignmentError(ScalefallError, ValueError):
-    """Input that the assignment of destinations rejects; the text is one plain line, and nothing has changed.
+    """The assignment of destinations rejected its input; the text is one line, and no state has changed.
 
     Also a ValueError: the input has the right type and an unacceptable value.
     """
