--- a/scalefall/policy/__init__.py
+++ b/scalefall/policy/__init__.py
@@ -1,9 +1,9 @@
-"""Every decision on a message: events in, actions out, with no input, output or clock of its own.
+"""The policy engine: turns events into actions for every message, with no input, output or clock of its own.
 
-The ordinary path is LMAC, the measurement-based admission control of Kanodia and Knightly, "Ensuring Latency Targets
-in Multiclass Web Servers": request and service envelopes for each class on each route; a message is admitted only if
-the predicted high-percentile delay keeps its class and all others within their targets.
+Admission follows LMAC, the measurement-based admission control of Kanodia and Knightly, "Ensuring Latency Targets in
+Multiclass Web Servers": each class has a request and a service envelope on each route, and a message is admitted only
+if the predicted high-percentile delay stays within the targets of its class and of all others.
 
-Import from the modules: `engine` (the entry: `Engine.handle(now_us, events) -> actions`), `events`, `actions` and
-`settings`. The rest is internal. Times are whole microseconds on the caller's clock, unless a name says otherwise.
+The public modules are `engine` (`Engine.handle(now_us, events) -> actions`), `events`, `actions` and `settings`. The
+rest is internal. Times are whole microseconds on the caller's clock, unless a name says otherwise.
 """
--- a/scalefall/policy/actions.py
+++ b/scalefall/policy/actions.py
@@ -1,4 +1,4 @@
-"""What the engine asks of its caller, to be performed in order. Times are microseconds."""
+"""Output of the engine: actions that the caller performs in order. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Make an attempt at a message; sends to one endpoint in one step share a call, as far as its kind allows."""
+    """Make an attempt; sends to one endpoint in one step share a call, up to the limit of messages of its kind."""
 
     id: str
     endpoint: str
@@ -16,15 +16,15 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Abandon an attempt; its outcome is still awaited."""
+    """Cancel an attempt; its outcome must still be reported."""
 
     id: str
-    attempt: int  # of this message, from 0
+    attempt: int  # number of the attempt at this message, from 0
 
 
 @dataclass(slots=True)
 class Shed:
-    """Final answer: handed back undelivered, a repeat does no harm; the client may retry after retry_after_us."""
+    """Final answer: not delivered, and safe to send again; the client may retry after retry_after_us."""
 
     id: str
     retry_after_us: int
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: given up, no promise about its effect."""
+    """Final answer: given up; the message may or may not have taken effect."""
 
     id: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a TimerFired event after delay_us; replaces a timer of the same token."""
+    """Deliver a TimerFired event after delay_us; replaces a timer with the same token."""
 
     token: int
     delay_us: int
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class PollEndpointList:
-    """Ask for the endpoint list again."""
+    """Poll the endpoint list."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class LogLine:
-    """A line for the log."""
+    """Write a line to the log."""
 
     line: str
 
@@ -78,10 +78,10 @@
 
 @dataclass(slots=True)
 class RouteAllowance:
-    """What all proxies together may send on a route now, in calls a second; inf: as much as they like."""
+    """What all proxies together may send on a route now, in calls a second; inf: no limit."""
 
     destination: int
     route: str
-    endpoints: dict[str, float]  # those that may have fresh work, each with the budget that its slow start leaves it
-    rate: float  # the route's paced rate, or its slow start's budget
-    retry_after_until: int  # nothing before this time, as an endpoint said so
+    endpoints: dict[str, float]  # ready endpoints, each with the budget of its slow start
+    rate: float  # the lower of the route's rate limit and its slow start's budget
+    retry_after_until: int  # no calls before this time, as an answer demanded
--- a/scalefall/policy/admission.py
+++ b/scalefall/policy/admission.py
@@ -1,6 +1,6 @@
-"""LMAC: a message is admitted only if its class and all others on a route keep their delay targets with it.
+"""LMAC admission: a message is admitted only if its class and all others on a route keep their delay targets.
 
-What is not admitted waits, and is shed once more waits than the destination can serve in time.
+Other messages wait, and are shed once more of them wait than the destination can serve in time.
 """
 
 from __future__ import annotations
@@ -10,26 +10,26 @@
 from scalefall.policy.settings import MessageClass
 from scalefall.policy.state import EngineState, QueuedMessage, RouteState
 
-DEADLINE_MARGIN_SHARE = 0.1  # share of the deadline that the delay target keeps back
-MIN_WAITING_MESSAGES = 4  # messages that a destination may always have waiting
+DEADLINE_MARGIN_SHARE = 0.1  # fraction of the deadline by which the delay target is shorter
+MIN_WAITING_MESSAGES = 4  # messages that may always wait for a destination
 
 
 class Admission:
-    """Admits messages, and bounds how many may wait."""
+    """Admits messages, and bounds the number of those that wait."""
 
     def __init__(self, state: EngineState, pacing: Pacing) -> None:
         """Start with no figures for any class."""
         self._state = state
         self._pacing = pacing
-        self._class_envelopes: dict[str, Envelope] = {}  # each class over all routes
-        self._targets: dict[str, int] = {}  # delay target by class, as when a message of it last came
+        self._class_envelopes: dict[str, Envelope] = {}  # figures of each class over all routes
+        self._targets: dict[str, int] = {}  # delay target by class, as of its last message
 
     def set_target(self, message_class: MessageClass) -> None:
-        """Take a class's delay target from its present rules."""
+        """Set a class's delay target from its current rules."""
         self._targets[message_class.name] = int(message_class.deadline_us * (1 - DEADLINE_MARGIN_SHARE))
 
     def admit(self, message: QueuedMessage) -> bool:
-        """Return whether the message is admitted now or was before, trying the routes with the fewest calls first."""
+        """Return whether the message is admitted, now or earlier; routes with the fewest calls are tried first."""
         if message.admitted:
             return True
         name = message.message_class.name
@@ -43,7 +43,7 @@
         return False
 
     def _all_meet_targets(self, route: RouteState, own: Envelope, own_target_us: int) -> bool:
-        """Apply the test to one more message of a class on the route, for it and for each other class there."""
+        """Return whether all classes of the route keep their targets with one more message of a class."""
         now = self._state.now
         for name, envelope in route.envelopes.items():
             envelope.advance(now)
@@ -56,7 +56,7 @@
         return True
 
     def envelope(self, route: RouteState, name: str) -> Envelope:
-        """Return the envelopes of a class on a route, new ones if it is the first time."""
+        """Return the envelopes of a class on a route, created on first use."""
         found = route.envelopes.get(name)
         if found is None:
             found = route.envelopes[name] = Envelope(self._class_envelope(name))
@@ -66,10 +66,10 @@
         return self._class_envelopes.setdefault(name, Envelope())
 
     def max_waiting(self, message: QueuedMessage) -> float:
-        """Return how many messages may wait at the message's destination, with it.
+        """Return how many messages may wait for the message's destination, including this one.
 
-        None may hold more than is left free: one that hangs would fill all capacity, and a burst is shed early too.
-        What is not admitted waits only as far as the destination can serve in time.
+        A destination may use at most the capacity that is free: one that hangs would otherwise fill it all. Bursts are
+        shed earlier as a result. Messages that are not admitted are also bounded by what can be served in time.
         """
         free = self._state.settings.max_queued - len(self._state.messages)
         if message.admitted:
@@ -79,7 +79,7 @@
         return min(max(MIN_WAITING_MESSAGES, in_time), free)
 
     def mean_us(self, message: QueuedMessage) -> int:
-        """Return the mean time to serve a message of its class on the fastest route; 0 if none is known."""
+        """Return the mean time to serve a message of its class on the fastest route; 0 if it is unknown."""
         name = message.message_class.name
         routes = message.destination.routes.values()
         return int(min((route.envelopes[name].mean_us() for route in routes if name in route.envelopes), default=0.0))
--- a/scalefall/policy/attempts.py
+++ b/scalefall/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: sends that share a call, their outcomes, and cancelling what is overdue when slots are short."""
+"""Attempts in flight: batching into calls, outcomes, and cancelling overdue attempts when call slots run out."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Attempts:
-    """Begins and ends calls."""
+    """Starts and ends calls."""
 
     def __init__(
         self,
@@ -42,15 +42,15 @@
         self._outliers = outliers
         self._evaluation = evaluation
         self._endpoint_list = endpoint_list
-        self.in_flight: dict[tuple[str, int], tuple[QueuedMessage, Attempt]] = {}  # by message and its attempt
-        self._calls_of_step: dict[str, Attempt] = {}  # begun in this step, by endpoint: messages may still join
+        self.in_flight: dict[tuple[str, int], tuple[QueuedMessage, Attempt]] = {}  # by message id and attempt number
+        self._calls_of_step: dict[str, Attempt] = {}  # started in this step, by endpoint; messages may still join
 
     def begin_step(self) -> None:
-        """Let no message join a call of an earlier step."""
+        """Close the calls of the last step to further messages."""
         self._calls_of_step = {}
 
     def joinable(self, endpoint: EndpointState) -> Attempt | None:
-        """Return the call of this step to the endpoint, if it has space for another message."""
+        """Return this step's call to the endpoint if it can carry another message."""
         attempt = self._calls_of_step.get(endpoint.endpoint.id)
         if attempt is None:
             return None
@@ -58,7 +58,7 @@
         return attempt if attempt.carried < limit else None
 
     def send(self, message: QueuedMessage, endpoint: EndpointState) -> None:
-        """Send the message to the endpoint, in this step's call to it or a new one."""
+        """Send the message to the endpoint, in this step's call or in a new one."""
         envelope = self._admission.envelope(endpoint.route, message.message_class.name)
         attempt = self.joinable(endpoint)
         if attempt is None:
@@ -89,10 +89,9 @@
         return attempt
 
     def finish(self, event: AttemptFinished) -> tuple[QueuedMessage, Attempt] | None:
-        """Take an outcome; return its message and call, or None if neither is known.
+        """Record the outcome of an attempt; return its message and call, or None if the attempt is unknown.
 
-        The first outcome of a call is evaluated for the call. Each outcome has its own Retry-After, also the later
-        ones.
+        Only the first outcome of a call is evaluated, but the Retry-After of every outcome applies.
         """
         found = self.in_flight.pop((event.id, event.attempt), None)
         if found is None:
@@ -116,7 +115,7 @@
         return found
 
     def _finish_one(self, attempt: Attempt) -> None:
-        """End the call with the last outcome of its messages."""
+        """Remove a message from the call, and end the call with the last one."""
         attempt.unfinished -= 1
         if attempt.unfinished:
             return
@@ -129,9 +128,9 @@
         self._endpoint_list.drop_if_unused(endpoint)
 
     def cancel_overdue(self) -> None:
-        """Cancel calls that are overdue (hung, or the answer lost) where slots are short.
+        """Cancel overdue attempts, whose call hangs or lost its answer, if no call slot is free.
 
-        One that is only slow may end so too.
+        This may also cancel attempts that are only slow.
         """
         state = self._state
         if state.calls_in_flight < state.settings.call_slots or not state.settings.cancelling:
@@ -143,7 +142,7 @@
             state.actions.append(CancelAttempt(message_id, number))
 
     def _overdue(self) -> list[tuple[str, int]]:
-        """Return message and attempt of what is overdue and not cancelled, the longest overdue first."""
+        """Return message id and number of the overdue attempts that are not cancelled, longest overdue first."""
         now, messages = self._state.now, self._state.messages
         overdue = [
             (attempt.overdue_at, message_id, number)
--- a/scalefall/policy/dispatch.py
+++ b/scalefall/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""The end of each step: answers what is late, and sends what may go out at the destinations that have changed."""
+"""End of each step: gives up late messages, and sends waiting messages of the step's destinations."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         attempts: Attempts,
         final_answers: FinalAnswers,
     ) -> None:
-        """Send what this state has waiting."""
+        """Dispatch the waiting messages of this state."""
         self._state = state
         self._schedule = schedule
         self._priority = priority
@@ -40,7 +40,7 @@
         self._final_answers = final_answers
 
     def run(self) -> None:
-        """Evaluate the destinations that this step has touched, and plan when to evaluate them again."""
+        """Evaluate the destinations of this step, and plan their next evaluations."""
         self._final_answers.answer_late()
         self._schedule.evaluate_due()
         self._attempts.cancel_overdue()
@@ -51,13 +51,13 @@
         self._schedule.set_timer()
 
     def _send_waiting(self) -> None:
-        """Send what may go out.
+        """Send the waiting messages that may be sent now, by priority.
 
-        A message that is not admitted holds back its class at the destination, and one that finds no endpoint the
-        whole destination, unless it may go to one zone only.
+        A message that is not admitted blocks its class at the destination. One without an available endpoint blocks
+        the destination, unless it is bound to one zone.
         """
         now = self._state.now
-        blocked: set[int | tuple[int, str]] = set()  # destinations, or classes at one
+        blocked: set[int | tuple[int, str]] = set()  # destinations, or classes at a destination
         for message in self._by_priority():
             number, name = message.destination.number, message.message_class.name
             if number in blocked or (number, name) in blocked:
@@ -78,7 +78,7 @@
         return sorted(chain.from_iterable(waiting), key=self._priority.key)
 
     def _plan_evaluation(self, destination: DestinationState) -> None:
-        """Plan the next evaluation of a destination that has something waiting."""
+        """Plan the next evaluation of a destination with waiting messages."""
         at = min(map(self._routing.next_call_at, destination.routes.values()), default=inf)
         if not destination.waiting or at == inf or self._state.now < destination.next_evaluation_at <= at:
             return
--- a/scalefall/policy/endpoint_list.py
+++ b/scalefall/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The fleet as the engine knows it: endpoints that come, drain and go, their routes, and polling for the list."""
+"""Endpoint list of the engine: endpoints that are added, drained and removed, their routes, and polling."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from scalefall.policy.units import SECOND
 
 POLL_TIMER = 2  # token of the timer for the next poll
-POLL_SPREAD_PER_SENDER_US = SECOND // 5  # a sender's part of the directory's time, which fails polls that wait too long
-# times the time within which to poll: it is four times as long after a call that failed
+# Polls are spread over this time for each sender: discovery serves them one by one, and fails those that wait too long.
+POLL_SPREAD_PER_SENDER_US = SECOND // 5
+# Latest poll as a multiple of poll_within_us; the second, after failed polls, since these allow four times as long.
 POLL_DEADLINE_FACTORS = (0.9, 3.6)
-MAX_POLL_DOUBLINGS = 4  # that double the time over which senders spread their polls
-DESTINATION_RETENTION_US = 60 * SECOND  # a destination with no endpoint for so long is forgotten, with its pace
+MAX_POLL_DOUBLINGS = 4  # doublings of the spread, one for each failed poll
+DESTINATION_RETENTION_US = 60 * SECOND  # time after which a destination without endpoints is dropped with its rate
 
 
 class EndpointList:
@@ -30,7 +31,7 @@
         self._failed_polls = 0  # in a row
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Take an update of the list."""
+        """Apply an update of the list."""
         self._plan_poll(event.kind)
         if event.kind is ListUpdateKind.FAILED:
             return
@@ -44,7 +45,7 @@
         self._drop_unused_destinations()
 
     def _plan_poll(self, kind: ListUpdateKind) -> None:
-        """Poll again after a failure, or for the first list if only the cached one is there; spread at random."""
+        """Plan a poll after a failed one, or after the cached list; the time is random to spread the senders' polls."""
         settings = self._state.settings
         if kind is ListUpdateKind.FAILED:
             self._failed_polls = min(self._failed_polls + 1, MAX_POLL_DOUBLINGS)
@@ -59,7 +60,7 @@
     def _update_endpoint(self, endpoint: Endpoint) -> None:
         known = self._state.endpoints.get(endpoint.id)
         if known is not None and known.endpoint.destination != endpoint.destination:
-            _remove(known)  # it moved to another destination, and is another endpoint there
+            _remove(known)  # it moved to another destination, where it is a new endpoint
             self.drop_if_unused(known)
             known = None
         if known is None:
@@ -83,7 +84,7 @@
         return added
 
     def drop_if_unused(self, endpoint: EndpointState) -> None:
-        """Forget an endpoint that is gone, with nothing in flight and no pause in force; its route if that is apart."""
+        """Drop a removed endpoint without calls in flight or a pause in force, and its route if it has its own."""
         if not endpoint.removed or endpoint.attempts:
             return
         route, name = endpoint.route, endpoint.endpoint.id
@@ -115,7 +116,7 @@
         return any(message.destination.number == number for message in self._state.messages.values())
 
     def restore_rate(self, event: LearnedRate) -> None:
-        """Take what the process before learned: one that is down at a restart would come back to almost no rate."""
+        """Apply a learned rate; without it, a destination that is down at a restart would recover to almost no rate."""
         destination = self._state.destinations.get(event.destination)
         route = destination.routes.get(event.route) if destination else None
         if route is not None:
@@ -123,7 +124,7 @@
             route.reported_limit = route.reported_limit or event.limit
 
     def learned_rates(self) -> list[LearnedRate]:
-        """Return what a later process should know of each route."""
+        """Return the learned rate of each route for a later process."""
         return [
             LearnedRate(destination.number, name, self._lasting_rate(route), route.reported_limit)
             for destination in self._state.destinations.values()
--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -1,10 +1,10 @@
-"""The entry to the decisions: routes each event to the concern that takes it, and gathers the step's actions.
+"""Entry point of the policy package: passes each event to its component and collects the step's actions.
 
     engine = Engine(settings, seed)
     actions = engine.handle(now_us, events)
 
-The engine does no input or output and knows no clock: time is an argument, and all chance comes from one generator
-with the seed. The same settings, seed, times and events give the same actions in the same order.
+The engine is deterministic and does no input or output: time is an argument, and all random numbers come from one
+seeded generator. The same settings, seed, times and events give the same actions in the same order.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
 
 
 class Engine:
-    """Every decision of one sender.
+    """Makes all decisions of one sender.
 
     Attributes:
-        state: what is known; read only, outside of this package. The other attributes are the concerns, each a module.
+        state: the shared state; read-only outside this package. The other attributes are the components, one a module.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start with no endpoint and no message."""
         state = EngineState(settings, random.Random(seed))
         self.state = state
-        self._sequence = 0  # of messages
+        self._sequence = 0  # of the last message
         self.schedule = Schedule(state)
         self.pacing = Pacing(state)
         self.outliers = OutlierDetection(state, self.pacing)
@@ -85,14 +85,14 @@
         )
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Take one step: the events since the last one, in their order.
+        """Run one step with the events since the last one.
 
         Args:
-            now_us: the caller's time in microseconds; never runs backwards.
-            events: what has happened.
+            now_us: The caller's time in microseconds; never decreases.
+            events: The events in order of arrival.
 
         Returns:
-            What to do, in this order.
+            The actions, to be performed in this order.
         """
         state = self.state
         state.now = now_us
@@ -126,7 +126,7 @@
                 self.state.ends_at = event.ends_at_us
 
     def _accept(self, event: Message) -> None:
-        """Queue a message, or answer at once: with nothing left to be done (as after a restart), or no capacity."""
+        """Queue a message, or answer it at once if no attempt is possible, as after a restart, or capacity is full."""
         message_class = event.message_class or self.state.settings.classes.get(event.class_name)
         if message_class is None:
             self.state.actions.append(Fail(event.id))
@@ -165,13 +165,13 @@
         return message
 
     def _finish_attempt(self, event: AttemptFinished) -> None:
-        """Take an outcome: the message is done, or goes out again."""
+        """Process the outcome of an attempt: the message is done or is retried."""
         found = self.attempts.finish(event)
         if found is None:
             return
         message, attempt = found
         if self.state.messages.get(event.id) is not message:
-            return  # it has its final answer already
+            return  # the message already has its final answer
         message.attempt = None
         if event.finished or event.outcome is Outcome.OK:
             self.final_answers.remove(message)
@@ -179,24 +179,24 @@
         self._retry(message, attempt, event.outcome)
 
     def _retry(self, message: QueuedMessage, attempt: Attempt, outcome: Outcome) -> None:
-        """Have a message sent again after a failed attempt, or give it up where that is no use."""
+        """Queue a message again after a failed attempt, or give it up if no further attempt is possible."""
         record_failed_attempt(self.state, message, attempt, outcome)
         if self.final_answers.is_late(message) or attempts_exhausted(message):
-            self.final_answers.give_up(message)  # its key's time may be up by now
+            self.final_answers.give_up(message)  # the idempotency key may have expired during the attempt
             return
         message.destination.waiting[message.id] = message
         self.schedule.evaluate_at(message.not_before, message.destination)
         self.final_answers.plan_deadline_check(message)
 
     def learned_rates(self) -> list[LearnedRate]:
-        """Return what a later process of this sender should know; may be asked at any time."""
+        """Return the learned rates for a later process of this sender; may be called at any time."""
         return self.endpoint_list.learned_rates()
 
     def allowances(self, among: set[int] | None = None) -> list[RouteAllowance]:
         """Return what all proxies together may send on each route, after a step.
 
         Args:
-            among: numbers of the destinations that are asked for; None: all.
+            among: Numbers of the destinations to include; None: all.
         """
         destinations = self.state.destinations
         numbers = destinations if among is None else destinations.keys() & among
--- a/scalefall/policy/events.py
+++ b/scalefall/policy/events.py
@@ -1,4 +1,4 @@
-"""What the engine is told: messages, results of attempts, changes of the endpoint list. Times are microseconds."""
+"""Input of the engine: messages, results of attempts, updates of the endpoint list. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -18,16 +18,15 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    CONNECTIONS_EXHAUSTED = "crowded"  # the endpoint is up, and closed the connection as it has as many as it takes
+    CONNECTIONS_EXHAUSTED = "crowded"  # the endpoint is up, but has reached its connection limit
 
 
-NEVER_RAN = frozenset(
-    (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED)
-)  # outcomes after which a repeat does no harm, whatever the class
+# Outcomes after which a message of any class may be sent again.
+NEVER_RAN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED))
 
 
 class EndpointStatus(Enum):
-    """What the endpoint list says of an endpoint; nothing about its health."""
+    """Status of an endpoint in the endpoint list; independent of its health."""
 
     GONE = 0
     READY = 1
@@ -35,12 +34,12 @@
 
 
 class ListUpdateKind(Enum):
-    """How an update of the endpoint list is to be read."""
+    """How to apply an update of the endpoint list."""
 
-    CHANGES = 0  # only the endpoints that differ
-    WHOLE = 1  # all endpoints; what is missing is gone
-    CACHED = 2  # as WHOLE, but from before, and may be out of date
-    FAILED = 3  # a poll brought nothing
+    CHANGES = 0  # only the endpoints that changed
+    WHOLE = 1  # all endpoints; a known one that is missing has been removed
+    CACHED = 2  # as WHOLE, but from before the start, and possibly out of date
+    FAILED = 3  # a poll failed
 
 
 @dataclass(slots=True)
@@ -52,16 +51,16 @@
     kind: str
     destination: int
     status: EndpointStatus
-    weight: float  # its limit in calls a second, as far as Settings.weights says so; 0 if unknown
-    max_calls: int = 0  # at once, from this sender; 0: no limit but the sender's call slots
+    weight: float  # its limit in calls a second, with the meaning that Settings.weights gives it; 0 if unknown
+    max_calls: int = 0  # limit on this sender's calls in flight; 0: only the call slots limit them
 
 
 @dataclass(slots=True)
 class Message:
-    """A message handed in: the sender owes it one final answer by due_us.
+    """A message from a client, which must get exactly one final answer by due_us.
 
-    One that was accepted before a restart comes again with its history: the attempts used, and when and where one
-    first may have run.
+    A message that was accepted before a restart is handed over with its history: the attempts used, and the time and
+    zone of the first one that may have run.
     """
 
     id: str
@@ -70,40 +69,40 @@
     due_us: int
     tenant: str | None = None
     ordering_key: str | None = None
-    attempts: int = 0  # already used
-    may_have_run_at_us: int | None = None  # may lie before the start
+    attempts: int = 0  # attempts already used
+    may_have_run_at_us: int | None = None  # may be before the start
     may_have_run_zone: str = ""
-    restored: bool = False  # accepted before a restart: never shed for want of capacity
-    message_class: MessageClass | None = None  # the rules it was accepted under, where not those of the settings now
+    restored: bool = False  # accepted before a restart, so never shed for lack of capacity
+    message_class: MessageClass | None = None  # the rules at acceptance, where they differ from the current settings
 
 
 @dataclass(slots=True)
 class MessageWithdrawn:
-    """The client withdrew the message; nothing more is owed."""
+    """The client withdrew the message; it gets no final answer."""
 
     id: str
 
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """The one outcome of an attempt at a message."""
+    """The outcome of an attempt; each attempt has exactly one."""
 
-    id: str  # the message's
-    attempt: int  # of this message, from 0
+    id: str  # of the message
+    attempt: int  # number of the attempt at this message, from 0
     endpoint: str
     outcome: Outcome
     latency_us: int
-    finished: bool = False  # the message is done, whatever the outcome
-    retry_after_us: int = 0  # from now, as the endpoint said; 0: it said nothing
+    finished: bool = False  # the message needs no further attempt, whatever the outcome
+    retry_after_us: int = 0  # from now, as the answer demands; 0: not given
     load_report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class EndpointReport:
-    """The result of a call that another proxy made under a grant of ours."""
+    """The result of a call that a proxy made under a grant of this engine."""
 
     endpoint: str
-    sent_us: int  # on our clock
+    sent_us: int  # on the engine's clock
     outcome: Outcome
     retry_after_us: int = 0
     load_report: dict[str, float] = field(default_factory=dict)
@@ -122,14 +121,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the engine set has run out."""
+    """A timer that the engine set has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """The endpoint list, or a change of it."""
+    """The endpoint list, or changes to it."""
 
     kind: ListUpdateKind
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -137,17 +136,17 @@
 
 @dataclass(slots=True)
 class LearnedRate:
-    """What an earlier process of this sender learned of a route shortly before; comes after the cached list."""
+    """Learned rate of a route from an earlier process of this sender; comes after the cached list."""
 
     destination: int
     route: str
-    own_rate: float  # calls a second that this sender was served with
-    limit: float  # calls a second from all senders, as answers reported it; 0 if none did
+    own_rate: float  # this sender's served calls a second
+    limit: float  # reported limit in calls a second from all senders; 0 if none was reported
 
 
 @dataclass(slots=True)
 class ShuttingDown:
-    """The process ends at ends_at_us, on purpose: a call in flight then may have run."""
+    """The process exits at ends_at_us; a call still in flight by then may have run."""
 
     ends_at_us: int
 
--- a/scalefall/policy/final_answers.py
+++ b/scalefall/policy/final_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer that each message gets: delivered, shed (a repeat does no harm), or failed."""
+"""Final answers: each message is delivered, shed (safe to send again) or failed, exactly once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FinalAnswers:
-    """Gives messages up in time, and forgets those that have their answer."""
+    """Gives messages up in time, and removes those with a final answer."""
 
     def __init__(self, state: EngineState, schedule: Schedule, admission: Admission, ordering: Ordering) -> None:
         """Answer for the messages of this state."""
@@ -21,7 +21,7 @@
         self._ordering = ordering
 
     def answer_late(self) -> None:
-        """Give up what can no longer be delivered in time."""
+        """Give up messages that can no longer be delivered in time."""
         while (message := self._schedule.pop_due()) is not None:
             if self.is_late(message):
                 self.give_up(message)
@@ -29,15 +29,19 @@
                 self.plan_deadline_check(message)
 
     def plan_deadline_check(self, message: QueuedMessage) -> None:
-        """Have the message looked at again when it is late, as far as can be told now."""
+        """Plan the check of the message at the time when it will be late by current figures."""
         self._schedule.plan_deadline_check(message, self._late_at(message))
 
     def is_late(self, message: QueuedMessage) -> bool:
-        """Return whether no attempt that is begun now can be of use."""
+        """Return whether an attempt that starts now is too late."""
         return self._late_at(message) <= self._state.now
 
     def _late_at(self, message: QueuedMessage) -> int:
-        """Return when it is due; while it waits, less its mean service time; or when its key's time is up."""
+        """Return when the message is late.
+
+        In flight, that is when it is due. While it waits, it is earlier by the mean service time, and not after the
+        expiry of its idempotency key.
+        """
         if message.attempt is not None:
             return message.due
         late_at = message.due - self._admission.mean_us(message)
@@ -47,14 +51,14 @@
         return late_at
 
     def give_up(self, message: QueuedMessage) -> None:
-        """Shed the message if a repeat does no harm; otherwise it has failed."""
-        if self._repeat_is_harmless(message):
+        """Shed the message if it is safe to send it again; otherwise fail it."""
+        if self._is_safe_to_repeat(message):
             self.shed(message)
         else:
             self._state.actions.append(Fail(message.id))
             self.remove(message)
 
-    def _repeat_is_harmless(self, message: QueuedMessage) -> bool:
+    def _is_safe_to_repeat(self, message: QueuedMessage) -> bool:
         if message.attempt is not None:
             return False
         message_class = message.message_class
@@ -63,18 +67,18 @@
         return message_class.idempotency is Idempotency.WITH_KEY and not message_class.key_scope_zone
 
     def withdraw(self, message_id: str) -> None:
-        """Drop a message that its client withdrew, unless it has its final answer already."""
+        """Remove a message that its client withdrew, unless it already has its final answer."""
         message = self._state.messages.get(message_id)
         if message is not None:
             self.remove(message)
 
     def shed(self, message: QueuedMessage) -> None:
-        """Hand the message back undelivered, to be retried after the mean service time."""
+        """Answer that the message was not delivered and may be retried after the mean service time."""
         self._state.actions.append(Shed(message.id, self._admission.mean_us(message)))
         self.remove(message)
 
     def remove(self, message: QueuedMessage) -> None:
-        """Drop a message that has its final answer."""
+        """Remove a message that has its final answer."""
         del self._state.messages[message.id]
         message.destination.waiting.pop(message.id, None)
         self._ordering.remove(message)
--- a/scalefall/policy/ordering.py
+++ b/scalefall/policy/ordering.py
@@ -1,4 +1,4 @@
-"""Messages with an ordering key go out one after another, with a rest after an attempt that may have run."""
+"""Ordering queues: messages with one ordering key are sent one by one, with a pause after one that may have run."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     message_ids: deque[str] = field(default_factory=deque)  # in order of arrival
     in_flight: bool = False
     gap_ends_at: int = 0
-    gap_exempt: str = ""  # the message that the gap does not hold for: its own next attempt
+    gap_exempt: str = ""  # id of the message whose own next attempt need not wait for the gap
 
 
 class Ordering:
-    """Decides whose turn it is within each ordering key."""
+    """Decides which message of each ordering key may be sent."""
 
     def __init__(self, state: EngineState, schedule: Schedule) -> None:
         """Start with no key in use."""
@@ -31,12 +31,12 @@
         self.queues: dict[str, OrderingQueue] = {}
 
     def add(self, message: QueuedMessage) -> None:
-        """Queue a message behind those with the same key, if it has one."""
+        """Append a message with an ordering key to its queue."""
         if message.ordering_key is not None:
             self.queues.setdefault(message.ordering_key, OrderingQueue()).message_ids.append(message.id)
 
     def is_first(self, message: QueuedMessage) -> bool:
-        """Return whether the message may go out now as far as its key is concerned."""
+        """Return whether its ordering key allows the message to be sent now."""
         if message.ordering_key is None:
             return True
         queue = self.queues[message.ordering_key]
@@ -45,12 +45,12 @@
         return queue.gap_ends_at <= self._state.now or queue.gap_exempt == message.id
 
     def record_send(self, message: QueuedMessage) -> None:
-        """Hold back what is behind the message while it is in flight."""
+        """Block the rest of the queue while the message is in flight."""
         if message.ordering_key is not None:
             self.queues[message.ordering_key].in_flight = True
 
     def record_outcome(self, message: QueuedMessage, outcome: Outcome) -> None:
-        """Let the key go on, after a rest if the attempt may have run."""
+        """Unblock the queue, after a gap if the attempt may have run."""
         if message.ordering_key is None:
             return
         queue = self.queues[message.ordering_key]
@@ -61,14 +61,14 @@
         self._advance(message.ordering_key, queue)
 
     def remove(self, message: QueuedMessage) -> None:
-        """Take a message with a final answer out of its key."""
+        """Remove a message with a final answer from its queue."""
         if message.ordering_key is not None:
             queue = self.queues[message.ordering_key]
             queue.message_ids.remove(message.id)
             self._advance(message.ordering_key, queue)
 
     def _advance(self, key: str, queue: OrderingQueue) -> None:
-        """Have the key's next message evaluated, or forget a key that is no longer needed."""
+        """Have the next message of the queue evaluated, or drop a queue that is no longer needed."""
         now = self._state.now
         following = self._state.messages.get(queue.message_ids[0]) if queue.message_ids else None
         if following is not None:
--- a/scalefall/policy/outcomes.py
+++ b/scalefall/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of a call says of its endpoint and route: limits, overload, faults, too many connections."""
+"""Evaluation of call outcomes for their endpoint and route: limits, overload, failures, connection limits."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 from scalefall.policy.state import Attempt, EndpointState, EngineState, RouteState
 from scalefall.policy.units import SECOND
 
-CONNECTION_CAP_WINDOW_US = 2 * SECOND  # an endpoint that served so lately and rejects a connection has too many
-LIMIT_FIELD = "x1"  # of a load report: calls a second that the route takes from all senders
-UNUSED_FIELD = "x0"  # of a load report: share of that limit that is left
-NO_FAULT = (Outcome.OK, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED)  # outcomes that say nothing against it
+# An endpoint that rejects a connection within this time of a success has reached its connection limit.
+CONNECTION_CAP_WINDOW_US = 2 * SECOND
+LIMIT_FIELD = "x1"  # field of a load report: the route's limit in calls a second for all senders
+UNUSED_FIELD = "x0"  # field of a load report: unused fraction of that limit
+NO_FAULT = (Outcome.OK, Outcome.NOT_SENT, Outcome.CONNECTIONS_EXHAUSTED)  # outcomes that are not endpoint failures
 
 
 class OutcomeEvaluation:
-    """Takes the outcomes of calls, also of those that other proxies made under grants of ours."""
+    """Evaluates the outcomes of calls, including those that proxies made under grants."""
 
     def __init__(self, state: EngineState, pacing: Pacing, outliers: OutlierDetection) -> None:
         """Evaluate calls to the endpoints of this state."""
         self._state = state
         self._pacing = pacing
         self._outliers = outliers
-        self._connection_cap_until: dict[str, int] = {}  # endpoints whose idle connections are closed until then
+        self._connection_cap_until: dict[str, int] = {}  # by endpoint; idle connections are closed until then
 
     def evaluate(self, attempt: Attempt, event: AttemptFinished | EndpointReport) -> None:
-        """Take a call's outcome: for the limit, the pace and the slow starts of its route and endpoint."""
+        """Update the limit, the rate and the slow starts of the endpoint and its route from a call's outcome."""
         endpoint, outcome = attempt.endpoint, event.outcome
         route = endpoint.route
         if event.load_report.get(LIMIT_FIELD):
@@ -53,13 +54,16 @@
         self._pacing.report_limit(endpoint.route, load_report[LIMIT_FIELD], left, batches)
 
     def _is_above_limit(self, route: RouteState, event: AttemptFinished | EndpointReport) -> bool:
-        """Above its limit a destination asks for the rest of a span or less; that is no sign of an outage."""
+        """Return whether a call was rejected for exceeding a known limit, which is no sign of an outage.
+
+        A destination above its limit demands a Retry-After of at most the rest of its overload window.
+        """
         if event.outcome is not Outcome.OVERLOADED or route.reported_limit <= 0:
             return False
         return 0 < event.retry_after_us <= self._state.settings.overload_window_us
 
     def evaluate_endpoint_report(self, event: EndpointReport) -> None:
-        """Take a call that another proxy made under a grant: it counts, and is evaluated, as one of our own."""
+        """Count and evaluate a call that a proxy made under a grant like a call of this sender."""
         endpoint = self._state.endpoints.get(event.endpoint)
         if endpoint is None:
             return
@@ -70,9 +74,9 @@
         self.evaluate(Attempt(endpoint, event.sent_us), event)
 
     def has_too_many_connections(self, endpoint: EndpointState) -> bool:
-        """Return whether it lately rejected a connection although it serves: idle ones are better closed."""
+        """Return whether the endpoint serves but recently rejected a connection, so that idle ones are closed."""
         return self._connection_cap_until.get(endpoint.endpoint.id, 0) > self._state.now
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Drop what is known of an endpoint."""
+        """Remove an endpoint."""
         self._connection_cap_until.pop(endpoint_id, None)
--- a/scalefall/policy/priority.py
+++ b/scalefall/policy/priority.py
@@ -1,4 +1,4 @@
-"""Which waiting message goes first: the oldest by its weight, and what has lost most of its value last."""
+"""Order of waiting messages: by age times priority weight, with messages that have lost most of their value last."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from scalefall.policy.settings import MessageClass
 from scalefall.policy.state import EngineState, QueuedMessage
 
-MIN_VALUE_SHARE = 0.5  # a message that has lost more than this share of its value goes behind: it would make all late
+MIN_VALUE_SHARE = 0.5  # fraction of its value below which a message is sent last, so as not to delay the others
 
 
 class Priority:
     """Orders waiting messages."""
 
     def __init__(self, state: EngineState) -> None:
-        """Start with no class known."""
+        """Start with no class."""
         self._state = state
-        self._keeps_value_for: dict[str, int] = {}  # microseconds by class, as when a message of it last came
+        self._keeps_value_for: dict[str, int] = {}  # microseconds by class, as of its last message
 
     def set_class(self, message_class: MessageClass) -> None:
-        """Take a class's rules as they are at present."""
+        """Apply the current rules of a class."""
         self._keeps_value_for[message_class.name] = self._keeps_value_for_us(message_class)
 
     def key(self, message: QueuedMessage) -> tuple[bool, float]:
-        """Return what to sort messages by, the first to go out first.
+        """Return the sort key of a message; the lowest is sent first.
 
-        One with twice the weight goes as if it had waited twice as long.
+        A message with twice the weight is treated as if it had waited twice as long.
         """
         message_class = message.message_class
         age = self._state.now - message.due + message_class.deadline_us
         return (age >= self._keeps_value_for[message_class.name], -age * message_class.priority_weight)
 
     def _keeps_value_for_us(self, message_class: MessageClass) -> int:
-        """Return how long after it was handed in a message of the class keeps MIN_VALUE_SHARE of its value."""
+        """Return the time from submission for which a message of the class keeps MIN_VALUE_SHARE of its value."""
         objective, deadline = message_class.latency_objective_us, message_class.deadline_us
         if message_class.late_priority_weight >= MIN_VALUE_SHARE:
             return deadline
--- a/scalefall/policy/retry.py
+++ b/scalefall/policy/retry.py
@@ -1,4 +1,4 @@
-"""Timeouts and retries: how long an attempt may take, whether and when a message goes out again."""
+"""Timeouts and retries: how long an attempt may take, and whether and when a message is sent again."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from scalefall.policy.state import Attempt, EngineState, QueuedMessage
 from scalefall.policy.units import SECOND
 
-TIMEOUT_MULTIPLE = 4  # a call is overdue, or timed out, after so many times its high-percentile time
-MIN_TIMEOUT_US = SECOND // 2  # and never before this
-DEADLINE_DIVISOR = 4  # before there are figures, a call is given this part of its class's deadline
-MAX_TIMEOUT_DOUBLINGS = 4  # of the timeout, one for each further attempt
-INITIAL_BACKOFF_US = SECOND // 5  # first pause before a message goes out again after a failure
+TIMEOUT_MULTIPLE = 4  # multiple of the high-percentile time after which a call is overdue or times out
+MIN_TIMEOUT_US = SECOND // 2  # lower bound of that time
+DEADLINE_DIVISOR = 4  # without figures, a call may take the deadline of its class divided by this
+MAX_TIMEOUT_DOUBLINGS = 4  # doublings of the timeout, one for each further attempt
+INITIAL_BACKOFF_US = SECOND // 5  # mean backoff after the first failed attempt
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 BACKS_OFF = (*MAY_HAVE_RUN, Outcome.CONNECT_FAILED, Outcome.CONNECTIONS_EXHAUSTED)
 
 
 def expected_us(envelope: Envelope, message_class: MessageClass) -> int:
-    """Return the time after which a call that has not ended is overdue."""
+    """Return the time after which a call without an outcome is overdue."""
     basis = envelope.basis()
     if basis is None:
         return message_class.deadline_us // DEADLINE_DIVISOR
@@ -28,8 +28,8 @@
 def timeout_us(state: EngineState, message: QueuedMessage, envelope: Envelope) -> int:
     """Return how long the next attempt may take.
 
-    Only what may be sent again is cut short; each further attempt is given twice the time. A message with an
-    idempotency key is cut short only if another attempt still fits into the time that its key is known.
+    Only an attempt that another may follow times out before the deadline, and each gets twice the time of the last.
+    With an idempotency key, that is so only if another attempt still fits into the lifetime of the key.
     """
     now = state.now
     left = message.due - now
@@ -46,14 +46,14 @@
 
 
 def attempts_exhausted(message: QueuedMessage) -> bool:
-    """Return whether no further attempt is allowed; before a restart the message may have run too."""
+    """Return whether no further attempt is allowed; the message may have run before a restart, too."""
     if message.attempts >= message.max_attempts:
         return True
     return message.may_have_run_at >= 0 and message.message_class.idempotency is Idempotency.NOT_IDEMPOTENT
 
 
 def record_failed_attempt(state: EngineState, message: QueuedMessage, attempt: Attempt, outcome: Outcome) -> None:
-    """Note what a failed attempt means for the next: whether it may have run, and the pause before it."""
+    """Record whether a failed attempt may have run, and set the backoff before the next one."""
     if outcome in MAY_HAVE_RUN and message.may_have_run_at < 0:
         message.may_have_run_at = attempt.sent_at
         if message.message_class.key_scope_zone:
--- a/scalefall/policy/routing.py
+++ b/scalefall/policy/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a message goes to: among those that may take a call now, the one with the fewest calls in flight."""
+"""Choice of the endpoint for a message: of those that may get a call now, the one with the fewest calls in flight."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Routing:
-    """Chooses endpoints, and tells when a route may take its next call."""
+    """Chooses endpoints, and computes when a route may get its next call."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         self._attempts = attempts
 
     def choose(self, message: QueuedMessage) -> EndpointState | None:
-        """Return the endpoint for the message's next attempt, or None if none may take it now.
+        """Return the endpoint for the message's next attempt, or None if none may get it now.
 
-        A call of this step that still has space goes first: the message joins it.
+        A call of this step that can carry another message is preferred.
         """
         now = self._state.now
         candidates: list[EndpointState] = []
@@ -58,21 +58,21 @@
         return min(candidates, key=self._rank, default=None)
 
     def _ends_in_time(self, route: RouteState, message: QueuedMessage) -> bool:
-        """Before the process ends, only what may be over by then goes out: a call in flight may have run."""
+        """Return whether a call is expected to end before the process exits; one in flight then may have run."""
         if self._state.ends_at == inf:
             return True
         envelope = self._admission.envelope(route, message.message_class.name)
         return self._state.now + expected_us(envelope, message.message_class) <= self._state.ends_at
 
     def _rank(self, endpoint: EndpointState) -> tuple[bool, int, bool, float, float]:
-        """Order candidates, the best first.
+        """Return the sort key of a candidate, the best first.
 
-        Ties are broken at random: in the list's order all senders would meet at the same endpoint.
+        Ties are broken at random: in the order of the list all senders would choose the same endpoint.
         """
         slow_start = endpoint.slow_start
-        pauses = slow_start.consecutive_failures > 0 and slow_start.next_attempt_at > self._state.now
+        is_pausing = slow_start.consecutive_failures > 0 and slow_start.next_attempt_at > self._state.now
         return (
-            pauses,
+            is_pausing,
             len(endpoint.attempts),
             endpoint.route.rate < inf,
             self._state.settings.zone_cost.get(endpoint.endpoint.zone, 0.0),
@@ -80,9 +80,9 @@
         )
 
     def _may_call(self, route: RouteState, endpoint: EndpointState) -> bool:
-        """Return whether slots, the endpoint's cap, its slow start and the pace allow a call now.
+        """Return whether call slots, the endpoint's call limit, the slow start and the rate limit allow a call now.
 
-        A route may take as many slots as are left free: one that hangs would take them all.
+        A route may use at most as many slots as are free; a route that hangs would otherwise use all of them.
         """
         state = self._state
         free = state.settings.call_slots - state.calls_in_flight
@@ -98,7 +98,7 @@
         return self._pacing.refill(route) >= 1
 
     def next_call_at(self, route: RouteState) -> float:
-        """Return when a call might go out on the route if no event comes before; a step of time if none can tell."""
+        """Return when the route may allow a call if no event comes before; BIN_US from now if that is unknown."""
         now = self._state.now
         if not any(endpoint.ready for endpoint in route.endpoints):
             return inf
@@ -110,7 +110,7 @@
         return min((at for at in times if at > now), default=now + BIN_US)
 
     def _slow_start_times(self, route: RouteState) -> list[int]:
-        """Return when the slow starts in force let the next call through, and when they end."""
+        """Return when the slow starts in force allow the next call, and when they end."""
         if route.slow_start.consecutive_failures:
             in_force = [route.slow_start]
         else:
--- a/scalefall/policy/schedule.py
+++ b/scalefall/policy/schedule.py
@@ -1,4 +1,4 @@
-"""What is to be evaluated, and when: destinations that events have changed, that wait for a slot or for a time."""
+"""Schedule of evaluations: destinations of this step, those that wait for a call slot, and planned evaluations."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from scalefall.policy.actions import SetTimer
 from scalefall.policy.state import DestinationState, EngineState, QueuedMessage
 
-EVALUATION_TIMER = 1  # token of the one timer for all of this
+EVALUATION_TIMER = 1  # token of the one timer for evaluations and deadlines
 
 
 class Schedule:
-    """Keeps what is evaluated in this step and the times of later evaluations.
+    """Holds the destinations to evaluate in this step and the times of later evaluations.
 
     Attributes:
-        step_destinations: destinations that this step's events have changed, by number, in the order that they did.
-        waiting_for_slot: destinations that wait for a free call slot.
-        deadlines: heap of watched messages: time, sequence and id.
+        step_destinations: Destinations to evaluate in this step, by number, in the order of the events.
+        waiting_for_slot: Destinations that wait for a free call slot.
+        deadlines: Heap of planned deadline checks: time, sequence and id of the message.
     """
 
     def __init__(self, state: EngineState) -> None:
@@ -29,24 +29,24 @@
         self._timer_at = -1
 
     def evaluate_in_step(self, destination: DestinationState) -> None:
-        """Evaluate the destination in this step."""
+        """Have the destination evaluated in this step."""
         self.step_destinations[destination.number] = destination
 
     def evaluate_waiting_for_slot(self) -> None:
-        """Evaluate what waits for a call slot: one is free."""
+        """Have the destinations that wait for a call slot evaluated in this step."""
         self.step_destinations.update(self.waiting_for_slot)
         self.waiting_for_slot = {}
 
     def evaluate_at(self, at: int, destination: DestinationState) -> None:
-        """Evaluate the destination in the first step from a time on."""
+        """Have the destination evaluated in the first step at or after a time."""
         heapq.heappush(self._planned_evaluations, (at, destination.number))
 
     def plan_deadline_check(self, message: QueuedMessage, at: int) -> None:
-        """Have the message returned by pop_due from a time on, in a later step than this."""
+        """Have pop_due return the message in the first later step at or after a time."""
         heapq.heappush(self.deadlines, (max(self._state.now + 1, at), message.sequence, message.id))
 
     def pop_due(self) -> QueuedMessage | None:
-        """Return a watched message whose time has come, or None."""
+        """Return a message whose deadline check is due, or None."""
         while self.deadlines and self.deadlines[0][0] <= self._state.now:
             message = self._state.messages.get(heapq.heappop(self.deadlines)[2])
             if message is not None:
@@ -54,7 +54,7 @@
         return None
 
     def evaluate_due(self) -> None:
-        """Evaluate the destinations whose time has come."""
+        """Have the destinations whose planned evaluation is due evaluated in this step."""
         destinations = self._state.destinations
         while self._planned_evaluations and self._planned_evaluations[0][0] <= self._state.now:
             number = heapq.heappop(self._planned_evaluations)[1]
@@ -62,7 +62,7 @@
                 self.step_destinations[number] = destinations[number]
 
     def set_timer(self) -> None:
-        """Set the timer for the next time, unless one is set that comes before it."""
+        """Set the timer for the next planned time, unless it is already set for that or an earlier time."""
         while self.deadlines and self.deadlines[0][2] not in self._state.messages:
             heapq.heappop(self.deadlines)
         times = []
--- a/scalefall/policy/slow_start.py
+++ b/scalefall/policy/slow_start.py
@@ -1,8 +1,9 @@
-"""Outlier detection and slow start: what a route or an endpoint gets after failures, until it is warm again.
+"""Outlier detection and slow start: limits calls to a route or an endpoint from its failures until it is warm again.
 
-All senders together must not push a destination over that has just come back: a cold one takes only a share of its
-limit, which grows while it warms up. The senders share nothing, so each keeps to a budget of its own, from when it
-has met failures. Two slow starts stand over a call: that of its endpoint, and that of its route.
+A recovering destination accepts only a fraction of its limit, which grows while it warms up. The overload rule: within
+an overload window, the calls of all senders must not exceed what it accepts, if two thirds or more of them come from
+senders that have seen the failure. Senders share no state, so each has a budget of its own once it has seen failures.
+A call is subject to two slow starts: its endpoint's and its route's.
 """
 
 from __future__ import annotations
@@ -14,28 +15,31 @@
 from scalefall.policy.state import TRIAL_CALLS, Attempt, EndpointState, EngineState, RouteState, SlowStart
 from scalefall.policy.units import SECOND
 
-# of what the rule allows a cold route; with less the senders that met the failure don't break it
+# Budgets of the senders that have seen the failure, as a fraction of what a recovering route accepts from all senders.
+# Up to two thirds of it, these senders cannot break the overload rule.
 WARMING_BUDGET_SHARE = 2 / 3
-FAILING_BUDGET_SHARE = (2 - TRIAL_CALLS) / 3  # the same before the first success; see OutlierDetection.record_failure
-RETRY_AFTER_SPREAD_FACTOR = 4  # times a Retry-After over which senders come back after it
-DETECTION_CALL_INTERVALS = (
-    3.0  # in even gaps; calls of senders that have not met the failure are then at most 1 / (e * age) a sender
-)
-MIN_TRIAL_SPREAD_US = SECOND // 5  # the shortest span over which questions are spread
-MIN_CALLS_PER_S = 1e-6  # calls a second; keeps gaps finite
-RESTART_FAILURES = TRIAL_CALLS + 2  # more failures in a row while warming up begin the slow start anew
+# The same before the first success; OutlierDetection.record_failure has the derivation.
+FAILING_BUDGET_SHARE = (2 - TRIAL_CALLS) / 3
+RETRY_AFTER_SPREAD_FACTOR = 4  # multiple of a Retry-After over which trial calls after it are spread
+# Time until most senders have seen a failure, in mean intervals between a sender's calls at its fair share of what a
+# cold destination accepts. A sender with r calls a second has seen no failure by time t with probability e^(-r * t), so
+# that senders that have not seen it make at most 1 / (e * t) calls a second each.
+DETECTION_CALL_INTERVALS = 3.0
+MIN_TRIAL_SPREAD_US = SECOND // 5  # shortest span over which trial calls are spread
+MIN_CALLS_PER_S = 1e-6  # keeps call intervals finite
+RESTART_FAILURES = TRIAL_CALLS + 2  # more consecutive failures than this during the warm-up restart the slow start
 
 
 class OutlierDetection:
-    """Counts failures and successes of endpoints and routes, and holds what is sent to slow starts' budgets."""
+    """Counts consecutive failures of endpoints and routes, and computes the budgets of their slow starts."""
 
     def __init__(self, state: EngineState, pacing: Pacing) -> None:
-        """Stand over the routes of this state."""
+        """Limit the routes of this state."""
         self._state = state
         self._pacing = pacing
 
     def record_success(self, slow_start: SlowStart) -> None:
-        """Take a success: a question that is answered ends it, otherwise the warm-up begins."""
+        """Record a success: it ends the slow start or, once the budget applies, starts the warm-up."""
         state = self._state
         slow_start.last_success_at = state.now
         if slow_start.consecutive_failures <= TRIAL_CALLS:
@@ -47,15 +51,19 @@
             slow_start.next_attempt_at = state.now + int(self.call_interval_us(slow_start) * state.random.random())
 
     def record_failure(self, attempt: Attempt, retry_after_us: int) -> None:
-        """Take a failure or rejection, unless a success since its send contradicts it.
-
-        Senders that have met the failure break the rule only when they push twice as much as the rest, U: the first
-        calls of senders that have not. Each of these asks q times (TRIAL_CALLS), which makes q * U questions; the
-        others break it only with budgets of (2 - q) * U or more, and all together are at most 3 / (2 - q) times these
-        budgets: FAILING_BUDGET_SHARE keeps that in what a cold route may get. A sender that was served within the
-        overload window asks on, at doubling gaps, as rejections above a limit come in rows. A Retry-After over that
-        window means that the destination is closed: no question. Covers endpoints that crash, hang, close or fail most
-        calls; hurts where failures are single and calls rare.
+        """Record a failure or rejection, unless a call has succeeded since the failed one was sent.
+
+        After its first failure a sender makes q trial calls (TRIAL_CALLS); then its budget applies. The budget before
+        the first success, FAILING_BUDGET_SHARE, follows from the overload rule, which is broken only if senders that
+        have seen the failure make at least twice the calls of the rest. These are U, the first calls of senders that
+        have not seen it; they lead to q * U trial calls. The budgets B of the others then break the rule only from
+        B = (2 - q) * U on, where all calls, U + q * U + B, are at most 3 / (2 - q) * B. With B at (2 - q) / 3 of what
+        a cold route accepts, all calls stay within that.
+
+        A sender that was served within the overload window continues with trial calls, at intervals that double, since
+        rejections above a limit come in series. A Retry-After longer than that window means that the destination is
+        closed: it counts despite a success, and there is no trial call. All this covers endpoints that crash, hang,
+        close or fail most calls; it limits calls without need where failures are isolated and calls rare.
         """
         endpoint = attempt.endpoint
         route = endpoint.route
@@ -67,54 +75,54 @@
     def _count_failure(self, slow_start: SlowStart, own_rate: float, attempt: Attempt, retry_after_us: int) -> None:
         now = self._state.now
         window_us = self._state.settings.overload_window_us
-        closed = retry_after_us > window_us
-        if slow_start.last_success_at > attempt.sent_at and not closed:
+        is_closed = retry_after_us > window_us
+        if slow_start.last_success_at > attempt.sent_at and not is_closed:
             return
         if not slow_start.consecutive_failures:
             slow_start.own_rate = own_rate
         limited_before = slow_start.budget_applies()
         since_success = now - slow_start.last_success_at
-        served_lately = not limited_before and since_success <= window_us and slow_start.last_success_at >= 0
-        self._add_failure(slow_start, attempt.sent_at, served_lately, closed)
+        served_recently = not limited_before and since_success <= window_us and slow_start.last_success_at >= 0
+        self._add_failure(slow_start, attempt.sent_at, served_recently, is_closed)
         limited = slow_start.budget_applies()
         if limited and not limited_before:
             self._begin(slow_start, attempt.endpoint)
-        begins_anew = slow_start.warming_since >= 0 and slow_start.consecutive_failures > RESTART_FAILURES
-        if begins_anew:
+        restarts = slow_start.warming_since >= 0 and slow_start.consecutive_failures > RESTART_FAILURES
+        if restarts:
             slow_start.warming_since = -1
-        if begins_anew or not limited_before or retry_after_us:
+        if restarts or not limited_before or retry_after_us:
             if limited:
                 spread_us = self.call_interval_us(slow_start)
             else:
                 spread_us = max(
                     MIN_TRIAL_SPREAD_US,
                     RETRY_AFTER_SPREAD_FACTOR * retry_after_us,
-                    since_success if served_lately else 0,
+                    since_success if served_recently else 0,
                 )
             slow_start.next_attempt_at = now + retry_after_us + int(spread_us * self._state.random.random())
 
-    def _add_failure(self, slow_start: SlowStart, sent_at: int, served_lately: bool, closed: bool) -> None:
-        """Count the failure; calls that were in flight when the last one was met add nothing."""
+    def _add_failure(self, slow_start: SlowStart, sent_at: int, served_recently: bool, is_closed: bool) -> None:
+        """Count the failure, unless its call was already in flight at the last counted one."""
         if not slow_start.consecutive_failures or sent_at >= slow_start.last_failure_at:
             slow_start.consecutive_failures += 1
             slow_start.last_failure_at = self._state.now
-        if served_lately:
+        if served_recently:
             slow_start.consecutive_failures = min(slow_start.consecutive_failures, TRIAL_CALLS)
-        if closed:
+        if is_closed:
             slow_start.consecutive_failures += TRIAL_CALLS
 
     def _begin(self, slow_start: SlowStart, endpoint: EndpointState) -> None:
         state = self._state
         slow_start_fraction = state.settings.overload_multiple * state.settings.slow_start_from
-        even = self._pacing.cautious_fair_share_per_s(endpoint.route)
+        fair_share = self._pacing.cautious_fair_share_per_s(endpoint.route)
         slow_start.widely_detected_at = state.now + int(
-            DETECTION_CALL_INTERVALS * SECOND / (slow_start_fraction * even)
+            DETECTION_CALL_INTERVALS * SECOND / (slow_start_fraction * fair_share)
         )
         name = endpoint.endpoint.id
-        state.actions.append(LogLine(f"held {name}: part of {slow_start.own_rate:.2f} calls/s"))
+        state.actions.append(LogLine(f"slow start: endpoint {name}, rate when warm {slow_start.own_rate:.2f} calls/s"))
 
     def record_overdue(self, endpoint: EndpointState) -> None:
-        """Count calls that are overdue: with no success since it was sent, one is evidence before any outcome is."""
+        """Count overdue calls as failures, before their outcomes, unless a call has succeeded since they were sent."""
         now = self._state.now
         for attempt in endpoint.attempts.values():
             if attempt.overdue_at <= now and not attempt.counted_overdue:
@@ -122,14 +130,14 @@
                 self.record_failure(attempt, 0)
 
     def record_call(self, slow_start: SlowStart) -> None:
-        """Put off the next call by about one gap."""
+        """Delay the next call by about one call interval."""
         state = self._state
         slow_start.next_attempt_at = state.now + int(self.call_interval_us(slow_start) * state.random.uniform(0.5, 1.5))
 
     def call_interval_us(self, slow_start: SlowStart) -> float:
-        """Return the time between calls: the part of what the rule lets a cold route have, growing with its warmth.
+        """Return the time between calls under the budget, which grows during the warm-up.
 
-        Before the first success it is longer (a trial), but ends by when the failure is widely known.
+        Before the first success it is longer (FAILING_BUDGET_SHARE), but only until most senders have seen the failure.
         """
         now = self._state.now
         settings = self._state.settings
@@ -137,15 +145,18 @@
         warmth = (now - slow_start.warming_since) / max(1, settings.slow_start_us) if warming else 0.0
         allowed = settings.slow_start_from + (1 - settings.slow_start_from) * warmth
         fraction = WARMING_BUDGET_SHARE * settings.overload_multiple * allowed
-        gap = SECOND / max(MIN_CALLS_PER_S, slow_start.own_rate * min(1.0, fraction))
+        interval = SECOND / max(MIN_CALLS_PER_S, slow_start.own_rate * min(1.0, fraction))
         if warming:
-            return gap
-        return min(gap * WARMING_BUDGET_SHARE / FAILING_BUDGET_SHARE, max(0, slow_start.widely_detected_at - now) + gap)
+            return interval
+        return min(
+            interval * WARMING_BUDGET_SHARE / FAILING_BUDGET_SHARE,
+            max(0, slow_start.widely_detected_at - now) + interval,
+        )
 
     def slow_start_in_force(self, route: RouteState, endpoint: EndpointState) -> SlowStart:
-        """Return the one whose budget a call draws from: the route's while it is in force, for all its endpoints.
+        """Return the slow start that limits a call: the route's while it is in force, otherwise the endpoint's.
 
-        A slow start whose warm-up is over ends here, and the route goes on with a pace instead of a burst.
+        A slow start whose warm-up is complete ends here; the route then gets a rate limit, which prevents a burst.
         """
         warm_if_since = self._state.now - self._state.settings.slow_start_us
         of_route, of_endpoint = route.slow_start, endpoint.slow_start
@@ -163,7 +174,7 @@
         route.rate = min(route.rate, warm_rate)
 
     def budget(self, slow_start: SlowStart) -> float:
-        """Return the calls a second that it leaves; inf while it is not in force."""
+        """Return the calls a second that the slow start allows now; inf if it is not in force."""
         if not slow_start.consecutive_failures:
             return inf
         if slow_start.next_attempt_at > self._state.now:
--- a/scalefall/policy/state.py
+++ b/scalefall/policy/state.py
@@ -1,7 +1,7 @@
-"""What the engine remembers: messages without a final answer, attempts in flight, endpoints, routes, destinations.
+"""State of the engine: messages without a final answer, attempts in flight, endpoints, routes, destinations.
 
-A route is what has one limit and one paced rate: all endpoints of a destination, or one endpoint where its kind says
-that limits stand apart. Times are microseconds on the caller's clock; -1 stands for never.
+A route is what shares one rate limit: all endpoints of a destination, or a single endpoint if its kind has a limit for
+each endpoint. Times are microseconds on the caller's clock; -1 means never.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from scalefall.policy.events import Endpoint
 from scalefall.policy.settings import MessageClass, Settings
 
-TRIAL_CALLS = 1  # attempts that a sender makes on a failing route before its slow start limits it
+TRIAL_CALLS = 1  # trial calls that a sender makes to a failing route before the budget of its slow start applies
 
 
 @dataclass(slots=True, eq=False)
@@ -31,52 +31,52 @@
     max_attempts: int
     ordering_key: str | None
     admitted: bool = False
-    attempts: int = 0  # begun so far
-    attempt: Attempt | None = None  # the one in flight
-    span: CallSpan | None = None  # of the last attempt, in the route's envelope
-    may_have_run_at: int = -1  # send of the first attempt that may have run
-    required_zone: str = ""  # the zone that it must keep to since, where its idempotency key holds there alone
-    not_before: int = 0  # backoff after a failed attempt
+    attempts: int = 0  # started so far
+    attempt: Attempt | None = None  # in flight
+    span: CallSpan | None = None  # of the last attempt, shared with the route's envelope
+    may_have_run_at: int = -1  # send time of the first attempt that may have run
+    required_zone: str = ""  # zone of that attempt, if the idempotency key is valid only there
+    not_before: int = 0  # end of the backoff after a failed attempt
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One call in flight, with one or several messages; it holds a slot until the last of these has its outcome."""
+    """One call in flight, with one or several messages; it uses a call slot until the last of them has its outcome."""
 
     endpoint: EndpointState
     sent_at: int
-    unfinished: int = 0  # messages without an outcome
-    carried: int = 0  # messages
-    evaluated: bool = False  # the first outcome counts for the whole call
-    counted_overdue: bool = False  # counted as a failure already, since it is overdue
+    unfinished: int = 0  # messages in the call without an outcome
+    carried: int = 0  # messages in the call
+    evaluated: bool = False  # the first outcome has been evaluated for the whole call
+    counted_overdue: bool = False  # already counted as a failure because it is overdue
     cancelled: bool = False
     overdue_at: int = 0
 
 
 @dataclass(slots=True)
 class SlowStart:
-    """Limits a route, or one endpoint whose neighbours serve, from a failure until it has warmed up again."""
+    """Limits calls to a route, or to one endpoint of a healthy route, from a failure until it has warmed up."""
 
-    consecutive_failures: int = 0  # 0: not in force; above TRIAL_CALLS the budget limits
-    own_rate: float = 0.0  # calls a second: what this sender sends once it is warm
+    consecutive_failures: int = 0  # 0: not in force; above TRIAL_CALLS the budget applies
+    own_rate: float = 0.0  # calls a second that this sender may send once the route is warm
     last_failure_at: int = -1
-    widely_detected_at: int = 0  # by then all but a few senders have met the failure
+    widely_detected_at: int = 0  # time by which most senders have seen the failure themselves
     last_success_at: int = -1
-    warming_since: int = -1  # the first success after the last failure
+    warming_since: int = -1  # start of the warm-up, at the first success after failures
     next_attempt_at: int = 0
 
     def budget_applies(self) -> bool:
-        """Return whether its budget, and not only one pause, limits what is sent."""
+        """Return whether the budget limits calls, and not only the pause after a failure."""
         return self.consecutive_failures > TRIAL_CALLS
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint of the list, or one that has left it and still matters."""
+    """One endpoint of the list, or one that has left it and still has calls in flight or a pause in force."""
 
     endpoint: Endpoint
     route: RouteState
-    ready: bool = True  # takes fresh work
+    ready: bool = True  # takes new calls
     removed: bool = False  # left the list
     attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by id()
     slow_start: SlowStart = field(default_factory=SlowStart)
@@ -84,25 +84,25 @@
 
 @dataclass(slots=True, eq=False)
 class RouteState:
-    """Endpoints with one limit and one paced rate (calls a second)."""
+    """Endpoints that share one limit and one rate, in calls a second."""
 
-    envelopes: dict[str, Envelope] = field(default_factory=dict)  # by name of the class
+    envelopes: dict[str, Envelope] = field(default_factory=dict)  # by class name
     endpoints: list[EndpointState] = field(default_factory=list)
-    rate: float = inf  # the paced rate; inf: no pace
-    tokens: float = 1.0  # calls that the pace allows now
+    rate: float = inf  # rate limit; inf: none
+    tokens: float = 1.0  # calls that the rate limit allows now
     refilled_at: int = 0
-    decreased_at: int = -1  # when the rate was last cut because of an overloaded endpoint
-    retry_after_until: int = 0  # an endpoint asked for no calls until then
-    sent_at: deque[int] = field(default_factory=deque)  # recent calls
-    served_at: deque[int] = field(default_factory=deque)  # recent successes
+    decreased_at: int = -1  # when the rate was last cut after an overloaded answer
+    retry_after_until: int = 0  # no calls before then, as an answer demanded
+    sent_at: deque[int] = field(default_factory=deque)  # times of recent calls
+    served_at: deque[int] = field(default_factory=deque)  # times of recent successes
     slow_start: SlowStart = field(default_factory=SlowStart)
-    rate_ceiling: float = inf  # the most that the rate may reach, where a limit is reported
-    increased_at: int = 0  # when the rate last grew by what is reported to be left
-    reported_limit: float = 0.0  # from all senders, as reported or configured; 0: unknown
-    learned_rate: float = 0.0  # own rate of the process before
+    rate_ceiling: float = inf  # bound on the rate where a limit is reported
+    increased_at: int = 0  # when the rate last grew by a reported unused share
+    reported_limit: float = 0.0  # for all senders, as reported or configured; 0: unknown
+    learned_rate: float = 0.0  # own rate of the earlier process
 
     def calls_in_flight(self) -> int:
-        """Return the calls in flight to all its endpoints."""
+        """Return the number of calls in flight to its endpoints."""
         return sum(len(endpoint.attempts) for endpoint in self.endpoints)
 
 
@@ -111,14 +111,14 @@
     """A destination that messages are addressed to."""
 
     number: int
-    next_evaluation_at: int = -1  # the next evaluation that is planned
-    unused_since: int = 0  # when it was first heard of, or an endpoint of it last went
-    routes: dict[str, RouteState] = field(default_factory=dict)  # "": the one of all its endpoints
-    waiting: dict[str, QueuedMessage] = field(default_factory=dict)  # by id, not in flight
+    next_evaluation_at: int = -1  # the next planned evaluation
+    unused_since: int = 0  # when it was added, or an endpoint of it was last removed
+    routes: dict[str, RouteState] = field(default_factory=dict)  # by endpoint id; "": the route of all its endpoints
+    waiting: dict[str, QueuedMessage] = field(default_factory=dict)  # messages that are not in flight, by id
 
 
 class EngineState:
-    """What the concerns of the engine share: its settings, the present step, and all that it knows of."""
+    """State that the components of the engine share: settings, the current step, messages, destinations, endpoints."""
 
     __slots__ = (
         "actions",
@@ -134,20 +134,20 @@
     )
 
     def __init__(self, settings: Settings, randomness: random.Random) -> None:
-        """Start with nothing known."""
+        """Start with no message, destination or endpoint."""
         self.settings = settings
         self.random = randomness
-        self.now = 0  # of the present step
+        self.now = 0  # of the current step
         self.started_at = -1  # time of the first step
-        self.ends_at: float = inf  # the process ends then, on purpose
-        self.actions: list[Action] = []  # of the present step
+        self.ends_at: float = inf  # when the process exits
+        self.actions: list[Action] = []  # of the current step
         self.messages: dict[str, QueuedMessage] = {}
         self.destinations: dict[int, DestinationState] = {}
         self.endpoints: dict[str, EndpointState] = {}
         self.calls_in_flight = 0
 
     def destination(self, number: int) -> DestinationState:
-        """Return a destination, a new one if it was unknown."""
+        """Return a destination, created if it was unknown."""
         found = self.destinations.get(number)
         if found is None:
             found = self.destinations[number] = DestinationState(number, unused_since=self.now)
@@ -155,7 +155,7 @@
 
 
 def count_since(times: deque[int], oldest: int) -> int:
-    """Drop times before oldest from the front, and return how many are left."""
+    """Drop times before oldest and return the number of those left."""
     while times and times[0] < oldest:
         times.popleft()
     return len(times)
