--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -44,11 +44,12 @@
 from scalefall.policy.settings import Idempotency, Settings
 from scalefall.settings_reader import read_settings
 
-MS, S = 1000, 1_000_000
+MILLISECOND = 1000  # microseconds
+SECOND = 1_000_000  # microseconds
 REVISION = "1d28f5d"
 EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
-CANCEL_US = 3 * MS  # until a call that is called off has its outcome
-LIST_US = 40 * MS  # until the directory answers
+CANCEL_US = 3 * MILLISECOND  # until a call that is called off has its outcome
+LIST_US = 40 * MILLISECOND  # until the directory answers
 
 Outcome, Status, ListKind = Outcome, EndpointStatus, ListUpdateKind
 FAST_FAULTS = {
@@ -125,7 +126,7 @@
         self.rows = {
             row[0]: Endpoint(row[0], row[3], row[2], row[1], Status.READY, row[5], row[6]) for row in play.endpoints
         }
-        self.latency = {row[0]: row[4] * MS for row in play.endpoints}
+        self.latency = {row[0]: row[4] * MILLISECOND for row in play.endpoints}
         self.limits = dict(play.limits)
         self.used: dict[tuple[int, int], float] = {}
         self.attempts: dict[str, int] = {}
@@ -153,20 +154,20 @@
         for number in range(play.restored):
             self.push(0, self.restored(number))
         for at, list_kind, rows in play.changes:
-            self.push(at * S, (list_kind, rows))
+            self.push(at * SECOND, (list_kind, rows))
         for move in play.moves:
-            self.push(move[0] * S, move)
+            self.push(move[0] * SECOND, move)
         for at, destination, limit in play.new_limits:
-            self.push(at * S, (destination, limit))
+            self.push(at * SECOND, (destination, limit))
         for stream in play.streams:
             self.plan_stream(stream)
         for rate, make in ((play.foreign, self.foreign), (play.probed, self.probed)):
             at = self.draw.expovariate(rate) if rate else play.seconds
             while at < play.seconds:
-                self.push(at * S, make(int(at * S)))
+                self.push(at * SECOND, make(int(at * SECOND)))
                 at += self.draw.expovariate(rate)
         if play.closing:
-            self.push(play.closing[0] * S, ShuttingDown(int(play.closing[1] * S)))
+            self.push(play.closing[0] * SECOND, ShuttingDown(int(play.closing[1] * SECOND)))
 
     def plan_stream(self, stream: Stream) -> None:
         rules = self.play.settings.classes.get(stream.class_name)
@@ -175,11 +176,11 @@
         while at < end:
             name = f"m{len(self.attempts)}"
             self.attempts[name] = 0
-            due = int(at * S) + (rules.deadline_us if rules else 8 * S)
+            due = int(at * SECOND) + (rules.deadline_us if rules else 8 * SECOND)
             key = f"k{self.draw.randrange(stream.keys)}" if stream.keys else None
-            self.push(at * S, Message(name, stream.destination, stream.class_name, due, None, key))
+            self.push(at * SECOND, Message(name, stream.destination, stream.class_name, due, None, key))
             if self.chance(self.play.withdrawn):
-                self.push((at + self.draw.uniform(0, 2)) * S, MessageWithdrawn(name))
+                self.push((at + self.draw.uniform(0, 2)) * SECOND, MessageWithdrawn(name))
             at += self.draw.expovariate(stream.rate)
 
     def restored(self, number: int) -> Message:
@@ -187,9 +188,9 @@
         names = sorted(self.play.settings.classes)
         rules = self.play.settings.classes[names[number % len(names)]]
         used = number % 4
-        ran = None if number % 3 == 0 else self.draw.randrange(-2 * S, S // 10)
+        ran = None if number % 3 == 0 else self.draw.randrange(-2 * SECOND, SECOND // 10)
         zone = self.draw.choice(("a", "b")) if ran is not None and number % 2 else ""
-        due = self.draw.randrange(-S // 2, rules.deadline_us)
+        due = self.draw.randrange(-SECOND // 2, rules.deadline_us)
         override = None
         if number % 5 == 0:
             override = copy.copy(rules)
@@ -204,11 +205,11 @@
     def foreign(self, at: int) -> EndpointReport:
         endpoint = self.draw.choice([*self.rows, "unlisted"])
         outcome = self.draw.choice([Outcome.OK] * 6 + [Outcome.OVERLOADED, Outcome.ERROR, Outcome.TIMEOUT])
-        wait = self.draw.choice((0, 0, 300 * MS)) if outcome is Outcome.OVERLOADED else 0
-        return EndpointReport(endpoint, max(0, at - self.draw.randrange(2 * S)), outcome, wait, {})
+        wait = self.draw.choice((0, 0, 300 * MILLISECOND)) if outcome is Outcome.OVERLOADED else 0
+        return EndpointReport(endpoint, max(0, at - self.draw.randrange(2 * SECOND)), outcome, wait, {})
 
     def probed(self, _at: int) -> ProbeFinished:
-        return ProbeFinished(self.draw.choice(list(self.rows)), self.draw.choice(list(Outcome)), 30 * MS)
+        return ProbeFinished(self.draw.choice(list(self.rows)), self.draw.choice(list(Outcome)), 30 * MILLISECOND)
 
     # -- endpoints
 
@@ -217,22 +218,26 @@
         row = self.rows[endpoint]
         latency = int(self.latency[endpoint] * self.draw.uniform(0.6, 1.8))
         for fault in self.play.faults:
-            if fault.start * S <= now < fault.end * S and fault.endpoint in ("", endpoint) and self.chance(fault.share):
+            if (
+                fault.start * SECOND <= now < fault.end * SECOND
+                and fault.endpoint in ("", endpoint)
+                and self.chance(fault.share)
+            ):
                 if fault.kind == "hang":
                     return None, 0, 0
                 if fault.kind == "slow":
                     latency *= 8
                     break
-                wait = int(fault.end * S) - now if fault.tells_wait else 0
-                return FAST_FAULTS[fault.kind], self.draw.randrange(2 * MS, 30 * MS), wait
+                wait = int(fault.end * SECOND) - now if fault.tells_wait else 0
+                return FAST_FAULTS[fault.kind], self.draw.randrange(2 * MILLISECOND, 30 * MILLISECOND), wait
         if row.status is Status.GONE:
-            return Outcome.CONNECT_FAILED, 2 * MS, 0
+            return Outcome.CONNECT_FAILED, 2 * MILLISECOND, 0
         limit = self.limits.get(row.destination)
         if limit:
-            span = (row.destination, now // S)
+            span = (row.destination, now // SECOND)
             self.used[span] = self.used.get(span, limit * self.play.others) + 1
             if self.used[span] > limit:
-                return Outcome.OVERLOADED, 5 * MS, (S - now % S if self.play.tells_wait else 0)
+                return Outcome.OVERLOADED, 5 * MILLISECOND, (SECOND - now % SECOND if self.play.tells_wait else 0)
         if self.chance(self.play.finished):
             return Outcome.ERROR, latency, 0
         return Outcome.OK, latency, 0
@@ -242,7 +247,7 @@
         limit = self.limits.get(destination)
         if not limit or not self.play.tells_limit:
             return {}
-        used = self.used.get((destination, now // S), limit * self.play.others)
+        used = self.used.get((destination, now // SECOND), limit * self.play.others)
         return {"x1": limit, "x0": round(max(0.0, 1 - used / limit), 3)}
 
     # -- actions
@@ -274,7 +279,10 @@
         self.out[action.id, attempt] = (action.endpoint, now)
         outcome, latency, wait = result
         if self.chance(0.02):  # one message of a call may fare differently from the others
-            outcome, latency = self.draw.choice((Outcome.ERROR, Outcome.OVERLOADED, Outcome.RESET)), latency + 20 * MS
+            outcome, latency = (
+                self.draw.choice((Outcome.ERROR, Outcome.OVERLOADED, Outcome.RESET)),
+                latency + 20 * MILLISECOND,
+            )
         if outcome is None or latency > action.timeout_us:
             outcome, latency, wait = Outcome.TIMEOUT, action.timeout_us, 0
         self.end(now, latency, action.id, attempt, outcome, wait)
@@ -324,7 +332,7 @@
     def run(self) -> list[Any]:
         self.plan()
         number = 0
-        while self.queue and self.queue[0][0] < self.play.seconds * S:
+        while self.queue and self.queue[0][0] < self.play.seconds * SECOND:
             now, events = self.queue[0][0], []
             while self.queue and self.queue[0][0] == now:
                 event = self.resolve(heapq.heappop(self.queue)[2])
@@ -405,12 +413,12 @@
     """Return all plays; their seeds go by their place, so that a new one is put at the end."""
     s = helpers.settings
     outage = [Fault("error", 6, 11)]
-    tight = dict(overload_window_us=1500 * MS, slow_start_us=8 * S, slow_start_from=0.26)
+    tight = dict(overload_window_us=1500 * MILLISECOND, slow_start_us=8 * SECOND, slow_start_from=0.26)
     return [
         Play("classes", s(), rows("e1", "e2", "e3"), ALL_CLASSES, faults=MIXED_FAULTS),
         Play(
             "classes-halving",
-            s(halves_after_objective=True, call_slots=6, ordering_gap_us=800 * MS),
+            s(halves_after_objective=True, call_slots=6, ordering_gap_us=800 * MILLISECOND),
             rows("e1", "e2", "e3"),
             ALL_CLASSES,
             faults=MIXED_FAULTS,
@@ -475,7 +483,7 @@
         ),
         Play(
             "ask-fails",
-            s(polls_endpoint_list=True, replica_count=8, poll_within_us=3 * S),
+            s(polls_endpoint_list=True, replica_count=8, poll_within_us=3 * SECOND),
             rows("e1", "e2"),
             [Stream(5)],
             list_fails=6,
@@ -638,7 +646,7 @@
         Play("short-waits", s(), rows("e1"), [Stream(8)], faults=[*short_waits, *short_errors]),
         Play(
             "ordered",
-            s(classes={rules.name: rules for rules in ordered}, ordering_gap_us=1500 * MS),
+            s(classes={rules.name: rules for rules in ordered}, ordering_gap_us=1500 * MILLISECOND),
             rows("e1", "e2", ms=400),
             [Stream(3, rules.name, keys=5) for rules in ordered],
             faults=[Fault("error", 0, 24, share=0.15), Fault("reset", 8, 9), Fault("hang", 14, 15, "e1")],
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""An Engine under test and the events that drive it; no server is modelled here."""
+"""Engines under test and the events that drive them; no server is modelled here."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 )
 from scalefall.policy.settings import Idempotency, MessageClass, Settings
 
-MS, S = 1000, 1_000_000
+MILLISECOND = 1000  # microseconds
+SECOND = 1_000_000  # microseconds
 
 
-def message_class(name="safe", effect=Idempotency.IDEMPOTENT, **changes):
+def message_class(name="safe", idempotency=Idempotency.IDEMPOTENT, **changes):
     values = dict(
         name=name,
-        latency_objective_us=S,
-        deadline_us=8 * S,
+        latency_objective_us=SECOND,
+        deadline_us=8 * SECOND,
         priority_weight=1.0,
         late_priority_weight=0.5,
-        idempotency=effect,
+        idempotency=idempotency,
         key_scope_zone=False,
-        key_ttl_us=5 * S,
+        key_ttl_us=5 * SECOND,
         ordered=False,
     )
     return MessageClass(**(values | changes))
@@ -42,8 +43,10 @@
     message_class(),
     message_class("keyed", Idempotency.WITH_KEY),
     message_class("zoned", Idempotency.WITH_KEY, key_scope_zone=True),
-    message_class("unsafe", Idempotency.NOT_IDEMPOTENT, deadline_us=16 * S, latency_objective_us=4 * S),
-    message_class("ordered", Idempotency.NOT_IDEMPOTENT, deadline_us=16 * S, latency_objective_us=4 * S, ordered=True),
+    message_class("unsafe", Idempotency.NOT_IDEMPOTENT, deadline_us=16 * SECOND, latency_objective_us=4 * SECOND),
+    message_class(
+        "ordered", Idempotency.NOT_IDEMPOTENT, deadline_us=16 * SECOND, latency_objective_us=4 * SECOND, ordered=True
+    ),
 )
 
 
@@ -51,7 +54,7 @@
     values = dict(
         replica_index=0,
         replica_count=2,
-        classes={c.name: c for c in CLASSES},
+        classes={rules.name: rules for rules in CLASSES},
         tenants={},
         over_quota_priority_weight=0.1,
         call_slots=10,
@@ -64,154 +67,175 @@
         cancelling=True,
         probes=True,
         retry_after=True,
-        max_retry_after_us=2 * S,
-        idle_close_us=5 * S,
-        dial_timeout_us=S,
+        max_retry_after_us=2 * SECOND,
+        idle_close_us=5 * SECOND,
+        dial_timeout_us=SECOND,
         streams=1,
         polls_endpoint_list=False,
-        poll_within_us=10 * S,
+        poll_within_us=10 * SECOND,
         weights="none",
         report_fields=["x0", "x1"],
-        answer_slack_us=20 * MS,
+        answer_slack_us=20 * MILLISECOND,
         slow_start_from=0.25,
-        slow_start_us=12 * S,
-        drain_grace_us=S,
-        overload_window_us=3 * S,
+        slow_start_us=12 * SECOND,
+        drain_grace_us=SECOND,
+        overload_window_us=3 * SECOND,
         overload_multiple=1.5,
-        ordering_gap_us=300 * MS,
-        tick_us=5 * MS,
+        ordering_gap_us=300 * MILLISECOND,
+        tick_us=5 * MILLISECOND,
     )
     return Settings(**(values | changes))
 
 
-class Drive:
-    """Hands events to one Engine and keeps what it did."""
+class EngineDriver:
+    """Drives one Engine: makes its events, and keeps the actions of its last step."""
 
     def __init__(self, **changes):
         self.settings = settings(**changes)
-        self.engine, self.now, self.actions, self.attempts = Engine(self.settings, 7), 0, [], {}
+        self.engine = Engine(self.settings, 7)
+        self.now = 0
+        self.actions = []
+        self.attempts = {}  # number of the last attempt by message
 
-    def turn(self, *events, after=0):
+    def step(self, *events, after=0):
+        """Run one step with the events; return its actions."""
         self.now += after
         self.actions = self.engine.handle(self.now, list(events))
-        for action in self.of(Send):
+        for action in self.actions_of(Send):
             self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
         return self.actions
 
-    def of(self, kind):
+    def actions_of(self, kind):
         return [action for action in self.actions if isinstance(action, kind)]
 
-    def list(self, *rows, kind=ListUpdateKind.WHOLE, status=EndpointStatus.READY):
-        """Rows are (id, destination, kind of endpoint, zone), the last two optional."""
-        full = [(*row, "one", "a")[:4] if len(row) == 2 else (*row, "a")[:4] for row in rows]
-        return self.turn(EndpointListUpdate(kind, [Endpoint(e, z, k, d, status, 0.0) for e, d, k, z in full]))
-
-    def arrive(self, *ids, cls="safe", dest=1, key=None, after=0, tenant=None):
-        due = self.settings.classes[cls].deadline_us if cls in self.settings.classes else 8 * S
-        self.turn(*(Message(m, dest, cls, self.now + after + due, tenant, key) for m in ids), after=after)
-        return [send.id for send in self.of(Send)]
-
-    def result(self, ids, endpoint, outcome=Outcome.OK, after=100 * MS, wait=0, report=None):
-        """Outcomes of the last attempts of ids; a number for wait, or one for each."""
+    def update_list(self, *rows, kind=ListUpdateKind.WHOLE, status=EndpointStatus.READY):
+        """Update the endpoint list; rows are (id, destination, kind, zone), the last two optional."""
+        full_rows = [(*row, "one", "a")[:4] if len(row) == 2 else (*row, "a")[:4] for row in rows]
+        endpoints = [
+            Endpoint(endpoint, zone, endpoint_kind, destination, status, 0.0)
+            for endpoint, destination, endpoint_kind, zone in full_rows
+        ]
+        return self.step(EndpointListUpdate(kind, endpoints))
+
+    def submit(self, *ids, class_name="safe", destination=1, ordering_key=None, after=0, tenant=None):
+        """Submit messages; return the ids of those that the step sends."""
+        classes = self.settings.classes
+        due = self.now + after + (classes[class_name].deadline_us if class_name in classes else 8 * SECOND)
+        self.step(*(Message(name, destination, class_name, due, tenant, ordering_key) for name in ids), after=after)
+        return [send.id for send in self.actions_of(Send)]
+
+    def finish(self, ids, endpoint, outcome=Outcome.OK, after=100 * MILLISECOND, retry_after_us=0, load_report=None):
+        """Finish the last attempts of ids, with one Retry-After for all or one each; return the ids that are sent."""
         ids = [ids] if isinstance(ids, str) else ids
-        waits = wait if isinstance(wait, list) else [wait] * len(ids)
-        self.turn(
+        waits = retry_after_us if isinstance(retry_after_us, list) else [retry_after_us] * len(ids)
+        is_final = outcome is Outcome.OK
+        self.step(
             *(
-                AttemptFinished(m, self.attempts[m], endpoint, outcome, after, outcome is Outcome.OK, w, report or {})
-                for m, w in zip(ids, waits, strict=False)
+                AttemptFinished(name, self.attempts[name], endpoint, outcome, after, is_final, wait, load_report or {})
+                for name, wait in zip(ids, waits, strict=False)
             ),
             after=after,
         )
-        return [send.id for send in self.of(Send)]
+        return [send.id for send in self.actions_of(Send)]
+
+    def tick(self, after=20 * MILLISECOND):
+        """Fire the timer for evaluations; return the ids of the messages that are sent."""
+        self.step(TimerFired(1), after=after)
+        return [send.id for send in self.actions_of(Send)]
 
-    def tick(self, after=20 * MS):
-        self.turn(TimerFired(1), after=after)
-        return [send.id for send in self.of(Send)]
 
+LATENCY_US = 80 * MILLISECOND  # of the fleet's destination
+TICK_US = 5 * MILLISECOND  # of the fleet's senders
+# Settings of a fleet's slow start.
+OVERLOAD_WINDOW_US = 1500 * MILLISECOND
+SLOW_START_US = 12 * SECOND
+OVERLOAD_MULTIPLE = 1.5
+SLOW_START_FROM = 0.26
 
-ANSWER, TICK = 80 * MS, 5 * MS  # of a fleet's destination, and of its senders
-FALL, COLD, FALL_MULTIPLE, COLD_FROM = 1500 * MS, 12 * S, 1.5, 0.26  # of the settings of a fleet
 
+def cold_budget(elapsed_us, limit):
+    """Return the calls that a destination may get from all senders within an overload window.
 
-def cold_budget(since, limit):
-    """Calls that a destination may get from all senders in FALL, so long after its return; the limit is in calls/s."""
-    share = COLD_FROM + (1 - COLD_FROM) * since / COLD
-    return FALL_MULTIPLE * share * limit * FALL / S
+    The window starts elapsed_us after the destination has come back; the limit is in calls a second.
+    """
+    fraction = SLOW_START_FROM + (1 - SLOW_START_FROM) * elapsed_us / SLOW_START_US
+    return OVERLOAD_MULTIPLE * fraction * limit * OVERLOAD_WINDOW_US / SECOND
 
 
 @dataclass(slots=True, frozen=True)
 class Outage:
-    """A destination that takes limit calls a second when warm, answers fails within down, and tells when it is back
-    if wait is set."""
+    """A destination that serves limit calls a second when warm, and answers with an outcome while it is down.
+
+    With sends_retry_after, these answers demand a Retry-After until it is back.
+    """
 
     limit: float
-    fails: Outcome
-    wait: bool = False
-    down: tuple[int, int] = (12 * S, 20 * S)
+    outcome: Outcome
+    sends_retry_after: bool = False
+    down: tuple[int, int] = (12 * SECOND, 20 * SECOND)
 
     def answer(self, now):
-        up = not self.down[0] <= now < self.down[1]
-        return (Outcome.OK, 0) if up else (self.fails, self.down[1] - now if self.wait else 0)
+        """Return the outcome of a call, and its Retry-After."""
+        is_up = not self.down[0] <= now < self.down[1]
+        return (Outcome.OK, 0) if is_up else (self.outcome, self.down[1] - now if self.sends_retry_after else 0)
 
 
 class Fleet:
-    """Senders that share nothing on one clock, with so many messages a second each, at one destination."""
+    """Independent senders on one clock, each with a rate of messages a second for the same destination."""
 
-    def __init__(self, sender_type, rates, outage, seed=1, siblings=None, deadline_us=5 * S):
+    def __init__(self, sender_type, rates, outage, seed=1, replica_count=None, deadline_us=5 * SECOND):
         self.rates, self.outage, self.deadline_us = rates, outage, deadline_us
-        self.draw, self.queue, self.number = random.Random(seed), [], 0
-        self.calls, self.told, self.attempts = [], set(), {}
-        world = dict(
-            replica_count=siblings or len(rates),
+        self.random, self.queue, self.sequence = random.Random(seed), [], 0
+        self.calls, self.failed_senders, self.attempts = [], set(), {}
+        changes = dict(
+            replica_count=replica_count or len(rates),
             weights="nominal",
-            overload_window_us=FALL,
-            slow_start_us=COLD,
-            slow_start_from=COLD_FROM,
-            overload_multiple=FALL_MULTIPLE,
+            overload_window_us=OVERLOAD_WINDOW_US,
+            slow_start_us=SLOW_START_US,
+            slow_start_from=SLOW_START_FROM,
+            overload_multiple=OVERLOAD_MULTIPLE,
             classes={"safe": message_class(deadline_us=deadline_us)},
         )
-        self.senders = [sender_type(settings(replica_index=n, **world), seed * 1000 + n) for n in range(len(rates))]
+        self.senders = [sender_type(settings(replica_index=n, **changes), seed * 1000 + n) for n in range(len(rates))]
 
     def push(self, at, n, event):
-        self.number += 1
-        heapq.heappush(self.queue, (at, self.number, n, event))
+        self.sequence += 1
+        heapq.heappush(self.queue, (at, self.sequence, n, event))
+
+    def submit(self, at, n, name):
+        """Submit a message to a sender at a tick; its deadline counts from the time at which the client sent it."""
+        self.push(at // TICK_US * TICK_US, n, Message(name, 1, "safe", at + self.deadline_us))
 
-    def hand_in(self, at, n, name):
-        """Events come in ticks; its time runs from when it was sent."""
-        self.push(at // TICK * TICK, n, Message(name, 1, "safe", at + self.deadline_us))
+    def run(self, end=34 * SECOND, backlog=0):
+        """Return all calls until the end, as (time, whether their sender had seen a failure before).
 
-    def play(self, end=34 * S, backlog=0):
-        """All calls until the end, as (time, whether its sender was told of a failure before). During the outage
-        each sender is handed so many messages more, as its backlog."""
+        During the outage each sender gets a backlog of this many more messages.
+        """
         for n, rate in enumerate(self.rates):
-            self.push(
-                0,
-                n,
-                EndpointListUpdate(
-                    ListUpdateKind.WHOLE, [Endpoint("e", "a", "one", 1, EndpointStatus.READY, self.outage.limit)]
-                ),
-            )
-            at = self.draw.expovariate(rate)
-            while at * S < end:
-                self.hand_in(int(at * S), n, f"m{n}-{at}")
-                at += self.draw.expovariate(rate)
+            endpoint = Endpoint("e", "a", "one", 1, EndpointStatus.READY, self.outage.limit)
+            self.push(0, n, EndpointListUpdate(ListUpdateKind.WHOLE, [endpoint]))
+            at = self.random.expovariate(rate)
+            while at * SECOND < end:
+                self.submit(int(at * SECOND), n, f"m{n}-{at}")
+                at += self.random.expovariate(rate)
             began, ended = self.outage.down
             for number in range(backlog):
-                self.hand_in(began + number * (ended - began) // backlog, n, f"b{n}-{number}")
+                self.submit(began + number * (ended - began) // backlog, n, f"b{n}-{number}")
         while self.queue and self.queue[0][0] < end:
             now, _, n, event = heapq.heappop(self.queue)
             for action in self.senders[n].handle(now, [event]):
                 self.perform(now, n, action)
             if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
-                self.told.add(n)
+                self.failed_senders.add(n)
         return self.calls
 
     def perform(self, now, n, action):
         if isinstance(action, SetTimer):
-            self.push(now + max(TICK, action.delay_us), n, TimerFired(action.token))
+            self.push(now + max(TICK_US, action.delay_us), n, TimerFired(action.token))
         elif isinstance(action, Send):
-            self.calls.append((now, n in self.told))
+            self.calls.append((now, n in self.failed_senders))
             attempt = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
-            outcome, wait = self.outage.answer(now)
-            done = outcome is Outcome.OK
-            self.push(now + ANSWER, n, AttemptFinished(action.id, attempt, "e", outcome, ANSWER, done, wait))
+            outcome, retry_after_us = self.outage.answer(now)
+            is_final = outcome is Outcome.OK
+            event = AttemptFinished(action.id, attempt, "e", outcome, LATENCY_US, is_final, retry_after_us)
+            self.push(now + LATENCY_US, n, event)
--- a/tests/test_fleet_failback.py
+++ b/tests/test_fleet_failback.py
@@ -8,25 +8,25 @@
 from math import sqrt
 
 import pytest
-from helpers import COLD, FALL, MS, Fleet, Outage, S, cold_budget
+from helpers import SLOW_START_US, OVERLOAD_WINDOW_US, MILLISECOND, Fleet, Outage, SECOND, cold_budget
 
 from scalefall.policy.engine import Engine
 from scalefall.policy.events import Outcome
 
 SEEDS = range(8)
 BACKLOG = 10  # messages of each sender beside those that come all the time, for as long as the play lasts
-DEADLINE = 30 * S
+DEADLINE = 30 * SECOND
 THIRTY = ([2.0] * 30, 60.0)  # messages a second of each sender; calls a second that the warm destination takes
 
 
-def most_over(rates, outage, seed, siblings=None):
+def most_over(rates, outage, seed, replica_count=None):
     """By how many calls the worst window after the return is above its budget and what may be chance."""
-    calls = Fleet(Engine, rates, outage, seed, siblings, DEADLINE).play(backlog=BACKLOG)
+    calls = Fleet(Engine, rates, outage, seed, replica_count, DEADLINE).run(backlog=BACKLOG)
     times, back = [at for at, _ in calls], outage.down[1]
     over = []
-    for start in range(back, back + COLD - FALL, 100 * MS):
+    for start in range(back, back + SLOW_START_US - OVERLOAD_WINDOW_US, 100 * MILLISECOND):
         budget = cold_budget(start - back, outage.limit)
-        window = bisect_left(times, start + FALL) - bisect_left(times, start)
+        window = bisect_left(times, start + OVERLOAD_WINDOW_US) - bisect_left(times, start)
         over.append(window - budget - 2 * sqrt(budget) - 2)
     return max(over)
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("outage", [Outage(60.0, Outcome.CONNECT_FAILED), Outage(60.0, Outcome.OVERLOADED, True)])
 def test_the_judge_catches_senders_that_each_take_the_budget_of_one_alone(outage):
     rates, _ = THIRTY
-    assert min(most_over(rates, outage, seed, siblings=1) for seed in SEEDS) > 100
+    assert min(most_over(rates, outage, seed, replica_count=1) for seed in SEEDS) > 100
 
 
 SMALL = [([0.5] * 30, 15.0), ([0.75] * 20, 15.0), ([0.2] * 30, 6.0)]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,7 +1,7 @@
 """What the operator's file sets and the module keeps: a limit, calls at once, attempts by destination."""
 
 import pytest
-from helpers import MS, Drive, S
+from helpers import MILLISECOND, EngineDriver, SECOND
 
 from scalefall.policy.actions import Send, Shed
 from scalefall.policy.events import (
@@ -18,104 +18,106 @@
 
 
 def drive(limit=0.0, most=0, **changes):
-    d = Drive(weights="told", replica_count=1, call_slots=100, max_queued=1000, **changes)
-    listed(d, limit, most)
-    return d
+    driver = EngineDriver(weights="told", replica_count=1, call_slots=100, max_queued=1000, **changes)
+    listed(driver, limit, most)
+    return driver
 
 
-def listed(d, limit, most=0, status=READY, name="e", kind="one"):
-    d.turn(EndpointListUpdate(ListUpdateKind.CHANGES, [Endpoint(name, "a", kind, 1, status, limit, most)]))
+def listed(driver, limit, most=0, status=READY, name="e", kind="one"):
+    driver.step(EndpointListUpdate(ListUpdateKind.CHANGES, [Endpoint(name, "a", kind, 1, status, limit, most)]))
 
 
-def sends_in(d, span, more=200, each=50 * MS):
+def sends_in(driver, span, more=200, each=50 * MILLISECOND):
     """Calls begun within the span, each served at once, with more waiting than may go."""
-    times, end = [], d.now + span
+    times, end = [], driver.now + span
     if more:
-        d.arrive(*(f"m{d.now}-{n}" for n in range(more)))
-    while d.now < end:
-        sent = d.of(Send)
+        driver.submit(*(f"m{driver.now}-{n}" for n in range(more)))
+    while driver.now < end:
+        sent = driver.actions_of(Send)
         while sent:
-            times.append(d.now)
+            times.append(driver.now)
             send = sent.pop()
-            d.turn(AttemptFinished(send.id, d.attempts[send.id], "e", Outcome.OK, 1, True))
-            sent += d.of(Send)
-        d.tick(each)
+            driver.step(AttemptFinished(send.id, driver.attempts[send.id], "e", Outcome.OK, 1, True))
+            sent += driver.actions_of(Send)
+        driver.tick(each)
     return times
 
 
 @pytest.mark.parametrize("limit", [2.0, 4.0, 16.0])
 def test_a_limit_in_the_file_is_kept_before_any_answer_tells_one(limit):
-    times = sends_in(drive(limit), 6 * S)
+    times = sends_in(drive(limit), 6 * SECOND)
     at_once = max(1, limit / 4)
     assert limit * 4 <= len(times) <= limit * 6 + at_once
     for start in times:
-        assert sum(start <= at < start + S for at in times) <= limit + at_once
+        assert sum(start <= at < start + SECOND for at in times) <= limit + at_once
 
 
 def test_without_one_all_goes_at_once_and_one_that_is_lifted_binds_no_more():
-    assert len(sends_in(drive(), S // 2)) == 200
-    d = drive(2.0)
-    assert len(sends_in(d, S)) <= 3
-    listed(d, 0.0)
-    assert len(sends_in(d, S // 2, more=0)) >= 190
+    assert len(sends_in(drive(), SECOND // 2)) == 200
+    driver = drive(2.0)
+    assert len(sends_in(driver, SECOND)) <= 3
+    listed(driver, 0.0)
+    assert len(sends_in(driver, SECOND // 2, more=0)) >= 190
 
 
 def test_a_limit_that_is_raised_holds_at_once_and_what_leaves_brings_no_old_one_back():
-    d = drive(2.0)
-    listed(d, 2.0, name="old")
-    listed(d, 20.0)
-    listed(d, 2.0, status=DRAINING, name="old")
-    listed(d, 2.0, status=EndpointStatus.GONE, name="old")
-    assert len(sends_in(d, 2 * S)) >= 30
+    driver = drive(2.0)
+    listed(driver, 2.0, name="old")
+    listed(driver, 20.0)
+    listed(driver, 2.0, status=DRAINING, name="old")
+    listed(driver, 2.0, status=EndpointStatus.GONE, name="old")
+    assert len(sends_in(driver, 2 * SECOND)) >= 30
 
 
 def test_what_an_earlier_process_knew_does_not_go_before_the_file():
-    d = drive(8.0)
-    d.turn(LearnedRate(1, "", 1.0, 2.0))
-    assert d.engine.state.destinations[1].routes[""].reported_limit == 8.0
+    driver = drive(8.0)
+    driver.step(LearnedRate(1, "", 1.0, 2.0))
+    assert driver.engine.state.destinations[1].routes[""].reported_limit == 8.0
 
 
 def test_an_endpoint_has_no_more_calls_at_once_than_it_may():
-    d = drive(most=3)
-    listed(d, 0.0, 2, name="f")
-    sent = d.arrive(*(f"m{n}" for n in range(20)))
+    driver = drive(most=3)
+    listed(driver, 0.0, 2, name="f")
+    sent = driver.submit(*(f"m{n}" for n in range(20)))
     assert len(sent) == 5
-    by = [send.endpoint for send in d.of(Send)]
+    by = [send.endpoint for send in driver.actions_of(Send)]
     assert (by.count("e"), by.count("f")) == (3, 2)
-    first = next(send.id for send in d.of(Send) if send.endpoint == "f")
-    assert len(d.result(first, "f")) == 1
-    assert d.of(Send)[0].endpoint == "f"
+    first = next(send.id for send in driver.actions_of(Send) if send.endpoint == "f")
+    assert len(driver.finish(first, "f")) == 1
+    assert driver.actions_of(Send)[0].endpoint == "f"
 
 
 def test_attempts_are_counted_by_destination():
-    d = drive(attempts={1: 2})
-    assert d.arrive("m") == ["m"]
+    driver = drive(attempts={1: 2})
+    assert driver.submit("m") == ["m"]
     for _ in range(2):
-        d.result("m", "e", Outcome.ERROR)
-        while d.now < 7 * S and not d.of(Send) and not d.of(Shed):
-            d.tick(50 * MS)
-    assert d.attempts["m"] == 1
-    assert [refused.id for refused in d.of(Shed)] == ["m"]
-    assert d.now < 7 * S  # at once, and not when its time is up
+        driver.finish("m", "e", Outcome.ERROR)
+        while driver.now < 7 * SECOND and not driver.actions_of(Send) and not driver.actions_of(Shed):
+            driver.tick(50 * MILLISECOND)
+    assert driver.attempts["m"] == 1
+    assert [refused.id for refused in driver.actions_of(Shed)] == ["m"]
+    assert driver.now < 7 * SECOND  # at once, and not when its time is up
 
 
 def told_calls(senders, left, kind="one"):
     """Calls begun at a partner with a limit of one a second a sender in 20 s, while every answer tells what is left."""
-    d = Drive(replica_count=senders, call_slots=100, max_queued=1000)
-    listed(d, 1.0, kind=kind)
-    first = d.arrive("first")[0]
-    d.result(first, "e", report={"x0": 0.0, "x1": float(senders)}, after=MS)
-    d.arrive(*(f"m{n}" for n in range(100)))
+    driver = EngineDriver(replica_count=senders, call_slots=100, max_queued=1000)
+    listed(driver, 1.0, kind=kind)
+    first = driver.submit("first")[0]
+    driver.finish(first, "e", load_report={"x0": 0.0, "x1": float(senders)}, after=MILLISECOND)
+    driver.submit(*(f"m{n}" for n in range(100)))
     calls, told = 0, []
     for _ in range(400):
-        sent = [send.id for send in d.of(Send)]
+        sent = [send.id for send in driver.actions_of(Send)]
         calls += bool(sent)
-        d.turn(
+        driver.step(
             *(
-                AttemptFinished(name, d.attempts[name], "e", Outcome.OK, 1, True, 0, {"x0": left, "x1": float(senders)})
+                AttemptFinished(
+                    name, driver.attempts[name], "e", Outcome.OK, 1, True, 0, {"x0": left, "x1": float(senders)}
+                )
                 for name in told
             ),
-            after=50 * MS,
+            after=50 * MILLISECOND,
         )
         told = sent
     return calls
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -72,12 +72,12 @@
     play(firm, steps)
 
 
-KEYED = {"effect": Idempotency.WITH_KEY}
+KEYED = {"idempotency": Idempotency.WITH_KEY}
 CHANGED = {  # what a class was as its message was taken on, what it is at the next start, and that message's end
-    "not to be repeated, now it may be": ({"effect": Idempotency.NOT_IDEMPOTENT}, {}, "failed"),
+    "not to be repeated, now it may be": ({"idempotency": Idempotency.NOT_IDEMPOTENT}, {}, "failed"),
     "its window was shorter": (KEYED | {"key_ttl_us": S}, KEYED | {"key_ttl_us": 7 * S}, "returned"),
     "repeats were dropped in their zone alone": (KEYED | {"key_scope_zone": True}, KEYED, "failed"),
-    "it could be repeated, now it may not": ({}, {"effect": Idempotency.NOT_IDEMPOTENT}, None),
+    "it could be repeated, now it may not": ({}, {"idempotency": Idempotency.NOT_IDEMPOTENT}, None),
 }
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import MS, S, settings
+from helpers import MILLISECOND, SECOND, settings
 from hypothesis import given
 from hypothesis import settings as limits
 from hypothesis import strategies as st
@@ -175,7 +175,7 @@
             if due or draw.random() < 0.4:
                 outcome = Outcome.TIMEOUT if due else draw.choice([mood, mood, *Outcome])
                 finished = outcome is Outcome.OK
-                wait = draw.choice([0, 300 * MS, 2 * S]) if outcome is Outcome.OVERLOADED else 0
+                wait = draw.choice([0, 300 * MILLISECOND, 2 * SECOND]) if outcome is Outcome.OVERLOADED else 0
                 events.append(
                     AttemptFinished(
                         message,
@@ -200,8 +200,8 @@
                     timers.append((now + action.delay_us, action.token))
         judge.turn_over(now)
         events = []
-        step = now + draw.choice([5, 20, 100, 400]) * MS
-        now = max(now + 5 * MS, min([step, *(at for at, _ in timers)]))
+        step = now + draw.choice([5, 20, 100, 400]) * MILLISECOND
+        now = max(now + 5 * MILLISECOND, min([step, *(at for at, _ in timers)]))
         if ended and not judge.open and not judge.out:
             break
     return judge
