--- a/scalefall/__init__.py
+++ b/scalefall/__init__.py
@@ -1,3 +1,3 @@
-"""A sender that delivers messages to other firms' endpoints, and the tools around it."""
+"""A sender that delivers messages to the HTTP endpoints of other systems, a control service and their tools."""
 
 __version__ = "0.2.0"
--- a/scalefall/policy/actions.py
+++ b/scalefall/policy/actions.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Shed:
-    """Final answer: not delivered, and safe to send again; the client may retry after retry_after_us."""
+    """Final answer: given up, and safe to send again; the client may retry after retry_after_us."""
 
     id: str
     retry_after_us: int
--- a/scalefall/policy/endpoint_list.py
+++ b/scalefall/policy/endpoint_list.py
@@ -15,7 +15,7 @@
 POLL_SPREAD_PER_SENDER_US = SECOND // 5
 # Latest poll as a multiple of poll_within_us; the second, after failed polls, since these allow four times as long.
 POLL_DEADLINE_FACTORS = (0.9, 3.6)
-MAX_POLL_DOUBLINGS = 4  # doublings of the spread, one for each failed poll
+MAX_POLL_DOUBLINGS = 4  # limit of the doublings of the poll spread, one for each failed poll
 DESTINATION_RETENTION_US = 60 * SECOND  # time after which a destination without endpoints is dropped with its rate
 
 
--- a/scalefall/policy/envelope.py
+++ b/scalefall/policy/envelope.py
@@ -15,7 +15,7 @@
 BIN_US = SECOND // 4  # resolution of the request envelope
 WINDOW_BINS = 40  # T, the window of both envelopes: 10 s
 INTERVAL_LENGTHS_BINS = (1, 2, 5, 10)  # tau: interval lengths that are tested, up to T/4
-WINDOW_US = BIN_US * WINDOW_BINS  # T
+WINDOW_US = BIN_US * WINDOW_BINS  # T in microseconds
 QUANTILE_DEVIATIONS = 1.645  # standard deviations above the mean: the 95th percentile of a Gaussian
 MAX_CHAIN_CALLS = 8  # longest chain of overlapping calls that is sampled; longer ones are extrapolated
 MIN_COMPLETIONS = 5  # completions of a class on a route below which its figures are not used
--- a/scalefall/policy/final_answers.py
+++ b/scalefall/policy/final_answers.py
@@ -73,7 +73,7 @@
             self.remove(message)
 
     def shed(self, message: QueuedMessage) -> None:
-        """Answer that the message was not delivered and may be retried after the mean service time."""
+        """Answer that the message was given up and may be retried after the mean service time."""
         self._state.actions.append(Shed(message.id, self._admission.mean_us(message)))
         self.remove(message)
 
--- a/scalefall/policy/outcomes.py
+++ b/scalefall/policy/outcomes.py
@@ -50,8 +50,8 @@
 
     def _apply_limit(self, endpoint: EndpointState, load_report: dict[str, float]) -> None:
         batches = self._state.settings.messages_per_call.get(endpoint.endpoint.kind, 1) != 1
-        left = load_report.get(UNUSED_FIELD, 0.0)
-        self._pacing.report_limit(endpoint.route, load_report[LIMIT_FIELD], left, batches)
+        unused = load_report.get(UNUSED_FIELD, 0.0)
+        self._pacing.report_limit(endpoint.route, load_report[LIMIT_FIELD], unused, batches)
 
     def _is_above_limit(self, route: RouteState, event: AttemptFinished | EndpointReport) -> bool:
         """Return whether a call was rejected for exceeding a known limit, which is no sign of an outage.
--- a/scalefall/policy/pacing.py
+++ b/scalefall/policy/pacing.py
@@ -76,7 +76,7 @@
         route.tokens = state.random.uniform(-0.5, 0.5)
         route.decreased_at = state.now
 
-    def report_limit(self, route: RouteState, limit: float, left: float, batches: bool) -> None:
+    def report_limit(self, route: RouteState, limit: float, unused: float, batches: bool) -> None:
         """Apply a limit that an answer reports, and the fraction of it that is unused.
 
         The rate stays close to the fair share: calls that are rejected cost, and at many destinations count against the
@@ -87,7 +87,7 @@
         Args:
             route: The route of the call.
             limit: Calls a second from all senders.
-            left: Unused fraction of the limit, 0 to 1.
+            unused: Unused fraction of the limit, 0 to 1.
             batches: Whether calls may carry several messages.
         """
         now = self._state.now
@@ -95,12 +95,12 @@
         has_risen = limit > LIMIT_RISE_FACTOR * route.reported_limit > 0
         route.reported_limit = limit
         fair_share = self.fair_share_per_s(route)
-        spare = max(0.0, left - CHANCE_UNUSED_SHARE) / (1 - CHANCE_UNUSED_SHARE)
+        spare = max(0.0, unused - CHANCE_UNUSED_SHARE) / (1 - CHANCE_UNUSED_SHARE)
         if has_risen:
             route.rate = max(route.rate, fair_share)
         if spare and not batches:
-            certain = max(0.0, 1 - CHANCE_STANDARD_DEVIATIONS / sqrt(self._state.settings.replica_count))
-            route.rate += certain * spare * fair_share * min(SECOND, now - route.increased_at) / SECOND
+            beyond_chance = max(0.0, 1 - CHANCE_STANDARD_DEVIATIONS / sqrt(self._state.settings.replica_count))
+            route.rate += beyond_chance * spare * fair_share * min(SECOND, now - route.increased_at) / SECOND
             route.increased_at = now
         route.rate_ceiling = fair_share + MAX_EXTRA_SHARE * spare * (limit - fair_share)
         route.rate = min(route.rate, route.rate_ceiling)
--- a/scalefall/policy/retry.py
+++ b/scalefall/policy/retry.py
@@ -9,9 +9,9 @@
 from scalefall.policy.units import SECOND
 
 TIMEOUT_MULTIPLE = 4  # multiple of the high-percentile time after which a call is overdue or times out
-MIN_TIMEOUT_US = SECOND // 2  # lower bound of that time
+MIN_TIMEOUT_US = SECOND // 2  # shortest time after which a call is overdue or times out
 DEADLINE_DIVISOR = 4  # without figures, a call may take the deadline of its class divided by this
-MAX_TIMEOUT_DOUBLINGS = 4  # doublings of the timeout, one for each further attempt
+MAX_TIMEOUT_DOUBLINGS = 4  # limit of the doublings of the timeout, one for each further attempt
 INITIAL_BACKOFF_US = SECOND // 5  # mean backoff after the first failed attempt
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 BACKS_OFF = (*MAY_HAVE_RUN, Outcome.CONNECT_FAILED, Outcome.CONNECTIONS_EXHAUSTED)
@@ -32,17 +32,17 @@
     With an idempotency key, that is so only if another attempt still fits into the lifetime of the key.
     """
     now = state.now
-    left = message.due - now
+    remaining = message.due - now
     idempotency = message.message_class.idempotency
     if idempotency is Idempotency.NOT_IDEMPOTENT or message.attempts + 1 >= message.max_attempts:
-        return left
+        return remaining
     timeout = expected_us(envelope, message.message_class) << min(message.attempts, MAX_TIMEOUT_DOUBLINGS)
     if idempotency is Idempotency.WITH_KEY:
         first_sent = message.may_have_run_at if message.may_have_run_at >= 0 else now
         another_ends = now + timeout + expected_us(envelope, message.message_class)
         if another_ends > first_sent + message.message_class.key_ttl_us:
-            return left
-    return min(left, timeout)
+            return remaining
+    return min(remaining, timeout)
 
 
 def attempts_exhausted(message: QueuedMessage) -> bool:
--- a/scalefall/policy/slow_start.py
+++ b/scalefall/policy/slow_start.py
@@ -15,15 +15,15 @@
 from scalefall.policy.state import TRIAL_CALLS, Attempt, EndpointState, EngineState, RouteState, SlowStart
 from scalefall.policy.units import SECOND
 
-# Budgets of the senders that have seen the failure, as a fraction of what a recovering route accepts from all senders.
-# Up to two thirds of it, these senders cannot break the overload rule.
+# Budgets during the warm-up, as a fraction of what a recovering route accepts from all senders. Up to two thirds of it,
+# senders that have seen the failure cannot break the overload rule.
 WARMING_BUDGET_SHARE = 2 / 3
-# The same before the first success; OutlierDetection.record_failure has the derivation.
+# The fraction for budgets before the first success; OutlierDetection.record_failure has the derivation.
 FAILING_BUDGET_SHARE = (2 - TRIAL_CALLS) / 3
 RETRY_AFTER_SPREAD_FACTOR = 4  # multiple of a Retry-After over which trial calls after it are spread
 # Time until most senders have seen a failure, in mean intervals between a sender's calls at its fair share of what a
 # cold destination accepts. A sender with r calls a second has seen no failure by time t with probability e^(-r * t), so
-# that senders that have not seen it make at most 1 / (e * t) calls a second each.
+# that on average senders that have not seen it make at most 1 / (e * t) calls a second each.
 DETECTION_CALL_INTERVALS = 3.0
 MIN_TRIAL_SPREAD_US = SECOND // 5  # shortest span over which trial calls are spread
 MIN_CALLS_PER_S = 1e-6  # keeps call intervals finite
@@ -68,8 +68,8 @@
         endpoint = attempt.endpoint
         route = endpoint.route
         own_rate = self._pacing.own_rate(route)
-        of_endpoint = own_rate / max(1, len(route.endpoints))
-        self._count_failure(endpoint.slow_start, of_endpoint, attempt, retry_after_us)
+        endpoint_rate = own_rate / max(1, len(route.endpoints))
+        self._count_failure(endpoint.slow_start, endpoint_rate, attempt, retry_after_us)
         self._count_failure(route.slow_start, own_rate, attempt, retry_after_us)
 
     def _count_failure(self, slow_start: SlowStart, own_rate: float, attempt: Attempt, retry_after_us: int) -> None:
@@ -80,18 +80,18 @@
             return
         if not slow_start.consecutive_failures:
             slow_start.own_rate = own_rate
-        limited_before = slow_start.budget_applies()
+        was_limited = slow_start.budget_applies()
         since_success = now - slow_start.last_success_at
-        served_recently = not limited_before and since_success <= window_us and slow_start.last_success_at >= 0
+        served_recently = not was_limited and since_success <= window_us and slow_start.last_success_at >= 0
         self._add_failure(slow_start, attempt.sent_at, served_recently, is_closed)
-        limited = slow_start.budget_applies()
-        if limited and not limited_before:
+        is_limited = slow_start.budget_applies()
+        if is_limited and not was_limited:
             self._begin(slow_start, attempt.endpoint)
         restarts = slow_start.warming_since >= 0 and slow_start.consecutive_failures > RESTART_FAILURES
         if restarts:
             slow_start.warming_since = -1
-        if restarts or not limited_before or retry_after_us:
-            if limited:
+        if restarts or not was_limited or retry_after_us:
+            if is_limited:
                 spread_us = self.call_interval_us(slow_start)
             else:
                 spread_us = max(
@@ -113,10 +113,10 @@
 
     def _begin(self, slow_start: SlowStart, endpoint: EndpointState) -> None:
         state = self._state
-        slow_start_fraction = state.settings.overload_multiple * state.settings.slow_start_from
+        accepted_fraction = state.settings.overload_multiple * state.settings.slow_start_from
         fair_share = self._pacing.cautious_fair_share_per_s(endpoint.route)
         slow_start.widely_detected_at = state.now + int(
-            DETECTION_CALL_INTERVALS * SECOND / (slow_start_fraction * fair_share)
+            DETECTION_CALL_INTERVALS * SECOND / (accepted_fraction * fair_share)
         )
         name = endpoint.endpoint.id
         state.actions.append(LogLine(f"slow start: endpoint {name}, rate when warm {slow_start.own_rate:.2f} calls/s"))
@@ -141,12 +141,12 @@
         """
         now = self._state.now
         settings = self._state.settings
-        warming = slow_start.warming_since >= 0
-        warmth = (now - slow_start.warming_since) / max(1, settings.slow_start_us) if warming else 0.0
-        allowed = settings.slow_start_from + (1 - settings.slow_start_from) * warmth
-        fraction = WARMING_BUDGET_SHARE * settings.overload_multiple * allowed
-        interval = SECOND / max(MIN_CALLS_PER_S, slow_start.own_rate * min(1.0, fraction))
-        if warming:
+        is_warming = slow_start.warming_since >= 0
+        warm_up_progress = (now - slow_start.warming_since) / max(1, settings.slow_start_us) if is_warming else 0.0
+        accepted_fraction = settings.slow_start_from + (1 - settings.slow_start_from) * warm_up_progress
+        budget_fraction = WARMING_BUDGET_SHARE * settings.overload_multiple * accepted_fraction
+        interval = SECOND / max(MIN_CALLS_PER_S, slow_start.own_rate * min(1.0, budget_fraction))
+        if is_warming:
             return interval
         return min(
             interval * WARMING_BUDGET_SHARE / FAILING_BUDGET_SHARE,
@@ -159,12 +159,12 @@
         A slow start whose warm-up is complete ends here; the route then gets a rate limit, which prevents a burst.
         """
         warm_if_since = self._state.now - self._state.settings.slow_start_us
-        of_route, of_endpoint = route.slow_start, endpoint.slow_start
-        if of_route.consecutive_failures and 0 <= of_route.warming_since <= warm_if_since:
-            self._end(of_route, route)
-        if of_endpoint.consecutive_failures and 0 <= of_endpoint.warming_since <= warm_if_since:
-            self._end(of_endpoint, route)
-        return of_route if of_route.consecutive_failures else of_endpoint
+        route_slow_start, endpoint_slow_start = route.slow_start, endpoint.slow_start
+        if route_slow_start.consecutive_failures and 0 <= route_slow_start.warming_since <= warm_if_since:
+            self._end(route_slow_start, route)
+        if endpoint_slow_start.consecutive_failures and 0 <= endpoint_slow_start.warming_since <= warm_if_since:
+            self._end(endpoint_slow_start, route)
+        return route_slow_start if route_slow_start.consecutive_failures else endpoint_slow_start
 
     def _end(self, slow_start: SlowStart, route: RouteState) -> None:
         slow_start.consecutive_failures = 0
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -396,9 +396,9 @@
     calls = 0
     for n in range(30):
         driver.submit(f"u{n}", f"v{n}", class_name="unsafe", after=SECOND)
-        sent = [(send.endpoint, send.id) for send in driver.actions_of(Send)]
-        calls += sum(endpoint == "e" for endpoint, _ in sent)
-        for endpoint, name in sorted(sent, reverse=True):
+        sends = [(send.endpoint, send.id) for send in driver.actions_of(Send)]
+        calls += sum(endpoint == "e" for endpoint, _ in sends)
+        for endpoint, name in sorted(sends, reverse=True):
             driver.finish(name, endpoint, Outcome.OK if endpoint == "f" else Outcome.RESET, after=50 * MILLISECOND)
     assert calls <= 4
     assert driver.engine.state.endpoints["e"].slow_start.consecutive_failures > 1
