--- a/scalefall/policy/endpoint_list.py
+++ b/scalefall/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The fleet as the engine knows it: endpoints that come, drain and go, their routes, and polling for the list."""
+"""Endpoint list of the engine: endpoints that are added, drained and removed, their routes, and polling."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 from scalefall.policy.state import EndpointState, EngineState, RouteState
 from scalefall.policy.units import SECOND
 
-TIMER_POLL = 2  # token of the timer for the next poll
-POLL_US = SECOND // 5  # a sender's part of the directory's time, which fails polls that wait too long
-POLL_BY = (0.9, 3.6)  # times the time within which to poll: it is four times as long after a call that failed
-MAX_FAILED_POLLS = 4  # that double the time over which senders spread their polls
-FORGET_US = 60 * SECOND  # a destination with no endpoint for so long is forgotten, with its pace
+POLL_TIMER = 2  # token of the timer for the next poll
+# Polls are spread over this time for each sender: discovery serves them one by one, and fails those that wait too long.
+POLL_SPREAD_PER_SENDER_US = SECOND // 5
+# Latest poll as a multiple of poll_within_us; the second, after failed polls, since these allow four times as long.
+POLL_DEADLINE_FACTORS = (0.9, 3.6)
+MAX_POLL_DOUBLINGS = 4  # limit of the doublings of the poll spread, one for each failed poll
+DESTINATION_RETENTION_US = 60 * SECOND  # time after which a destination without endpoints is dropped with its rate
 
 
 class EndpointList:
@@ -29,7 +31,7 @@
         self._failed_polls = 0  # in a row
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Take an update of the list."""
+        """Apply an update of the list."""
         self._plan_poll(event.kind)
         if event.kind is ListUpdateKind.FAILED:
             return
@@ -40,25 +42,25 @@
             self._update_endpoint(endpoint)
         for state in list(self._state.endpoints.values()):
             self.drop_if_unused(state)
-        self._forget_destinations()
+        self._drop_unused_destinations()
 
     def _plan_poll(self, kind: ListUpdateKind) -> None:
-        """Poll again after a failure, or for the first list if only the cached one is there; spread at random."""
+        """Plan a poll after a failed one, or after the cached list; the time is random to spread the senders' polls."""
         settings = self._state.settings
         if kind is ListUpdateKind.FAILED:
-            self._failed_polls = min(self._failed_polls + 1, MAX_FAILED_POLLS)
+            self._failed_polls = min(self._failed_polls + 1, MAX_POLL_DOUBLINGS)
         else:
             self._failed_polls = 0
             if kind is not ListUpdateKind.CACHED or not settings.polls_endpoint_list:
                 return
-        latest = settings.poll_within_us * POLL_BY[self._failed_polls > 1]
-        spread_us = min(latest, POLL_US * settings.replica_count << self._failed_polls)
-        self._state.actions.append(SetTimer(TIMER_POLL, int(spread_us * self._state.random.random())))
+        latest = settings.poll_within_us * POLL_DEADLINE_FACTORS[self._failed_polls > 1]
+        spread_us = min(latest, POLL_SPREAD_PER_SENDER_US * settings.replica_count << self._failed_polls)
+        self._state.actions.append(SetTimer(POLL_TIMER, int(spread_us * self._state.random.random())))
 
     def _update_endpoint(self, endpoint: Endpoint) -> None:
         known = self._state.endpoints.get(endpoint.id)
         if known is not None and known.endpoint.destination != endpoint.destination:
-            _remove(known)  # it moved to another destination, and is another endpoint there
+            _remove(known)  # it moved to another destination, where it is a new endpoint
             self.drop_if_unused(known)
             known = None
         if known is None:
@@ -71,7 +73,7 @@
             known.route.reported_limit = endpoint.weight
         elif weights == "told" and known.ready:
             self._pacing.configure_limit(known.route, endpoint.weight)
-        self._schedule.touch(self._state.destination(endpoint.destination))
+        self._schedule.evaluate_in_step(self._state.destination(endpoint.destination))
 
     def _new_endpoint(self, endpoint: Endpoint) -> EndpointState:
         has_own_route = self._state.settings.route_per_endpoint.get(endpoint.kind)
@@ -82,7 +84,7 @@
         return added
 
     def drop_if_unused(self, endpoint: EndpointState) -> None:
-        """Forget an endpoint that is gone, with nothing in flight and no pause in force; its route if that is apart."""
+        """Drop a removed endpoint without calls in flight or a pause in force, and its route if it has its own."""
         if not endpoint.removed or endpoint.attempts:
             return
         route, name = endpoint.route, endpoint.endpoint.id
@@ -95,13 +97,13 @@
         route.endpoints.remove(endpoint)
         if self._state.endpoints.get(name) is endpoint:
             del self._state.endpoints[name]
-        self._evaluation.forget(name)
+        self._evaluation.remove_endpoint(name)
         destination = self._state.destinations[endpoint.endpoint.destination]
         destination.routes.pop(name, None)
         destination.unused_since = self._state.now
 
-    def _forget_destinations(self) -> None:
-        oldest = self._state.now - FORGET_US
+    def _drop_unused_destinations(self) -> None:
+        oldest = self._state.now - DESTINATION_RETENTION_US
         for number, destination in list(self._state.destinations.items()):
             if destination.unused_since < oldest and not self._is_needed(number):
                 del self._state.destinations[number]
@@ -109,12 +111,12 @@
     def _is_needed(self, number: int) -> bool:
         if any(route.endpoints for route in self._state.destinations[number].routes.values()):
             return True
-        if number in self._schedule.touched or number in self._schedule.waiting_for_slot:
+        if number in self._schedule.step_destinations or number in self._schedule.waiting_for_slot:
             return True
         return any(message.destination.number == number for message in self._state.messages.values())
 
     def restore_rate(self, event: LearnedRate) -> None:
-        """Take what the process before learned: one that is down at a restart would come back to almost no rate."""
+        """Apply a learned rate; without it, a destination that is down at a restart would recover to almost no rate."""
         destination = self._state.destinations.get(event.destination)
         route = destination.routes.get(event.route) if destination else None
         if route is not None:
@@ -122,7 +124,7 @@
             route.reported_limit = route.reported_limit or event.limit
 
     def learned_rates(self) -> list[LearnedRate]:
-        """Return what a later process should know of each route."""
+        """Return the learned rate of each route for a later process."""
         return [
             LearnedRate(destination.number, name, self._lasting_rate(route), route.reported_limit)
             for destination in self._state.destinations.values()
--- a/scalefall/policy/schedule.py
+++ b/scalefall/policy/schedule.py
@@ -1,4 +1,4 @@
-"""What is to be evaluated, and when: destinations that events have changed, that wait for a slot or for a time."""
+"""Schedule of evaluations: destinations of this step, those that wait for a call slot, and planned evaluations."""
 
 from __future__ import annotations
 
@@ -7,70 +7,70 @@
 from scalefall.policy.actions import SetTimer
 from scalefall.policy.state import DestinationState, EngineState, QueuedMessage
 
-TIMER_WAKE = 1  # token of the one timer for all of this
+EVALUATION_TIMER = 1  # token of the one timer for evaluations and deadlines
 
 
 class Schedule:
-    """Keeps what is evaluated in this step and the times of later evaluations.
+    """Holds the destinations to evaluate in this step and the times of later evaluations.
 
     Attributes:
-        touched: destinations that this step's events have changed, by number, in the order that they did.
-        waiting_for_slot: destinations that wait for a free call slot.
-        deadlines: heap of watched messages: time, sequence and id.
+        step_destinations: Destinations to evaluate in this step, by number, in the order of the events.
+        waiting_for_slot: Destinations that wait for a free call slot.
+        deadlines: Heap of planned deadline checks: time, sequence and id of the message.
     """
 
     def __init__(self, state: EngineState) -> None:
         """Start with nothing planned."""
         self._state = state
-        self.touched: dict[int, DestinationState] = {}
+        self.step_destinations: dict[int, DestinationState] = {}
         self.waiting_for_slot: dict[int, DestinationState] = {}
-        self._wakes: list[tuple[int, int]] = []  # heap: time, number of a destination
+        self._planned_evaluations: list[tuple[int, int]] = []  # heap: time, number of a destination
         self.deadlines: list[tuple[int, int, str]] = []
         self._timer_at = -1
 
-    def touch(self, destination: DestinationState) -> None:
-        """Evaluate the destination in this step."""
-        self.touched[destination.number] = destination
+    def evaluate_in_step(self, destination: DestinationState) -> None:
+        """Have the destination evaluated in this step."""
+        self.step_destinations[destination.number] = destination
 
-    def touch_waiting_for_slot(self) -> None:
-        """Evaluate what waits for a call slot: one is free."""
-        self.touched.update(self.waiting_for_slot)
+    def evaluate_waiting_for_slot(self) -> None:
+        """Have the destinations that wait for a call slot evaluated in this step."""
+        self.step_destinations.update(self.waiting_for_slot)
         self.waiting_for_slot = {}
 
     def evaluate_at(self, at: int, destination: DestinationState) -> None:
-        """Evaluate the destination in the first step from a time on."""
-        heapq.heappush(self._wakes, (at, destination.number))
+        """Have the destination evaluated in the first step at or after a time."""
+        heapq.heappush(self._planned_evaluations, (at, destination.number))
 
-    def watch(self, message: QueuedMessage, at: int) -> None:
-        """Have the message returned by pop_due from a time on, in a later step than this."""
+    def plan_deadline_check(self, message: QueuedMessage, at: int) -> None:
+        """Have pop_due return the message in the first later step at or after a time."""
         heapq.heappush(self.deadlines, (max(self._state.now + 1, at), message.sequence, message.id))
 
     def pop_due(self) -> QueuedMessage | None:
-        """Return a watched message whose time has come, or None."""
+        """Return a message whose deadline check is due, or None."""
         while self.deadlines and self.deadlines[0][0] <= self._state.now:
             message = self._state.messages.get(heapq.heappop(self.deadlines)[2])
             if message is not None:
                 return message
         return None
 
-    def touch_woken(self) -> None:
-        """Evaluate the destinations whose time has come."""
+    def evaluate_due(self) -> None:
+        """Have the destinations whose planned evaluation is due evaluated in this step."""
         destinations = self._state.destinations
-        while self._wakes and self._wakes[0][0] <= self._state.now:
-            number = heapq.heappop(self._wakes)[1]
+        while self._planned_evaluations and self._planned_evaluations[0][0] <= self._state.now:
+            number = heapq.heappop(self._planned_evaluations)[1]
             if number in destinations:
-                self.touched[number] = destinations[number]
+                self.step_destinations[number] = destinations[number]
 
     def set_timer(self) -> None:
-        """Set the timer for the next time, unless one is set that comes before it."""
+        """Set the timer for the next planned time, unless it is already set for that or an earlier time."""
         while self.deadlines and self.deadlines[0][2] not in self._state.messages:
             heapq.heappop(self.deadlines)
         times = []
         if self.deadlines:
             times.append(self.deadlines[0][0])
-        if self._wakes:
-            times.append(self._wakes[0][0])
+        if self._planned_evaluations:
+            times.append(self._planned_evaluations[0][0])
         at = min(times, default=-1)
         if at >= 0 and not self._state.now < self._timer_at <= at:
             self._timer_at = at
-            self._state.actions.append(SetTimer(TIMER_WAKE, max(0, at - self._state.now)))
+            self._state.actions.append(SetTimer(EVALUATION_TIMER, max(0, at - self._state.now)))
--- a/tests/characterization/mapping.py
+++ b/tests/characterization/mapping.py
@@ -1,11 +1,12 @@
-"""Stable names of the recorded plays, and what they are called in the code now.
+"""Stable names of the recorded plays, and their current names in the code.
 
-The recordings under ``data`` hold only the names and the order of fields that stand on the left here. A renaming
-in the code changes the right-hand sides of this module and nothing else of the characterization tests.
+The recordings under ``data`` contain only the names on the left-hand sides here, and their fields in this order. A
+renaming in the code changes the right-hand sides and nothing else of the characterization tests.
 """
 
 from __future__ import annotations
 
+import re
 from dataclasses import dataclass, field
 from typing import Any
 from collections.abc import Callable
@@ -41,7 +42,7 @@
 from scalefall.policy.settings import Idempotency, MessageClass, Settings, Tenant
 from scalefall.settings_reader import read_settings
 
-SettingsError = ValueError  # what read_settings raises
+SettingsError = ValueError  # raised by read_settings
 
 
 @dataclass(frozen=True)
@@ -69,12 +70,12 @@
         return self.type(**arguments)
 
     def describe(self, values: list[Any]) -> dict[str, Any]:
-        """Return recorded values by stable name, to be read by a person."""
+        """Return recorded values by stable name, for messages."""
         return dict(zip(self.fields, values, strict=False))
 
 
 def _same(*names: str) -> dict[str, str]:
-    """Fields that are called in the code as in the recordings."""
+    """Return the fields whose names in the code are those of the recordings."""
     return {name: name for name in names}
 
 
@@ -179,6 +180,26 @@
 
 _OUTCOME = {"outcome": _enum(Outcome)}
 
+_PRESENT_LOG_LINE = re.compile(r"slow start: endpoint (.+), rate when warm ([0-9]+\.[0-9]{2}) calls/s")
+_RECORDED_LOG_LINE = re.compile(r"held (.+): part of ([0-9]+\.[0-9]{2}) calls/s")
+
+
+def _recorded_log_line(line: str) -> str:
+    """Return a log line as recorded; the whole line must match, and each field is kept."""
+    found = _PRESENT_LOG_LINE.fullmatch(line)
+    if found is None:
+        raise ValueError(f"log line {line!r} does not match {_PRESENT_LOG_LINE.pattern!r}")
+    return f"held {found[1]}: part of {found[2]} calls/s"
+
+
+def _present_log_line(line: str) -> str:
+    """Return a recorded log line as the code writes it now."""
+    found = _RECORDED_LOG_LINE.fullmatch(line)
+    if found is None:
+        raise ValueError(f"recorded log line {line!r} does not match {_RECORDED_LOG_LINE.pattern!r}")
+    return f"slow start: endpoint {found[1]}, rate when warm {found[2]} calls/s"
+
+
 EVENTS = (
     Shape(
         "message",
@@ -268,7 +289,7 @@
     Shape("probe", Probe, _same("endpoint")),
     Shape("close_connections", CloseIdleConnections, _same("endpoint")),
     Shape("subscribe", PollEndpointList, _same("on")),
-    Shape("log", LogLine, _same("line")),
+    Shape("log", LogLine, _same("line"), {"line": (_recorded_log_line, _present_log_line)}),
 )
 
 LEARNED_RATE = next(shape for shape in EVENTS if shape.name == "learned_rate")
@@ -304,26 +325,26 @@
     return SHAPES[row[0]].unpack(row[1:])
 
 
-def make_sender(settings: Any, seed: int) -> Engine:
-    """Return the decision module under test."""
+def make_engine(settings: Any, seed: int) -> Engine:
+    """Return the engine under test."""
     return Engine(settings, seed)
 
 
-def handle(sender: Engine, now_us: int, events: list[Any]) -> list[Any]:
-    """Hand the events of one step to the sender and return its actions."""
-    return sender.handle(now_us, events)
+def handle(engine: Engine, now_us: int, events: list[Any]) -> list[Any]:
+    """Run one step of the engine with the events, and return its actions."""
+    return engine.handle(now_us, events)
 
 
-def learned_rates(sender: Engine) -> list[list[Any]]:
-    """Return what a later process should know of the routes, as recorded."""
-    return [LEARNED_RATE.pack(row) for row in sender.learned_rates()]
+def learned_rates(engine: Engine) -> list[list[Any]]:
+    """Return the learned rates of the routes, as recorded."""
+    return [LEARNED_RATE.pack(row) for row in engine.learned_rates()]
 
 
-def allowances(sender: Engine, among: list[int] | None) -> list[list[Any]]:
-    """Return what all proxies may send on the routes of some destinations, or of all, as recorded."""
-    return [ALLOWANCE.pack(row) for row in sender.allowances(None if among is None else set(among))]
+def allowances(engine: Engine, among: list[int] | None) -> list[list[Any]]:
+    """Return the allowances of the routes of some destinations, or of all, as recorded."""
+    return [ALLOWANCE.pack(row) for row in engine.allowances(None if among is None else set(among))]
 
 
 def settings_from(config: Any) -> list[Any]:
-    """Return the settings object of the wire as the reader takes it, as recorded."""
+    """Return the settings that the reader reads from the settings object of the wire, as recorded."""
     return SETTINGS.pack(read_settings(config))
