--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -200,7 +200,7 @@
 
     def _holder_disconnected(self, change: MembershipChange, now: int) -> None:
         super()._holder_disconnected(change, now)
-        if change.state is MemberState.FORGOTTEN:
+        if change.state is MemberState.EXPIRED:
             self._nodes.pop(change.holder, None)
         else:
             self.coordinator.holder_lost(change.holder, now)
--- a/scalefall/assignment/shard_leases.py
+++ b/scalefall/assignment/shard_leases.py
@@ -7,7 +7,7 @@
 
 
 class ShardLeases:
-    """The coordinator as control.grants.Leases.
+    """The coordinator as control.grants.LeaseLedger.
 
     Holders come and go through the service, which knows their nodes.
 
--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -16,7 +16,7 @@
 from math import inf
 from typing import Generic
 
-from scalefall.control.grants import UNITS_PER_CALL, GrantT, Leases
+from scalefall.control.grants import UNITS_PER_CALL, GrantT, LeaseLedger
 from scalefall.policy.actions import LogLine, RouteAllowance
 from scalefall.policy.engine import Engine
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointReport, EndpointStatus, Event, LearnedRate
@@ -34,9 +34,9 @@
     Retry-After and no slow start, and only an event can give it one.
     """
 
-    def __init__(self, module: Engine, ledger: Leases[GrantT]) -> None:
+    def __init__(self, engine: Engine, ledger: LeaseLedger[GrantT]) -> None:
         """Stand between a decision module and the ledger that divides its allowances."""
-        self._module = module
+        self._engine = engine
         self._ledger = ledger
         self.allowed: list[RouteAllowance] = []  # the module's rows of the last step
         self.log_lines: list[str] = []  # the module's lines of the last step
@@ -72,7 +72,7 @@
 
     def apply(self, now: int, events: list[Event]) -> None:
         """Hand events to the module; what follows from them is granted at the next step."""
-        actions = self._module.handle(now, events)
+        actions = self._engine.handle(now, events)
         self.log_lines = [action.line for action in actions if isinstance(action, LogLine)]
         for event in events:
             self._touch(event)
@@ -106,7 +106,7 @@
 
     def allowances(self, destinations: set[int] | None = None) -> list[RouteAllowance]:
         """The module's figures of this moment, of some destinations or of all."""
-        return self._module.allowances(destinations)
+        return self._engine.allowances(destinations)
 
     @staticmethod
     def _amount(row: RouteAllowance, now: int) -> int:
--- a/scalefall/control/audit.py
+++ b/scalefall/control/audit.py
@@ -34,7 +34,7 @@
 
 __all__ = ["RULE_NAMES", "Finding", "LogRow", "ReadLog", "audit", "format_findings", "read_log"]
 
-MAX_SHOWN = 10  # violations of one rule in the report: a log with one fault may have thousands
+MAX_VIOLATIONS_SHOWN = 10  # violations of one rule in the report: a log with one fault may have thousands
 RULES: dict[str, Callable[[RowsByEvent, Finding], None]] = {
     "drain": check_drains,
     "wait": check_retry_after,
@@ -60,14 +60,14 @@
     return findings
 
 
-def format_findings(findings: Sequence[Finding], foreign: int = 0) -> str:
-    """The report: a line each rule, below it what broke it; `foreign`: how many lines were none of a log."""
+def format_findings(findings: Sequence[Finding], skipped_lines: int = 0) -> str:
+    """The report: a line each rule, below it what broke it; `skipped_lines`: how many lines were none of a log."""
     lines = []
     for finding in findings:
         lines.append(f"{finding.rule:<8}{finding.verdict:<10}{finding.checked} checked")
-        lines += [f"        {violation}" for violation in finding.violations[:MAX_SHOWN]]
-        if len(finding.violations) > MAX_SHOWN:
-            lines.append(f"        and {len(finding.violations) - MAX_SHOWN} more")
-    if foreign:
-        lines.append(f"{foreign} lines are no JSON objects with an event and a time, and were passed over")
+        lines += [f"        {violation}" for violation in finding.violations[:MAX_VIOLATIONS_SHOWN]]
+        if len(finding.violations) > MAX_VIOLATIONS_SHOWN:
+            lines.append(f"        and {len(finding.violations) - MAX_VIOLATIONS_SHOWN} more")
+    if skipped_lines:
+        lines.append(f"{skipped_lines} lines are no JSON objects with an event and a time, and were passed over")
     return "\n".join(lines) + "\n"
--- a/scalefall/control/audit_log.py
+++ b/scalefall/control/audit_log.py
@@ -51,13 +51,13 @@
     """The rows in the order of their time, and how many lines were none."""
 
     rows: list[LogRow]
-    foreign: int
+    skipped_lines: int
 
 
 def read_log(lines: Iterable[str]) -> ReadLog:
     """Read the lines of any number of logs put together; empty lines count for nothing."""
     rows: list[LogRow] = []
-    foreign = 0
+    skipped_lines = 0
     for number, text in enumerate(lines, 1):
         if not text.strip():
             continue
@@ -66,9 +66,9 @@
             at = fields["at"] if "at" in fields else _microseconds(fields["timestamp"])
             rows.append(LogRow(number, int(at), str(fields["event"]), fields))
         except (ValueError, TypeError, KeyError, RecursionError):
-            foreign += 1
+            skipped_lines += 1
     rows.sort(key=lambda row: (row.at, row.line))
-    return ReadLog(rows, foreign)
+    return ReadLog(rows, skipped_lines)
 
 
 def by_event(rows: Iterable[LogRow]) -> RowsByEvent:
--- a/scalefall/control/audit_rules.py
+++ b/scalefall/control/audit_rules.py
@@ -8,7 +8,7 @@
 
 from scalefall.control.audit_log import SECOND, LogRow, RowsByEvent, between, grouped
 
-DRAIN_US = SECOND  # after a drain, a call may begin for so long: the change is on its way to the proxies
+DRAIN_GRACE_US = SECOND  # after a drain, a call may begin for so long: the change is on its way to the proxies
 ROUNDING_CALLS = 3  # calls beyond a window's capacity, as whole calls are counted
 NEVER = 1 << 62  # us: later than any row
 
@@ -30,7 +30,7 @@
 
 
 def check_drains(rows: RowsByEvent, finding: Finding) -> None:
-    """No call begins at an endpoint that drains, DRAIN_US after it began to."""
+    """No call begins at an endpoint that drains, DRAIN_GRACE_US after it began to."""
     sent = grouped(rows["sent"], lambda row: row.text_if_any("endpoint"))
     changes_of = grouped(rows["endpoint"], lambda row: row.text_if_any("endpoint"))
     for endpoint, changes in changes_of.items():
@@ -38,7 +38,7 @@
         candidates = sent.get(endpoint) or sent.get(first.text_if_any("address"), [])
         calls = [row for row in candidates if row.text_if_any("route") == first.text_if_any("route")]
         for drained, until in _drained_spans(changes, finding):
-            for call in between(calls, drained.at + DRAIN_US + 1, until):
+            for call in between(calls, drained.at + DRAIN_GRACE_US + 1, until):
                 finding.violations.append(
                     f"line {call.line}: {call.text_if_any('proxy')} sends to {endpoint} "
                     f"{(call.at - drained.at) / 1e6:.3f} s after line {drained.line} took it out"
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -4,9 +4,9 @@
 figures. So a test drives a whole service, its proxies and its destinations in virtual time.
 
 Theory of operation. Changes (an edit, a report, a demand) are taken in at once and acted on at the next step, which the
-transport calls SETTLE_US after the first of them, or when `next_deadline` says so. An endpoint that the operator drains
-does not wait: `configure` gives what goes out at once. A step asks the decision module once, sends the resources that
-differ and the grants that follow, and the heartbeats of what has a time to live.
+transport calls STEP_DELAY_US after the first of them, or when `next_deadline` says so. An endpoint that the operator
+drains does not wait: `configure` gives what goes out at once. A step asks the decision module once, sends the resources
+that differ and the grants that follow, and the heartbeats of what has a time to live.
 
 A holder of grants is a process (members.py) with a quota stream; resource streams hold none, and need no member.
 """
@@ -22,7 +22,7 @@
 from scalefall.control.client_streams import ClientStreams, Outgoing
 from scalefall.control.discovery_messages import Request
 from scalefall.control.fleet_changes import FleetInForce, endpoint_changes
-from scalefall.control.grants import GrantT, Leases
+from scalefall.control.grants import GrantT, LeaseLedger
 from scalefall.control.log_events import FieldValue, LogEvent
 from scalefall.control.members import Joined, JoinRejected, Members, MembershipChange, MemberState
 from scalefall.control.resource_builder import ResourceBuilder
@@ -31,7 +31,7 @@
 from scalefall.policy.events import EndpointListUpdate, EndpointReport, Event, ListUpdateKind
 from scalefall.policy.settings import Settings
 
-SETTLE_US = 10_000  # from the first change to the step that acts on it: changes that come together cost one step
+STEP_DELAY_US = 10_000  # from the first change to the step that acts on it: changes that come together cost one step
 UNSETTLED_STEP_US = 100_000  # between steps while a rate limit, Retry-After or slow start may end by itself
 SETTLED_STEP_US = 1_000_000  # between steps otherwise
 
@@ -48,7 +48,7 @@
         lease_us: int,
         delay_us: int,
         silence_us: int,
-        ledger: Leases[GrantT],
+        ledger: LeaseLedger[GrantT],
         view: DestinationView | None = None,
     ) -> None:
         """Start without a fleet.
@@ -65,17 +65,17 @@
             view: which node may have which destinations' resources, where not all may.
         """
         settings.probes = False
-        self.module = Engine(settings, seed)
+        self.engine = Engine(settings, seed)
         self.ledger = ledger
-        self.allocator = Allocator(self.module, ledger)
+        self.allocator = Allocator(self.engine, ledger)
         self.catalog = Catalog(view)
         self.members = Members(silence_us, lease_us + delay_us)
         self.emitted_events: list[LogEvent] = []  # that the transport has not written yet
         self._builder = builder
         self._in_force = FleetInForce.of(Fleet([], {}))
         self._streams = ClientStreams(self.catalog)
-        self._module_events: list[Event] = []  # for the next step
-        self._module_step_at = now
+        self._engine_events: list[Event] = []  # for the next step
+        self._engine_step_at = now
         self._step_at = now
         self._step_scheduled = False
 
@@ -111,8 +111,8 @@
         before, after = self._in_force, FleetInForce.of(fleet)
         routes = after.changed_routes(before)
         entries = {route: after.entries[route] for route in routes}
-        resources = self._builder.fixed(entries, routes)
-        self._hand_to_module(before.fleet, fleet, now)
+        resources = self._builder.from_configuration(entries, routes)
+        self._apply_to_engine(before.fleet, fleet, now)
         allowed = by_destination(self.allocator.allowances(set(routes)))
         resources += [self._builder.endpoints(route, entries[route], allowed.get(route, []), now) for route in routes]
         removed_routes = before.fleet.routes.keys() - fleet.routes.keys()
@@ -120,10 +120,10 @@
         changed = self.catalog.update(resources, removed)
         self._in_force = after
         self._schedule_step(now)
-        self._module_step_at = min(self._module_step_at, now + SETTLE_US)
+        self._engine_step_at = min(self._engine_step_at, now + STEP_DELAY_US)
         return self._resources_changed(changed)
 
-    def _hand_to_module(self, before: Fleet, after: Fleet, now: int) -> None:
+    def _apply_to_engine(self, before: Fleet, after: Fleet, now: int) -> None:
         """Hand the endpoints that differ to the module, and log those whose state does."""
         changes = endpoint_changes(before, after)
         for change in changes.status_changes:
@@ -146,9 +146,9 @@
         """A node has opened a stream of resources; `supports_ttl`: it declares that it knows times to live."""
         self._streams.open(stream, node, incremental, supports_ttl)
 
-    def repeats(self, stream: int) -> bool:
+    def repeats_names(self, stream: int) -> bool:
         """Whether the last request on the stream had the same names as the one before, which costs next to nothing."""
-        return self._streams.repeats(stream)
+        return self._streams.repeats_names(stream)
 
     def request(self, stream: int, request: Request, now: int) -> list[Outgoing]:
         """Take in a request, an acknowledgement or a rejection; what follows from it."""
@@ -208,7 +208,7 @@
 
     def restore(self, events: Iterable[Event], now: int) -> None:
         """Take in what the service before this one knew, as events (snapshot.py)."""
-        self._module_events += events
+        self._engine_events += events
         self._schedule_step(now)
 
     # -- time
@@ -218,26 +218,26 @@
         for change in self.members.step(now):
             self._holder_disconnected(change, now)
         outgoing: list[Outgoing] = []
-        if self._module_events or now >= self._module_step_at:
-            grants = self._step_module(now)
+        if self._engine_events or now >= self._engine_step_at:
+            grants = self._step_engine(now)
             outgoing += self._unsettled_resources(now)
         else:
             grants = self.allocator.step_ledger(now)
-        self._step_scheduled, self._step_at = False, self._module_step_at
+        self._step_scheduled, self._step_at = False, self._engine_step_at
         for destination, amount in self.allocator.changed_allowances.items():
             self._emit("allowance", is_debug=True, clock=now, route=destination, amount=amount)
         outgoing += self._outgoing_grants(grants, now)
         outgoing += self._streams.heartbeats(now)
         return outgoing
 
-    def _step_module(self, now: int) -> Sequence[GrantT]:
+    def _step_engine(self, now: int) -> Sequence[GrantT]:
         """The module's step: it comes for reports and by time, not for each demand."""
-        events, self._module_events = self._module_events, []
+        events, self._engine_events = self._engine_events, []
         grants = self.allocator.step(now, events)
         for line in self.allocator.log_lines:
             self._emit("judged", text=line)
         unsettled = self.allocator.unsettled
-        self._module_step_at = now + (UNSETTLED_STEP_US if unsettled else SETTLED_STEP_US)
+        self._engine_step_at = now + (UNSETTLED_STEP_US if unsettled else SETTLED_STEP_US)
         return grants
 
     def _unsettled_resources(self, now: int) -> list[Outgoing]:
@@ -270,7 +270,7 @@
         """Something has changed: a step follows soon."""
         if not self._step_scheduled:
             self._step_scheduled = True
-            self._step_at = min(self._step_at, now + SETTLE_US)
+            self._step_at = min(self._step_at, now + STEP_DELAY_US)
 
     def _emit(self, event: str, *, is_debug: bool = False, **fields: FieldValue) -> None:
         """Emit a log event; `is_debug`: it is of interest to the audit, not to a person."""
--- a/scalefall/control/catalog.py
+++ b/scalefall/control/catalog.py
@@ -18,7 +18,7 @@
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 RESOURCE_TYPES = (CDS, EDS, LDS, RDS)  # in the order in which they are sent: what is referred to comes first
 SHARED = -1  # the destination of a resource that belongs to none: every node may have it
-MAX_SHOWN = 5  # missing resources that an error names: its text is one line of the log
+MAX_MISSING_SHOWN = 5  # missing resources that an error names: its text is one line of the log
 
 # A resource's type URL and name. A plain tuple, as one is made for each look-up of each stream.
 ResourceKey = tuple[str, str]
@@ -63,8 +63,8 @@
     def __init__(self, missing: list[tuple[ResourceKey, ResourceKey]]) -> None:
         """Name the first few of `missing`: a resource that refers, and what it refers to."""
         self.missing = missing
-        rows = [f"{name} needs {needed}" for (_, name), (_, needed) in missing[:MAX_SHOWN]]
-        more = f"; and {len(missing) - MAX_SHOWN} more" if len(missing) > MAX_SHOWN else ""
+        rows = [f"{name} needs {needed}" for (_, name), (_, needed) in missing[:MAX_MISSING_SHOWN]]
+        more = f"; and {len(missing) - MAX_MISSING_SHOWN} more" if len(missing) > MAX_MISSING_SHOWN else ""
         super().__init__("; ".join(rows) + more)
 
 
--- a/scalefall/control/client_streams.py
+++ b/scalefall/control/client_streams.py
@@ -40,9 +40,9 @@
         """The numbers of the open streams, in the order in which they were opened."""
         return iter(self._streams)
 
-    def repeats(self, stream: int) -> bool:
+    def repeats_names(self, stream: int) -> bool:
         """Whether the last request on the stream had the same names as the one before."""
-        return self._streams[stream].repeats
+        return self._streams[stream].repeats_names
 
     def request(self, stream: int, request: Request, now: int) -> list[Outgoing]:
         """Take in a request, an acknowledgement or a rejection; what follows from it."""
@@ -58,7 +58,7 @@
     def heartbeats(self, now: int) -> list[Outgoing]:
         """The heartbeats whose time has come."""
         outgoing: list[Outgoing] = []
-        for stream in self._heartbeats.pop_ready(now):
+        for stream in self._heartbeats.pop_due(now):
             client = self._streams.get(stream)
             if client is not None:
                 outgoing += [Outgoing(stream, action) for action in client.heartbeats(now)]
--- a/scalefall/control/grant_accounts.py
+++ b/scalefall/control/grant_accounts.py
@@ -74,18 +74,18 @@
         self.allowance = amount
         return True
 
-    def date_decreases(self, now: int, settled_us: int) -> None:
+    def date_decreases(self, now: int, expiry_us: int) -> None:
         """Date the decreases that are acted on now, and forget those that have settled.
 
         Args:
             now: the time at which smaller grants go out.
-            settled_us: the time by which every larger grant of before a decrease has expired: lease and delay.
+            expiry_us: the time by which every larger grant of before a decrease has expired: lease and delay.
         """
         recent = []
         for decrease in self.decreases:
             if decrease.granted_at == NEVER:
                 decrease.granted_at = now
                 recent.append(decrease)
-            elif decrease.granted_at > now - settled_us:
+            elif decrease.granted_at > now - expiry_us:
                 recent.append(decrease)
         self.decreases = recent
--- a/scalefall/control/grants.py
+++ b/scalefall/control/grants.py
@@ -46,7 +46,7 @@
 GrantT_co = TypeVar("GrantT_co", bound=LedgerGrant, covariant=True)
 
 
-class Leases(Protocol[GrantT_co]):
+class LeaseLedger(Protocol[GrantT_co]):
     """What the service and the allocator ask of a ledger, whether it grants by destination or by shard."""
 
     delay_us: int  # the longest time that a message may be on its way
--- a/scalefall/control/heartbeat_schedule.py
+++ b/scalefall/control/heartbeat_schedule.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from math import inf
 
-GRID_US = 25_000  # heartbeats are sent at multiples of it, so that those of many streams take few steps
+HEARTBEAT_GRID_US = 25_000  # heartbeats are sent at multiples of it, so that those of many streams take few steps
 
 
 class HeartbeatSchedule:
@@ -21,9 +21,9 @@
         """Schedule a stream, unless it is; not at all for a time of inf."""
         if time < inf and stream not in self._scheduled:
             self._scheduled.add(stream)
-            heapq.heappush(self._heap, (-(-int(time) // GRID_US) * GRID_US, stream))
+            heapq.heappush(self._heap, (-(-int(time) // HEARTBEAT_GRID_US) * HEARTBEAT_GRID_US, stream))
 
-    def pop_ready(self, now: int) -> Iterator[int]:
+    def pop_due(self, now: int) -> Iterator[int]:
         """The streams whose time has come, which are scheduled no more; also those that are added meanwhile."""
         while self._heap and self._heap[0][0] <= now:
             _, stream = heapq.heappop(self._heap)
--- a/scalefall/control/ledger.py
+++ b/scalefall/control/ledger.py
@@ -50,7 +50,7 @@
         """Start at `now`; `delay_us` is the longest time that a message may be on its way."""
         self.lease_us = lease_us
         self.delay_us = delay_us
-        self.quiet_until = now + lease_us + delay_us
+        self.grants_start_at = now + lease_us + delay_us
         self._number = 0
         self._accounts: dict[int, DestinationAccount] = {}  # by destination
         self._destinations_of: dict[str, set[int]] = {}  # by holder
@@ -67,11 +67,11 @@
 
     def step_down(self) -> None:
         """Grant nothing until `become_leader`: another service grants."""
-        self.quiet_until = NEVER
+        self.grants_start_at = NEVER
 
     def become_leader(self, now: int) -> None:
         """Grant once everything has expired that another service may have granted until now."""
-        self.quiet_until = now + self.lease_us + self.delay_us
+        self.grants_start_at = now + self.lease_us + self.delay_us
 
     def resume(self, number: int) -> None:
         """Number the next grants above the highest that an earlier service may have given (its durable epoch)."""
@@ -129,7 +129,7 @@
 
     def step(self, now: int) -> list[Grant]:
         """The grants to send now. To be called after changes, and at `next_deadline` if there are none."""
-        if now < self.quiet_until:
+        if now < self.grants_start_at:
             return []
         while self._deadlines and self._deadlines[0][0] <= now:
             self._changed.add(heapq.heappop(self._deadlines)[1])
@@ -145,8 +145,8 @@
 
     def next_deadline(self, now: int) -> int:
         """When `step` has to be called if nothing changes before."""
-        if now < self.quiet_until or self._changed:
-            return max(now, self.quiet_until)
+        if now < self.grants_start_at or self._changed:
+            return max(now, self.grants_start_at)
         return self._deadlines[0][0] if self._deadlines else now + self.lease_us
 
     def destinations(self) -> Iterable[int]:
--- a/scalefall/control/members.py
+++ b/scalefall/control/members.py
@@ -6,9 +6,9 @@
 
     state          heartbeat   stream closed   silence    expiry      new stream of this instance
     LIVE           LIVE        DISCONNECTED    SILENT     -           LIVE (the old stream is closed: it reconnected)
-    SILENT         LIVE        DISCONNECTED    -          FORGOTTEN   LIVE (likewise)
-    DISCONNECTED   -           -               -          FORGOTTEN   LIVE
-    FORGOTTEN      it is no member any more
+    SILENT         LIVE        DISCONNECTED    -          EXPIRED   LIVE (likewise)
+    DISCONNECTED   -           -               -          EXPIRED   LIVE
+    EXPIRED      it is no member any more
 
 Expiry comes `lease + delay` after the last heartbeat: by then nothing that the holder was granted may be in use. A
 process that comes back in that time is the same holder with what it had; one that comes back later is as good as new.
@@ -33,7 +33,7 @@
     LIVE = "live"
     SILENT = "silent"  # its stream is open, and nothing comes on it
     DISCONNECTED = "cut"  # its stream is closed
-    FORGOTTEN = "gone"  # nothing that it was granted may be in use
+    EXPIRED = "gone"  # nothing that it was granted may be in use
 
 
 class LivenessSignal(Enum):
@@ -53,9 +53,9 @@
     (MemberState.LIVE, LivenessSignal.NEW_STREAM): MemberState.LIVE,
     (MemberState.SILENT, LivenessSignal.HEARTBEAT): MemberState.LIVE,
     (MemberState.SILENT, LivenessSignal.STREAM_CLOSED): MemberState.DISCONNECTED,
-    (MemberState.SILENT, LivenessSignal.EXPIRY): MemberState.FORGOTTEN,
+    (MemberState.SILENT, LivenessSignal.EXPIRY): MemberState.EXPIRED,
     (MemberState.SILENT, LivenessSignal.NEW_STREAM): MemberState.LIVE,
-    (MemberState.DISCONNECTED, LivenessSignal.EXPIRY): MemberState.FORGOTTEN,
+    (MemberState.DISCONNECTED, LivenessSignal.EXPIRY): MemberState.EXPIRED,
     (MemberState.DISCONNECTED, LivenessSignal.NEW_STREAM): MemberState.LIVE,
 }
 
@@ -104,11 +104,11 @@
     come.
     """
 
-    def __init__(self, silence_us: int, forget_us: int) -> None:
+    def __init__(self, silence_us: int, expiry_us: int) -> None:
         """Set after how long without a heartbeat a holder is silent, and after how long it is forgotten."""
-        assert_invariant(0 < silence_us <= forget_us, "silence comes before forgetting")
+        assert_invariant(0 < silence_us <= expiry_us, "silence comes before forgetting")
         self._silence_us = silence_us
-        self._forget_us = forget_us
+        self._expiry_us = expiry_us
         self._members: OrderedDict[str, Member] = OrderedDict()
         self._holder_of_stream: dict[int, str] = {}
         self._holders_of_node: dict[str, set[str]] = {}
@@ -172,8 +172,8 @@
             if member.state is MemberState.LIVE:
                 member.state = TRANSITIONS[member.state, LivenessSignal.SILENCE]
                 changes.append(MembershipChange(member.holder, member.node, member.state))
-            if member.state is not MemberState.LIVE and member.last_heartbeat <= now - self._forget_us:
-                changes.append(self._forget(member))
+            if member.state is not MemberState.LIVE and member.last_heartbeat <= now - self._expiry_us:
+                changes.append(self._expire(member))
         assert_invariant(not self._members or self._next_deadline_is_after(now), "what was due is done")
         return changes
 
@@ -182,7 +182,7 @@
         times = []
         for member in self._members.values():
             is_live = member.state is MemberState.LIVE
-            times.append(member.last_heartbeat + (self._silence_us if is_live else self._forget_us))
+            times.append(member.last_heartbeat + (self._silence_us if is_live else self._expiry_us))
             if is_live:
                 break  # those behind it had a later heartbeat, and silence comes before forgetting
         return max(now, min(times)) if times else None
@@ -194,7 +194,7 @@
     def state(self, holder: str) -> MemberState:
         """The state of a holder; one that is not known is forgotten."""
         member = self._members.get(holder)
-        return member.state if member else MemberState.FORGOTTEN
+        return member.state if member else MemberState.EXPIRED
 
     def get(self, holder: str) -> Member | None:
         """A holder's membership; None if it has none."""
@@ -205,7 +205,7 @@
         return [member.holder for member in self._members.values() if member.state is MemberState.LIVE]
 
     def __len__(self) -> int:
-        """How many holders there are, in all states but FORGOTTEN."""
+        """How many holders there are, in all states but EXPIRED."""
         return len(self._members)
 
     def _next_deadline_is_after(self, now: int) -> bool:
@@ -220,7 +220,7 @@
         member.last_heartbeat = now
         self._members.move_to_end(member.holder)
 
-    def _forget(self, member: Member) -> MembershipChange:
+    def _expire(self, member: Member) -> MembershipChange:
         member.state = TRANSITIONS[member.state, LivenessSignal.EXPIRY]
         del self._members[member.holder]
         if self._holder_of_stream.get(member.stream) == member.holder:
@@ -228,4 +228,4 @@
         self._holders_of_node[member.node].discard(member.holder)
         if not self._holders_of_node[member.node]:
             del self._holders_of_node[member.node]
-        return MembershipChange(member.holder, member.node, MemberState.FORGOTTEN)
+        return MembershipChange(member.holder, member.node, MemberState.EXPIRED)
--- a/scalefall/control/resource_builder.py
+++ b/scalefall/control/resource_builder.py
@@ -18,7 +18,7 @@
     """Makes resources of the fleet and of the decision module's figures."""
 
     # From the endpoints and the rules of routes: what follows from the configuration alone.
-    fixed: Callable[[RouteEntries, dict[int, RouteRules]], list[Resource]]
+    from_configuration: Callable[[RouteEntries, dict[int, RouteRules]], list[Resource]]
 
     # From a route, its endpoints, the module's rows for it and the time in us: its endpoints as they are now.
     endpoints: Callable[[int, list[Entry], list[RouteAllowance], int], Resource]
--- a/scalefall/control/snapshot.py
+++ b/scalefall/control/snapshot.py
@@ -19,7 +19,7 @@
 from scalefall.policy.actions import RouteAllowance
 from scalefall.policy.events import EndpointReport, Event, LearnedRate, Outcome
 
-FORM = 1  # of the document; another one is not read
+FORMAT = 1  # of the document; another one is not read
 MAX_RETRY_AFTER_US = 3_600_000_000  # a time that lies farther ahead is no Retry-After but a clock that was set
 MAX_FAILURE_AGE_US = 600_000_000  # an endpoint that failed longer ago is as one that is met for the first time
 
@@ -56,7 +56,7 @@
         if row.retry_after_until > now and row.endpoints:
             retry_after[next(iter(row.endpoints))] = wall + row.retry_after_until - now
     return SnapshotDocument(
-        form=FORM,
+        form=FORMAT,
         wall=wall,
         doubts=sorted(failed),
         waits=retry_after,
@@ -71,7 +71,7 @@
         SnapshotError: the document has another form, or a value is missing or wrong.
     """
     try:
-        parts = _read(cast(SnapshotDocument, document), now, wall)
+        parsed = _read(cast(SnapshotDocument, document), now, wall)
     except SnapshotError:
         raise
     except ValueError as error:
@@ -79,15 +79,15 @@
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise SnapshotError(f"missing or wrong value ({error!r})") from error
     events: list[Event] = []
-    if -MAX_RETRY_AFTER_US < parts.age_us < learned_rates.MAX_AGE_US:
-        events += parts.rates
-    events += parts.retry_after
-    if parts.age_us < MAX_FAILURE_AGE_US:
-        events += parts.failures
+    if -MAX_RETRY_AFTER_US < parsed.age_us < learned_rates.MAX_AGE_US:
+        events += parsed.rates
+    events += parsed.retry_after
+    if parsed.age_us < MAX_FAILURE_AGE_US:
+        events += parsed.failures
     return events
 
 
-class _Parts(NamedTuple):
+class _ParsedDocument(NamedTuple):
     """A document's age and its facts as events."""
 
     age_us: int
@@ -96,15 +96,15 @@
     failures: list[EndpointReport]
 
 
-def _read(document: SnapshotDocument, now: int, wall: int) -> _Parts:
+def _read(document: SnapshotDocument, now: int, wall: int) -> _ParsedDocument:
     """Read all parts; what is missing or wrong raises whatever its use raises."""
-    if document["form"] != FORM:
+    if document["form"] != FORMAT:
         raise SnapshotError(f"form {document['form']!r} is not known here")
     age_us = wall - document["wall"]
     rates = [learned_rates.from_row(*row) for row in document["paces"]]
     retry_after = _retry_after_events(document["waits"], now, wall)
     failures = [EndpointReport(str(endpoint), now, Outcome.CONNECT_FAILED) for endpoint in document["doubts"]]
-    return _Parts(age_us, rates, retry_after, failures)
+    return _ParsedDocument(age_us, rates, retry_after, failures)
 
 
 def _retry_after_events(waits: dict[str, int], now: int, wall: int) -> list[EndpointReport]:
--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -64,7 +64,7 @@
         self._watches: dict[str, Watch] = {}
         self._nonce = 0
         self.closed = False
-        self.repeats = False  # the last request had the same names as the one before it
+        self.repeats_names = False  # the last request had the same names as the one before it
 
     # -- what comes
 
@@ -149,8 +149,8 @@
 
     def _subscribe(self, watch: Watch, request: Request, is_first: bool) -> None:
         """State of the world: a request names all that the client subscribes to."""
-        self.repeats = request.names == watch.last_names and not is_first
-        if self.repeats:
+        self.repeats_names = request.names == watch.last_names and not is_first
+        if self.repeats_names:
             return  # an acknowledgement
         watch.last_names = request.names
         names = set(request.names) - {WILDCARD}
--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -107,7 +107,7 @@
             return
         service = self._service
         current = snapshot.capture(
-            service.allocator.unsettled_allowances(), service.module.learned_rates(), now_us, wall_us
+            service.allocator.unsettled_allowances(), service.engine.learned_rates(), now_us, wall_us
         )
         try:
             self._save_snapshot(current)
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -68,7 +68,7 @@
                 self._leader_state.require_leadership()
             self._identify(peer, message)
             self._driver.send(self._service.request(peer.number, parse(message), clock.monotonic_us()))
-            peer.repeats_names = self._service.repeats(peer.number)
+            peer.repeats_names = self._service.repeats_names(peer.number)
             self._driver.schedule()
 
     def _identify(self, peer: Peer, message: DiscoveryRequest) -> None:
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -175,7 +175,7 @@
         return len(self._peers)
 
     def _repeats(self, peer: _Peer) -> bool:
-        return peer.begun and peer.opening.kind is StreamKind.RESOURCES and self.service.repeats(peer.number)
+        return peer.begun and peer.opening.kind is StreamKind.RESOURCES and self.service.repeats_names(peer.number)
 
     def _read(self, number: int, data: bytes) -> None:
         peer = self._peers.get(number)
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -219,7 +219,7 @@
     def keep(self) -> tuple[int, dict]:
         return self.service.ledger.number, snapshot.capture(
             self.service.allocator.unsettled_allowances(),
-            self.service.module.learned_rates(),
+            self.service.engine.learned_rates(),
             self._world.now,
             self._world.now,
         )
--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -231,8 +231,8 @@
     allocator = started("a")
     many = [Endpoint(f"e{n}", "a", "one", n, EndpointStatus.READY, 0.0) for n in range(50)]
     allocator.step(0, [EndpointListUpdate(ListUpdateKind.CHANGES, many)])
-    asked, real = [], allocator._module.allowances
-    monkeypatch.setattr(allocator._module, "allowances", lambda among=None: asked.append(set(among)) or real(among))
+    asked, real = [], allocator._engine.allowances
+    monkeypatch.setattr(allocator._engine, "allowances", lambda among=None: asked.append(set(among)) or real(among))
     allocator.step(S, reports(Outcome.CONNECT_FAILED, 3, S, endpoint="e7"))
     allocator.step(2 * S, reports(Outcome.OK, at=2 * S, endpoint="e9"))
     allocator.step(3 * S, [])
--- a/tests/control/test_members.py
+++ b/tests/control/test_members.py
@@ -42,7 +42,7 @@
     assert m.step(SILENCE) == [MembershipChange("p/x", "p", MemberState.SILENT)]
     m.stream_closed(1)
     assert m.step(FORGET - 1) == []
-    assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.FORGOTTEN)]
+    assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.EXPIRED)]
     assert len(m) == 0
     assert m.join(2, "p", "x", FORGET) == Joined("p/x", False, None, False)
 
@@ -53,7 +53,7 @@
     m.step(SILENCE)
     m.heartbeat_received(2, FORGET - 2)
     m.stream_closed(1)  # it was last heard long ago, and its place is before the other's
-    assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.FORGOTTEN)]
+    assert m.step(FORGET) == [MembershipChange("p/x", "p", MemberState.EXPIRED)]
     assert m.next_deadline(FORGET) > FORGET
 
 
@@ -131,7 +131,7 @@
     def time_goes_on(self, span):
         """Those whose time is over are forgotten, and no others."""
         self.now += span
-        gone = {change.holder for change in self.m.step(self.now) if change.state is MemberState.FORGOTTEN}
+        gone = {change.holder for change in self.m.step(self.now) if change.state is MemberState.EXPIRED}
         assert gone == {holder for holder, at in self.heard.items() if at <= self.now - FORGET}
         self.heard = {holder: at for holder, at in self.heard.items() if holder not in gone}
         self.streams = {stream: holder for stream, holder in self.streams.items() if holder not in gone}
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -147,7 +147,7 @@
     """In place of a control service: notes what its predecessor's folder tells it, and has what it is to leave."""
 
     def __init__(self, state, assignment_text, now_us):
-        self.ledger, self.allocator, self.module = _Ledger(), self, self
+        self.ledger, self.allocator, self.engine = _Ledger(), self, self
         self._state, self._text, self._now = state, assignment_text, now_us
         self.seen = {}
 
--- a/tests/transport/test_state_directory.py
+++ b/tests/transport/test_state_directory.py
@@ -15,7 +15,7 @@
     """In place of a control service: what it is told, and what it has to leave."""
 
     def __init__(self):
-        self.ledger = self.allocator = self.module = self
+        self.ledger = self.allocator = self.engine = self
         self.number, self.text, self.number_of_saves = 0, None, 0
         self.began, self.events = [], None
 
