--- a/scalefall/control/__init__.py
+++ b/scalefall/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control: the module's decisions handed to other proxies. Decisions here are pure; `transport` does the I/O."""
+"""Control: serves the engine's decisions to other proxies. The code here does no I/O; `transport` does."""
--- a/scalefall/control/audit.py
+++ b/scalefall/control/audit.py
@@ -1,20 +1,20 @@
-"""The audit: whether the logs of control, proxies and destinations show each rule kept, or where it was broken. No I/O.
+"""The audit: checks the logs of control, proxies and destinations against the rules of operation. No I/O.
 
-Rows are JSON objects, one a line, of any number of logs put together; their order doesn't matter, their clock must be
-one (`timestamp`, ISO 8601 in UTC, or `at` in us). What is judged, by the names of events and fields in the log:
+Rows are JSON objects, one per line, from any number of logs; their order does not matter, but all logs must share one
+clock (`timestamp`, ISO 8601 in UTC, or `at` in us). The rules, by the names of events and fields in the logs:
 
-    drain    after a control `endpoint` with now=draining or gone, no proxy `sent` to it that begins more than 1 s
-             later, until it is ready again
-    wait     after a proxy `answered` with wait_ms, no `sent` of that proxy on the route before it is over, and none of
-             another proxy once it must have heard of it (wait_heard_ms of control's `ready`)
-    grants   from control's `granted`, `had` and `allowance`: what may be in use, by number, lease and delay, is never
-             more than the largest allowance of the last lease + delay
-    fall     from a destination's `took` and `capacity`: while it is cold, no window of fall_ms holds more than fall
-             times what it takes, and none `fell`
+    drain    after a control `endpoint` with now=draining or gone, no proxy has a `sent` to it that begins more than 1 s
+             later, until the endpoint is ready again
+    wait     after a proxy `answered` with wait_ms, there is no `sent` of that proxy on the route within that time, and
+             none of another proxy later than control's notification delay (wait_heard_ms of control's `ready`)
+    grants   from control's `granted`, `had` and `allowance`: the amount that may be in use, by number, lease and delay,
+             never exceeds the largest allowance of the last lease + delay
+    fall     from a destination's `took` and `capacity`: while it is cold, no window of fall_ms has more calls than fall
+             times its capacity, and no destination `fell`
     twice    no id has two `effect` rows with repeat=never
     answer   each message that a proxy has `taken` has exactly one `ended`
 
-Every rule is reported as kept, broken (with the lines), or not seen: a log without a drain proves nothing of drains.
+Each rule is reported as kept, broken (with the lines), or not seen: a log without a drain proves nothing about drains.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 __all__ = ["RULE_NAMES", "Finding", "LogRow", "ReadLog", "audit", "format_findings", "read_log"]
 
-MAX_VIOLATIONS_SHOWN = 10  # violations of one rule in the report: a log with one fault may have thousands
+MAX_VIOLATIONS_SHOWN = 10  # of one rule, as a log with one fault may show thousands
 RULES: dict[str, Callable[[RowsByEvent, Finding], None]] = {
     "drain": check_drains,
     "wait": check_retry_after,
@@ -47,7 +47,7 @@
 
 
 def audit(rows: Iterable[LogRow]) -> list[Finding]:
-    """Judge rows in the order of their time by every rule, in the order of RULE_NAMES."""
+    """Check rows, sorted by time, against each rule, in the order of RULE_NAMES."""
     events = by_event(rows)
     findings = []
     for name, check in RULES.items():
@@ -61,7 +61,7 @@
 
 
 def format_findings(findings: Sequence[Finding], skipped_lines: int = 0) -> str:
-    """The report: a line each rule, below it what broke it; `skipped_lines`: how many lines were none of a log."""
+    """Return the report: a line per rule, followed by its violations; `skipped_lines`: lines that are no log rows."""
     lines = []
     for finding in findings:
         lines.append(f"{finding.rule:<8}{finding.verdict:<10}{finding.checked} checked")
--- a/scalefall/control/audit_grants.py
+++ b/scalefall/control/audit_grants.py
@@ -1,7 +1,7 @@
-"""The audit's rule of grants: what may be in use is never more than was allowed. No I/O.
+"""The audit's rule for grants: the amount that may be in use never exceeds the allowance. No I/O.
 
-The times are those of control's own clock where a row has it (`clock`), as a line is written some milliseconds after
-the moment that it is of.
+Times are those of control's own clock where a row has it (`clock`), as a line is written some milliseconds after the
+event.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True, frozen=True)
 class GrantSpan:
-    """A grant, and until when its holder may use it."""
+    """A grant and the time until which its holder may use it."""
 
     row: LogRow
     expires_at: int  # us
 
 
 def check_grants(rows: RowsByEvent, finding: Finding) -> None:
-    """The sum over holders of the largest grant that each may still use is within the largest allowance."""
+    """Check that the sum over holders of the largest usable grant of each is within the largest allowance."""
     grants_of, allowances_of, acknowledged_of = (
         grouped([_at_own_clock(row) for row in rows[event]], _route) for event in ("granted", "allowance", "had")
     )
@@ -50,12 +50,12 @@
 
 
 def _lifetime_us(grant: LogRow) -> int:
-    """The longest time from a grant's sending to its end, if nothing is heard of it: lease and delay."""
+    """Return the longest time from sending a grant to its expiry without an acknowledgement: lease and delay."""
     return grant.number("lease_ms") * 1000 + grant.number("delay_ms") * 1000
 
 
 def _spans(grants: Sequence[LogRow], acknowledgements: Sequence[LogRow]) -> list[GrantSpan]:
-    """All grants of one route, each until it expires or a later one is acknowledged."""
+    """Return all grants of one route, each until it expires or a later one is acknowledged."""
     by_holder = grouped(acknowledgements, lambda row: row.text_if_any("holder"))
     spans = []
     for grant in grants:
@@ -67,7 +67,7 @@
 
 
 def _expiry_acknowledged(grant: LogRow, acknowledged: LogRow, otherwise: int) -> int:
-    """Until when a grant may be in use by what an acknowledgement of the same holder says; `otherwise` if nothing."""
+    """Return until when a grant may be in use after the holder's acknowledgement; `otherwise` if it is unrelated."""
     concerns_grant = acknowledged.at >= grant.at and acknowledged.number("number") >= grant.number("number")
     if not concerns_grant:
         return otherwise
@@ -76,7 +76,7 @@
 
 
 def _in_use(spans: Sequence[GrantSpan], position: int) -> int:
-    """What all holders together may use just after the grant at this position."""
+    """Return what all holders together may use just after the grant at this position."""
     grant = spans[position].row
     earliest = grant.at - _lifetime_us(grant)
     amounts: dict[str, int] = {}
@@ -90,7 +90,7 @@
 
 
 def _largest_allowance(allowances: Sequence[LogRow], grant: LogRow) -> int:
-    """The largest allowance that held at any moment of the last lease and delay."""
+    """Return the largest allowance in force at any time within the last lease and delay."""
     first = bisect_left(allowances, grant.at - _lifetime_us(grant), key=lambda row: row.at)
     after_last = bisect_right(allowances, grant.at, key=lambda row: row.at)
     in_force = allowances[max(0, first - 1) : after_last]
--- a/scalefall/control/audit_log.py
+++ b/scalefall/control/audit_log.py
@@ -18,29 +18,29 @@
 class LogRow:
     """One JSON object of a log.
 
-    Its fields are what another program wrote: the methods that read them raise KeyError where one is missing, and do
-    not look at its type. A rule that meets a wrong one gets a TypeError of its own, which the audit reports.
+    Another program wrote its fields: the methods that read them raise KeyError for a missing one and do not check
+    types. A field of a wrong type raises TypeError in the rule that uses it, which the audit reports.
     """
 
-    line: int  # its number, from 1, in all logs put together
+    line: int  # its number, from 1, counted through all logs
     at: int  # us
     event: str
     fields: dict[str, Any]
 
     def text(self, name: str) -> str:
-        """A field that must be there."""
+        """Return a required field."""
         return cast(str, self.fields[name])
 
     def number(self, name: str) -> int:
-        """A field that must be there, such as an amount or milliseconds."""
+        """Return a required number, such as an amount or milliseconds."""
         return cast(int, self.fields[name])
 
     def number_or(self, name: str, default: int) -> int:
-        """A field that may be missing."""
+        """Return an optional number."""
         return cast(int, self.fields.get(name, default))
 
     def text_if_any(self, name: str) -> str | None:
-        """A field that may be missing: None then."""
+        """Return an optional field; None if it is missing."""
         return cast("str | None", self.fields.get(name))
 
 
@@ -48,14 +48,14 @@
 
 
 class ReadLog(NamedTuple):
-    """The rows in the order of their time, and how many lines were none."""
+    """The rows sorted by time, and the number of lines that are no rows."""
 
     rows: list[LogRow]
     skipped_lines: int
 
 
 def read_log(lines: Iterable[str]) -> ReadLog:
-    """Read the lines of any number of logs put together; empty lines count for nothing."""
+    """Read the concatenated lines of any number of logs; empty lines are ignored."""
     rows: list[LogRow] = []
     skipped_lines = 0
     for number, text in enumerate(lines, 1):
@@ -72,12 +72,12 @@
 
 
 def by_event(rows: Iterable[LogRow]) -> RowsByEvent:
-    """Rows by the name of their event; a name that no row has gives none."""
+    """Return rows by event name; an absent name gives an empty list."""
     return grouped(rows, lambda row: row.event)
 
 
 def grouped(rows: Iterable[LogRow], key: Callable[[LogRow], KeyT]) -> dict[KeyT, list[LogRow]]:
-    """Rows by a key, in their order."""
+    """Return rows grouped by a key, in their order."""
     groups: dict[KeyT, list[LogRow]] = defaultdict(list)
     for row in rows:
         groups[key(row)].append(row)
@@ -85,14 +85,14 @@
 
 
 def between(rows: Sequence[LogRow], start: int, end: int) -> Sequence[LogRow]:
-    """The rows with start <= at < end; `rows` are in the order of their time."""
+    """Return the rows with start <= at < end; `rows` are sorted by time."""
     first = bisect_left(rows, start, key=lambda row: row.at)
     after_last = bisect_right(rows, end - 1, key=lambda row: row.at)
     return rows[first:after_last]
 
 
 def _microseconds(timestamp: str) -> int:
-    """An ISO 8601 time as microseconds; one without a zone is UTC."""
+    """Convert an ISO 8601 time to microseconds; without a zone it is taken as UTC."""
     when = datetime.fromisoformat(timestamp.replace("Z", "+00:00"))
     if when.tzinfo is None:
         when = when.replace(tzinfo=UTC)
--- a/scalefall/control/audit_rules.py
+++ b/scalefall/control/audit_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the audit that look at one kind of row after another. See audit.py for what each rule says. No I/O."""
+"""The audit's rules other than that for grants; audit.py describes each. No I/O."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 from scalefall.control.audit_log import SECOND, LogRow, RowsByEvent, between, grouped
 
-DRAIN_GRACE_US = SECOND  # after a drain, a call may begin for so long: the change is on its way to the proxies
-ROUNDING_CALLS = 3  # calls beyond a window's capacity, as whole calls are counted
-NEVER = 1 << 62  # us: later than any row
+DRAIN_GRACE_US = SECOND  # calls may begin for so long after a drain, while the change reaches the proxies
+ROUNDING_CALLS = 3  # tolerated above a window's capacity, as whole calls are counted
+NEVER = 1 << 62  # us; later than any row
 
 
 @dataclass(slots=True)
 class Finding:
-    """What the audit found of one rule."""
+    """The audit's result for one rule."""
 
     rule: str
-    checked: int = 0  # how many things there were to judge
-    violations: list[str] = field(default_factory=list)  # a sentence each, with line numbers
+    checked: int = 0  # the number of cases to which the rule applied
+    violations: list[str] = field(default_factory=list)  # one sentence each, with line numbers
 
     @property
     def verdict(self) -> str:
-        """Whether the rule is kept, broken or not seen."""
+        """Return "kept", "broken" or "not seen"."""
         if self.violations:
             return "broken"
         return "kept" if self.checked else "not seen"
 
 
 def check_drains(rows: RowsByEvent, finding: Finding) -> None:
-    """No call begins at an endpoint that drains, DRAIN_GRACE_US after it began to."""
+    """Check that no call to a draining endpoint begins later than DRAIN_GRACE_US after the drain."""
     sent = grouped(rows["sent"], lambda row: row.text_if_any("endpoint"))
     changes_of = grouped(rows["endpoint"], lambda row: row.text_if_any("endpoint"))
     for endpoint, changes in changes_of.items():
@@ -46,7 +46,7 @@
 
 
 def _drained_spans(changes: Sequence[LogRow], finding: Finding) -> Iterator[tuple[LogRow, int]]:
-    """The spans in which an endpoint drains or is removed: the change that began it, and the next change's time."""
+    """Yield the spans in which an endpoint drains or is removed: the change that began it, the next change's time."""
     drained: LogRow | None = None
     for position, change in enumerate(changes):
         if change.text("now") not in ("draining", "gone"):
@@ -58,7 +58,7 @@
 
 
 def check_retry_after(rows: RowsByEvent, finding: Finding) -> None:
-    """No call begins on a route before its Retry-After, by any proxy that must know of it."""
+    """Check that no proxy that must know of a Retry-After begins a call on its route before it has passed."""
     known_after = max((row.number_or("wait_heard_ms", 0) for row in rows["ready"]), default=0) * 1000
     sent = grouped(rows["sent"], lambda row: row.text_if_any("route"))
     for answer in rows["answered"]:
@@ -77,7 +77,7 @@
 
 
 def check_slow_start(rows: RowsByEvent, finding: Finding) -> None:
-    """No window of a destination that warms up gets more calls than it can bear, and none fails of overload."""
+    """Check that no window exceeds the capacity of a destination that warms up, and that none fails by overload."""
     for row in rows["fell"]:
         finding.violations.append(f"line {row.line}: {row.text_if_any('partner')} falls over")
     calls_of = grouped(rows["took"], lambda row: row.text_if_any("partner"))
@@ -97,7 +97,7 @@
 
 
 def check_idempotency(rows: RowsByEvent, finding: Finding) -> None:
-    """A message that is never to be repeated takes effect once at most."""
+    """Check that a message that must not be repeated takes effect at most once."""
     first_of: dict[str, LogRow] = {}
     for row in rows["effect"]:
         if row.text_if_any("repeat") != "never":
@@ -111,7 +111,7 @@
 
 
 def check_final_answers(rows: RowsByEvent, finding: Finding) -> None:
-    """Each message that a proxy accepted has exactly one final answer."""
+    """Check that each message that a proxy accepted has exactly one final answer."""
     answers = Counter(row.text_if_any("id") for row in rows["ended"])
     for row in rows["taken"]:
         finding.checked += 1
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -1,14 +1,14 @@
-"""What every control service does, however it divides grants: the fleet, resource streams, membership, time.
+"""The part of a control service that does not depend on how grants are divided: fleet, streams, membership, steps.
 
-No I/O, no clock, no protobuf: a builder is handed in that makes resources of the fleet and of the decision module's
-figures. So a test drives a whole service, its proxies and its destinations in virtual time.
+No I/O, no clock, no protobuf: the caller passes a builder that makes resources from the fleet and the engine's figures.
+A test can therefore drive a whole service, its proxies and its destinations in virtual time.
 
-Theory of operation. Changes (an edit, a report, a demand) are taken in at once and acted on at the next step, which the
-transport calls STEP_DELAY_US after the first of them, or when `next_deadline` says so. An endpoint that the operator
-drains does not wait: `configure` gives what goes out at once. A step asks the decision module once, sends the resources
-that differ and the grants that follow, and the heartbeats of what has a time to live.
+Theory of operation. Changes (an edit, a report, a demand) are recorded at once and take effect at the next step, which
+the transport calls STEP_DELAY_US after the first of them, or at `next_deadline`. An endpoint that the operator drains
+does not wait: `configure` returns the messages to send at once. A step calls the engine at most once, and sends the
+resources that differ, the grants that follow, and the heartbeats of resources with a time to live.
 
-A holder of grants is a process (members.py) with a quota stream; resource streams hold none, and need no member.
+A holder of grants is a process (members.py) with a quota stream. Resource streams have no grants and no membership.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 from scalefall.policy.events import EndpointListUpdate, EndpointReport, Event, ListUpdateKind
 from scalefall.policy.settings import Settings
 
-STEP_DELAY_US = 10_000  # from the first change to the step that acts on it: changes that come together cost one step
-UNSETTLED_STEP_US = 100_000  # between steps while a rate limit, Retry-After or slow start may end by itself
-SETTLED_STEP_US = 1_000_000  # between steps otherwise
+STEP_DELAY_US = 10_000  # from the first change to its step, so that changes close together cost one step
+UNSETTLED_STEP_US = 100_000  # between engine steps while a rate limit, Retry-After or slow start is in force
+SETTLED_STEP_US = 1_000_000  # between engine steps otherwise
 
 
 class BaseControlService(ABC, Generic[GrantT]):
-    """A control service; its subclass says how calls are granted."""
+    """A control service; subclasses define how calls are granted."""
 
     def __init__(
         self,
@@ -54,15 +54,15 @@
         """Start without a fleet.
 
         Args:
-            now: the present time in us, as everywhere here.
-            settings: the decision module's settings; its probes are turned off, as control makes no calls of its own.
-            seed: of the decision module's random draws.
+            now: the present time in us, as in all methods.
+            settings: the engine's settings; this turns probes off, as control makes no calls of its own.
+            seed: the seed of the engine's random choices.
             builder: makes resources.
-            lease_us: for how long a grant may be used from when it was received.
-            delay_us: the longest time that a message may be on its way.
-            silence_us: a holder that sends nothing for so long is unreachable.
-            ledger: who may use how much.
-            view: which node may have which destinations' resources, where not all may.
+            lease_us: how long a grant may be used from its receipt.
+            delay_us: the longest time that a message may be in transit.
+            silence_us: how long after its last message a holder counts as unreachable.
+            ledger: divides the allowances among holders.
+            view: which nodes may have which destinations' resources; without it every node may have all.
         """
         settings.probes = False
         self.engine = Engine(settings, seed)
@@ -70,7 +70,7 @@
         self.allocator = Allocator(self.engine, ledger)
         self.catalog = Catalog(view)
         self.members = Members(silence_us, lease_us + delay_us)
-        self.emitted_events: list[LogEvent] = []  # that the transport has not written yet
+        self.emitted_events: list[LogEvent] = []  # not yet written by the transport
         self._builder = builder
         self._in_force = FleetInForce.of(Fleet([], {}))
         self._streams = ClientStreams(self.catalog)
@@ -82,31 +82,31 @@
     # -- leadership
 
     def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:  # a hook
-        """Grant from now on, and nothing before what an earlier service granted has expired.
+        """Become the leader, which grants once all grants of an earlier leader have expired.
 
         Args:
-            now: the time of it.
-            number: grants are numbered above it, the highest that an earlier service may have given.
-            snapshot: what that one left of itself.
+            now: the present time.
+            number: the highest grant number that an earlier leader may have used.
+            snapshot: the snapshot that the earlier leader stored.
         """
         self.ledger.become_leader(now)
         self.ledger.resume(number)
 
     def generation(self) -> int:
-        """Which state a snapshot would be of; 0 while there is none to make."""
+        """Return the generation of the state that a snapshot would hold; 0 while there is none to make."""
         return 0
 
     def snapshot(self) -> str | None:
-        """What the service after this one begins from."""
+        """Return the state from which the next leader starts."""
         return None
 
     # -- the fleet
 
     def configure(self, fleet: Fleet, now: int) -> list[Outgoing]:
-        """Put a fleet in force; what goes out at once. Only the routes that differ from before are built anew.
+        """Put a fleet in force; return the messages to send at once. Only routes that have changed are rebuilt.
 
         Raises:
-            InconsistentResourcesError: a resource would refer to a missing one; the fleet before stays in force.
+            InconsistentResourcesError: a resource would refer to a missing one; the previous fleet stays in force.
         """
         before, after = self._in_force, FleetInForce.of(fleet)
         routes = after.changed_routes(before)
@@ -124,7 +124,7 @@
         return self._resources_changed(changed)
 
     def _apply_to_engine(self, before: Fleet, after: Fleet, now: int) -> None:
-        """Hand the endpoints that differ to the module, and log those whose state does."""
+        """Pass the endpoints that differ to the engine, and log those whose status differs."""
         changes = endpoint_changes(before, after)
         for change in changes.status_changes:
             self._emit(
@@ -143,23 +143,23 @@
     # -- resource streams
 
     def resource_stream_opened(self, stream: int, node: str, incremental: bool, supports_ttl: bool) -> None:
-        """A node has opened a stream of resources; `supports_ttl`: it declares that it knows times to live."""
+        """Register a node's resource stream; `supports_ttl`: the client declares that it supports times to live."""
         self._streams.open(stream, node, incremental, supports_ttl)
 
     def repeats_names(self, stream: int) -> bool:
-        """Whether the last request on the stream had the same names as the one before, which costs next to nothing."""
+        """Return whether the last request on the stream had the names of the one before, and so was cheap."""
         return self._streams.repeats_names(stream)
 
     def request(self, stream: int, request: Request, now: int) -> list[Outgoing]:
-        """Take in a request, an acknowledgement or a rejection; what follows from it."""
+        """Handle a request, an acknowledgement or a rejection; return the messages to send."""
         return self._streams.request(stream, request, now)
 
     def resource_stream_closed(self, stream: int) -> None:
-        """A stream is closed; nothing if it was none of resources."""
+        """Drop a closed stream; do nothing if it is no resource stream."""
         self._streams.close(stream)
 
     def _resources_changed(self, keys: set[ResourceKey]) -> list[Outgoing]:
-        """What each client is sent for it: all endpoints, as a drain may be among them, before anything else."""
+        """Return the messages for each client: endpoints first, as a drain may be among them."""
         endpoints = {key for key in keys if key[0] == EDS}
         outgoing: list[Outgoing] = []
         for group in (endpoints, keys - endpoints):
@@ -168,7 +168,7 @@
         return outgoing
 
     def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
-        """The streams that may have some of these resources, and which of them."""
+        """Return the streams that may have some of these resources, with the keys for each."""
         return [(stream, keys) for stream in self._streams] if keys else []
 
     # -- quota streams
@@ -177,10 +177,10 @@
     def quota_stream_joined(
         self, stream: int, node: str, instance: str, now: int, region: str = "", zone: str = ""
     ) -> Joined | JoinRejected:
-        """A quota stream has named its process, and where that stands."""
+        """Register the process that a quota stream names, with its region and zone."""
 
     def quota_stream_closed(self, stream: int, now: int) -> None:
-        """A stream is closed; nothing if it was no holder's."""
+        """Record that a stream is closed; do nothing if it has no holder."""
         change = self.members.stream_closed(stream)
         if change is not None:
             self._holder_disconnected(change, now)
@@ -188,33 +188,33 @@
 
     @abstractmethod
     def _holder_reachable(self, holder: str, now: int) -> None:
-        """A process is reachable, for the first time or again."""
+        """Mark a process as reachable, for the first time or again."""
 
     def _holder_disconnected(self, change: MembershipChange, now: int) -> None:  # a hook
-        """A process is unreachable, or forgotten."""
+        """Mark a process as unreachable or expired."""
         self.ledger.disconnected(change.holder)
         self._emit("proxy lost", holder=change.holder, state=change.state.value)
 
     def _live_stream(self, holder: str) -> int | None:
-        """The quota stream of a holder that is live; None if it is not."""
+        """Return the quota stream of a live holder; None if the holder is not live."""
         member = self.members.get(holder)
         return member.stream if member is not None and member.state is MemberState.LIVE else None
 
     # -- reports
 
     def calls_reported(self, calls: Iterable[EndpointReport], now: int) -> None:
-        """Holders have made these calls."""
+        """Record calls that holders have made."""
         self.restore(calls, now)
 
     def restore(self, events: Iterable[Event], now: int) -> None:
-        """Take in what the service before this one knew, as events (snapshot.py)."""
+        """Take over the state of the previous leader, as events (snapshot.py)."""
         self._engine_events += events
         self._schedule_step(now)
 
     # -- time
 
     def step(self, now: int) -> list[Outgoing]:
-        """Everything that is due: reports, resources that differ, grants, heartbeats, silent holders."""
+        """Process everything that is due: silent holders, reports, changed resources, grants, heartbeats."""
         for change in self.members.step(now):
             self._holder_disconnected(change, now)
         outgoing: list[Outgoing] = []
@@ -231,7 +231,7 @@
         return outgoing
 
     def _step_engine(self, now: int) -> Sequence[GrantT]:
-        """The module's step: it comes for reports and by time, not for each demand."""
+        """Step the engine, which is needed for reports and at its own times, but not for each demand."""
         events, self._engine_events = self._engine_events, []
         grants = self.allocator.step(now, events)
         for line in self.allocator.log_lines:
@@ -241,7 +241,7 @@
         return grants
 
     def _unsettled_resources(self, now: int) -> list[Outgoing]:
-        """Build the endpoints of all routes whose figures may have changed; what differs goes out."""
+        """Rebuild the endpoints of all routes whose figures may have changed; return messages for those that have."""
         allowed = by_destination(self.allocator.allowed)
         entries = self._in_force.entries
         resources = [
@@ -253,13 +253,13 @@
 
     @abstractmethod
     def _outgoing_grants(self, grants: Sequence[GrantT], now: int) -> list[Outgoing]:
-        """Grants to the streams of those holders that are live.
+        """Return the grants for the streams of live holders.
 
-        The others' grants count all the same, as they may be on their way to them.
+        Grants to other holders are not sent, but count in the ledger.
         """
 
     def next_deadline(self, now: int) -> int:
-        """When `step` has to be called if nothing comes before."""
+        """Return when `step` has to be called if nothing happens before."""
         times = [self._step_at, self.ledger.next_deadline(now), self.members.next_deadline(now) or self._step_at]
         heartbeat = self._streams.next_heartbeat
         if heartbeat is not None:
@@ -267,11 +267,11 @@
         return max(now, min(times))
 
     def _schedule_step(self, now: int) -> None:
-        """Something has changed: a step follows soon."""
+        """Schedule a step after a change, unless one is scheduled."""
         if not self._step_scheduled:
             self._step_scheduled = True
             self._step_at = min(self._step_at, now + STEP_DELAY_US)
 
     def _emit(self, event: str, *, is_debug: bool = False, **fields: FieldValue) -> None:
-        """Emit a log event; `is_debug`: it is of interest to the audit, not to a person."""
+        """Emit a log event; `is_debug`: it is for the audit rather than for an operator."""
         self.emitted_events.append(LogEvent(event, fields, is_debug))
--- a/scalefall/control/catalog.py
+++ b/scalefall/control/catalog.py
@@ -1,7 +1,7 @@
-"""The catalog: all resources at their versions, consistent or rejected, and which of them each node may have.
+"""The catalog: a consistent set of versioned resources, and which of them each node may have.
 
-No I/O, no clock, no protobuf: a resource's body is whatever the transport will send, and its version is the caller's (a
-hash of the body, so that what did not change keeps its version over a restart).
+No I/O, no clock, no protobuf: a resource's body is the message that the transport sends, and its version comes from the
+caller (a hash of the body, so that an unchanged resource keeps its version over a restart).
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 RDS = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-RESOURCE_TYPES = (CDS, EDS, LDS, RDS)  # in the order in which they are sent: what is referred to comes first
-SHARED = -1  # the destination of a resource that belongs to none: every node may have it
-MAX_MISSING_SHOWN = 5  # missing resources that an error names: its text is one line of the log
+RESOURCE_TYPES = (CDS, EDS, LDS, RDS)  # in the order of sending: referenced types precede those that refer to them
+SHARED = -1  # the destination of resources that belong to none: every node may have them
+MAX_MISSING_SHOWN = 5  # missing resources named in an error, whose text is one line of the log
 
-# A resource's type URL and name. A plain tuple, as one is made for each look-up of each stream.
+# A resource's type URL and name. A plain tuple, as each look-up of each stream makes one.
 ResourceKey = tuple[str, str]
 
 
 class DestinationView(Protocol):
-    """Which destinations' resources a node may have, where destinations are divided among nodes."""
+    """Defines which destinations' resources a node may have, where destinations are divided among nodes."""
 
     def covers(self, node: str, destination: int) -> bool:
-        """Whether the node may have the destination's resources."""
+        """Return whether the node may have the destination's resources."""
         ...
 
     def destinations(self, node: str) -> Iterable[int]:
-        """All destinations that the node may have."""
+        """Return all destinations whose resources the node may have."""
         ...
 
 
@@ -43,25 +43,25 @@
     type: str  # its type URL
     name: str
     version: str
-    body: object = field(compare=False, repr=False)  # the transport's message: nothing here reads it
-    needs: frozenset[ResourceKey] = frozenset()  # what it refers to: no client is to have it without these
-    ttl_us: int = 0  # a client that gets no heartbeat of it for so long drops it; 0: it keeps it
-    destination: int = SHARED  # which destination's it is
+    body: object = field(compare=False, repr=False)  # the transport's message, not read here
+    needs: frozenset[ResourceKey] = frozenset()  # the resources it refers to, without which no client may have it
+    ttl_us: int = 0  # how long a client keeps it without a heartbeat; 0: without limit
+    destination: int = SHARED  # the destination that it belongs to
 
     @property
     def key(self) -> ResourceKey:
-        """Its type URL and name."""
+        """Return the resource's type URL and name."""
         return self.type, self.name
 
 
 class InconsistentResourcesError(ConfigurationError, ValueError):
-    """A set of resources in which one refers to another that is not there; nothing was changed.
+    """A resource would refer to one that is missing; the catalog is unchanged.
 
     Also a ValueError: the set has the right type and an unacceptable value.
     """
 
     def __init__(self, missing: list[tuple[ResourceKey, ResourceKey]]) -> None:
-        """Name the first few of `missing`: a resource that refers, and what it refers to."""
+        """Name the first few of `missing`, pairs of a referring resource and the missing one."""
         self.missing = missing
         rows = [f"{name} needs {needed}" for (_, name), (_, needed) in missing[:MAX_MISSING_SHOWN]]
         more = f"; and {len(missing) - MAX_MISSING_SHOWN} more" if len(missing) > MAX_MISSING_SHOWN else ""
@@ -69,14 +69,13 @@
 
 
 class Catalog:
-    """One shared set of resources, and for some nodes overrides that go before it, name by name.
+    """One shared set of resources, and overrides of single resources for some nodes.
 
-    A view, if there is one, says which destinations' resources a node may have; what it may not have is as good as
-    absent.
+    A view, if there is one, defines which destinations' resources a node may have; others appear absent to the node.
     """
 
     def __init__(self, view: DestinationView | None = None) -> None:
-        """Start empty; without a view every node may have everything."""
+        """Start empty; without a view every node may have all resources."""
         self._view = view
         self._shared: dict[ResourceKey, Resource] = {}
         self._overrides: dict[str, dict[ResourceKey, Resource]] = {}  # by node
@@ -87,7 +86,7 @@
     # -- changes
 
     def replace(self, resources: Iterable[Resource]) -> set[ResourceKey]:
-        """Make this the whole shared set; the keys of what is new, changed or removed.
+        """Replace the whole shared set; return the keys of new, changed and removed resources.
 
         Raises:
             InconsistentResourcesError: a resource refers to one that is not in the set.
@@ -97,12 +96,12 @@
         return self._apply(new, self._shared.keys() - new.keys())
 
     def update(self, resources: Iterable[Resource], removed: Iterable[ResourceKey] = ()) -> set[ResourceKey]:
-        """Change a part of the shared set; the keys of what is new, changed or removed.
+        """Change some of the shared set; return the keys of new, changed and removed resources.
 
-        Where nothing is removed, the cost is that of what changes, not of the set.
+        Without removals the cost depends on the size of the change, not on that of the set.
 
         Raises:
-            InconsistentResourcesError: a resource of the whole set would refer to one that is not in it.
+            InconsistentResourcesError: a resource of the resulting set would refer to one that is not in it.
         """
         changed = {resource.key: resource for resource in resources}
         dropped = {key for key in removed if key in self._shared and key not in changed}
@@ -114,7 +113,7 @@
         return self._apply(changed, dropped)
 
     def _apply(self, new: dict[ResourceKey, Resource], removed: Iterable[ResourceKey]) -> set[ResourceKey]:
-        """Add what is new and drop what is removed; the keys of both that differ from before."""
+        """Add and remove resources; return the keys of those that differ from before."""
         old = self._shared
         changed = {key for key, resource in new.items() if key not in old or old[key].version != resource.version}
         removed = set(removed)
@@ -140,11 +139,11 @@
             del self._by_destination[destination]
 
     def override(self, node: str, resources: Iterable[Resource]) -> set[ResourceKey]:
-        """Set what one node has instead of the shared resources of these names; the keys that change for it.
+        """Set one node's replacements of shared resources; return the keys that change for it.
 
         Raises:
-            InconsistentResourcesError: a name has no shared resource (so that every node has something under it), or a
-                resource refers to one that is not in the shared set.
+            InconsistentResourcesError: a name has no shared resource (one is required so that every node has a resource
+                of that name), or a resource refers to one that is not in the shared set.
         """
         new = {resource.key: resource for resource in resources}
         missing = [(key, key) for key in new if key not in self._shared]
@@ -162,7 +161,7 @@
     # -- look-ups
 
     def get(self, key: ResourceKey, node: str = "") -> Resource | None:
-        """The resource as the node is to have it; None if there is none for it."""
+        """Return the node's version of a resource; None if there is none for it."""
         shared = self._shared.get(key)
         if shared is None or not self._may_have(node, shared.destination):
             return None
@@ -172,7 +171,7 @@
         return self._view is None or destination == SHARED or self._view.covers(node, destination)
 
     def names(self, kind: str, node: str = "") -> Iterable[str]:
-        """The names of all resources of a type URL that the node may have."""
+        """Return the names of all resources of a type URL that the node may have."""
         if self._view is None:
             return self._names[kind].keys()
         destinations = (SHARED, *self._view.destinations(node))
@@ -184,17 +183,17 @@
         ]
 
     def destination_of(self, key: ResourceKey) -> int | None:
-        """Which destination's resource it is; None if it is shared by all, or there is none."""
+        """Return the destination of a resource; None if the resource is shared by all or does not exist."""
         resource = self._shared.get(key)
         return None if resource is None or resource.destination == SHARED else resource.destination
 
     def keys_of(self, destination: int) -> Iterable[ResourceKey]:
-        """All resources of one destination."""
+        """Return the keys of all resources of one destination."""
         return self._by_destination.get(destination, {}).keys()
 
 
 def _require_consistent(checked: Mapping[ResourceKey, Resource], *available: Mapping[ResourceKey, Resource]) -> None:
-    """Raise InconsistentResourcesError if one of the checked resources needs what no set has."""
+    """Raise InconsistentResourcesError if a checked resource refers to one that is in none of the available sets."""
     missing = [
         (key, needed)
         for key, resource in checked.items()
--- a/scalefall/control/discovery_messages.py
+++ b/scalefall/control/discovery_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of an xDS stream, in both forms of the protocol, without protobuf.
+"""Requests and responses of an xDS stream, in both variants of the protocol, without protobuf.
 
 Source: the xDS protocol's specification, "xDS REST and gRPC protocol", v3.
 """
@@ -15,11 +15,11 @@
     """A client's request for one type, an acknowledgement (ACK) or a rejection (NACK)."""
 
     type: str  # the type URL
-    nonce: str = ""  # of the response that it answers; empty: it answers none
-    names: tuple[str, ...] = ()  # state of the world: all that is subscribed; incremental: what is subscribed newly
+    nonce: str = ""  # the nonce of the response that it answers; empty for none
+    names: tuple[str, ...] = ()  # state of the world: all subscribed names; incremental: newly subscribed ones
     unsubscribed: tuple[str, ...] = ()  # incremental only
     initial_versions: tuple[tuple[str, str], ...] = ()  # incremental only: names and versions that the client has
-    error: str | None = None  # why it rejects the response
+    error: str | None = None  # the reason of a rejection
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,21 +31,21 @@
     version: str
     resources: tuple[Resource, ...]
     removed: tuple[str, ...] = ()  # incremental only
-    is_heartbeat: bool = False  # names, versions and times to live, without bodies
+    is_heartbeat: bool = False  # holds names, versions and times to live, without bodies
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseRejected:
-    """For the log: the client keeps what it had."""
+    """A client's rejection, for the log; the client keeps its previous versions."""
 
     type: str  # the type URL
     names: tuple[str, ...]
-    text: str  # the client's reason, cut to MAX_ERROR_TEXT
+    text: str  # the client's reason, truncated to MAX_ERROR_TEXT
 
 
 @dataclass(slots=True, frozen=True)
 class CloseStream:
-    """The client breaks the protocol or asks for too much; the stream ends with this reason."""
+    """The end of a stream whose client violated the protocol or a limit, with the reason."""
 
     reason: str
 
--- a/scalefall/control/endpoint_health.py
+++ b/scalefall/control/endpoint_health.py
@@ -1,4 +1,4 @@
-"""What a proxy gets to know of each endpoint, from the decision module's allowances. No I/O, no clock."""
+"""The health of endpoints as reported to proxies, from the engine's allowances. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class EndpointHealth(StrEnum):
-    """The health of an endpoint that is in the list. The values are those of the proxies' logs."""
+    """The health of an endpoint in the list. The values are those of the proxies' logs."""
 
     READY = "ready"
-    DRAINING = "draining"  # calls in flight may end, and none begins
-    EJECTED = "resting"  # its slow start allows no call yet
+    DRAINING = "draining"  # calls in flight may finish, and none begins
+    EJECTED = "resting"  # its slow start allows no calls yet
 
 
 class BlockReason(StrEnum):
-    """Why nothing at all may be sent on a route. The values are those of the drop category in EDS."""
+    """Why no calls may be sent on a route. The values are those of the drop category in EDS."""
 
     NOT_BLOCKED = ""
     RETRY_AFTER = "told-wait"
@@ -34,11 +34,11 @@
 
 
 def endpoint_states(endpoints: Iterable[Endpoint], allowed: Sequence[RouteAllowance], now: int) -> RouteHealth:
-    """The health of each endpoint of a route that is not removed.
+    """Return the health of each endpoint of a route but the removed ones.
 
     Args:
-        endpoints: the route's endpoints, as its list has them.
-        allowed: the decision module's rows for the route's destination.
+        endpoints: the route's endpoints from the endpoint list.
+        allowed: the engine's rows for the route's destination.
         now: the present time in us.
     """
     budgets: dict[str, float] = {}
--- a/scalefall/control/fair_shares.py
+++ b/scalefall/control/fair_shares.py
@@ -6,13 +6,13 @@
 
 
 def max_min_fair(demands: Mapping[str, int], amount: int) -> dict[str, int]:
-    """Divide an amount so that nobody gets more while another has less and demands more.
+    """Divide an amount so that no holder gets more than one whose demand is unmet, but for rounding.
 
-    What is left when all demands are met is split evenly, for what comes next. Source: max-min fairness as in
+    What remains when all demands are met is split evenly, so that a demand may grow. Source: max-min fairness as in
     Bertsekas and Gallager, Data Networks, 6.5.2.
 
     Returns:
-        The amount for each holder, in the order of rising demands. The sum is at most `amount`.
+        The amount for each holder, in ascending order of demand. The sum is at most `amount`.
     """
     amounts: dict[str, int] = {}
     remaining = amount
--- a/scalefall/control/fleet_changes.py
+++ b/scalefall/control/fleet_changes.py
@@ -1,4 +1,4 @@
-"""What differs between a fleet and the one before it. No I/O, no clock."""
+"""Differences between a fleet and the one before it. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.policy.events import Endpoint, EndpointStatus
 
-NO_STATUS = "none"  # the status in the log of an endpoint that is not in the list
+NO_STATUS = "none"  # the status that is logged for an endpoint that is not in the list
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,14 +21,14 @@
 
     @classmethod
     def of(cls, fleet: Fleet) -> FleetInForce:
-        """Sort a fleet's endpoints by route; a route without endpoints has none."""
+        """Group a fleet's endpoints by route; a route without endpoints has an empty list."""
         entries: RouteEntries = {route: [] for route in fleet.routes}
         for entry in fleet.entries:
             entries.setdefault(entry.endpoint.destination, []).append(entry)
         return cls(fleet, entries)
 
     def changed_routes(self, before: FleetInForce) -> dict[int, RouteRules]:
-        """The routes whose endpoints or rules differ from those before, with their rules."""
+        """Return the routes whose endpoints or rules differ from those before, with their rules."""
         return {route: rules for route, rules in self.fleet.routes.items() if self._differs(route, before)}
 
     def _differs(self, route: int, before: FleetInForce) -> bool:
@@ -39,17 +39,17 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusChange:
-    """An endpoint is in another state than before."""
+    """A change of an endpoint's status."""
 
     endpoint: Endpoint
     address: str
-    before: str  # the state's name, or NO_STATUS
+    before: str  # the status's name, or NO_STATUS
     after: str
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointChanges:
-    """The endpoints that are new, changed or removed, and those whose state differs."""
+    """The endpoints that are new, changed or removed, and the changes of status."""
 
     endpoints: list[Endpoint]
     status_changes: list[StatusChange]
--- a/scalefall/control/grant_division.py
+++ b/scalefall/control/grant_division.py
@@ -1,4 +1,4 @@
-"""How one destination's allowance is divided among its holders, and which grants follow. No I/O, no clock."""
+"""Division of one destination's allowance among its holders, and the choice of grants. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from scalefall.control.grant_accounts import DestinationAccount, HolderAccount
 from scalefall.control.grants import MIN_GRANT
 
-MIN_RELATIVE_CHANGE = 0.1  # of what is granted: a target that differs by less waits for the renewal, to save messages
+MIN_RELATIVE_CHANGE = 0.1  # of the present grant; a smaller change waits for the renewal, to save messages
 
 
 class Headroom:
-    """What may still be granted: of all that is in use, and since each decrease of the allowance.
+    """The amounts that may still be granted: in all, and since each decrease of the allowance.
 
-    Each sum is kept by its mark, the number above which grants count for it; mark 0 counts all. A decrease from before
-    the first grant has mark 0 as well, and then a grant counts twice there: it is on the safe side.
+    Each sum is stored by its mark, the number above which grants count towards it; mark 0 counts all. A decrease before
+    the first grant has mark 0 as well, and a grant then counts twice towards that sum: this errs on the safe side.
     """
 
     __slots__ = ("_by_mark", "_marks")
 
     def __init__(self, account: DestinationAccount) -> None:
-        """Take the account's sums as they are now."""
+        """Compute the sums from the account's present state."""
         self._marks = [0, *(decrease.number for decrease in account.decreases)]
         holders = account.holders.values()
         self._by_mark = {
@@ -30,28 +30,28 @@
 
     @property
     def is_exceeded(self) -> bool:
-        """Whether more is in use than the allowance."""
+        """Return whether more than the allowance is in use."""
         return self._by_mark[0] < 0
 
     def limit(self, holder: HolderAccount, target: int) -> int:
-        """As much of the target as takes no sum over the allowance."""
+        """Return the largest amount up to the target with which no sum exceeds the allowance."""
         amount = target
         for mark, headroom in self._by_mark.items():
             amount = min(amount, holder.in_use_above(mark) + max(0, headroom))
         return amount
 
     def reserve(self, holder: HolderAccount, amount: int) -> None:
-        """Count an amount that the holder is granted next."""
+        """Subtract an amount that is about to be granted to the holder."""
         for mark in self._marks:
             self._by_mark[mark] -= max(0, amount - holder.in_use_above(mark))
 
 
 def targets(account: DestinationAccount, live: set[str], now: int, rotation_us: int) -> dict[str, int]:
-    """The amount that each live holder with a demand should have; the sum is at most the allowance.
+    """Return the amount that each live holder with a demand should have; the sum is at most the allowance.
 
     Args:
-        account: the destination's account; its rotation advances here.
-        live: the holders that are reachable.
+        account: the destination's account; this function advances its rotation.
+        live: the reachable holders.
         now: the present time.
         rotation_us: the length of a rotation, where the allowance is too small to be split among all.
     """
@@ -67,9 +67,9 @@
 def _served_by_rotation(
     account: DestinationAccount, demanding: list[str], max_served: int, now: int, rotation_us: int
 ) -> list[str]:
-    """The holders of this rotation: those that are in it, then those that were served longest ago.
+    """Return the holders of this rotation: those already in it, then those that were served longest ago.
 
-    A rotation is long enough that what the ones before had has expired, and as long again to be used.
+    In the first half of a rotation the grants of the previous one expire; the second half is for use.
     """
     advances = now >= account.rotation_ends_at
     if advances:
@@ -87,19 +87,19 @@
 
 
 def must_be_reduced(holder: HolderAccount, target: int, headroom: Headroom) -> bool:
-    """Whether a holder is to have less than it was granted, which goes out before others get more."""
+    """Return whether a holder's grant is to be reduced now, before others are raised."""
     if target < holder.granted * (1 - MIN_RELATIVE_CHANGE):
         return True
     return target < holder.granted and headroom.is_exceeded
 
 
 def must_be_raised(holder: HolderAccount, amount: int, renews: bool) -> bool:
-    """Whether a holder is granted an amount now: more than it was granted, or what it has once more.
+    """Return whether a holder gets a grant of this amount now, as an increase or as a renewal.
 
     Args:
         holder: the holder's account.
-        amount: what it can have, as the headroom limits it.
-        renews: whether half of its lease is over.
+        amount: the amount that the headroom allows it.
+        renews: whether half of its lease has passed.
     """
     if not amount:
         return False
@@ -107,5 +107,5 @@
 
 
 def by_need(account: DestinationAccount, target_of: Mapping[str, int]) -> list[str]:
-    """The holders that have a target, those that lack the most first."""
+    """Return the holders that have a target, the ones furthest below it first."""
     return sorted(target_of, key=lambda name: (account.holders[name].in_use - target_of[name], name))
--- a/scalefall/control/log_events.py
+++ b/scalefall/control/log_events.py
@@ -1,4 +1,4 @@
-"""Events that the service emits for the log. Their names and fields are read by the audit and by operators' tools."""
+"""Events that the service emits for the log. The audit and operators' tools read their names and fields."""
 
 from __future__ import annotations
 
@@ -13,4 +13,4 @@
 
     event: str
     fields: dict[str, FieldValue]
-    is_debug: bool = False  # of interest to the audit, not to a person
+    is_debug: bool = False  # for the audit rather than for an operator
--- a/scalefall/control/members.py
+++ b/scalefall/control/members.py
@@ -1,19 +1,20 @@
-"""Membership: which processes of which proxies there are, and who may still be using grants. No I/O, no clock.
+"""Membership: the processes of proxies, and which of them may still be using grants. No I/O, no clock.
 
-A node id names a proxy's place in its fleet; it is no identity, as a restarted proxy has the same and a mistake in a
-configuration gives it to two. A holder is one process: its node id and an instance that the process makes at its start
-(a random word in the node's metadata; a client that sends none has a new one with each stream). Grants are a holder's.
+A node id names a proxy's place in its fleet and does not identify a process: a restarted proxy has the same one, and a
+mistake in a configuration may give it to two. A holder is one process, identified by its node id and an instance id
+that it chooses at its start (a random word in the node's metadata; a client that sends none counts as a new instance
+with each stream). Grants belong to holders.
 
     state          heartbeat   stream closed   silence    expiry      new stream of this instance
-    LIVE           LIVE        DISCONNECTED    SILENT     -           LIVE (the old stream is closed: it reconnected)
-    SILENT         LIVE        DISCONNECTED    -          EXPIRED   LIVE (likewise)
-    DISCONNECTED   -           -               -          EXPIRED   LIVE
-    EXPIRED      it is no member any more
-
-Expiry comes `lease + delay` after the last heartbeat: by then nothing that the holder was granted may be in use. A
-process that comes back in that time is the same holder with what it had; one that comes back later is as good as new.
-Two instances of one node id at once are both members, each with grants of its own out of the same allowance, and it is
-logged: it may be a restart (the older one falls silent and its grants expire) or two processes under one name.
+    LIVE           LIVE        DISCONNECTED    SILENT     -           LIVE (it reconnected; the old stream is closed)
+    SILENT         LIVE        DISCONNECTED    -          EXPIRED     LIVE (likewise)
+    DISCONNECTED   -           -               -          EXPIRED     LIVE
+    EXPIRED        (removed)
+
+A holder expires `lease + delay` after its last heartbeat, when none of its grants can be in use any longer. A process
+that reconnects before that is the same holder and has its grants still; one that reconnects later is a new member. Two
+concurrent instances of one node id are both members with separate grants out of the same allowance. This is logged, as
+it may be a restart (the older instance becomes silent and its grants expire) or two processes with the same node id.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
 from scalefall.net.invariants import assert_invariant
 
-MAX_INSTANCES_PER_NODE = 8  # that may have grants in use: a client that restarts in a loop cannot fill the memory
+MAX_INSTANCES_PER_NODE = 8  # bounds the memory that a client restarting in a loop can use
 
 
 class MemberState(Enum):
-    """What is known of a holder. The values are those of the log."""
+    """The liveness of a holder. The values are written to the log."""
 
     LIVE = "live"
-    SILENT = "silent"  # its stream is open, and nothing comes on it
+    SILENT = "silent"  # its stream is open, but no message arrives on it
     DISCONNECTED = "cut"  # its stream is closed
-    EXPIRED = "gone"  # nothing that it was granted may be in use
+    EXPIRED = "gone"  # none of its grants can be in use any longer
 
 
 class LivenessSignal(Enum):
-    """What can happen to a holder."""
+    """An event that changes a holder's state."""
 
     HEARTBEAT = "heartbeat"
     STREAM_CLOSED = "stream closed"
@@ -67,30 +68,30 @@
     holder: str
     node: str
     state: MemberState
-    stream: int  # its stream now, or its last one
+    stream: int  # its present stream, or its last one
     last_heartbeat: int  # us
 
 
 @dataclass(slots=True, frozen=True)
 class Joined:
-    """A stream belongs to a holder from now on."""
+    """The result of a join: the stream now belongs to the holder."""
 
     holder: str
-    is_known: bool  # it was a member, and what it was granted may be in use
-    replaced_stream: int | None  # the holder's earlier stream, which is to be closed
+    is_known: bool  # it was a member already, and its grants may be in use
+    replaced_stream: int | None  # the holder's earlier stream, to be closed
     shares_node_id: bool  # another instance of its node id may be using grants
 
 
 @dataclass(slots=True, frozen=True)
 class JoinRejected:
-    """There are too many instances of one node id."""
+    """The result of a join that was rejected: too many instances of one node id."""
 
     node: str
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipChange:
-    """A holder has become unreachable, or is forgotten."""
+    """A holder's change to an unreachable state or to EXPIRED."""
 
     holder: str
     node: str
@@ -98,15 +99,14 @@
 
 
 class Members:
-    """All holders, by their liveness.
+    """All holders and their liveness.
 
-    They are ordered by their last heartbeat, the earliest first, so that a step looks at those alone whose time has
-    come.
+    They are ordered by their last heartbeat, the earliest first, so that a step examines only those that are due.
     """
 
     def __init__(self, silence_us: int, expiry_us: int) -> None:
-        """Set after how long without a heartbeat a holder is silent, and after how long it is forgotten."""
-        assert_invariant(0 < silence_us <= expiry_us, "silence comes before forgetting")
+        """Set how long after its last heartbeat a holder becomes silent, and how long after it expires."""
+        assert_invariant(0 < silence_us <= expiry_us, "a holder becomes silent before it expires")
         self._silence_us = silence_us
         self._expiry_us = expiry_us
         self._members: OrderedDict[str, Member] = OrderedDict()
@@ -114,13 +114,13 @@
         self._holders_of_node: dict[str, set[str]] = {}
 
     def join(self, stream: int, node: str, instance: str, now: int) -> Joined | JoinRejected:
-        """A stream has named its process.
+        """Assign a stream to the holder that its first message names.
 
         Args:
             stream: the number of the stream.
             node: the node id.
-            instance: the process's own word; empty for a client that has none.
-            now: the time of it.
+            instance: the process's instance id; empty for a client that sends none.
+            now: the present time.
         """
         holder = f"{node}/{instance or f'stream-{stream}'}"
         member = self._members.get(holder)
@@ -145,7 +145,7 @@
         return Joined(member.holder, False, None, bool(others))
 
     def heartbeat_received(self, stream: int, now: int) -> str | None:
-        """Anything at all has come on the stream; its holder, if that was silent and is live again."""
+        """Record a message of any kind on the stream; return its holder if that was silent and is live again."""
         member = self._member_of(stream)
         if member is None:
             return None
@@ -154,58 +154,58 @@
         return member.holder if was_silent else None
 
     def stream_closed(self, stream: int) -> MembershipChange | None:
-        """The stream is closed; None if it is nobody's any more, as its process has another by now."""
+        """Mark the stream's holder as disconnected; None if no holder has it, as its process has a newer one."""
         member = self._member_of(stream)
         if member is None:
             return None
         del self._holder_of_stream[stream]
-        # This is no heartbeat: the member's place in the order stays.
+        # Closing is no heartbeat: the member keeps its place in the order.
         member.state = TRANSITIONS[member.state, LivenessSignal.STREAM_CLOSED]
         return MembershipChange(member.holder, member.node, MemberState.DISCONNECTED)
 
     def step(self, now: int) -> list[MembershipChange]:
-        """The holders that have become silent, and those whose grants have expired, which are forgotten."""
+        """Return the holders that have become silent, and those that have expired, which are removed."""
         changes = []
         for member in list(self._members.values()):
             if member.state is MemberState.LIVE and member.last_heartbeat > now - self._silence_us:
-                break  # all behind it had a later heartbeat
+                break  # all members after it had a later heartbeat
             if member.state is MemberState.LIVE:
                 member.state = TRANSITIONS[member.state, LivenessSignal.SILENCE]
                 changes.append(MembershipChange(member.holder, member.node, member.state))
             if member.state is not MemberState.LIVE and member.last_heartbeat <= now - self._expiry_us:
                 changes.append(self._expire(member))
-        assert_invariant(not self._members or self._next_deadline_is_after(now), "what was due is done")
+        assert_invariant(not self._members or self._next_deadline_is_after(now), "no member is due after a step")
         return changes
 
     def next_deadline(self, now: int) -> int | None:
-        """When `step` has to be called if no heartbeat comes before; None if there are no members."""
+        """Return when `step` has to be called if no heartbeat comes before; None if there are no members."""
         times = []
         for member in self._members.values():
             is_live = member.state is MemberState.LIVE
             times.append(member.last_heartbeat + (self._silence_us if is_live else self._expiry_us))
             if is_live:
-                break  # those behind it had a later heartbeat, and silence comes before forgetting
+                break  # members after it had a later heartbeat, and silence comes before expiry
         return max(now, min(times)) if times else None
 
     def holder_of(self, stream: int) -> str | None:
-        """The holder whose stream it is; None if it is nobody's."""
+        """Return the holder of a stream; None if it has none."""
         return self._holder_of_stream.get(stream)
 
     def state(self, holder: str) -> MemberState:
-        """The state of a holder; one that is not known is forgotten."""
+        """Return the state of a holder; EXPIRED for an unknown one."""
         member = self._members.get(holder)
         return member.state if member else MemberState.EXPIRED
 
     def get(self, holder: str) -> Member | None:
-        """A holder's membership; None if it has none."""
+        """Return a holder's membership; None if it is unknown."""
         return self._members.get(holder)
 
     def live(self) -> list[str]:
-        """The holders that are live."""
+        """Return the holders that are live."""
         return [member.holder for member in self._members.values() if member.state is MemberState.LIVE]
 
     def __len__(self) -> int:
-        """How many holders there are, in all states but EXPIRED."""
+        """Return the number of holders in all states but EXPIRED."""
         return len(self._members)
 
     def _next_deadline_is_after(self, now: int) -> bool:
--- a/scalefall/control/resource_builder.py
+++ b/scalefall/control/resource_builder.py
@@ -1,4 +1,4 @@
-"""What the service asks of whoever makes resources: the transport, as their bodies are protobuf."""
+"""The interface for making resources, implemented by the transport, as their bodies are protobuf."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ResourceBuilder:
-    """Makes resources of the fleet and of the decision module's figures."""
+    """Functions that make resources from the fleet and the engine's figures."""
 
-    # From the endpoints and the rules of routes: what follows from the configuration alone.
+    # Makes the resources that depend on the configuration alone, from the endpoints and the rules of routes.
     from_configuration: Callable[[RouteEntries, dict[int, RouteRules]], list[Resource]]
 
-    # From a route, its endpoints, the module's rows for it and the time in us: its endpoints as they are now.
+    # Makes a route's endpoint resource from its number, its endpoints, the engine's rows for it and the time in us.
     endpoints: Callable[[int, list[Entry], list[RouteAllowance], int], Resource]
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -1,8 +1,8 @@
-"""The control service without its network, where calls are granted by destination. No I/O, no clock, no protobuf.
+"""The control service without its transport, for grants by destination. No I/O, no clock, no protobuf.
 
-Streams, reports and the time go in, what is to be sent comes out; see base_service.py. Here every proxy may send to
-every destination, and reports how much it would send: its grant of a destination follows from that. Where destinations
-are divided among senders, `scalefall.assignment.service` stands in its place.
+Its inputs are streams, reports and the time, its outputs the messages to send; see base_service.py. Every proxy may
+send to every destination and reports its demand, from which its grant follows. Where destinations are divided among
+senders, `scalefall.assignment.service` replaces this service.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
     "RouteEntries",
 ]
 
-DEMAND_HEADROOM = 1.25  # a holder's demand by what it reported, so that its traffic may grow between reports
-MAX_DEMAND = 10**9  # an amount: what a holder reports is not to be believed without end
-DEMAND_PRECISION_BITS = 4  # a demand keeps its highest bits: it changes in steps of an eighth or less
+DEMAND_HEADROOM = 1.25  # factor on the reported demand, so that traffic may grow between reports
+MAX_DEMAND = 10**9  # bounds the amount that a holder may report
+DEMAND_PRECISION_BITS = 4  # significant bits of a demand: it changes in steps of an eighth or less
 
 
 class ControlService(BaseControlService[Grant]):
@@ -58,10 +58,10 @@
         node: str,
         instance: str,
         now: int,
-        region: str = "",  # where a process stands matters to the assignment only
+        region: str = "",  # unused, as is `zone`
         zone: str = "",
     ) -> Joined | JoinRejected:
-        """A quota stream has named its process; where that stands makes no difference here."""
+        """Register the process that a quota stream names; region and zone matter to the assignment only."""
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._holder_reachable(answer.holder, now)
@@ -70,17 +70,17 @@
         return answer
 
     def demand_reported(self, stream: int, route: int, calls: float, acknowledged: int, now: int) -> bool:
-        """A holder has reported its demand.
+        """Record a holder's reported demand.
 
         Args:
-            stream: its quota stream.
+            stream: the holder's quota stream.
             route: the route of the demand.
-            calls: the calls a second that it would make, allowed or denied.
-            acknowledged: the highest number of a grant that it has received; 0: it does not number them.
-            now: the time of it.
+            calls: the calls a second that it would make, allowed and denied ones together.
+            acknowledged: the highest grant number that it has received; 0 if the client does not report it.
+            now: the present time.
 
         Returns:
-            Whether there is such a route, and the stream has a holder.
+            Whether the route exists and the stream has a holder.
         """
         holder = self.members.holder_of(stream)
         if holder is None or route not in self._in_force.entries:
@@ -95,7 +95,7 @@
         self._schedule_step(now)
         return True
 
-    def _holder_reachable(self, holder: str, now: int) -> None:  # the hook's signature
+    def _holder_reachable(self, holder: str, now: int) -> None:  # the base class's signature
         self.ledger.join(holder)
 
     def _outgoing_grants(self, grants: Sequence[Grant], now: int) -> list[Outgoing]:
@@ -122,7 +122,7 @@
 
 
 def _rounded_demand(amount: float) -> int:
-    """Round up to a step of an eighth, so that a demand that wavers is not a change each time."""
+    """Round up to a step of an eighth, so that small variations of a demand are no changes."""
     if not 0 < amount < inf:
         return 0
     step = max(1, 1 << max(0, int(amount).bit_length() - DEMAND_PRECISION_BITS))
--- a/scalefall/control/snapshot.py
+++ b/scalefall/control/snapshot.py
@@ -1,11 +1,11 @@
-"""What a control service leaves for the one after it, so that a restart forgets neither failures nor a Retry-After.
+"""The snapshot that a control service stores for its successor, so that failures and Retry-After outlast a restart.
 
-No I/O, no clock. What is stored is facts, not the module's insides: which endpoints have failed, which Retry-After
-times run and which rates and limits are known. The next service hands them to its module as events: an endpoint that
-had failed has failed just now, so its slow start begins anew. That is slower than going on, never faster. Times are of
-the wall clock, as the monotonic one may begin anew.
+No I/O, no clock. It holds facts rather than the engine's internal state: the endpoints that have failed, the
+Retry-After times in force, and the known rates and limits. The next service passes them to its engine as events. A
+failed endpoint counts as having failed just now, so its slow start begins again: slower than continuing it, never
+faster. Times are of the wall clock, as the monotonic clock may start again at a reboot.
 
-The document's keys are a file format (the state directory's `figures`) and stay as they are.
+The document's keys are a file format (the state directory's `figures`) and must not change.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from scalefall.policy.actions import RouteAllowance
 from scalefall.policy.events import EndpointReport, Event, LearnedRate, Outcome
 
-FORMAT = 1  # of the document; another one is not read
-MAX_RETRY_AFTER_US = 3_600_000_000  # a time that lies farther ahead is no Retry-After but a clock that was set
-MAX_FAILURE_AGE_US = 600_000_000  # an endpoint that failed longer ago is as one that is met for the first time
+FORMAT = 1  # the document's format; others are rejected
+MAX_RETRY_AFTER_US = 3_600_000_000  # a longer remaining time means that the wall clock was set, and is ignored
+MAX_FAILURE_AGE_US = 600_000_000  # failures in older documents are ignored
 
 Json: TypeAlias = dict[str, "Json"] | list["Json"] | str | int | float | bool | None
 
 
 class SnapshotDocument(TypedDict):
-    """The document as it is written, plain JSON."""
+    """The stored document, plain JSON."""
 
     form: int
-    wall: int  # us of the wall clock: when it was made
+    wall: int  # its time, us of the wall clock
     doubts: list[str]  # endpoints that have failed
     waits: dict[str, int]  # by an endpoint of the route: us of the wall clock until which its Retry-After runs
     paces: list[list[Any]]  # rows of learned_rates
 
 
 class SnapshotError(StorageError, ValueError):
-    """A document that cannot be read; also a ValueError, as its value is not acceptable."""
+    """The document cannot be read; also a ValueError, as its value is not acceptable."""
 
 
 def capture(allowed: Iterable[RouteAllowance], known: Iterable[LearnedRate], now: int, wall: int) -> SnapshotDocument:
     """Make the document.
 
     Args:
-        allowed: the module's rows in which something is in force.
+        allowed: the engine's rows with a rate limit, Retry-After or slow start in force.
         known: the rates that it has learned.
         now: the present time of the monotonic clock, us.
-        wall: the same of the wall clock, us.
+        wall: the present time of the wall clock, us.
     """
     failed: list[str] = []
     retry_after: dict[str, int] = {}
@@ -65,10 +65,10 @@
 
 
 def restore(document: Json, now: int, wall: int) -> list[Event]:
-    """The document as events for a module that has its list of endpoints. Times as of `capture`.
+    """Return the document as events for an engine that has its endpoint list. Times as in `capture`.
 
     Raises:
-        SnapshotError: the document has another form, or a value is missing or wrong.
+        SnapshotError: the document has another format, or a value is missing or wrong.
     """
     try:
         parsed = _read(cast(SnapshotDocument, document), now, wall)
@@ -97,9 +97,9 @@
 
 
 def _read(document: SnapshotDocument, now: int, wall: int) -> _ParsedDocument:
-    """Read all parts; what is missing or wrong raises whatever its use raises."""
+    """Read the whole document; a missing or wrong value raises whatever its use raises."""
     if document["form"] != FORMAT:
-        raise SnapshotError(f"form {document['form']!r} is not known here")
+        raise SnapshotError(f"unsupported form {document['form']!r}, expected {FORMAT}")
     age_us = wall - document["wall"]
     rates = [learned_rates.from_row(*row) for row in document["paces"]]
     retry_after = _retry_after_events(document["waits"], now, wall)
--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -1,20 +1,22 @@
 """One xDS stream as a state machine: requests in, responses out. No I/O, no clock, no protobuf.
 
-Both forms of the protocol (state of the world, and incremental) are here; the transport turns messages into these
-types and back. Source: the xDS protocol's specification, "xDS REST and gRPC protocol", v3.
-
-Theory of operation. For each type a `Watch` knows what its client asked for, what it has been sent and what it has
-acknowledged. Three rules decide when something goes out:
-
-  1. Make before break. A resource is not sent while the client watches something that it needs and has not acknowledged
-     it, and one is not removed while something that the client has, or may have, still needs it. What waits goes out as
-     soon as the other is done; no timer is needed, and an endpoint's drain, which needs nothing, never waits. A client
-     that subscribes to clusters only once a route names them watches none before, so nothing waits for it.
-  2. A window. At most MAX_UNANSWERED responses of a type go without an answer. Further changes are stored as names, not
-     as messages: a client that reads slowly or never answers costs its subscription and no more.
-  3. A rejected version is not sent again to that client until it changes; it stays on its last good one, and what needs
-     the rejected one waits for that client alone. A client rejects a whole response: where several resources in it were
-     new, they go out again one by one, so that the good ones do not wait with the bad one.
+Both variants of the protocol (state of the world and incremental) are implemented; the transport converts between its
+messages and these types. Source: the xDS protocol's specification, "xDS REST and gRPC protocol", v3.
+
+Theory of operation. For each type a `Watch` records the client's subscription, the resources that it was sent and those
+that it has acknowledged. Three rules decide when a resource is sent:
+
+  1. Make before break. A resource is not sent while the client watches, but has not acknowledged, one that it refers
+     to; and a resource is not removed while one that the client has, or may have, still refers to it. A delayed change
+     is sent with the acknowledgement that it waits for, so no timer is needed, and an endpoint's drain, which refers to
+     nothing, never waits. A client that subscribes to clusters only after it received a route that names them does not
+     watch them before, so the route does not wait.
+  2. A window. At most MAX_UNANSWERED responses of a type are unanswered. Further changes are stored as names, not as
+     messages: a client that reads slowly or never answers costs the memory of its subscription and no more.
+  3. A rejected version is not sent to that client again; it stays on its last accepted version until the resource
+     changes, and resources that refer to the rejected version wait for that client alone. A client rejects a whole
+     response: where it held several new resources, each is sent again in a response of its own, so that the valid ones
+     are not held back by the invalid one.
 """
 
 from __future__ import annotations
@@ -40,22 +42,22 @@
     "XdsStream",
 ]
 
-MAX_NAMES = 20_000  # that one client may subscribe to: bounds its memory
-MAX_NAME_LENGTH = 512  # characters, likewise
-WILDCARD = "*"  # the name that subscribes to all, as the protocol has it
+MAX_NAMES = 20_000  # subscriptions of one client, to bound its memory
+MAX_NAME_LENGTH = 512  # characters, to bound a client's memory
+WILDCARD = "*"  # the protocol's name for a subscription to all
 
 
 class XdsStream:
-    """One client's stream; each call gives what is to be sent, in order."""
+    """One client's stream; each call returns the actions for the transport, in order."""
 
     def __init__(self, catalog: Catalog, node: str, incremental: bool, supports_ttl: bool = True) -> None:
         """Serve one client of a catalog.
 
         Args:
             catalog: the resources.
-            node: whose view and overrides of the catalog the client has.
-            incremental: which form of the protocol it speaks.
-            supports_ttl: it declares that it knows times to live; one that does not gets no heartbeat.
+            node: the node whose view and overrides of the catalog apply to the client.
+            incremental: whether it uses the incremental variant of the protocol.
+            supports_ttl: whether it declares support of times to live; without it no heartbeats are sent.
         """
         self._catalog = catalog
         self._node = node
@@ -64,12 +66,12 @@
         self._watches: dict[str, Watch] = {}
         self._nonce = 0
         self.closed = False
-        self.repeats_names = False  # the last request had the same names as the one before it
+        self.repeats_names = False  # whether the last request had the names of the one before it
 
-    # -- what comes
+    # -- inputs
 
     def request(self, request: Request) -> list[StreamAction]:
-        """Take in a request, an acknowledgement or a rejection."""
+        """Handle a request, an acknowledgement or a rejection."""
         if self.closed:
             return []
         reason = self._protocol_violation(request)
@@ -81,7 +83,7 @@
         if request.nonce:
             rejections = watch.answer(request, self._incremental)
             if rejections is None:
-                return []  # an answer to what was answered before: the client has seen later ones since
+                return []  # stale: the client has answered this or a later response before
             actions += rejections
         if self._incremental:
             self._subscribe_incrementally(watch, request, is_first)
@@ -101,7 +103,7 @@
         return None
 
     def changed(self, keys: Iterable[ResourceKey]) -> list[StreamAction]:
-        """The catalog has changed there."""
+        """Handle changes of the catalog at these keys."""
         for kind, name in keys:
             watch = self._watches.get(kind)
             if watch is not None and watch.covers(name):
@@ -109,11 +111,10 @@
         return self._flush()
 
     def heartbeats(self, now: int) -> list[StreamAction]:
-        """Heartbeats for what the client would drop otherwise, HEARTBEATS_PER_TTL in a time to live.
+        """Return heartbeats that keep resources from expiring at the client, HEARTBEATS_PER_TTL per time to live.
 
-        None goes out while a response of that type has no answer: so a heartbeat proves to its client that its last
-        answer was received, and a client that counts its lease from when it gave that answer is right whatever the
-        link's delay.
+        None is sent while a response of that type is unanswered. A heartbeat therefore proves to the client that its
+        last answer was received, so a client that counts its lease from that answer is right whatever the link's delay.
         """
         actions: list[StreamAction] = []
         if not self._supports_ttl:
@@ -126,41 +127,41 @@
         return actions
 
     def next_heartbeat(self, now: int) -> float:
-        """When `heartbeats` has to be called, us; inf while there are none to come.
+        """Return when `heartbeats` has to be called, us; inf while none will be due.
 
-        There are none while nothing has a time to live, and while an answer is waited for: then it is to be called
-        again with that answer.
+        None will be due while no resource has a time to live or a response is unanswered; call this again after the
+        answer.
         """
         if not self._supports_ttl:
             return inf
         return max(now, min((watch.heartbeat_at for watch in self._watches.values()), default=inf))
 
     def acknowledged_resource(self, key: ResourceKey) -> Resource | None:
-        """What the client has of a resource, as it acknowledged itself."""
+        """Return the version of a resource that the client acknowledged last; None if there is none."""
         watch = self._watches.get(key[0])
         return watch.acknowledged.get(key[1]) if watch else None
 
     @property
     def pending_names(self) -> int:
-        """How many names have changes that cannot go out yet."""
+        """Return the number of names with changes that cannot be sent yet."""
         return sum(len(watch.pending) for watch in self._watches.values())
 
     # -- subscriptions
 
     def _subscribe(self, watch: Watch, request: Request, is_first: bool) -> None:
-        """State of the world: a request names all that the client subscribes to."""
+        """Apply a state-of-the-world request, which names everything that the client subscribes to."""
         self.repeats_names = request.names == watch.last_names and not is_first
         if self.repeats_names:
             return  # an acknowledgement
         watch.last_names = request.names
         names = set(request.names) - {WILDCARD}
         wildcard = WILDCARD in request.names
-        if not request.names and watch.removable:  # the protocol's older form of a wildcard: no names at all
+        if not request.names and watch.removable:  # the protocol's legacy wildcard: no names
             wildcard = is_first or (watch.wildcard and not watch.names)
         self._set_subscription(watch, names, wildcard)
 
     def _subscribe_incrementally(self, watch: Watch, request: Request, is_first: bool) -> None:
-        """Incremental: a name that is subscribed again is sent again, whatever the client has."""
+        """Apply an incremental request; a resource that is subscribed again is sent again even if unchanged."""
         is_older_wildcard = is_first and not request.names and watch.removable
         wildcard = watch.wildcard or is_older_wildcard or WILDCARD in request.names
         wildcard = wildcard and WILDCARD not in request.unsubscribed
@@ -173,7 +174,7 @@
             watch.pending[name] = None
 
     def _read_initial_versions(self, watch: Watch, request: Request) -> None:
-        """A client that reconnects has resources from before: what differs now is to be sent or removed."""
+        """Record the versions that a reconnecting client has; mark those that differ to be sent or removed."""
         for name, version in request.initial_versions:
             resource = self._catalog.get((watch.type, name), self._node)
             if resource is None or resource.version != version:
@@ -185,10 +186,10 @@
         is_new_wildcard = wildcard and not watch.wildcard
         watch.subscribe(names, wildcard, self._catalog.names(watch.type, self._node) if is_new_wildcard else ())
 
-    # -- what goes out
+    # -- responses
 
     def _flush(self) -> list[StreamAction]:
-        """All that may go out now: what is new in the order of types, then what is removed in the other."""
+        """Return all responses that may be sent now: updates in the order of types, then removals in reverse."""
         actions: list[StreamAction] = []
         watches = [self._watches[kind] for kind in RESOURCE_TYPES if kind in self._watches]
         for watch in watches:
@@ -206,18 +207,18 @@
         if alone and not ready and not watch.unanswered:
             ready = alone[:1]
         if not ready and (watch.was_answered or watch.pending or not watch.wildcard):
-            return []  # an empty set is sent too, once
+            return []  # only a wildcard's first response may be empty
         for resource in ready:
             watch.record_sent(resource, self._nonce + 1)
         return [self._respond(watch, ready)]
 
     def _ready(self, watch: Watch) -> list[Resource]:
-        """The pending resources that may go out; names that turn out to be unchanged are pending no more."""
+        """Return the pending resources that may be sent; drop names that need no sending from the pending ones."""
         ready = []
         for name in list(watch.pending):
             resource = self._catalog.get((watch.type, name), self._node)
             if resource is None:
-                continue  # see _remove
+                continue  # handled by _remove
             if not watch.must_send(resource):
                 del watch.pending[name]
             elif all(self._is_with_client(key) for key in resource.needs):
@@ -230,7 +231,7 @@
             needed = self._needed()
             names = [name for name in names if (watch.type, name) not in needed]
         if not self._incremental and not watch.removable:
-            for name in names:  # this form cannot say so: the client has it until it unsubscribes
+            for name in names:  # the protocol cannot express it: the client keeps the resource until it unsubscribes
                 del watch.pending[name]
             return []
         removed = [name for name in names if name in watch.sent or (name in watch.names and name not in watch.absent)]
@@ -243,7 +244,7 @@
         return watch is None or not watch.covers(key[1]) or key[1] in watch.acknowledged
 
     def _needed(self) -> set[ResourceKey]:
-        """What the resources that the client has, or may have, refer to."""
+        """Return the keys that the resources refer to which the client has or may have."""
         needed: set[ResourceKey] = set()
         for watch in self._watches.values():
             for resources in (watch.sent, watch.acknowledged):
@@ -253,7 +254,7 @@
     def _respond(
         self, watch: Watch, resources: list[Resource], removed: tuple[str, ...] = (), is_heartbeat: bool = False
     ) -> Response:
-        """State of the world sends all listeners or clusters whenever one of them changes; the rest, what changed."""
+        """Make a response; in state of the world it holds all listeners or clusters, not only the changed ones."""
         self._nonce += 1
         nonce = f"{self._nonce}"
         if not self._incremental and watch.removable and not is_heartbeat:
--- a/scalefall/control/watch.py
+++ b/scalefall/control/watch.py
@@ -1,4 +1,4 @@
-"""One type on one xDS stream: what the client asked for, has been sent and has acknowledged. No I/O, no clock."""
+"""One resource type on one xDS stream: the subscription, and the resources sent and acknowledged. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from scalefall.control.catalog import CDS, LDS, Resource
 from scalefall.control.discovery_messages import Request, ResponseRejected
 
-MAX_UNANSWERED = 4  # responses of one type: what a client that never answers can cost
-MAX_ERROR_TEXT = 500  # characters of a rejection's reason: it goes into the log
-HEARTBEATS_PER_TTL = 2  # so that one may be lost
+MAX_UNANSWERED = 4  # responses of one type, to bound the cost of a client that never answers
+MAX_ERROR_TEXT = 500  # characters of a rejection's reason that are logged
+HEARTBEATS_PER_TTL = 2  # one may be lost
 
 
 @dataclass(slots=True)
 class UnansweredResponse:
-    """A response that the client has not answered yet."""
+    """A response without an answer so far."""
 
     nonce: str
     resources: dict[str, Resource]
@@ -26,55 +26,55 @@
 
 @dataclass(slots=True)
 class Watch:
-    """One type on one stream, by the names of its resources."""
+    """The state of one type on one stream, by resource name."""
 
     type: str  # the type URL
     wildcard: bool = False
     names: set[str] = field(default_factory=set)
-    last_names: tuple[str, ...] | None = None  # of the last request, in the form in which each has them all
-    sent: dict[str, Resource] = field(default_factory=dict)  # what the client has, or will have when it has read all
-    sent_since: dict[str, int] = field(default_factory=dict)  # the nonce from which on it is with the client
+    last_names: tuple[str, ...] | None = None  # names in the last request; state of the world only
+    sent: dict[str, Resource] = field(default_factory=dict)  # what the client has once it has read all responses
+    sent_since: dict[str, int] = field(default_factory=dict)  # the nonce of the first response in which it was sent
     acknowledged: dict[str, Resource] = field(default_factory=dict)
-    rejected: dict[str, str] = field(default_factory=dict)  # versions
+    rejected: dict[str, str] = field(default_factory=dict)  # rejected versions
     unanswered: deque[UnansweredResponse] = field(default_factory=deque)
-    pending: dict[str, None] = field(default_factory=dict)  # names to look at, in the order of their changes
-    send_alone: set[str] = field(default_factory=set)  # were in a response with others that was rejected
-    send_anyway: set[str] = field(default_factory=set)  # subscribed anew: to be sent even if nothing changed
-    absent: set[str] = field(default_factory=set)  # subscribed by name, and the client knows that there is none
-    was_answered: bool = False  # the first response has gone out
+    pending: dict[str, None] = field(default_factory=dict)  # names to evaluate, in the order of their changes
+    send_alone: set[str] = field(default_factory=set)  # names from a rejected response with several new resources
+    send_anyway: set[str] = field(default_factory=set)  # newly subscribed names, to be sent even if unchanged
+    absent: set[str] = field(default_factory=set)  # names reported to the client as absent
+    was_answered: bool = False  # whether the first response was sent
     last_nonce: str = ""
     last_heartbeat: float = -inf  # us
-    ttl_us: int = 0  # the shortest time to live of what was sent; 0: nothing has one
+    ttl_us: int = 0  # the shortest time to live of the sent resources; 0: none has one
 
     @property
     def removable(self) -> bool:
-        """Whether a response of the state of the world can say that a resource is removed."""
+        """Return whether a state-of-the-world response of this type can express a removal."""
         return self.type in (LDS, CDS)
 
     @property
     def has_unsent(self) -> bool:
-        """Whether there may be anything to send: changes, or the first response."""
+        """Return whether there may be something to send: changes or the first response."""
         return bool(self.pending) or not self.was_answered
 
     @property
     def window_is_open(self) -> bool:
-        """Whether another response may go out."""
+        """Return whether another response may be sent."""
         return len(self.unanswered) < MAX_UNANSWERED
 
     def covers(self, name: str) -> bool:
-        """Whether the client subscribes to a name."""
+        """Return whether the client subscribes to a name."""
         return self.wildcard or name in self.names
 
     # -- answers
 
     def answer(self, request: Request, incremental: bool) -> list[ResponseRejected] | None:
-        """Take in an acknowledgement or a rejection; None if its nonce is of no response that waits for an answer."""
+        """Handle an acknowledgement or a rejection; None if its nonce is that of no unanswered response."""
         position = next((at for at, sent in enumerate(self.unanswered) if sent.nonce == request.nonce), None)
         if position is None:
-            # State of the world: a change of names bears the last nonce, which was answered before.
+            # In state of the world, a change of names carries the last nonce, which was answered before.
             changes_names = request.nonce == self.last_nonce and request.error is None
             return [] if incremental or changes_names else None
-        for _ in range(position):  # an answer answers all before it
+        for _ in range(position):  # an answer implies acknowledgement of all earlier responses
             self._acknowledge(self.unanswered.popleft())
         answered = self.unanswered.popleft()
         if request.error is None:
@@ -86,12 +86,12 @@
         nonce = int(answered.nonce)
         for name, resource in answered.resources.items():
             self.send_alone.discard(name)
-            if name in self.sent and nonce >= self.sent_since.get(name, 0):  # else it was removed in the meantime
+            if name in self.sent and nonce >= self.sent_since.get(name, 0):  # otherwise removed meanwhile
                 self.acknowledged[name] = resource
 
     def _reject(self, answered: UnansweredResponse, text: str) -> ResponseRejected:
         if answered.is_heartbeat:
-            self.last_heartbeat = inf  # the client takes no heartbeats, whatever it declared
+            self.last_heartbeat = inf  # no more heartbeats: the client rejects them despite its declaration
             return ResponseRejected(self.type, (), text)
         resources = answered.resources
         suspects = [name for name, resource in resources.items() if self.acknowledged.get(name) != resource]
@@ -105,7 +105,7 @@
         return ResponseRejected(self.type, tuple(sorted(suspects)), text)
 
     def _revert(self, name: str, resource: Resource) -> None:
-        """The client keeps its last good version of a name, unless a later response has it once more."""
+        """Record that the client keeps its last accepted version, unless a later response holds the name again."""
         is_sent_later = any(name in later.resources for later in self.unanswered)
         if self.sent.get(name) != resource or is_sent_later:
             return
@@ -117,12 +117,12 @@
     # -- subscriptions
 
     def subscribe(self, names: set[str], wildcard: bool, all_names: Iterable[str]) -> None:
-        """Set what the client is subscribed to.
+        """Set the client's subscription.
 
         Args:
             names: the names that it subscribes to.
             wildcard: whether it subscribes to all.
-            all_names: what a new wildcard adds.
+            all_names: the names that a new wildcard adds.
         """
         added, removed = names - self.names, self.names - names
         if wildcard and not self.wildcard:
@@ -130,7 +130,7 @@
         self.names, self.wildcard = names, wildcard
         if not wildcard:
             removed = removed | {name for name in self.sent if name not in names}
-            for name in removed:  # the client drops what it is not subscribed to
+            for name in removed:  # the client drops resources that it unsubscribes from
                 self._unsubscribe(name)
         self.pending |= dict.fromkeys(sorted(added))
 
@@ -143,17 +143,17 @@
         self.absent.discard(name)
         self.send_alone.discard(name)
 
-    # -- what goes out
+    # -- sent resources
 
     def must_send(self, resource: Resource) -> bool:
-        """Whether the client lacks this version and has not rejected it."""
+        """Return whether the client lacks this version, or subscribed again, and has not rejected it."""
         name = resource.name
         if self.rejected.get(name) == resource.version:
             return False
         return name not in self.sent or self.sent[name].version != resource.version or name in self.send_anyway
 
     def record_sent(self, resource: Resource, nonce: int) -> None:
-        """A resource goes out in the response of this nonce."""
+        """Record that a resource is sent in the response with this nonce."""
         name = resource.name
         del self.pending[name]
         self.rejected.pop(name, None)
@@ -166,7 +166,7 @@
         self.absent.discard(name)
 
     def record_removed(self, name: str) -> None:
-        """A name has no resource any more, and the client gets to know it."""
+        """Record that the client is notified of a removed resource."""
         del self.pending[name]
         self.sent.pop(name, None)
         self.acknowledged.pop(name, None)
@@ -180,13 +180,13 @@
 
     @property
     def heartbeat_at(self) -> float:
-        """When the next heartbeat is due, us; inf while nothing has a time to live or a response waits."""
+        """Return when the next heartbeat is due, us; inf without a time to live or with an unanswered response."""
         if not self.ttl_us or self.unanswered:
             return inf
         return self.last_heartbeat + self.ttl_us // HEARTBEATS_PER_TTL
 
     def heartbeat(self, now: int) -> list[Resource]:
-        """The resources of a heartbeat at `now`; none if nothing has a time to live any more."""
+        """Return the resources of a heartbeat at `now`; empty if none has a time to live any longer."""
         leased = [resource for resource in self.sent.values() if resource.ttl_us]
         self.ttl_us = min((resource.ttl_us for resource in leased), default=0)
         if leased:
