--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -18,8 +18,8 @@
     Outcome,
 )
 
-MS, S = 1000, 1_000_000
-LEASE, DELAY = 2 * S, S // 2
+MILLISECOND, SECOND = 1000, 1_000_000
+LEASE, DELAY = 2 * SECOND, SECOND // 2
 
 
 def listed(*names, status=EndpointStatus.READY):
@@ -56,7 +56,7 @@
     """The sum of the grants is within the limit."""
     allocator = started("a", "b")
     allocator.step(0, [listed("e")])
-    grants = allocator.step(S, reports(Outcome.OK, report={"x0": 0.0, "x1": 8.0}))
+    grants = allocator.step(SECOND, reports(Outcome.OK, report={"x0": 0.0, "x1": 8.0}))
     assert sum(amounts(grants).values()) <= 8 * UNITS_PER_CALL
     assert allocator.allowed[0].rate <= 8
 
@@ -65,21 +65,21 @@
     """It binds all proxies, whichever of them got it, and ends by time alone."""
     allocator = started("a", "b")
     allocator.step(0, [listed("e")])
-    grants = allocator.step(S, reports(Outcome.OK, wait=3 * S))  # a good answer may have one too
+    grants = allocator.step(SECOND, reports(Outcome.OK, wait=3 * SECOND))  # a good answer may have one too
     assert amounts(grants) == {"a": 0, "b": 0}
-    assert allocator.allowed[0].retry_after_until == 4 * S
+    assert allocator.allowed[0].retry_after_until == 4 * SECOND
     assert allocator.allowed[0].rate == inf
-    assert not any(amounts(allocator.step(4 * S - 1, [])).values())
-    assert any(amounts(allocator.step(20 * S, [])).values())
+    assert not any(amounts(allocator.step(4 * SECOND - 1, [])).values())
+    assert any(amounts(allocator.step(20 * SECOND, [])).values())
 
 
 def test_after_a_failure_nothing_goes_out_for_a_while_and_then_little():
     """The slow start of a route without other endpoints."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
-    allocator.step(S, reports(Outcome.CONNECT_FAILED, at=S))
+    allocator.step(SECOND, reports(Outcome.CONNECT_FAILED, at=SECOND))
     assert allocator.allowed[0].rate == 0
-    allocator.step(60 * S, [])
+    allocator.step(60 * SECOND, [])
     assert 0 < allocator.allowed[0].rate < 10
 
 
@@ -87,10 +87,10 @@
     """Successes raise it step by step, up to a bound."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
-    allocator.step(S, reports(Outcome.OK, 40, S) + reports(Outcome.OVERLOADED, at=S))
+    allocator.step(SECOND, reports(Outcome.OK, 40, SECOND) + reports(Outcome.OVERLOADED, at=SECOND))
     rates = []
     for tenth in range(11, 18):
-        allocator.step(tenth * S // 10, reports(Outcome.OK, at=tenth * S // 10))
+        allocator.step(tenth * SECOND // 10, reports(Outcome.OK, at=tenth * SECOND // 10))
         rates.append(allocator.allowed[0].rate)
     assert rates == sorted(rates)
     assert 1.2 * rates[0] < rates[-1] < inf
@@ -111,15 +111,15 @@
     allocator.step(0, [listed("e", "f")])
     for second in range(1, 8):
         allocator.step(
-            second * S,
-            reports(Outcome.OK, 5, second * S, endpoint="f")
-            + reports(Outcome.CONNECT_FAILED, 2, second * S - 1, endpoint="e"),
+            second * SECOND,
+            reports(Outcome.OK, 5, second * SECOND, endpoint="f")
+            + reports(Outcome.CONNECT_FAILED, 2, second * SECOND - 1, endpoint="e"),
         )
     [row] = allocator.allowed
     assert row.endpoints["f"] == inf
     assert row.endpoints["e"] < 5
     assert row.rate == inf
-    allocator.step(9 * S, [listed("f", status=EndpointStatus.DRAINING)])  # now that one's budget is all there is
+    allocator.step(9 * SECOND, [listed("f", status=EndpointStatus.DRAINING)])  # now that one's budget is all there is
     assert allocator.allowed[0].rate == inf
     assert allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
@@ -152,7 +152,7 @@
         self.calls.append(now)
         if self.down <= now < self.back:
             return Outcome.CONNECT_FAILED
-        self.tokens = min(2.0, self.tokens + self.capacity(now) * (now - self.at) / S)
+        self.tokens = min(2.0, self.tokens + self.capacity(now) * (now - self.at) / SECOND)
         self.at = now
         if self.tokens < 1:
             return Outcome.OVERLOADED
@@ -176,7 +176,7 @@
     def send(self, now, partner):
         """Make the calls that the grant allows now."""
         rate = min(self.backlog, self.amount / UNITS_PER_CALL) if now < self.until else 0.0
-        self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / S), now
+        self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / SECOND), now
         if self.tokens >= 1:
             self.tokens -= 1
             self.report.append(EndpointReport("e", now, partner.call(now)))
@@ -185,15 +185,15 @@
 def play(cut=None, seconds=70):
     """Three proxies with work for three times what the partner takes; it is down from 20 s to 35 s and returns cold."""
     set_ = settings(replica_count=1)
-    partner = Partner(30.0, 20 * S, 35 * S, set_)
+    partner = Partner(30.0, 20 * SECOND, 35 * SECOND, set_)
     proxies = [Proxy(name, 30.0) for name in "abc"]
     allocator, wire = started("a", "b", "c"), []
     allocator.step(0, [listed("e")])
-    for now in range(0, seconds * S, 10 * MS):
+    for now in range(0, seconds * SECOND, 10 * MILLISECOND):
         for _, kind, proxy, what in [row for row in wire if row[0] <= now]:
             if kind == "grant":
                 proxy.get(what, now)
-                wire.append((now + 50 * MS, "ack", proxy, what))
+                wire.append((now + 50 * MILLISECOND, "ack", proxy, what))
             else:
                 allocator._ledger.acknowledged(proxy.name, 1, what.number, now)
         wire = [row for row in wire if row[0] > now]
@@ -203,27 +203,27 @@
             if linked != proxy.linked:
                 (allocator._ledger.join if linked else allocator._ledger.disconnected)(proxy.name)
                 proxy.linked = linked
-        if now % (100 * MS) == 0:
+        if now % (100 * MILLISECOND) == 0:
             told = [report for proxy in proxies if proxy.linked for report in proxy.report]
             for proxy in proxies:
                 proxy.report = proxy.report if not proxy.linked else []
             for grant in allocator.step(now, told):
                 proxy = next(one for one in proxies if one.name == grant.holder)
                 if proxy.linked:
-                    wire.append((now + 50 * MS, "grant", proxy, grant))
+                    wire.append((now + 50 * MILLISECOND, "grant", proxy, grant))
     return partner, set_
 
 
-@pytest.mark.parametrize("cut", [None, ("a", 30 * S, 45 * S), ("b", 19 * S, 36 * S)])
+@pytest.mark.parametrize("cut", [None, ("a", 30 * SECOND, 45 * SECOND), ("b", 19 * SECOND, 36 * SECOND)])
 def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(cut):
     """No window has more calls than it can bear, also with a proxy cut off around its return."""
     partner, set_ = play(cut)
     window = set_.overload_window_us
-    for start in range(35 * S, 70 * S - window, 100 * MS):
+    for start in range(35 * SECOND, 70 * SECOND - window, 100 * MILLISECOND):
         got = sum(start <= at < start + window for at in partner.calls)
-        room = set_.overload_multiple * window / S * partner.capacity(start + window)
-        assert got <= room + 3, (start / S, got, room)
-    assert sum(at >= 60 * S for at in partner.calls) >= 10 * 30 / 3
+        room = set_.overload_multiple * window / SECOND * partner.capacity(start + window)
+        assert got <= room + 3, (start / SECOND, got, room)
+    assert sum(at >= 60 * SECOND for at in partner.calls) >= 10 * 30 / 3
 
 
 def test_a_step_evaluates_what_changed_or_may_change_by_time_and_nothing_else(monkeypatch):
@@ -233,9 +233,9 @@
     allocator.step(0, [EndpointListUpdate(ListUpdateKind.CHANGES, many)])
     asked, real = [], allocator._engine.allowances
     monkeypatch.setattr(allocator._engine, "allowances", lambda among=None: asked.append(set(among)) or real(among))
-    allocator.step(S, reports(Outcome.CONNECT_FAILED, 3, S, endpoint="e7"))
-    allocator.step(2 * S, reports(Outcome.OK, at=2 * S, endpoint="e9"))
-    allocator.step(3 * S, [])
+    allocator.step(SECOND, reports(Outcome.CONNECT_FAILED, 3, SECOND, endpoint="e7"))
+    allocator.step(2 * SECOND, reports(Outcome.OK, at=2 * SECOND, endpoint="e9"))
+    allocator.step(3 * SECOND, [])
     moved = Endpoint("e9", "a", "one", 8, EndpointStatus.READY, 0.0)
-    allocator.step(4 * S, [EndpointListUpdate(ListUpdateKind.CHANGES, [moved])])
+    allocator.step(4 * SECOND, [EndpointListUpdate(ListUpdateKind.CHANGES, [moved])])
     assert asked == [{7}, {7, 9}, {7}, {7, 8, 9}]
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -1,4 +1,4 @@
-"""xDS streams against a model of their clients: what a client has is whole at every moment, and right in the end."""
+"""xDS streams against a model of their clients: each client's resources are consistent at all times, and converge."""
 
 import pytest
 from hypothesis import settings as limits
@@ -20,12 +20,12 @@
 
 
 def resource(kind, name, version="1", *needs, ttl=0):
-    """A resource whose body names its version."""
+    """Return a resource whose body names its version."""
     return Resource(kind, name, version, f"{name}:{version}", frozenset(needs), ttl)
 
 
 def simple(cluster="1", endpoints="1"):
-    """One consistent set, a resource of each type."""
+    """Return a consistent set with one resource of each type."""
     return [
         resource(CDS, "c", cluster),
         resource(EDS, "c", endpoints),
@@ -35,37 +35,41 @@
 
 
 def sent(actions):
-    """The types, names and removed names of the responses."""
-    return [(a.type, [r.name for r in a.resources], a.removed) for a in actions if isinstance(a, Response)]
+    """Return the type, names and removed names of each response."""
+    return [
+        (action.type, [resource.name for resource in action.resources], action.removed)
+        for action in actions
+        if isinstance(action, Response)
+    ]
 
 
 def started(incremental, *resources):
-    """A catalog of these resources, and a stream of it."""
+    """Return a catalog of these resources, and a stream that it serves."""
     catalog = Catalog()
     catalog.replace(resources or simple())
     return catalog, XdsStream(catalog, "p/x", incremental)
 
 
 def ack(stream, actions):
-    """Acknowledge all of them, and what follows from that."""
-    follows = []
+    """Acknowledge all responses; return the actions that follow."""
+    following = []
     for action in actions:
         if isinstance(action, Response):
-            follows += stream.request(Request(action.type, action.nonce, names_of(stream, action)))
-    return follows
+            following += stream.request(Request(action.type, action.nonce, names_of(stream, action)))
+    return following
 
 
 def names_of(stream, action):
-    """What a state-of-the-world client names in each request."""
+    """Return the names that the client repeats in each request: none but in state of the world."""
     return () if stream._incremental else tuple(sorted(stream._watches[action.type].names))
 
 
 def test_an_inconsistent_set_is_rejected_and_changes_nothing():
-    """The same set again changes nothing either."""
+    """Neither does an update with the resources that the catalog has."""
     catalog, _ = started(True)
     before = catalog.generation
-    with pytest.raises(InconsistentResourcesError, match="r needs gone"):
-        catalog.update([resource(CDS, "d"), resource(RDS, "r", "2", (CDS, "gone"))])
+    with pytest.raises(InconsistentResourcesError, match="r needs missing"):
+        catalog.update([resource(CDS, "d"), resource(RDS, "r", "2", (CDS, "missing"))])
     with pytest.raises(InconsistentResourcesError, match="r needs c"):
         catalog.update([], [(CDS, "c")])
     assert catalog.get((CDS, "d")) is None
@@ -75,8 +79,8 @@
 
 
 @pytest.mark.parametrize("incremental", [True, False])
-def test_one_endpoints_change_goes_to_who_watches_it_and_nothing_else_does(incremental):
-    """A client that watches listeners alone gets nothing."""
+def test_a_change_of_endpoints_is_sent_alone_and_only_to_clients_that_watch_it(incremental):
+    """A client that watches only listeners is sent nothing."""
     catalog, stream = started(incremental)
     ack(stream, stream.request(Request(CDS)))
     ack(stream, stream.request(Request(EDS, names=("c",))))
@@ -90,21 +94,21 @@
 
 @pytest.mark.parametrize("incremental", [True, False])
 def test_a_route_waits_for_its_new_cluster_and_the_old_cluster_for_the_route(incremental):
-    """Make before break, by reference."""
+    """Make before break: otherwise the client would have a route without its cluster for a time."""
     catalog, stream = started(incremental)
     for request in (Request(CDS), Request(RDS, names=("r",))):
         ack(stream, stream.request(request))
     keys = catalog.replace([resource(CDS, "d"), resource(RDS, "r", "2", (CDS, "d"))])
-    made = stream.changed(keys)
-    assert sent(made) == [(CDS, ["d"] if incremental else ["c", "d"], ())]
-    moved = ack(stream, made)
-    assert sent(moved) == [(RDS, ["r"], ())]
-    assert sent(ack(stream, moved)) == [(CDS, [] if incremental else ["d"], ("c",) if incremental else ())]
+    added = stream.changed(keys)
+    assert sent(added) == [(CDS, ["d"] if incremental else ["c", "d"], ())]
+    rerouted = ack(stream, added)
+    assert sent(rerouted) == [(RDS, ["r"], ())]
+    assert sent(ack(stream, rerouted)) == [(CDS, [] if incremental else ["d"], ("c",) if incremental else ())]
 
 
 @pytest.mark.parametrize("incremental", [True, False])
-def test_a_rejected_version_is_logged_and_concerns_that_client_alone(incremental):
-    """The next version goes out to it again."""
+def test_a_rejected_version_is_logged_and_affects_only_the_client_that_rejects_it(incremental):
+    """That client keeps the version before it, and is sent the next one."""
     catalog, stream = started(incremental)
     other = XdsStream(catalog, "q/x", incremental)
     for each in (stream, other):
@@ -122,8 +126,8 @@
     assert sent(stream.changed(catalog.update([resource(CDS, "c", "3")]))) == [(CDS, ["c"], ())]
 
 
-def test_a_client_that_never_answers_costs_a_window_and_then_the_latest():
-    """What changed in between is never sent."""
+def test_a_client_that_does_not_answer_is_sent_one_window_and_later_only_the_latest_version():
+    """Versions in between are stored nowhere and never sent, so a slow client costs no memory for them."""
     catalog, stream = started(True)
     responses = stream.request(Request(EDS, names=("c",)))
     for version in range(2, 50):
@@ -134,16 +138,16 @@
 
 
 def test_a_client_that_reconnects_gets_what_changed_and_what_was_removed():
-    """By the initial versions that it has; a name that never was is removed too."""
+    """The client states its versions at the start; a subscribed name that has no resource is reported removed too."""
     catalog, stream = started(True)
-    known = (("c", "1"), ("gone", "1"))
+    known = (("c", "1"), ("old", "1"))
     catalog.update([resource(CDS, "d")])
-    assert sent(stream.request(Request(CDS, initial_versions=known))) == [(CDS, ["d"], ()), (CDS, [], ("gone",))]
+    assert sent(stream.request(Request(CDS, initial_versions=known))) == [(CDS, ["d"], ()), (CDS, [], ("old",))]
     assert sent(stream.request(Request(CDS, names=("c", "none")))) == [(CDS, ["c"], ()), (CDS, [], ("none",))]
 
 
 def test_a_stale_answer_changes_nothing_and_an_unknown_one_at_the_start_ends_the_stream():
-    """A client may still answer what it was sent before the last response."""
+    """A client may still answer a response that is older than one it has answered."""
     catalog, stream = started(False)
     first = stream.request(Request(EDS, names=("c",)))
     second = stream.changed(catalog.update([resource(EDS, "c", "2")]))
@@ -159,11 +163,11 @@
         Request("type.googleapis.com/unknown"),
         Request(EDS, names=("x" * 10_000,)),
         Request(EDS, names=("",)),
-        Request(EDS, names=tuple(f"n{n}" for n in range(MAX_NAMES + 1))),
+        Request(EDS, names=tuple(f"n{number}" for number in range(MAX_NAMES + 1))),
     ],
 )
 def test_a_request_beyond_the_limits_ends_the_stream_and_frees_it(request_):
-    """Unknown types, and names that are too many, too long or empty."""
+    """The limits: known types, and the number and length of names."""
     _, stream = started(True)
     [close] = stream.request(request_)
     assert isinstance(close, CloseStream)
@@ -172,113 +176,123 @@
     assert stream.request(Request(CDS)) == stream.changed({(CDS, "c")}) == []
 
 
-def test_heartbeats_keep_what_has_a_time_to_live_for_a_client_that_answers():
-    """Two in a time to live; none goes out while one has no answer."""
+def test_resources_with_a_time_to_live_get_heartbeats_while_the_client_answers():
+    """Two per time to live; none is sent while one is unanswered."""
     _catalog, stream = started(True, resource(EDS, "c", ttl=9), resource(EDS, "d"))
     ack(stream, stream.request(Request(EDS, names=("c", "d"))))
-    now, beats = 0, []
+    now, heartbeats = 0, []
     while now < 30:
-        new = stream.heartbeats(now)
-        beats += [(now, [r.name for r in action.resources], action.is_heartbeat) for action in new]
+        actions = stream.heartbeats(now)
+        heartbeats += [(now, [held.name for held in action.resources], action.is_heartbeat) for action in actions]
         if now < 12:
-            ack(stream, new)
+            ack(stream, actions)
         now = stream.next_heartbeat(now) if stream.next_heartbeat(now) > now else now + 1
-    assert beats[:3] == [(at, ["c"], True) for at in (0, 4, 8)]
-    assert len(beats) == 4  # the one at 12 had no answer
+    assert heartbeats[:3] == [(at, ["c"], True) for at in (0, 4, 8)]
+    assert len(heartbeats) == 4  # the one at 12 was not answered
 
 
-def test_overrides_go_before_the_shared_resources_for_their_node_alone():
-    """Without them the shared ones are back; an override needs a shared resource."""
+def test_overrides_replace_the_shared_resources_for_their_node_alone():
+    """Without them the shared resources apply again; an override requires a shared resource of its name."""
     catalog, stream = started(True)
     other = XdsStream(catalog, "q/x", True)
     for each in (stream, other):
         ack(each, each.request(Request(EDS, names=("c",))))
     keys = catalog.override("p/x", [resource(EDS, "c", "own")])
-    assert [a.resources[0].version for a in stream.changed(keys)] == ["own"]
+    assert [action.resources[0].version for action in stream.changed(keys)] == ["own"]
     assert other.changed(keys) == []
-    assert [a.resources[0].version for a in stream.changed(catalog.override("p/x", []))] == ["1"]
+    restored = stream.changed(catalog.override("p/x", []))
+    assert [action.resources[0].version for action in restored] == ["1"]
     with pytest.raises(InconsistentResourcesError):
         catalog.override("p/x", [resource(EDS, "nowhere")])
 
 
 class Clients(RuleBasedStateMachine):
-    """One client of each form, behind a queue; routes r0..r2 each need a cluster, clusters come and go."""
+    """One client of each protocol variant, behind a queue; routes r0..r2 each refer to a cluster, clusters change."""
 
     @initialize()
     def start(self):
-        """Both clients subscribe to all clusters and to three routes."""
+        """Subscribe both clients to all clusters and to three routes."""
         self.catalog, self.version = Catalog(), 0
         self.streams = [XdsStream(self.catalog, "a", True), XdsStream(self.catalog, "b", False)]
-        self.wire, self.has = [[], []], [{CDS: {}, RDS: {}}, {CDS: {}, RDS: {}}]
+        self.queues, self.known = [[], []], [{CDS: {}, RDS: {}}, {CDS: {}, RDS: {}}]
         self.edit({0: False}, [0])
-        for n in (0, 1):
+        for client in (0, 1):
             for request in (Request(CDS), Request(RDS, names=("r0", "r1", "r2"))):
-                self.wire[n] += self.streams[n].request(request)
+                self.queues[client] += self.streams[client].request(request)
 
     @rule(
         clusters=st.dictionaries(st.integers(0, 3), st.booleans(), min_size=1),
         routes=st.lists(st.integers(0, 9), max_size=3),
     )
     def edit(self, clusters, routes):
-        """A new set; a cluster that is marked has a version that clients reject."""
+        """Replace the set; a marked cluster has a version that clients reject."""
         self.version += 1
-        rows = [
-            resource(CDS, f"c{n}", POISON + str(self.version) if bad else str(self.version // 2))
-            for n, bad in clusters.items()
+        resources = [
+            resource(CDS, f"c{number}", POISON + str(self.version) if rejected else str(self.version // 2))
+            for number, rejected in clusters.items()
         ]
-        rows += [
-            resource(RDS, f"r{n}", f"{self.version // 2}-{(name := rows[pick % len(clusters)].name)}", (CDS, name))
-            for n, pick in enumerate(routes)
+        resources += [
+            resource(
+                RDS,
+                f"r{number}",
+                f"{self.version // 2}-{(name := resources[pick % len(clusters)].name)}",
+                (CDS, name),
+            )
+            for number, pick in enumerate(routes)
         ]
-        keys = self.catalog.replace(rows)
-        for n, stream in enumerate(self.streams):
-            self.wire[n] += stream.changed(keys)
-
-    @rule(n=st.integers(0, 1), most=st.integers(1, 6))
-    def read(self, n, most):
-        """The client takes in responses and answers each."""
-        for _ in range(min(most, len(self.wire[n]))):
-            action = self.wire[n].pop(0)
+        keys = self.catalog.replace(resources)
+        for client, stream in enumerate(self.streams):
+            self.queues[client] += stream.changed(keys)
+
+    @rule(client=st.integers(0, 1), limit=st.integers(1, 6))
+    def read(self, client, limit):
+        """Let a client take in responses and answer each."""
+        for _ in range(min(limit, len(self.queues[client]))):
+            action = self.queues[client].pop(0)
             if not isinstance(action, Response):
                 continue
-            bad = any(r.version.startswith(POISON) for r in action.resources)
-            have = self.has[n][action.type]
-            if not bad:
-                if n and action.type == CDS:
-                    have.clear()
-                have |= {r.name: r for r in action.resources}
+            rejects = any(received.version.startswith(POISON) for received in action.resources)
+            known = self.known[client][action.type]
+            if not rejects:
+                if client and action.type == CDS:
+                    known.clear()
+                known |= {received.name: received for received in action.resources}
                 for name in action.removed:
-                    have.pop(name, None)
-            asked = tuple(sorted(self.streams[n]._watches[action.type].names)) if n else ()
-            self.wire[n] += self.streams[n].request(
-                Request(action.type, action.nonce, asked, error="bad" if bad else None)
+                    known.pop(name, None)
+            names = tuple(sorted(self.streams[client]._watches[action.type].names)) if client else ()
+            self.queues[client] += self.streams[client].request(
+                Request(action.type, action.nonce, names, error="bad" if rejects else None)
             )
             self.is_consistent()
 
     @invariant()
     def is_consistent(self):
         """No client has a route without its cluster, and no window is exceeded."""
-        for n, stream in enumerate(getattr(self, "streams", [])):
-            assert all(name in self.has[n][kind] for r in self.has[n][RDS].values() for kind, name in r.needs)
+        for client, stream in enumerate(getattr(self, "streams", [])):
+            known = self.known[client]
+            assert all(name in known[kind] for route in known[RDS].values() for kind, name in route.needs)
             assert all(len(watch.unanswered) <= MAX_UNANSWERED for watch in stream._watches.values())
 
     def teardown(self):
-        """Once everything is read, each client has what the catalog has."""
+        """Once everything is read, each client has the catalog's resources."""
         if not hasattr(self, "streams"):
             return
         self.edit({0: False, 1: False}, [0, 1])
-        for n in (0, 1):
-            while self.wire[n]:
-                self.read(n, 1)
-            want = {
+        for client in (0, 1):
+            while self.queues[client]:
+                self.read(client, 1)
+            known = self.known[client]
+            expected = {
                 kind: {name: self.catalog.get((kind, name)) for name in self.catalog.names(kind)} for kind in (CDS, RDS)
             }
-            kept = self.has[n][RDS] if n == 0 else {k: v for k, v in self.has[n][RDS].items() if k in want[RDS]}
-            assert self.has[n][CDS].keys() == want[CDS].keys() | {
-                name for r in self.has[n][RDS].values() for _, name in r.needs
+            routes = known[RDS]
+            if client == 1:  # state of the world cannot express the removal of a route
+                routes = {name: route for name, route in routes.items() if name in expected[RDS]}
+            assert known[CDS].keys() == expected[CDS].keys() | {
+                name for route in known[RDS].values() for _, name in route.needs
             }
-            assert kept == want[RDS]
-            assert all(self.has[n][CDS][name] == r for name, r in want[CDS].items())
+            assert routes == expected[RDS]
+            assert all(known[CDS][name] == cluster for name, cluster in expected[CDS].items())
 
 
 Clients.TestCase.settings = limits(max_examples=60, stateful_step_count=25, deadline=None, derandomize=True)
