--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -1,4 +1,4 @@
-"""The module judges what proxies report: paces, waits and budgets become grants, and a cold partner isn't flooded."""
+"""Reports of proxies become grants: rate limits, Retry-After and slow-start budgets bound the calls of all proxies."""
 
 from math import inf
 
@@ -23,12 +23,12 @@
 
 
 def listed(*names, status=EndpointStatus.READY):
-    """An update of the endpoint list: these endpoints of destination 1."""
+    """Return an update of the endpoint list with these endpoints of destination 1."""
     return EndpointListUpdate(ListUpdateKind.CHANGES, [Endpoint(name, "a", "one", 1, status, 0.0) for name in names])
 
 
 def started(*holders, **changes):
-    """An allocator whose ledger has these holders, each with a large demand."""
+    """Return an allocator whose ledger has these holders, each with a large demand."""
     allocator = Allocator(Engine(settings(replica_count=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
     for holder in holders:
         allocator._ledger.join(holder)
@@ -37,17 +37,17 @@
 
 
 def reports(outcome, times=1, at=0, wait=0, report=None, endpoint="e"):
-    """The same report several times."""
+    """Return several equal reports."""
     return [EndpointReport(endpoint, at, outcome, wait, report or {}) for _ in range(times)]
 
 
 def amounts(grants):
-    """What each holder is granted."""
+    """Return the amount granted to each holder."""
     return {grant.holder: grant.amount for grant in grants}
 
 
 def test_a_destination_without_a_rate_limit_is_granted_without_limit():
-    """The module has no figure for a destination that has not failed."""
+    """The engine sets no rate for a destination without failures."""
     allocator = started("a")
     assert amounts(allocator.step(0, [listed("e")])) == {"a": UNLIMITED}
 
@@ -65,7 +65,7 @@
     """It binds all proxies, whichever of them got it, and ends by time alone."""
     allocator = started("a", "b")
     allocator.step(0, [listed("e")])
-    grants = allocator.step(SECOND, reports(Outcome.OK, wait=3 * SECOND))  # a good answer may have one too
+    grants = allocator.step(SECOND, reports(Outcome.OK, wait=3 * SECOND))  # a successful answer may have one too
     assert amounts(grants) == {"a": 0, "b": 0}
     assert allocator.allowed[0].retry_after_until == 4 * SECOND
     assert allocator.allowed[0].rate == inf
@@ -97,7 +97,7 @@
 
 
 def test_a_draining_endpoint_has_no_allowance():
-    """Not even where it is the last one of its destination."""
+    """Not even if it is the last one of its destination."""
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
     allocator.step(1, [listed("e", status=EndpointStatus.DRAINING)])
@@ -106,7 +106,7 @@
 
 
 def test_an_endpoint_with_failures_beside_one_that_serves_has_a_budget_of_its_own():
-    """Once the other drains, that budget is all that there is."""
+    """Once the other endpoint drains, that budget is the destination's whole allowance."""
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
     for second in range(1, 8):
@@ -119,7 +119,7 @@
     assert row.endpoints["f"] == inf
     assert row.endpoints["e"] < 5
     assert row.rate == inf
-    allocator.step(9 * SECOND, [listed("f", status=EndpointStatus.DRAINING)])  # now that one's budget is all there is
+    allocator.step(9 * SECOND, [listed("f", status=EndpointStatus.DRAINING)])  # only the budget of "e" remains
     assert allocator.allowed[0].rate == inf
     assert allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
@@ -133,24 +133,25 @@
     assert allocator.allowances() == before
 
 
-class Partner:
-    """Takes so many calls a second; down for a while, then cold, and warm after cold_us; counts what reaches it."""
+class SimulatedDestination:
+    """Has a capacity in calls a second; down for a while, then recovering over the slow start; records its calls."""
 
-    def __init__(self, warm, down, back, set_):
-        """Warm, it takes `warm` calls a second; it is down from `down` to `back`."""
-        self.warm, self.down, self.back, self.set, self.calls, self.tokens, self.at = warm, down, back, set_, [], 0.0, 0
+    def __init__(self, full_capacity, down_at, back_at, policy):
+        """Take `full_capacity` calls a second, and none between `down_at` and `back_at`."""
+        self.full_capacity, self.down_at, self.back_at, self.policy = full_capacity, down_at, back_at, policy
+        self.calls, self.tokens, self.at = [], 0.0, 0
 
     def capacity(self, now):
-        """Calls a second that it takes now."""
-        if now < self.back:
-            return self.warm
-        part = min(1.0, (now - self.back) / self.set.slow_start_us)
-        return self.warm * (self.set.slow_start_from + (1 - self.set.slow_start_from) * part)
+        """Return the calls a second that it takes now."""
+        if now < self.back_at:
+            return self.full_capacity
+        progress = min(1.0, (now - self.back_at) / self.policy.slow_start_us)
+        return self.full_capacity * (self.policy.slow_start_from + (1 - self.policy.slow_start_from) * progress)
 
     def call(self, now):
-        """One call, and how it ends."""
+        """Take one call; return its outcome."""
         self.calls.append(now)
-        if self.down <= now < self.back:
+        if self.down_at <= now < self.back_at:
             return Outcome.CONNECT_FAILED
         self.tokens = min(2.0, self.tokens + self.capacity(now) * (now - self.at) / SECOND)
         self.at = now
@@ -161,81 +162,86 @@
 
 
 class Proxy:
-    """Sends all that its grant lets it: one call at once, and then at the grant's pace. Reports what became of them."""
+    """Sends at the rate of its grant, with a burst of one call, and reports the outcomes."""
 
     def __init__(self, name, backlog):
-        """Has `backlog` calls a second to make."""
-        self.name, self.backlog, self.number, self.amount, self.until = name, backlog, 0, 0, 0
-        self.tokens, self.at, self.report, self.linked = 0.0, 0, [], True
+        """Have `backlog` calls a second to make."""
+        self.name, self.backlog, self.number, self.amount, self.expires_at = name, backlog, 0, 0, 0
+        self.tokens, self.at, self.reports, self.connected = 0.0, 0, [], True
 
-    def get(self, grant, now):
-        """A grant has come."""
+    def receive(self, grant, now):
+        """Receive a grant; one with a lower number than the present one is dropped."""
         if grant.number > self.number:
-            self.number, self.amount, self.until = grant.number, grant.amount, now + grant.lease_us
+            self.number, self.amount, self.expires_at = grant.number, grant.amount, now + grant.lease_us
 
-    def send(self, now, partner):
+    def send(self, now, destination):
         """Make the calls that the grant allows now."""
-        rate = min(self.backlog, self.amount / UNITS_PER_CALL) if now < self.until else 0.0
+        rate = min(self.backlog, self.amount / UNITS_PER_CALL) if now < self.expires_at else 0.0
         self.tokens, self.at = min(1.0, self.tokens + rate * (now - self.at) / SECOND), now
         if self.tokens >= 1:
             self.tokens -= 1
-            self.report.append(EndpointReport("e", now, partner.call(now)))
+            self.reports.append(EndpointReport("e", now, destination.call(now)))
 
 
-def play(cut=None, seconds=70):
-    """Three proxies with work for three times what the partner takes; it is down from 20 s to 35 s and returns cold."""
-    set_ = settings(replica_count=1)
-    partner = Partner(30.0, 20 * SECOND, 35 * SECOND, set_)
+def simulate(disconnection=None, seconds=70):
+    """Run three proxies with a load of three times the capacity; the destination is down from 20 s to 35 s.
+
+    `disconnection` is a proxy's name and the time from and until which it is disconnected.
+    """
+    policy = settings(replica_count=1)
+    destination = SimulatedDestination(30.0, 20 * SECOND, 35 * SECOND, policy)
     proxies = [Proxy(name, 30.0) for name in "abc"]
-    allocator, wire = started("a", "b", "c"), []
+    allocator, in_transit = started("a", "b", "c"), []
     allocator.step(0, [listed("e")])
     for now in range(0, seconds * SECOND, 10 * MILLISECOND):
-        for _, kind, proxy, what in [row for row in wire if row[0] <= now]:
+        for _, kind, proxy, grant in [row for row in in_transit if row[0] <= now]:
             if kind == "grant":
-                proxy.get(what, now)
-                wire.append((now + 50 * MILLISECOND, "ack", proxy, what))
+                proxy.receive(grant, now)
+                in_transit.append((now + 50 * MILLISECOND, "ack", proxy, grant))
             else:
-                allocator._ledger.acknowledged(proxy.name, 1, what.number, now)
-        wire = [row for row in wire if row[0] > now]
+                allocator._ledger.acknowledged(proxy.name, 1, grant.number, now)
+        in_transit = [row for row in in_transit if row[0] > now]
         for proxy in proxies:
-            proxy.send(now, partner)
-            linked = not (cut and proxy.name == cut[0] and cut[1] <= now < cut[2])
-            if linked != proxy.linked:
-                (allocator._ledger.join if linked else allocator._ledger.disconnected)(proxy.name)
-                proxy.linked = linked
+            proxy.send(now, destination)
+            connected = not (
+                disconnection and proxy.name == disconnection[0] and disconnection[1] <= now < disconnection[2]
+            )
+            if connected != proxy.connected:
+                (allocator._ledger.join if connected else allocator._ledger.disconnected)(proxy.name)
+                proxy.connected = connected
         if now % (100 * MILLISECOND) == 0:
-            told = [report for proxy in proxies if proxy.linked for report in proxy.report]
+            received = [report for proxy in proxies if proxy.connected for report in proxy.reports]
             for proxy in proxies:
-                proxy.report = proxy.report if not proxy.linked else []
-            for grant in allocator.step(now, told):
+                proxy.reports = proxy.reports if not proxy.connected else []
+            for grant in allocator.step(now, received):
                 proxy = next(one for one in proxies if one.name == grant.holder)
-                if proxy.linked:
-                    wire.append((now + 50 * MILLISECOND, "grant", proxy, grant))
-    return partner, set_
+                if proxy.connected:
+                    in_transit.append((now + 50 * MILLISECOND, "grant", proxy, grant))
+    return destination, policy
 
 
-@pytest.mark.parametrize("cut", [None, ("a", 30 * SECOND, 45 * SECOND), ("b", 19 * SECOND, 36 * SECOND)])
-def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(cut):
-    """No window has more calls than it can bear, also with a proxy cut off around its return."""
-    partner, set_ = play(cut)
-    window = set_.overload_window_us
+@pytest.mark.parametrize("disconnection", [None, ("a", 30 * SECOND, 45 * SECOND), ("b", 19 * SECOND, 36 * SECOND)])
+def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(disconnection):
+    """No window has more calls than the overload limit allows, also with a proxy disconnected around the return."""
+    destination, policy = simulate(disconnection)
+    window = policy.overload_window_us
     for start in range(35 * SECOND, 70 * SECOND - window, 100 * MILLISECOND):
-        got = sum(start <= at < start + window for at in partner.calls)
-        room = set_.overload_multiple * window / SECOND * partner.capacity(start + window)
-        assert got <= room + 3, (start / SECOND, got, room)
-    assert sum(at >= 60 * SECOND for at in partner.calls) >= 10 * 30 / 3
+        count = sum(start <= at < start + window for at in destination.calls)
+        limit = policy.overload_multiple * window / SECOND * destination.capacity(start + window)
+        assert count <= limit + 3, (start / SECOND, count, limit)
+    assert sum(at >= 60 * SECOND for at in destination.calls) >= 10 * 30 / 3
 
 
-def test_a_step_evaluates_what_changed_or_may_change_by_time_and_nothing_else(monkeypatch):
-    """An endpoint that moves to another destination changes both."""
+def test_a_step_evaluates_only_destinations_that_changed_or_may_change_with_time(monkeypatch):
+    """Evaluating all would make a step cost as much as the fleet; an endpoint that moves changes two destinations."""
     allocator = started("a")
-    many = [Endpoint(f"e{n}", "a", "one", n, EndpointStatus.READY, 0.0) for n in range(50)]
+    many = [Endpoint(f"e{number}", "a", "one", number, EndpointStatus.READY, 0.0) for number in range(50)]
     allocator.step(0, [EndpointListUpdate(ListUpdateKind.CHANGES, many)])
-    asked, real = [], allocator._engine.allowances
-    monkeypatch.setattr(allocator._engine, "allowances", lambda among=None: asked.append(set(among)) or real(among))
+    evaluated, real = [], allocator._engine.allowances
+    monkeypatch.setattr(allocator._engine, "allowances", lambda among=None: evaluated.append(set(among)) or real(among))
     allocator.step(SECOND, reports(Outcome.CONNECT_FAILED, 3, SECOND, endpoint="e7"))
     allocator.step(2 * SECOND, reports(Outcome.OK, at=2 * SECOND, endpoint="e9"))
     allocator.step(3 * SECOND, [])
     moved = Endpoint("e9", "a", "one", 8, EndpointStatus.READY, 0.0)
     allocator.step(4 * SECOND, [EndpointListUpdate(ListUpdateKind.CHANGES, [moved])])
-    assert asked == [{7}, {7, 9}, {7}, {7, 8, 9}]
+    assert evaluated == [{7}, {7, 9}, {7}, {7, 8, 9}]
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -1,4 +1,4 @@
-"""Whole installations in virtual time, judged by the audit; and mistakes made on purpose, each caught by its rule."""
+"""The audit of installations simulated in virtual time: correct ones keep all rules, faulty ones break theirs."""
 
 import json
 
@@ -10,79 +10,79 @@
 
 
 def verdicts(world):
-    """The audit's findings on a whole run, by rule."""
-    rows, foreign = audit.read_log(json.dumps(row) for row in world.run())
-    assert not foreign
-    return {found.rule: found for found in audit.audit(rows)}
+    """Run a simulation; return the audit's findings by rule."""
+    rows, skipped_lines = audit.read_log(json.dumps(row) for row in world.run())
+    assert not skipped_lines
+    return {finding.rule: finding for finding in audit.audit(rows)}
 
 
-def broken(found):
-    """The rules that are broken, each with its first lines."""
-    return {rule: each.violations[:3] for rule, each in found.items() if each.violations}
+def broken(findings):
+    """Return the broken rules, each with its first violations."""
+    return {rule: finding.violations[:3] for rule, finding in findings.items() if finding.violations}
 
 
-@pytest.mark.parametrize("seed", [*range(8), 5116])  # the last one: two falls within one lease
-def test_with_links_that_fail_while_endpoints_drain_every_rule_is_kept(seed):
-    """And each of them has something to judge."""
-    found = verdicts(World(Plan(shape=Shape(30.0, resets=0.1)), seed))
-    assert not broken(found)
-    assert all(found[rule].checked for rule in ("drain", "grants", "twice", "answer"))
+@pytest.mark.parametrize("seed", [*range(8), 5116])  # 5116: the allowance decreases twice within one lease
+def test_every_rule_is_kept_while_links_fail_and_endpoints_drain(seed):
+    """The rules on drains, grants, repeats and final answers are exercised in each run."""
+    findings = verdicts(World(Plan(shape=Shape(30.0, resets=0.1)), seed))
+    assert not broken(findings)
+    assert all(findings[rule].checked for rule in ("drain", "grants", "twice", "answer"))
 
 
 @pytest.mark.parametrize(
-    "more",
+    "changes",
     [
         {},
         {"cuts": ((0, 15 * SECOND, 30 * SECOND),)},
         {"restarts": ((21 * SECOND, 22 * SECOND),)},
         {"restarts": ((26 * SECOND, 27 * SECOND),)},
     ],
-    ids=["whole", "cut", "restart", "restart in the ramp"],
+    ids=["undisturbed", "proxy disconnected", "restart", "restart in slow start"],
 )
-def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(more):
-    """With a proxy cut off, and with control restarted at its return or in its slow start."""
-    world = returning(1, **more)
-    found = verdicts(world)
-    assert not broken(found)
-    assert found["fall"].checked > 50
+def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(changes):
+    """Also with a proxy disconnected, and with control restarted at the return or during the slow start."""
+    world = returning(1, **changes)
+    findings = verdicts(world)
+    assert not broken(findings)
+    assert findings["fall"].checked > 50
     assert not world.partner.fell
     assert sum(row["event"] == "took" and row["at"] > 40 * SECOND for row in world.rows) > 50
 
 
-CUT = {"cuts": ((0, 5 * SECOND, 29 * SECOND),), "faults": 0.0}
+DISCONNECTION = {"cuts": ((0, 5 * SECOND, 29 * SECOND),), "faults": 0.0}
 
 
 @pytest.mark.parametrize(
     ("rule", "plan"),
     [
-        ("drain", Plan(mistakes=frozenset({"unleased", "greedy"}), drains=1.0, **CUT)),
+        ("drain", Plan(mistakes=frozenset({"unleased", "greedy"}), drains=1.0, **DISCONNECTION)),
         ("wait", Plan(mistakes=frozenset({"deaf"}), load=40.0, shape=Shape(8.0))),
         ("twice", Plan(mistakes=frozenset({"eager"}), shape=Shape(30.0, resets=0.3))),
     ],
 )
-def test_what_a_proxy_does_wrong_is_caught_by_its_rule(rule, plan):
-    """Mistakes made on purpose: the audit sees each."""
+def test_a_faulty_proxy_breaks_the_rule_that_covers_its_fault(rule, plan):
+    """Injected faults show that the audit detects violations at all."""
     assert any(verdicts(World(plan, seed))[rule].verdict == "broken" for seed in range(5))
 
 
-def test_a_lease_that_counts_from_the_arrival_breaks_the_drain_rule_where_links_are_slow():
-    """This is why a lease counts from what control has proved to have received."""
-    found = [
+def test_a_lease_that_counts_from_the_arrival_breaks_the_drain_rule_on_slow_links():
+    """A lease therefore counts from the last answer that control has proved to have received."""
+    findings = [
         verdicts(World(Plan(mistakes=frozenset({"late"}), drains=1.0, faults=0.5), seed))["drain"] for seed in range(20)
     ]
-    assert any(each.violations for each in found)
+    assert any(finding.violations for finding in findings)
 
 
 def test_proxies_whose_grants_do_not_expire_overload_a_destination_that_returns_cold():
-    """This is why grants are leases."""
-    more = {
+    """Grants are therefore leases: a disconnected proxy has to stop by itself."""
+    changes = {
         "mistakes": frozenset({"greedy", "unleased", "deaf"}),
         "cuts": ((0, 10 * SECOND, 45 * SECOND), (1, 10 * SECOND, 45 * SECOND)),
     }
-    assert any(verdicts(returning(seed, **more))["fall"].violations for seed in range(5))
+    assert any(verdicts(returning(seed, **changes))["fall"].violations for seed in range(5))
 
 
-ROWS = {
+BROKEN_ROWS = {  # for each rule, rows that just break it
     "drain": [
         dict(event="endpoint", endpoint="e", now="draining"),
         dict(event="sent", endpoint="e", proxy="p", at=1000001),
@@ -102,7 +102,7 @@
     "twice": [dict(event="effect", id="m", repeat="never"), dict(event="effect", id="m", repeat="never")],
     "answer": [dict(event="taken", id="m"), dict(event="ended", id="m"), dict(event="ended", id="m")],
 }
-FINE = {
+CORRECTIONS = {  # for each rule, the change of the last row that makes the rows keep it
     "drain": dict(at=1000000),
     "wait": dict(at=500000),
     "fall": dict(a_second=4),
@@ -113,30 +113,31 @@
 
 
 @pytest.mark.parametrize("rule", audit.RULE_NAMES)
-def test_each_rule_is_reported_broken_at_its_edge_and_kept_just_before_it(rule):
-    """No other rule is concerned by the same lines."""
+def test_each_rule_is_broken_just_beyond_its_bound_and_kept_at_it(rule):
+    """The same rows do not concern any other rule."""
 
-    def judge(rows):
-        read, _ = audit.read_log(json.dumps({"at": 0} | row) for row in rows)
-        return {found.rule: found.verdict for found in audit.audit(read)}
+    def verdicts_on(rows):
+        log_rows, _ = audit.read_log(json.dumps({"at": 0} | row) for row in rows)
+        return {finding.rule: finding.verdict for finding in audit.audit(log_rows)}
 
-    rows = ROWS[rule]
-    assert judge(rows) == {name: "broken" if name == rule else "not seen" for name in audit.RULE_NAMES} | (
+    rows = BROKEN_ROWS[rule]
+    assert verdicts_on(rows) == {name: "broken" if name == rule else "not seen" for name in audit.RULE_NAMES} | (
         {"answer": "broken"} if rule == "answer" else {}
     )
-    assert judge([*rows[:-1], rows[-1] | FINE[rule]])[rule] == "kept"
+    assert verdicts_on([*rows[:-1], rows[-1] | CORRECTIONS[rule]])[rule] == "kept"
 
 
-def test_what_a_rule_cannot_judge_is_no_proof_and_foreign_lines_are_counted():
-    """A line that lacks a field makes its rule broken, not kept."""
-    rows, foreign = audit.read_log(['{"event": "granted", "at": 1, "route": 1}', "Traceback", "", "[1]", '{"at": 1}'])
-    found = {each.rule: each for each in audit.audit(rows)}
-    assert foreign == 3
-    assert "nothing is proved" in found["grants"].violations[0]
-    assert "passed over" in audit.format_findings(list(found.values()), foreign)
+def test_an_incomplete_row_breaks_its_rule_and_lines_that_are_no_rows_are_counted():
+    """Without its fields a row cannot prove that the rule was kept."""
+    lines = ['{"event": "granted", "at": 1, "route": 1}', "Traceback", "", "[1]", '{"at": 1}']
+    rows, skipped_lines = audit.read_log(lines)
+    findings = {finding.rule: finding for finding in audit.audit(rows)}
+    assert skipped_lines == 3
+    assert "nothing is proved" in findings["grants"].violations[0]
+    assert "passed over" in audit.format_findings(list(findings.values()), skipped_lines)
 
 
-def test_a_line_of_the_log_counts_by_its_timestamp():
-    """A timestamp in UTC is the same as `at` in us."""
+def test_a_row_without_at_is_sorted_by_its_timestamp():
+    """A timestamp in UTC is equivalent to `at` in us."""
     rows, _ = audit.read_log(['{"event": "x", "timestamp": "1970-01-01T00:00:01.500000Z"}'])
     assert rows[0].at == 1_500_000
