--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -18,8 +18,10 @@
     Outcome,
 )
 
-MILLISECOND, SECOND = 1000, 1_000_000
-LEASE, DELAY = 2 * SECOND, SECOND // 2
+MILLISECOND = 1000  # us
+SECOND = 1_000_000  # us
+LEASE_US = 2 * SECOND
+DELAY_US = SECOND // 2
 
 
 def listed(*names, status=EndpointStatus.READY):
@@ -29,7 +31,9 @@
 
 def started(*holders, **changes):
     """Return an allocator whose ledger has these holders, each with a large demand."""
-    allocator = Allocator(Engine(settings(replica_count=1, **changes), 3), Ledger(-LEASE - DELAY, LEASE, DELAY))
+    allocator = Allocator(
+        Engine(settings(replica_count=1, **changes), 3), Ledger(-LEASE_US - DELAY_US, LEASE_US, DELAY_US)
+    )
     for holder in holders:
         allocator._ledger.join(holder)
         allocator._ledger.set_demand(holder, 1, 1000 * UNITS_PER_CALL)
@@ -73,8 +77,8 @@
     assert any(amounts(allocator.step(20 * SECOND, [])).values())
 
 
-def test_after_a_failure_nothing_goes_out_for_a_while_and_then_little():
-    """The slow start of a route without other endpoints."""
+def test_after_a_failure_the_rate_is_zero_for_a_while_and_then_small():
+    """A route without other endpoints has the rate of its slow start."""
     allocator = started("a")
     allocator.step(0, [listed("e")])
     allocator.step(SECOND, reports(Outcome.CONNECT_FAILED, at=SECOND))
--- a/tests/control/test_configure.py
+++ b/tests/control/test_configure.py
@@ -9,7 +9,7 @@
 from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Endpoint, EndpointStatus
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 RULES = RouteRules(frozenset({"c"}), 3, SECOND)
 
 
--- a/tests/control/test_grants.py
+++ b/tests/control/test_grants.py
@@ -11,8 +11,9 @@
 from scalefall.control.grants import MIN_GRANT, UNITS_PER_CALL, Grant
 from scalefall.control.ledger import Ledger
 
-SECOND = 1_000_000
-LEASE, DELAY = 4 * SECOND, 5 * SECOND
+SECOND = 1_000_000  # us
+LEASE_US = 4 * SECOND
+DELAY_US = 5 * SECOND
 DESTINATION = 7
 
 
@@ -34,7 +35,7 @@
 
 
 class LedgerModel(RuleBasedStateMachine):
-    """Messages take up to DELAY or are lost, a disconnected holder keeps its grant, and the service may restart."""
+    """Messages take up to DELAY_US or are lost, a disconnected holder keeps its grant, and the service may restart."""
 
     names = st.sampled_from("abcd")
 
@@ -43,7 +44,7 @@
         """Start with a ledger without allowance, holders or messages."""
         self.now, self.holders, self.in_transit = 0, {}, []
         self.allowances = deque([(0, 0)])  # the time of each change and the amount
-        self.ledger, self.live, self.epoch = Ledger(0, LEASE, DELAY), set(), 0
+        self.ledger, self.live, self.epoch = Ledger(0, LEASE_US, DELAY_US), set(), 0
 
     def step(self, delays):
         """Send the ledger's grants, each with a delay, or lost where that is None."""
@@ -52,7 +53,7 @@
             if delay is not None:
                 self.in_transit.append((self.now + delay, "grant", grant, self.epoch))
 
-    @rule(span=st.integers(1, 3 * SECOND), delays=st.lists(st.none() | st.integers(0, DELAY), max_size=4))
+    @rule(span=st.integers(1, 3 * SECOND), delays=st.lists(st.none() | st.integers(0, DELAY_US), max_size=4))
     def advance_time(self, span, delays):
         """Process everything that is due within a span of time, in order."""
         end = self.now + span
@@ -112,7 +113,7 @@
     @rule()
     def restart_service(self):
         """Start a new ledger that knows only the highest number, the holders and the allowance."""
-        self.ledger, self.epoch = Ledger(self.now, LEASE, DELAY), self.epoch + 1
+        self.ledger, self.epoch = Ledger(self.now, LEASE_US, DELAY_US), self.epoch + 1
         number = max(
             [holder.number for holder in self.holders.values()]
             + [row[2].number for row in self.in_transit if row[1] == "grant"],
@@ -127,7 +128,7 @@
     @invariant()
     def use_is_within_allowance(self):
         """All holders together may use at most the largest allowance of the last delay and lease."""
-        while len(self.allowances) > 1 and self.allowances[1][0] <= self.now - LEASE - DELAY:
+        while len(self.allowances) > 1 and self.allowances[1][0] <= self.now - LEASE_US - DELAY_US:
             self.allowances.popleft()
         used = sum(holder.may_use(self.now) for holder in self.holders.values())
         assert used <= max(amount for _, amount in self.allowances)
@@ -155,7 +156,7 @@
 
 def started(*holders, allowance=10 * UNITS_PER_CALL, demand=20 * UNITS_PER_CALL):
     """Return a ledger that may grant from time 0, with these holders."""
-    ledger = Ledger(-LEASE - DELAY, LEASE, DELAY)
+    ledger = Ledger(-LEASE_US - DELAY_US, LEASE_US, DELAY_US)
     ledger.allow(DESTINATION, allowance)
     for holder in holders:
         ledger.join(holder)
@@ -194,8 +195,8 @@
     first = ledger.step(0)
     acknowledge(ledger, [grant for grant in first if grant.holder == "a"], 0)
     ledger.disconnected("b")
-    assert amounts(ledger.step(LEASE + DELAY - 1)) == {"a": 5 * UNITS_PER_CALL}  # renewed, and not raised
-    assert amounts(ledger.step(LEASE + DELAY)) == {"a": 10 * UNITS_PER_CALL}
+    assert amounts(ledger.step(LEASE_US + DELAY_US - 1)) == {"a": 5 * UNITS_PER_CALL}  # renewed, and not raised
+    assert amounts(ledger.step(LEASE_US + DELAY_US)) == {"a": 10 * UNITS_PER_CALL}
 
 
 def test_headroom_is_granted_once():
@@ -219,7 +220,9 @@
     ledger.allow(DESTINATION, 10 * UNITS_PER_CALL)
     assert amounts(ledger.step(1)) == {"a": 10 * UNITS_PER_CALL}
     acknowledge(ledger, first, 2)
-    assert ledger.in_use(DESTINATION, 2) == ledger.in_use(DESTINATION, 1 + DELAY + LEASE - 1) == 10 * UNITS_PER_CALL
+    assert (
+        ledger.in_use(DESTINATION, 2) == ledger.in_use(DESTINATION, 1 + DELAY_US + LEASE_US - 1) == 10 * UNITS_PER_CALL
+    )
 
 
 def test_an_acknowledged_grant_expires_by_its_lease_and_a_lost_one_later():
@@ -228,20 +231,20 @@
     acknowledge(ledger, [grant for grant in ledger.step(0) if grant.holder == "b"], SECOND)
     ledger.disconnected("a")
     ledger.disconnected("b")
-    assert ledger.in_use(DESTINATION, SECOND + LEASE - 1) == 10 * UNITS_PER_CALL
-    assert ledger.in_use(DESTINATION, SECOND + LEASE) == 5 * UNITS_PER_CALL
-    assert ledger.in_use(DESTINATION, DELAY + LEASE) == 0
+    assert ledger.in_use(DESTINATION, SECOND + LEASE_US - 1) == 10 * UNITS_PER_CALL
+    assert ledger.in_use(DESTINATION, SECOND + LEASE_US) == 5 * UNITS_PER_CALL
+    assert ledger.in_use(DESTINATION, DELAY_US + LEASE_US) == 0
 
 
 def test_nothing_is_granted_until_the_grants_of_an_earlier_service_have_expired():
     """An earlier service may have granted the whole allowance just before the start."""
-    ledger = Ledger(0, LEASE, DELAY)
+    ledger = Ledger(0, LEASE_US, DELAY_US)
     ledger.allow(DESTINATION, UNITS_PER_CALL)
     ledger.join("a")
     ledger.set_demand("a", DESTINATION, UNITS_PER_CALL)
-    assert ledger.step(LEASE + DELAY - 1) == []
-    assert ledger.next_deadline(0) == LEASE + DELAY
-    assert amounts(ledger.step(LEASE + DELAY)) == {"a": UNITS_PER_CALL}
+    assert ledger.step(LEASE_US + DELAY_US - 1) == []
+    assert ledger.next_deadline(0) == LEASE_US + DELAY_US
+    assert amounts(ledger.step(LEASE_US + DELAY_US)) == {"a": UNITS_PER_CALL}
 
 
 def test_a_decrease_of_the_allowance_is_sent_at_once_and_raises_no_grant():
@@ -265,18 +268,19 @@
     ledger.step(SECOND)
     ledger.disconnected("c")  # its grant after the decrease counts until it has expired
     ledger.set_demand("a", DESTINATION, 40 * UNITS_PER_CALL)
-    for now in range(2 * SECOND, SECOND + LEASE + DELAY, SECOND):
+    for now in range(2 * SECOND, SECOND + LEASE_US + DELAY_US, SECOND):
         ledger.step(now)
-    assert ledger.in_use(DESTINATION, LEASE + DELAY) <= 30 * UNITS_PER_CALL
-    ledger.step(SECOND + LEASE + DELAY)
-    assert ledger.in_use(DESTINATION, SECOND + LEASE + DELAY) > 20 * UNITS_PER_CALL  # then it is granted to the others
+    assert ledger.in_use(DESTINATION, LEASE_US + DELAY_US) <= 30 * UNITS_PER_CALL
+    ledger.step(SECOND + LEASE_US + DELAY_US)
+    # The unreachable holder's grant has expired and is granted to the others.
+    assert ledger.in_use(DESTINATION, SECOND + LEASE_US + DELAY_US) > 20 * UNITS_PER_CALL
 
 
 def test_an_unchanged_destination_costs_one_renewal_per_half_lease():
     """Nothing is sent between the renewals."""
     ledger = started("a")
     sent, now = 0, 0
-    while now < 20 * LEASE:
+    while now < 20 * LEASE_US:
         grants = ledger.step(now)
         acknowledge(ledger, grants, now)
         sent += len(grants)
@@ -301,6 +305,6 @@
 def test_a_holder_drops_a_late_grant_of_a_lower_number():
     """The model's holder follows the contract that the ledger relies on."""
     holder = Holder()
-    holder.receive(Grant("a", DESTINATION, 2, 0, LEASE), 0)
-    holder.receive(Grant("a", DESTINATION, 1, UNITS_PER_CALL, LEASE), 1)
+    holder.receive(Grant("a", DESTINATION, 2, 0, LEASE_US), 0)
+    holder.receive(Grant("a", DESTINATION, 1, UNITS_PER_CALL, LEASE_US), 1)
     assert holder.may_use(2) == 0
--- a/tests/control/test_members.py
+++ b/tests/control/test_members.py
@@ -13,12 +13,13 @@
     MemberState,
 )
 
-SILENCE, EXPIRY = 10, 30
+SILENCE_US = 10
+EXPIRY_US = 30
 
 
 def joined_members(*streams, at=0):
     """Return members, each of which has joined on its stream."""
-    members = Members(SILENCE, EXPIRY)
+    members = Members(SILENCE_US, EXPIRY_US)
     for stream, node, instance in streams:
         members.join(stream, node, instance, at)
     return members
@@ -37,33 +38,33 @@
 def test_silence_and_expiry_count_from_the_last_heartbeat():
     """The end of a stream is no heartbeat and does not postpone the expiry."""
     members = joined_members((1, "p", "x"))
-    assert members.step(SILENCE - 1) == []
-    assert members.next_deadline(0) == SILENCE
-    assert members.step(SILENCE) == [MembershipChange("p/x", "p", MemberState.SILENT)]
+    assert members.step(SILENCE_US - 1) == []
+    assert members.next_deadline(0) == SILENCE_US
+    assert members.step(SILENCE_US) == [MembershipChange("p/x", "p", MemberState.SILENT)]
     members.stream_closed(1)
-    assert members.step(EXPIRY - 1) == []
-    assert members.step(EXPIRY) == [MembershipChange("p/x", "p", MemberState.EXPIRED)]
+    assert members.step(EXPIRY_US - 1) == []
+    assert members.step(EXPIRY_US) == [MembershipChange("p/x", "p", MemberState.EXPIRED)]
     assert len(members) == 0
-    assert members.join(2, "p", "x", EXPIRY) == Joined("p/x", False, None, False)
+    assert members.join(2, "p", "x", EXPIRY_US) == Joined("p/x", False, None, False)
 
 
 def test_a_holder_disconnected_after_a_long_silence_expires_in_time_while_others_send_heartbeats():
     """Members are ordered by last heartbeat; moving it to the end at the disconnection would delay its expiry."""
     members = joined_members((1, "p", "x"), (2, "q", "y"))
-    members.step(SILENCE)
-    members.heartbeat_received(2, EXPIRY - 2)
+    members.step(SILENCE_US)
+    members.heartbeat_received(2, EXPIRY_US - 2)
     members.stream_closed(1)
-    assert members.step(EXPIRY) == [MembershipChange("p/x", "p", MemberState.EXPIRED)]
-    assert members.next_deadline(EXPIRY) > EXPIRY
+    assert members.step(EXPIRY_US) == [MembershipChange("p/x", "p", MemberState.EXPIRED)]
+    assert members.next_deadline(EXPIRY_US) > EXPIRY_US
 
 
 def test_a_silent_member_with_a_heartbeat_is_live_again():
     """Only the first heartbeat after the silence reports the change."""
     members = joined_members((1, "p", "x"))
-    members.step(SILENCE)
-    assert members.heartbeat_received(1, SILENCE + 1) == "p/x"
-    assert members.heartbeat_received(1, SILENCE + 2) is None
-    assert members.step(SILENCE + 3) == []
+    members.step(SILENCE_US)
+    assert members.heartbeat_received(1, SILENCE_US + 1) == "p/x"
+    assert members.heartbeat_received(1, SILENCE_US + 2) is None
+    assert members.step(SILENCE_US + 3) == []
     assert members.live() == ["p/x"]
 
 
@@ -90,8 +91,8 @@
     assert members.join(99, "p", "more", 1) == JoinRejected("p")
     assert len(members) == MAX_INSTANCES_PER_NODE
     assert isinstance(members.join(99, "q", "more", 1), Joined)
-    members.step(EXPIRY)
-    assert isinstance(members.join(100, "p", "more", EXPIRY), Joined)
+    members.step(EXPIRY_US)
+    assert isinstance(members.join(100, "p", "more", EXPIRY_US), Joined)
 
 
 class Fleet(RuleBasedStateMachine):
@@ -100,7 +101,7 @@
     @initialize()
     def start(self):
         """Start without members."""
-        self.members, self.now = Members(SILENCE, EXPIRY), 0
+        self.members, self.now = Members(SILENCE_US, EXPIRY_US), 0
         self.streams, self.last_heartbeats, self.last_stream = {}, {}, 0
 
     @rule(node=st.sampled_from("pq"), instance=st.sampled_from("xy"))
@@ -133,7 +134,7 @@
         """Advance the time; the holders that are due expire, and no others."""
         self.now += span
         expired = {change.holder for change in self.members.step(self.now) if change.state is MemberState.EXPIRED}
-        assert expired == {holder for holder, at in self.last_heartbeats.items() if at <= self.now - EXPIRY}
+        assert expired == {holder for holder, at in self.last_heartbeats.items() if at <= self.now - EXPIRY_US}
         self.last_heartbeats = {holder: at for holder, at in self.last_heartbeats.items() if holder not in expired}
         self.streams = {stream: holder for stream, holder in self.streams.items() if holder not in expired}
         assert self.members.next_deadline(self.now) is None or self.members.next_deadline(self.now) > self.now
