--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -115,12 +115,12 @@
 
 def _learn(kept: EndpointList, count: int) -> None:
     """As its watch does with an object of the list."""
-    kept.learn(read_list(lists.whole(count)))
+    kept.handle_update(read_list(lists.whole(count)))
 
 
 def _learn_change(kept: EndpointList, module: Engine, events: list, versions: Iterator[int]) -> None:
     events.clear()
-    kept.learn(read_list(lists.change(1) | {"seq": next(versions)}))
+    kept.handle_update(read_list(lists.change(1) | {"seq": next(versions)}))
     _tell(module, events)
 
 
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -70,7 +70,7 @@
         self._wall_offset_us = wall_offset_us
         self._retry_after_until: dict[int | str, int] = {}  # by wait scope: nothing may begin before
         self.attempts = Attempts(
-            scheduler, settings, max_sockets, self._settled, self.may_begin, tracker.open.__contains__
+            scheduler, settings, max_sockets, self._finish_message, self.may_begin, tracker.open.__contains__
         )
 
     # -- sends
@@ -133,7 +133,7 @@
                     request.idempotency_key,
                     request.body,
                     message_class is not None and message_class.idempotency is Idempotency.NOT_IDEMPOTENT,
-                    self._begin_by(request),
+                    self._start_by_us(request),
                 )
             )
             request.attempts += 1
@@ -152,7 +152,7 @@
         """Return the deadline of a send's message; 0 if it is no longer open."""
         return self._open[send.id].due_us if send.id in self._open else 0
 
-    def _begin_by(self, request: DeliveryRequest) -> float:
+    def _start_by_us(self, request: DeliveryRequest) -> float:
         """Return until when the endpoints drop a repeat of a request, if an attempt with its key may have run."""
         message_class = request.message_class
         pending = self._journal.pending.get(request.id)
@@ -178,19 +178,19 @@
             and self._retry_after_until.get(self._wait_scope(endpoint), 0) <= now_us
         )
 
-    def forget_expired_waits(self) -> None:
+    def drop_expired_waits(self) -> None:
         """Forget waits that are over, so that none is kept for destinations that have gone."""
         now_us = self._scheduler.now()
         self._retry_after_until = {
             scope: until_us for scope, until_us in self._retry_after_until.items() if until_us > now_us
         }
 
-    def close_unwanted_connections(self) -> None:
+    def close_idle_to_draining(self) -> None:
         """Close idle connections to endpoints that want nothing new any more."""
         for endpoint_id in self._endpoint_list.left_at:
             self.attempts.endpoint_left(self._endpoint_list.entries[endpoint_id])
 
-    def _settled(self, event: AttemptFinished, unreadable: bool) -> None:
+    def _finish_message(self, event: AttemptFinished, unreadable: bool) -> None:
         """Record how an attempt has ended for one message, and report it to the engine.
 
         In an attempt with several messages that could not be read, one may spoil the others: each goes alone from
--- a/scalefall/net/attempt_request.py
+++ b/scalefall/net/attempt_request.py
@@ -9,7 +9,9 @@
 from scalefall.net.attempt_state import Attempt, MessageInCall
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-WHOLE_MILLISECONDS_FROM_US = 10 * MILLISECOND_US  # a deadline from here on is told in milliseconds: 10 % is near enough
+MIN_MILLISECOND_DEADLINE_US = (
+    10 * MILLISECOND_US
+)  # a deadline from here on is told in milliseconds: 10 % is near enough
 SINGLE_TARGET = "/v1/messages"  # where the protocol takes one message
 BATCH_TARGET = "/v1/messages:batch"  # and where several
 BASE64_GROUP_BYTES, BASE64_GROUP_CHARACTERS = 3, 4  # RFC 4648: three bytes become four characters
@@ -25,7 +27,7 @@
     """
     messages = attempt.messages
     left_us = max(1, max(message.ends_at_us for message in messages) - now_us)
-    if left_us >= WHOLE_MILLISECONDS_FROM_US:
+    if left_us >= MIN_MILLISECOND_DEADLINE_US:
         deadline = ("X-Deadline", f"{left_us // MILLISECOND_US}m")
     else:
         deadline = ("X-Deadline", f"{left_us}u")
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -20,7 +20,7 @@
     read_retry_after,
 )
 from scalefall.net.attempt_state import Attempt, MessageInCall
-from scalefall.net.connection_pool import MAX_STALE_LOSS, Connection, ConnectionPool
+from scalefall.net.connection_pool import MAX_STALE_LOSS_RATE, Connection, ConnectionPool
 from scalefall.net.invariants import assert_invariant
 from scalefall.net.list_stream import Entry
 from scalefall.net.logs import log
@@ -29,8 +29,10 @@
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-MAX_ANSWER_US = 1000 * MILLISECOND_US  # from an answer's first byte to its last: a retry needs the rest of the time
-MAX_DELIVERED_ANSWER_US = 200 * MILLISECOND_US  # the same, once its first line has said all that matters
+MAX_ANSWER_DURATION_US = (
+    1000 * MILLISECOND_US
+)  # from an answer's first byte to its last: a retry needs the rest of the time
+MAX_DELIVERED_ANSWER_DURATION_US = 200 * MILLISECOND_US  # the same, once its first line has said all that matters
 
 
 class Attempts:
@@ -43,7 +45,7 @@
         max_sockets: int,
         report_outcome: Callable[[AttemptFinished, bool], None],
         may_begin: Callable[[Entry], bool],
-        is_wanted: Callable[[str], bool] = lambda _: True,
+        is_pending: Callable[[str], bool] = lambda _: True,
     ) -> None:
         """Start with no attempt in flight.
 
@@ -54,13 +56,13 @@
             report_outcome: Takes how an attempt has ended for one message, and whether the endpoint could not read a
                 call with several.
             may_begin: Tells whether a call may still go out to an endpoint, once its connection is up.
-            is_wanted: Tells whether the message with an id still waits for an answer.
+            is_pending: Tells whether the message with an id still waits for an answer.
         """
         self._scheduler = scheduler
         self._settings = settings
         self._report_outcome = report_outcome
         self._may_begin = may_begin
-        self._is_wanted = is_wanted
+        self._is_pending = is_pending
         self._pool = ConnectionPool(scheduler, settings, max_sockets)
         self._in_flight: dict[tuple[str, int], Attempt] = {}  # by a message's id and the number of its attempt
 
@@ -100,7 +102,7 @@
 
     def endpoint_left(self, entry: Entry) -> None:
         """Close the idle connections to an endpoint that wants nothing new any more, or has gone."""
-        self._pool.forget(entry)
+        self._pool.remove_endpoint(entry)
 
     def close(self) -> None:
         """Close all idle connections; attempts in flight go on."""
@@ -140,7 +142,9 @@
         """
         until_us = max(message.ends_at_us for message in attempt.messages)
         pool = self._pool
-        avoid_stale = pool.stale_loss > MAX_STALE_LOSS and any(message.not_idempotent for message in attempt.messages)
+        avoid_stale = pool.stale_loss_rate > MAX_STALE_LOSS_RATE and any(
+            message.not_idempotent for message in attempt.messages
+        )
         connection = attempt.connection = pool.connect(attempt.entry, until_us, avoid_stale)
         if attempt.over:
             self._close_connection(attempt)
@@ -174,7 +178,7 @@
         late = [
             message
             for message in attempt.messages
-            if message.start_by_us < now_us or message.ends_at_us <= now_us or not self._is_wanted(message.id)
+            if message.start_by_us < now_us or message.ends_at_us <= now_us or not self._is_pending(message.id)
         ]
         for message in late:
             attempt.messages.remove(message)
@@ -200,7 +204,7 @@
                 raise ConnectionResetError("the endpoint closed the connection")
             reader.feed(data)
             is_delivered = reader.status == 200 and len(attempt.messages) == 1
-            max_answer_us = MAX_DELIVERED_ANSWER_US if is_delivered else MAX_ANSWER_US
+            max_answer_us = MAX_DELIVERED_ANSWER_DURATION_US if is_delivered else MAX_ANSWER_DURATION_US
             until_us = min(until_us, started_at_us + max_answer_us)
         return True
 
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -85,9 +85,10 @@
     try:
         settings, doubts = _settled(read_settings(table.get("settings")), table.get("peers"))
         known = read_list(table.get("known") or {"seq": 0, "whole": True, "hosts": []}, strict=False)
-        if known.unread:
+        if known.unreadable_entries:
             doubts += (
-                f"known: {len(known.unread)} endpoints cannot be read and are left out, the first {known.unread[0]!r}",
+                f"known: {len(known.unreadable_entries)} endpoints cannot be read and are left out, "
+                f"the first {known.unreadable_entries[0]!r}",
             )
         doubts += tuple(
             f"limits.{key} is missing: {default} it is" for key, (default, _) in LIMITS.items() if key not in limits
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -19,10 +19,12 @@
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # an idle connection is closed so long before its endpoint would close it
-REST_US = 20 * MILLISECOND_US  # so long after an answer a connection is not used again: what still comes shows in it
+REUSE_DELAY_US = (
+    20 * MILLISECOND_US
+)  # so long after an answer a connection is not used again: what still comes shows in it
 STALE_AFTER_US = 80 * MILLISECOND_US  # a rested connection that nobody used for so long may have died meanwhile
-MAX_STALE_LOSS = 0.03  # above this share of lost calls on stale connections, what must not run twice avoids these
-STALE_LOSS_CALLS = 50  # calls on stale connections over which that share is averaged, exponentially
+MAX_STALE_LOSS_RATE = 0.03  # above this share of lost calls on stale connections, what must not run twice avoids these
+STALE_LOSS_AVERAGED_CALLS = 50  # calls on stale connections over which that share is averaged, exponentially
 
 
 class SocketLimitError(OSError):
@@ -78,7 +80,7 @@
     Attributes:
         in_use: The attempts that have a connection or wait for one; whoever carries out attempts counts them here.
         retention: For how long idle connections are kept.
-        stale_loss: The share, of late, of calls on stale connections that were reset without an answer.
+        stale_loss_rate: The share, of late, of calls on stale connections that were reset without an answer.
     """
 
     def __init__(self, scheduler: Scheduler, settings: Settings, max_sockets: int) -> None:
@@ -97,7 +99,7 @@
         self._idle: dict[IdleConnection, None] = {}  # all of them, the longest idle first
         self.in_use = 0
         self.retention = ConnectionRetention(settings.replica_count)
-        self.stale_loss = 0.0
+        self.stale_loss_rate = 0.0
 
     def connect(self, entry: Entry, until_us: int, avoid_stale: bool) -> Connection:
         """Return the connection used last of those that are idle, have rested and are still up; otherwise a new one.
@@ -126,7 +128,7 @@
         if not self.retention.retention_us(connection.key, idle_close_us):
             connection.sock.close()
             return
-        idle = IdleConnection(connection.sock, connection.key, self._scheduler.now() + REST_US, idle_close_us)
+        idle = IdleConnection(connection.sock, connection.key, self._scheduler.now() + REUSE_DELAY_US, idle_close_us)
         self._idle_by_endpoint.setdefault(idle.key, deque()).append(idle)
         self._idle[idle] = None
         idle.watcher = self._scheduler.spawn(self._watch, idle)
@@ -137,17 +139,17 @@
         Connections may die unseen while they are idle; how often, only calls on stale ones tell.
         """
         if connection.was_stale:
-            self.stale_loss += (was_lost - self.stale_loss) / STALE_LOSS_CALLS
+            self.stale_loss_rate += (was_lost - self.stale_loss_rate) / STALE_LOSS_AVERAGED_CALLS
 
     def close_idle(self, entry: Entry) -> None:
         """Close the idle connections to an endpoint."""
         for idle in list(self._idle_by_endpoint.get(EndpointKey(entry.endpoint.id, entry.address), ())):
             self._discard(idle)
 
-    def forget(self, entry: Entry) -> None:
+    def remove_endpoint(self, entry: Entry) -> None:
         """Close the idle connections to an endpoint that has left, and forget what was learned of it."""
         self.close_idle(entry)
-        self.retention.forget(EndpointKey(entry.endpoint.id, entry.address))
+        self.retention.remove_endpoint(EndpointKey(entry.endpoint.id, entry.address))
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -181,7 +183,7 @@
 
     def _watch(self, idle: IdleConnection) -> None:
         """Close an idle connection in time, and at once when its endpoint does or sends anything; runs as a task."""
-        retention_us = REST_US + self.retention.retention_us(idle.key, idle.idle_close_us)
+        retention_us = REUSE_DELAY_US + self.retention.retention_us(idle.key, idle.idle_close_us)
         span_us = min(max(idle.idle_close_us // 2, idle.idle_close_us - IDLE_CLOSE_MARGIN_US), retention_us)
         if idle in self._idle:
             reason = self._scheduler.pause(self._scheduler.now() + span_us, idle.sock, READ)
--- a/scalefall/net/connection_retention.py
+++ b/scalefall/net/connection_retention.py
@@ -83,7 +83,7 @@
         else:
             self._factors.pop(endpoint, None)
 
-    def forget(self, endpoint: Hashable) -> None:
+    def remove_endpoint(self, endpoint: Hashable) -> None:
         """Forget an endpoint that has left."""
         self._factors.pop(endpoint, None)
         self._call_times.pop(endpoint, None)
--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from scalefall.net.endpoint_list import FORGET_US, EndpointList
+from scalefall.net.endpoint_list import MIN_REMOVED_RETENTION_US, EndpointList
 from scalefall.net.list_stream import ListUpdate
 from scalefall.net.list_watch import ListWatch
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointListUpdate, ListUpdateKind
 
 MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # of one object of the list, also where the memory that is set allows less
-INTRODUCE_AFTER_US = 2_000_000  # so long after a start the old list is taken as it is, if nothing has been heard
+ANNOUNCE_TIMEOUT_US = 2_000_000  # so long after a start the old list is taken as it is, if nothing has been heard
 
 
 class DiscoveryList(EndpointList):
@@ -31,7 +31,7 @@
         pushed: bool = False,
         max_object_bytes: int = MIN_OBJECT_LIMIT_BYTES,
         seed: int = 0,
-        forget_us: int = FORGET_US,
+        removed_retention_us: int = MIN_REMOVED_RETENTION_US,
     ) -> None:
         """Start with the list as this sender had it last.
 
@@ -43,12 +43,12 @@
             pushed: Discovery pushes lists; else they are polled when the engine asks for it.
             max_object_bytes: How long one object of the list may be, where that is more than 1 MiB.
             seed: The seed of the random spread of the watch.
-            forget_us: After how many microseconds an endpoint that has gone is forgotten, where that is more than 60 s.
+            removed_retention_us: For how many microseconds a removed endpoint is kept; at least 60 s.
         """
-        super().__init__(scheduler, known, on_change, forget_us)
+        super().__init__(scheduler, known, on_change, removed_retention_us)
         self._pushed = pushed
         self._is_announced = not pushed
-        self._reports_failure = False  # the last event said that the watch failed
+        self._failure_reported = False  # the last event said that the watch failed
         max_object_bytes = max(max_object_bytes, MIN_OBJECT_LIMIT_BYTES)
         self._watch = ListWatch(scheduler, discovery, self, pushed, max_object_bytes, seed)
 
@@ -58,7 +58,7 @@
         Without endpoints nothing can go out before a list comes: the watch is opened at once then too.
         """
         if self._pushed:
-            self._scheduler.call_at(self._scheduler.now() + INTRODUCE_AFTER_US, self._introduce)
+            self._scheduler.call_at(self._scheduler.now() + ANNOUNCE_TIMEOUT_US, self._announce_initial_list)
         else:
             self._on_change(self.initial_list())
         if self._pushed or not self.entries:
@@ -76,28 +76,28 @@
         """Watch discovery at another address from now on."""
         self._watch.move(discovery)
 
-    def learn(self, update: ListUpdate) -> None:
+    def handle_update(self, update: ListUpdate) -> None:
         """Take in a list, or what of it has changed, and tell the engine."""
-        if update.unread:
-            self._log_unread(update)
-        self._introduce()
+        if update.unreadable_entries:
+            self._log_unreadable(update)
+        self._announce_initial_list()
         if self._is_newer(update):
-            self._reports_failure = False
-            self._put_into_force(update)
+            self._failure_reported = False
+            self._apply_and_notify(update)
 
-    def word_received(self) -> None:
+    def watch_active(self) -> None:
         """Take in that discovery has said something: a poll was heard, whether or not anything is new."""
-        self._introduce()
-        if self._reports_failure:
-            self._reports_failure = False
+        self._announce_initial_list()
+        if self._failure_reported:
+            self._failure_reported = False
             self._on_change(EndpointListUpdate(ListUpdateKind.CHANGES, []))
 
     def watch_failed(self) -> None:
         """Tell the engine that the watch broke."""
-        self._reports_failure = True
+        self._failure_reported = True
         self._on_change(EndpointListUpdate(ListUpdateKind.FAILED))
 
-    def _introduce(self) -> None:
+    def _announce_initial_list(self) -> None:
         """Tell the engine, once, of what was known before, ahead of what is new."""
         if not self._is_announced:
             self._is_announced = True
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -14,7 +14,9 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
-FORGET_US = 60_000_000  # an endpoint gone for so long is forgotten: no call is out there; or as long as messages take
+MIN_REMOVED_RETENTION_US = (
+    60_000_000  # an endpoint gone for so long is forgotten: no call is out there; or as long as messages take
+)
 
 
 class EndpointList:
@@ -24,7 +26,7 @@
         entries: The endpoints by id, with those that have gone lately.
         left_at: When each endpoint that drains or has gone began to, in monotonic microseconds, by id.
         seq: The list's version.
-        unread: How many entries could not be read so far.
+        unreadable_entries: How many entries could not be read so far.
     """
 
     def __init__(
@@ -32,7 +34,7 @@
         scheduler: Scheduler,
         known: ListUpdate,
         on_change: Callable[[EndpointListUpdate], None],
-        forget_us: int = FORGET_US,
+        removed_retention_us: int = MIN_REMOVED_RETENTION_US,
     ) -> None:
         """Start with a list.
 
@@ -40,11 +42,11 @@
             scheduler: The clock.
             known: The list.
             on_change: Takes what the engine is to hear of the list.
-            forget_us: After how many microseconds an endpoint that has gone is forgotten, where that is more than 60 s.
+            removed_retention_us: For how many microseconds a removed endpoint is kept; at least 60 s.
         """
         self._scheduler = scheduler
         self._on_change = on_change
-        self._forget_us = max(forget_us, FORGET_US)
+        self._removed_retention_us = max(removed_retention_us, MIN_REMOVED_RETENTION_US)
         self._is_announced = True  # the engine has heard of the list, or hears of it before any change
         self.entries: dict[str, Entry] = {}
         self.left_at: dict[str, int] = {}
@@ -54,8 +56,8 @@
         self._in_maintenance: set[str] = set()  # these drain, whatever the list says
         self._listed: dict[str, Entry] = {}  # what the list says of those that drain for their maintenance
         self.seq = known.seq
-        self.unread = 0
-        self._last_unread: tuple[str, ...] = ()  # the entries that could not be read last, as they are logged once
+        self.unreadable_entries = 0
+        self._last_unreadable: tuple[str, ...] = ()  # the entries that could not be read last, as they are logged once
         self._apply(known)
 
     def start(self) -> None:
@@ -82,12 +84,12 @@
         endpoint_id = entry.endpoint.id
         return endpoint_id in self.left_at and self._owners.get(entry.address, endpoint_id) != endpoint_id
 
-    def remember_for(self, forget_us: int) -> None:
+    def extend_removed_retention(self, removed_retention_us: int) -> None:
         """Remember endpoints that have gone for so many microseconds, if that is longer than before.
 
         Messages may take longer now; what is out may still be there for as long as before.
         """
-        self._forget_us = max(self._forget_us, forget_us)
+        self._removed_retention_us = max(self._removed_retention_us, removed_retention_us)
 
     def start_maintenance(self, endpoint_ids: set[str]) -> None:
         """Let endpoints drain from now on, also where the list names them only later."""
@@ -99,30 +101,30 @@
         self._in_maintenance.discard(endpoint_id)
         self._reapply({endpoint_id})
 
-    def learn(self, update: ListUpdate) -> None:
+    def handle_update(self, update: ListUpdate) -> None:
         """Take in a list, or what of it has changed, and tell the engine.
 
         An entry that could not be read stays as it was.
         """
-        if update.unread:
-            self._log_unread(update)
+        if update.unreadable_entries:
+            self._log_unreadable(update)
         if self._is_newer(update):
-            self._put_into_force(update)
+            self._apply_and_notify(update)
 
     def _is_newer(self, update: ListUpdate) -> bool:
         """Return whether an update is more than what is known already."""
-        return update.whole or update.seq > self.seq
+        return update.is_full or update.seq > self.seq
 
-    def _put_into_force(self, update: ListUpdate) -> None:
+    def _apply_and_notify(self, update: ListUpdate) -> None:
         """Apply an update, and tell the engine."""
         log.info(
-            "endpoint list: version %d, %s %d", update.seq, "all" if update.whole else "changed", len(update.entries)
+            "endpoint list: version %d, %s %d", update.seq, "all" if update.is_full else "changed", len(update.entries)
         )
         self._apply(update)
-        kind = ListUpdateKind.WHOLE if update.whole else ListUpdateKind.CHANGES
+        kind = ListUpdateKind.WHOLE if update.is_full else ListUpdateKind.CHANGES
         endpoint_ids = [entry.endpoint.id for entry in update.entries]
-        if update.whole:
-            endpoint_ids += [endpoint_id for endpoint_id in update.unread if endpoint_id in self.entries]
+        if update.is_full:
+            endpoint_ids += [endpoint_id for endpoint_id in update.unreadable_entries if endpoint_id in self.entries]
         self._on_change(EndpointListUpdate(kind, self._endpoints(endpoint_ids)))
 
     def _endpoints(self, endpoint_ids: list[str]) -> list[Endpoint]:
@@ -132,7 +134,7 @@
     def _apply(self, update: ListUpdate) -> None:
         """Take over an update's entries and version."""
         now_us = self._scheduler.now()
-        if update.whole:
+        if update.is_full:
             self._mark_missing(update, now_us)
         for entry in update.entries:
             endpoint_id = entry.endpoint.id
@@ -151,12 +153,12 @@
             if entry.endpoint.status is EndpointStatus.GONE:
                 self._removed_at[endpoint_id] = now_us
         self.seq = update.seq
-        self._forget_removed(now_us)
+        self._drop_expired_removed(now_us)
 
     def _mark_missing(self, update: ListUpdate, now_us: int) -> None:
         """Mark as gone what a whole list does not name."""
         listed = {entry.endpoint.id for entry in update.entries}
-        for endpoint_id in self.entries.keys() - listed - set(update.unread):
+        for endpoint_id in self.entries.keys() - listed - set(update.unreadable_entries):
             self._listed.pop(endpoint_id, None)
             self.left_at.setdefault(endpoint_id, now_us)
             self._removed_at.setdefault(endpoint_id, now_us)
@@ -186,9 +188,9 @@
             self.entries[endpoint_id] = entry
             self._entry_counts[entry.endpoint.destination] += 1
 
-    def _forget_removed(self, now_us: int) -> None:
+    def _drop_expired_removed(self, now_us: int) -> None:
         """Forget what went so long ago that nothing is out there: ids and addresses are ever new."""
-        while self._removed_at and next(iter(self._removed_at.values())) < now_us - self._forget_us:
+        while self._removed_at and next(iter(self._removed_at.values())) < now_us - self._removed_retention_us:
             endpoint_id = next(iter(self._removed_at))
             address = self.entries[endpoint_id].address
             self._put(endpoint_id, None)
@@ -197,14 +199,14 @@
             if self._owners.get(address) == endpoint_id:
                 del self._owners[address]
 
-    def _log_unread(self, update: ListUpdate) -> None:
+    def _log_unreadable(self, update: ListUpdate) -> None:
         """Count the entries of an update that could not be read, and log them once."""
-        self.unread += len(update.unread)
-        if update.unread != self._last_unread:
-            self._last_unread = update.unread
+        self.unreadable_entries += len(update.unreadable_entries)
+        if update.unreadable_entries != self._last_unreadable:
+            self._last_unreadable = update.unreadable_entries
             log.warning(
                 "endpoint list: %d entries of version %d cannot be read and stay as they were, the first %r",
-                len(update.unread),
+                len(update.unreadable_entries),
                 update.seq,
-                update.unread[0],
+                update.unreadable_entries[0],
             )
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -10,19 +10,21 @@
 from scalefall.errors import RemoteProtocolError
 from scalefall.policy.events import Endpoint, EndpointStatus
 
-MAX_NAME_LENGTH = 255  # characters of an id, a zone, a kind: they go into the journal with each call
+MAX_NAME_CHARACTERS = 255  # characters of an id, a zone, a kind: they go into the journal with each call
 MAX_DEPTH = 32  # objects within one another; a list has two
-SHOWN_BYTES = 40  # of what is no list, in the error's text
-SHOWN_CHARACTERS = 20  # of a name that is too long, in the error's text
+ERROR_EXCERPT_BYTES = 40  # of what is no list, in the error's text
+ERROR_EXCERPT_CHARACTERS = 20  # of a name that is too long, in the error's text
 HEALTH_STATUS = {
     "in_service": EndpointStatus.READY,
     "terminating": EndpointStatus.DRAINING,
     "terminated": EndpointStatus.GONE,
 }
-TEXT = rb'"(?:[^"\\]++|\\.)*+"'
-FLAT = rb'\{(?:[^{}"]++|' + TEXT + rb")*+\}"  # an object with none in it, as an entry is: one step
-TOKEN = re.compile(FLAT + b"|" + TEXT + rb'|[{}"]', re.DOTALL)  # a lone quotation mark: a text that has not all come
-SPACE = b" \t\r\n"
+JSON_STRING = rb'"(?:[^"\\]++|\\.)*+"'
+FLAT_OBJECT = rb'\{(?:[^{}"]++|' + JSON_STRING + rb")*+\}"  # an object with none in it, as an entry is: one step
+TOKEN = re.compile(
+    FLAT_OBJECT + b"|" + JSON_STRING + rb'|[{}"]', re.DOTALL
+)  # a lone quotation mark: a text that has not all come
+JSON_WHITESPACE = b" \t\r\n"
 
 EntryRow = TypedDict(  # one endpoint in discovery's JSON; `class` is no name that a class body could have
     "EntryRow",
@@ -84,15 +86,15 @@
 
     Attributes:
         seq: The version.
-        whole: It is the whole list; else what has changed.
+        is_full: It is the whole list; else what has changed.
         entries: Its entries.
-        unread: The entries that could not be read, by id where that much could, else as empty texts.
+        unreadable_entries: The entries that could not be read, by id where that much could, else as empty texts.
     """
 
     seq: int
-    whole: bool
+    is_full: bool
     entries: list[Entry]
-    unread: tuple[str, ...] = ()
+    unreadable_entries: tuple[str, ...] = ()
 
 
 class ObjectStream:
@@ -170,9 +172,9 @@
         Raises:
             EndpointListError: There is more than white space in it.
         """
-        between = self._text[start:end].strip(SPACE)
+        between = self._text[start:end].strip(JSON_WHITESPACE)
         if between:
-            raise EndpointListError(f"no list: {bytes(between[:SHOWN_BYTES])!r}")
+            raise EndpointListError(f"no list: {bytes(between[:ERROR_EXCERPT_BYTES])!r}")
         return end
 
 
@@ -189,7 +191,7 @@
         OverflowError: A number in it is infinite.
     """
     entries: list[Entry] = []
-    unread: list[str] = []
+    unreadable_entries: list[str] = []
     first_reason = ""
     try:
         seq, whole, rows = table["seq"], table.get("whole", False), table["hosts"]
@@ -201,13 +203,13 @@
             except (TypeError, KeyError, AttributeError, ValueError, OverflowError) as error:
                 if strict:
                     raise
-                unread.append(_id_of(row))
+                unreadable_entries.append(_id_of(row))
                 first_reason = first_reason or _reason(error)
     except (TypeError, KeyError, AttributeError) as error:
         raise EndpointListError(f"list of endpoints: missing or wrong value ({error!r})") from error
-    if unread and not entries:
+    if unreadable_entries and not entries:
         raise EndpointListError(f"list of endpoints: no entry can be read: {first_reason}")
-    return ListUpdate(seq, bool(whole), entries, tuple(unread))
+    return ListUpdate(seq, bool(whole), entries, tuple(unreadable_entries))
 
 
 def _id_of(row: EntryRow) -> str:
@@ -237,8 +239,8 @@
     host, port = row["dial"].rsplit(":", 1)
     if not isinstance(row["host"], str) or not isinstance(row["block"], int) or row["health"] not in HEALTH_STATUS:
         raise EndpointListError(f"list of endpoints: {row['host']!r} has a wrong value")
-    if max(len(row["host"]), len(host), len(str(row["site"])), len(str(row["class"]))) > MAX_NAME_LENGTH:
-        raise EndpointListError(f"list of endpoints: a name of {row['host'][:SHOWN_CHARACTERS]!r} is too long")
+    if max(len(row["host"]), len(host), len(str(row["site"])), len(str(row["class"]))) > MAX_NAME_CHARACTERS:
+        raise EndpointListError(f"list of endpoints: a name of {row['host'][:ERROR_EXCERPT_CHARACTERS]!r} is too long")
     return Entry(
         Endpoint(
             row["host"],
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -18,13 +18,17 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 DIAL_TIMEOUT_US = SECOND_US  # a dial to discovery, and the request on it, are given up after this
-FIRST_WORD_TIMEOUT_US = 3 * SECOND_US  # a watch that has not answered after this is broken
-MAX_SILENCE_US = 3 * SECOND_US  # and so is one that said nothing for so long: discovery sends a line each 2 s
-BYTES_PER_WAIT = 64 * 1024  # of an object that is still coming, for each of which it may take so long again
-MOVE_RETRY_US = 3 * SECOND_US  # after a move, discovery may come up a moment later: it is tried again for so long,
+FIRST_RESPONSE_TIMEOUT_US = 3 * SECOND_US  # a watch that has not answered after this is broken
+IDLE_TIMEOUT_US = 3 * SECOND_US  # and so is one that said nothing for so long: discovery sends a line each 2 s
+BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # of an object that is still coming, for each of which it may take so long again
+MOVE_RETRY_WINDOW_US = (
+    3 * SECOND_US
+)  # after a move, discovery may come up a moment later: it is tried again for so long,
 MOVE_RETRY_INTERVAL_US = SECOND_US // 10  # so often
-SILENCE_SPREAD_US = SECOND_US // 2  # within this, a watch that fell silent is opened anew, and
-CLOSED_SPREAD_US = 2 * SECOND_US  # within this, one that was heard and broke otherwise: not all senders in one moment
+IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # within this, a watch that fell silent is opened anew, and
+CLOSED_RECONNECT_JITTER_US = (
+    2 * SECOND_US
+)  # within this, one that was heard and broke otherwise: not all senders in one moment
 MIN_BACKOFF_US = SECOND_US // 20  # the first backoff; each further failure doubles it,
 MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # up to this where lists are pushed,
 MAX_POLLED_BACKOFF_US = 4 * SECOND_US // 5  # and up to this where they are polled
@@ -40,10 +44,10 @@
 
     seq: int
 
-    def learn(self, update: ListUpdate) -> None:
+    def handle_update(self, update: ListUpdate) -> None:
         """Take in a list, or what of it has changed."""
 
-    def word_received(self) -> None:
+    def watch_active(self) -> None:
         """Take in that discovery has said something, a list or a line that says only that it is there."""
 
     def watch_failed(self) -> None:
@@ -51,31 +55,31 @@
 
 
 @dataclass(slots=True)
-class _Connection:
+class _WatchConnection:
     """What has come of one watch's answer.
 
     Attributes:
         reader: Reads the HTTP answer.
         objects: Cuts its body into objects.
-        word_at_us: When it began, or last said a whole object or a blank line, in monotonic microseconds.
+        active_at_us: When it began, or last said a whole object or a blank line, in monotonic microseconds.
         received_at_us: When any bytes came last, in monotonic microseconds.
-        max_wait_us: How long the next word may take, in microseconds.
-        bytes_since_word: The bytes of the body that came since the last word.
+        timeout_us: How long the next word may take, in microseconds.
+        bytes_since_active: The bytes of the body that came since the last word.
         is_first: No update has come yet.
     """
 
     reader: http.AnswerReader
     objects: ObjectStream
-    word_at_us: int
+    active_at_us: int
     received_at_us: int
-    max_wait_us: int = FIRST_WORD_TIMEOUT_US
-    bytes_since_word: int = 0
+    timeout_us: int = FIRST_RESPONSE_TIMEOUT_US
+    bytes_since_active: int = 0
     is_first: bool = True
 
     def deadline_us(self) -> int:
         """Return until when the next bytes have to come, in monotonic microseconds."""
-        waits = 1 + self.bytes_since_word // BYTES_PER_WAIT
-        return min(self.word_at_us + self.max_wait_us * waits, self.received_at_us + self.max_wait_us)
+        waits = 1 + self.bytes_since_active // BYTES_PER_IDLE_TIMEOUT
+        return min(self.active_at_us + self.timeout_us * waits, self.received_at_us + self.timeout_us)
 
 
 class ListWatch:
@@ -107,9 +111,9 @@
         self._pushed = pushed
         self._max_object_bytes = max_object_bytes
         self._random = random.Random(seed)
-        self._heard_at_us = -1  # when a watch last said anything
-        self._fell_silent = False  # the last watch broke by saying nothing
-        self._moved_at_us = -MOVE_RETRY_US
+        self._last_active_at_us = -1  # when a watch last said anything
+        self._reconnect_soon = False  # the last watch broke by saying nothing
+        self._moved_at_us = -MOVE_RETRY_WINDOW_US
         self._task: Task | None = None
 
     def open(self) -> None:
@@ -139,27 +143,29 @@
             reason = self._watch_once(discovery)
             if discovery != self._discovery:
                 continue
-            if self._scheduler.now() < self._moved_at_us + MOVE_RETRY_US:
+            if self._scheduler.now() < self._moved_at_us + MOVE_RETRY_WINDOW_US:
                 self._scheduler.sleep(MOVE_RETRY_INTERVAL_US)
                 continue
             log.info("watch on the endpoint list broken: %s", reason)
-            if not self._pushed and not self._fell_silent:
+            if not self._pushed and not self._reconnect_soon:
                 self._listener.watch_failed()
-            backoff_us = self._back_off(self._heard_at_us >= started_at_us, backoff_us)
+            backoff_us = self._back_off(self._last_active_at_us >= started_at_us, backoff_us)
 
-    def _back_off(self, was_heard: bool, backoff_us: int) -> int:
+    def _back_off(self, was_active: bool, backoff_us: int) -> int:
         """Wait until the watch is to be opened anew; return the backoff that the next failure doubles.
 
         Args:
-            was_heard: The watch that broke had said something.
+            was_active: The watch that broke had said something.
             backoff_us: The last backoff, in microseconds.
         """
         if self._pushed:
-            backoff_us = MIN_BACKOFF_US if was_heard else min(2 * backoff_us, MAX_PUSHED_BACKOFF_US)
+            backoff_us = MIN_BACKOFF_US if was_active else min(2 * backoff_us, MAX_PUSHED_BACKOFF_US)
             wait_us = backoff_us * (0.5 + self._random.random())
-        elif was_heard or self._fell_silent:
+        elif was_active or self._reconnect_soon:
             backoff_us = MIN_BACKOFF_US
-            wait_us = (SILENCE_SPREAD_US if self._fell_silent else CLOSED_SPREAD_US) * self._random.random()
+            wait_us = (
+                IDLE_RECONNECT_JITTER_US if self._reconnect_soon else CLOSED_RECONNECT_JITTER_US
+            ) * self._random.random()
         else:
             backoff_us = min(2 * backoff_us, MAX_POLLED_BACKOFF_US)
             wait_us = backoff_us * (1 + self._random.random()) / 2
@@ -168,7 +174,7 @@
 
     def _watch_once(self, discovery: tuple[str, int]) -> str:
         """Follow one watch to its end; return why it ended."""
-        self._fell_silent = False
+        self._reconnect_soon = False
         sock = None
         try:
             sock = streams.dial(self._scheduler, discovery, self._scheduler.now() + DIAL_TIMEOUT_US)
@@ -194,7 +200,7 @@
         streams.send(self._scheduler, sock, request, self._scheduler.now() + DIAL_TIMEOUT_US)
         reader, objects = http.AnswerReader(self._max_object_bytes), ObjectStream(self._max_object_bytes)
         now_us = self._scheduler.now()
-        connection = _Connection(reader, objects, now_us, now_us)
+        connection = _WatchConnection(reader, objects, now_us, now_us)
         while not reader.complete:
             self._check_address(discovery)
             data = self._receive(sock, connection)
@@ -209,15 +215,15 @@
                 raise OSError(f"discovery answered {reader.status}")
             self._process(connection, reader.take(), discovery)
 
-    def _receive(self, sock: socket.socket, connection: _Connection) -> bytes:
+    def _receive(self, sock: socket.socket, connection: _WatchConnection) -> bytes:
         """Return the next bytes of a watch; a TimeUp means that it fell silent if its answer had begun."""
         try:
             return streams.receive(self._scheduler, sock, connection.deadline_us())
         except streams.TimeUp:
-            self._fell_silent = connection.reader.head_done  # what it would have told counts as told soon
+            self._reconnect_soon = connection.reader.head_done  # what it would have told counts as told soon
             raise
 
-    def _process(self, connection: _Connection, data: bytes, discovery: tuple[str, int]) -> None:
+    def _process(self, connection: _WatchConnection, data: bytes, discovery: tuple[str, int]) -> None:
         """Take in the next bytes of a watch's body. A long list lets other tasks have their turns."""
         was_between = connection.objects.is_between_objects
         tables = connection.objects.feed(data)
@@ -227,17 +233,17 @@
             update = read_list(table, strict=False)
             if len(update.entries) >= YIELD_ENTRIES:
                 self._scheduler.sleep(0)
-            if connection.is_first and not update.whole and update.seq < self._listener.seq:
-                self._listener.seq, self._fell_silent = 0, True
+            if connection.is_first and not update.is_full and update.seq < self._listener.seq:
+                self._listener.seq, self._reconnect_soon = 0, True
                 raise OSError("discovery counts its versions anew")
             connection.is_first = False
             self._check_address(discovery)
-            self._listener.learn(update)
-        connection.bytes_since_word += len(data)
+            self._listener.handle_update(update)
+        connection.bytes_since_active += len(data)
         if tables or (data and was_between and data.isspace()):  # a part of an object is no word: it may drip for good
-            self._listener.word_received()
-            self._heard_at_us = connection.word_at_us = self._scheduler.now()
-            connection.max_wait_us, connection.bytes_since_word = MAX_SILENCE_US, 0
+            self._listener.watch_active()
+            self._last_active_at_us = connection.active_at_us = self._scheduler.now()
+            connection.timeout_us, connection.bytes_since_active = IDLE_TIMEOUT_US, 0
         if len(data) >= YIELD_BYTES:
             self._scheduler.sleep(0)
 
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -68,7 +68,7 @@
         self._settings.classes.clear()
         self._settings.classes.update(classes)
         self._settings.max_attempts = new.max_attempts
-        self._endpoint_list.remember_for(forget_endpoints_after_us(self._settings))
+        self._endpoint_list.extend_removed_retention(forget_endpoints_after_us(self._settings))
 
     def _log_changes(self, new: Settings) -> None:
         """Log what differs from the settings in force, if anything does."""
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -242,14 +242,14 @@
 
     def _endpoint_list_changed(self, event: EndpointListUpdate) -> None:
         """Pass on what the endpoint list has learned."""
-        self.dispatcher.close_unwanted_connections()
+        self.dispatcher.close_idle_to_draining()
         self.events.gather(event)
         self.recovery.release_learned_rates()
 
     def _run_housekeeping(self) -> None:
         """Report broken invariants, and forget what is over; every so often."""
         invariants.log_violations()
-        self.dispatcher.forget_expired_waits()
+        self.dispatcher.drop_expired_waits()
         self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
 
 
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -72,9 +72,9 @@
             self._removed_in[entry.endpoint.id] = version
         if added or removed or changed:
             draining = [_with_status(entry, EndpointStatus.DRAINING) for entry in removed]
-            self.learn(ListUpdate(version, False, [*draining, *added, *changed]))
+            self.handle_update(ListUpdate(version, False, [*draining, *added, *changed]))
         if removed:
-            self._scheduler.call_at(self._scheduler.now() + self._drain_grace_us, self._end_grace, version)
+            self._scheduler.call_at(self._scheduler.now() + self._drain_grace_us, self._end_drain, version)
         return ListChange(len(added), len(removed), len(changed))
 
     def _is_listed(self, endpoint_id: str) -> bool:
@@ -86,14 +86,14 @@
             and entry.endpoint.status is not EndpointStatus.GONE
         )
 
-    def _end_grace(self, version: int) -> None:
+    def _end_drain(self, version: int) -> None:
         """Let the endpoints be gone that were removed in a version and have not come back."""
         endpoint_ids = [endpoint_id for endpoint_id, removed_in in self._removed_in.items() if removed_in == version]
         for endpoint_id in endpoint_ids:
             del self._removed_in[endpoint_id]
         if endpoint_ids:
             terminated = [_with_status(self.entries[endpoint_id], EndpointStatus.GONE) for endpoint_id in endpoint_ids]
-            self.learn(ListUpdate(self.seq + 1, False, terminated))
+            self.handle_update(ListUpdate(self.seq + 1, False, terminated))
 
 
 def _with_status(entry: Entry, status: EndpointStatus) -> Entry:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -416,7 +416,7 @@
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
-        calls.attempts._is_wanted = lambda name: name != "withdrawn"
+        calls.attempts._is_pending = lambda name: name != "withdrawn"
         calls.attempts.begin(
             calls.entry, [calls.message("over", span=10 * MS), calls.message("withdrawn"), calls.message("fine")]
         )
--- a/tests/test_connection_retention.py
+++ b/tests/test_connection_retention.py
@@ -29,8 +29,8 @@
 def test_what_was_learnt_of_an_endpoint_goes_with_it():
     keeping = ConnectionRetention(2)
     keeping.connection_rejected("e")
-    keeping.forget("e")
-    keeping.forget("never met")
+    keeping.remove_endpoint("e")
+    keeping.remove_endpoint("never met")
     assert keeping.retention_us("e", 8 * S) == 4 * S
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -231,7 +231,7 @@
         assert set(endpoint_list.entries) == {"e", "f"}
         assert not endpoint_list.left_at
         assert peer.accepted == 1
-        assert endpoint_list.unread == 2
+        assert endpoint_list.unreadable_entries == 2
         assert sum("cannot be read" in line for line in caplog.messages) == 1
 
     world.play(play)
@@ -409,13 +409,13 @@
 
     def play():
         endpoint_list, told, old, new = about_to_move(world)
-        moved = endpoint_list.learn
+        moved = endpoint_list.handle_update
 
-        def learn(update):
+        def handle_update(update):
             moved(update)
             endpoint_list.move(new.address)  # while the watch's task runs, so that nothing wakes it
 
-        endpoint_list.learn = learn
+        endpoint_list.handle_update = handle_update
         old.send(
             chunk(list_update(50, listed("f", HERE), whole=False), list_update(51, listed("g", HERE), whole=False))
         )
--- a/tests/test_list_stream.py
+++ b/tests/test_list_stream.py
@@ -60,7 +60,7 @@
     ]
     found = read_list(list_update(3, listed("a", HERE), *wrong, listed("b", HERE)), strict=False)
     assert [entry.endpoint.id for entry in found.entries] == ["a", "b"]
-    assert found.unread == ("x", "", "", "y", "z", "w", "v")
+    assert found.unreadable_entries == ("x", "", "", "y", "z", "w", "v")
     for row in wrong:
         with pytest.raises((ValueError, OverflowError)):
             read_list(list_update(3, listed("a", HERE), row))
--- a/tests/test_told_in_time.py
+++ b/tests/test_notified_in_time.py
@@ -98,7 +98,7 @@
 
     def play():
         discovery.firm.watched()
-        world.until(lambda: discovery.list._watch._heard_at_us > 0)
+        world.until(lambda: discovery.list._watch._last_active_at_us > 0)
         fell = world.now()
         if end == "closed":
             discovery.firm.watch.close()
@@ -143,7 +143,7 @@
     def play():
         discovery.firm.watched()
         hosts = (listed(f"x{number}", discovery.firm.endpoint.address) for number in range(2000))
-        data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_WAIT]
+        data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_IDLE_TIMEOUT]
         discovery.firm.send(discovery.firm.watch, data)
         world.sleep(MS)
         fell = world.now()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -359,7 +359,7 @@
         sock, _ = firm.call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
         firm.world.until(lambda: not firm.sender.dispatcher.may_begin(entry))
-        firm.sender.dispatcher.forget_expired_waits()  # this one has not expired
+        firm.sender.dispatcher.drop_expired_waits()  # this one has not expired
         assert not firm.sender.dispatcher.may_begin(entry)
         firm.world.sleep(600 * MS)
         assert firm.sender.dispatcher.may_begin(entry)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -37,7 +37,7 @@
         endpoint_list = firm.sender.endpoint_list
         firm.world.until(lambda: endpoint_list.seq == 2)
         assert sum(e.endpoint.id.startswith("s-") for e in endpoint_list.entries.values()) == SIZE
-        assert endpoint_list.unread == 0
+        assert endpoint_list.unreadable_entries == 0
         for n in (0, 511, SIZE - 1):
             firm.taken(f"m{n}", dest=n)
             sock, call = firm.call()
