--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""From the engine's sends to attempts on the sockets, and back from their results to events."""
+"""Turns the engine's sends into attempts, and the results of attempts into events for the engine."""
 
 from __future__ import annotations
 
@@ -22,19 +22,18 @@
 from scalefall.policy.settings import Idempotency, Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-DRAIN_MARGIN_US = 200 * MILLISECOND_US  # an attempt whose first byte would go out later than the drain's grace less
-# this does not begin: its endpoint may not be there for its answer
-MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for any body, so for an attempt with several messages too
+DRAIN_MARGIN_US = 200 * MILLISECOND_US  # before a drain's end: a call sent later may find its endpoint stopped
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for any body, that of an attempt with several messages included
 
 
 class AttemptDispatcher:
-    """Groups the sends of a step into attempts, begins them, and reports the outcome of each message.
+    """Groups the sends of a step into attempts, starts them, and reports the outcome of each message.
 
-    Each begin is in the journal before its attempt goes out. Until when a destination wants nothing is kept here, as
-    an attempt whose connection came up late must heed it too.
+    The start of an attempt is recorded in the journal before the attempt goes out. The dispatcher keeps the end of
+    each Retry-After wait, because an attempt whose connection came up late must obey it too.
 
     Attributes:
-        attempts: The attempts that are out, and the pools of connections.
+        attempts: The attempts in flight, and the connection pool.
     """
 
     def __init__(
@@ -48,17 +47,17 @@
         endpoint_list: EndpointList,
         wall_offset_us: int,
     ) -> None:
-        """Start with no attempt out.
+        """Start with no attempt in flight.
 
         Args:
             scheduler: The clock, and the tasks that carry the attempts.
-            settings: What an attempt may hold, by kind of endpoint, and the drain's grace.
-            max_sockets: How many connections to endpoints there may be.
-            events: Carries outcomes to the engine.
+            settings: The number of messages per call by kind of endpoint, and the drain grace.
+            max_sockets: The limit of connections to endpoints.
+            events: Passes outcomes to the engine.
             tracker: The requests in flight.
-            journal: Records begins and outcomes.
+            journal: Records the starts and outcomes of attempts.
             endpoint_list: The endpoints and their addresses.
-            wall_offset_us: What to add to monotonic time for wall time, in microseconds.
+            wall_offset_us: The difference of wall time and monotonic time, in microseconds.
         """
         self._scheduler = scheduler
         self._settings = settings
@@ -68,7 +67,7 @@
         self._journal = journal
         self._endpoint_list = endpoint_list
         self._wall_offset_us = wall_offset_us
-        self._retry_after_until: dict[int | str, int] = {}  # by wait scope: nothing may begin before
+        self._retry_after_until: dict[int | str, int] = {}  # by wait scope, in monotonic microseconds
         self.attempts = Attempts(
             scheduler, settings, max_sockets, self._finish_message, self.may_begin, tracker.open.__contains__
         )
@@ -76,23 +75,23 @@
     # -- sends
 
     def dispatch(self, sends: dict[str, list[Send]]) -> None:
-        """Begin the attempts for a step's sends, given by endpoint id in the engine's order."""
-        for endpoint_id, calls in sends.items():
+        """Start the attempts for a step's sends, given by endpoint id in the engine's order."""
+        for endpoint_id, endpoint_sends in sends.items():
             entry = self._endpoint_list.entries.get(endpoint_id)
             if entry is None:
-                assert_invariant(False, "the module sends to endpoints that the list has")
-                self._report_unsent(endpoint_id, calls)
+                assert_invariant(False, "the engine sends only to listed endpoints")
+                self._report_unsent(endpoint_id, endpoint_sends)
                 continue
             max_messages = self._settings.messages_per_call.get(entry.endpoint.kind, 1)
-            while calls:
-                number = self._count_that_fit(calls[:max_messages])
-                self._begin(entry, calls[:number])
-                calls = calls[number:]
+            while endpoint_sends:
+                number = self._count_that_fit(endpoint_sends[:max_messages])
+                self._begin(entry, endpoint_sends[:number])
+                endpoint_sends = endpoint_sends[number:]
 
-    def _count_that_fit(self, calls: list[Send]) -> int:
-        """Return how many of the sends one body holds; a single one always goes, as it is passed on unchanged."""
+    def _count_that_fit(self, sends: list[Send]) -> int:
+        """Return how many of the sends fit into one body; the first always fits, as a single body is sent unchanged."""
         size = 0
-        for number, send in enumerate(calls):
+        for number, send in enumerate(sends):
             request = self._open.get(send.id)
             size += batch_row_size(request.id, request.idempotency_key, request.body) if request else 0
             alone = request is not None and request.send_alone
@@ -100,32 +99,32 @@
                 return number
             if alone:
                 return 1
-        return len(calls)
+        return len(sends)
 
-    def _report_unsent(self, endpoint_id: str, calls: list[Send]) -> None:
-        """Report sends to an endpoint that is not there as attempts that were not sent."""
-        for send in calls:
+    def _report_unsent(self, endpoint_id: str, sends: list[Send]) -> None:
+        """Report sends to an unknown endpoint as attempts that were not sent."""
+        for send in sends:
             request = self._open.get(send.id)
             attempt = request.attempts if request else 0
             if request:
                 request.attempts += 1
             self._events.gather(AttemptFinished(send.id, attempt, endpoint_id, Outcome.NOT_SENT, 0))
 
-    def _begin(self, entry: Entry, calls: list[Send]) -> None:
-        """Begin one attempt with the messages of these sends.
+    def _begin(self, entry: Entry, sends: list[Send]) -> None:
+        """Start one attempt with the messages of these sends.
 
-        The message with the latest deadline stands first: an answer that comes after the deadline of an attempt's
-        first message ends none of them, and no attempt is out for longer than its last message has time.
+        The message with the latest deadline comes first: an answer after the deadline of an attempt's first message
+        ends none of the messages, and no attempt lasts longer than the latest deadline.
         """
         now_us = self._scheduler.now()
-        loads, ids = [], []
-        for send in sorted(calls, key=self._due_us, reverse=True):
+        messages, ids = [], []
+        for send in sorted(sends, key=self._due_us, reverse=True):
             request = self._open.get(send.id)
-            if request is None:  # not accepted after all: the attempt ends unsent
+            if request is None:  # the request was not accepted: the attempt ends unsent
                 self._events.gather(AttemptFinished(send.id, 0, entry.endpoint.id, Outcome.NOT_SENT, 0, True))
                 continue
             message_class = request.message_class
-            loads.append(
+            messages.append(
                 MessageInCall(
                     send.id,
                     request.attempts,
@@ -138,22 +137,27 @@
             )
             request.attempts += 1
             ids.append(send.id)
-        if not loads:
+        if not messages:
             return
         if log.isEnabledFor(logging.DEBUG):
-            _log_begin(entry, loads, ids, now_us)
+            _log_begin(entry, messages, ids, now_us)
         if self._journal.record_attempt_started(ids, now_us + self._wall_offset_us, entry.endpoint.zone):
-            self.attempts.begin(entry, loads)
+            self.attempts.begin(entry, messages)
         else:
-            for load in loads:
-                self._events.gather(AttemptFinished(load.id, load.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0))
+            for message in messages:
+                self._events.gather(
+                    AttemptFinished(message.id, message.attempt, entry.endpoint.id, Outcome.NOT_SENT, 0)
+                )
 
     def _due_us(self, send: Send) -> int:
-        """Return the deadline of a send's message; 0 if it is no longer open."""
+        """Return the deadline of a send's message; 0 if the message is no longer open."""
         return self._open[send.id].due_us if send.id in self._open else 0
 
     def _start_by_us(self, request: DeliveryRequest) -> float:
-        """Return until when the endpoints drop a repeat of a request, if an attempt with its key may have run."""
+        """Return the latest start of a request's next attempt, in monotonic microseconds.
+
+        Endpoints drop a repeat only within the key's time to live after an attempt that may have run.
+        """
         message_class = request.message_class
         pending = self._journal.pending.get(request.id)
         if (
@@ -168,7 +172,7 @@
     # -- results
 
     def may_begin(self, entry: Entry) -> bool:
-        """Return whether an attempt's first byte may still go out, now that its connection is up."""
+        """Return whether an attempt may still be sent, now that its connection is up."""
         now_us, endpoint = self._scheduler.now(), entry.endpoint
         left_at_us = self._endpoint_list.left_at.get(endpoint.id, now_us)
         drained = now_us - left_at_us > self._settings.drain_grace_us - DRAIN_MARGIN_US
@@ -179,22 +183,22 @@
         )
 
     def drop_expired_waits(self) -> None:
-        """Forget waits that are over, so that none is kept for destinations that have gone."""
+        """Drop the Retry-After waits that are over, so that those of removed destinations do not accumulate."""
         now_us = self._scheduler.now()
         self._retry_after_until = {
             scope: until_us for scope, until_us in self._retry_after_until.items() if until_us > now_us
         }
 
     def close_idle_to_draining(self) -> None:
-        """Close idle connections to endpoints that want nothing new any more."""
+        """Close the idle connections to endpoints that drain or have been removed."""
         for endpoint_id in self._endpoint_list.left_at:
             self.attempts.endpoint_left(self._endpoint_list.entries[endpoint_id])
 
     def _finish_message(self, event: AttemptFinished, unreadable: bool) -> None:
-        """Record how an attempt has ended for one message, and report it to the engine.
+        """Record the outcome of an attempt for one message, and report it to the engine.
 
-        In an attempt with several messages that could not be read, one may spoil the others: each goes alone from
-        now on.
+        If the endpoint could not read a call with several messages, one of them may be the cause: each message is
+        sent alone from then on.
         """
         if unreadable and event.id in self._open:
             self._open[event.id].send_alone = True
@@ -213,16 +217,19 @@
         self._events.gather(event)
 
     def _wait_scope(self, endpoint: Endpoint) -> int | str:
-        """Return what a wait that an endpoint told holds for: its destination, or the endpoint on its own."""
+        """Return the scope of an endpoint's Retry-After: its destination, or the endpoint alone."""
         return endpoint.id if self._settings.route_per_endpoint.get(endpoint.kind) else endpoint.destination
 
 
-def _log_begin(entry: Entry, loads: list[MessageInCall], ids: list[str], now_us: int) -> None:
-    """Log the begin of an attempt for those who follow every message."""
+def _log_begin(entry: Entry, messages: list[MessageInCall], ids: list[str], now_us: int) -> None:
+    """Log the start of an attempt at debug level."""
     debug_event(
-        "pass to %s: %s",
+        "attempt started: endpoint %s, messages %s",
         entry.endpoint.id,
-        " ".join(f"{load.id}/{load.attempt} for {(load.ends_at_us - now_us) // MILLISECOND_US} ms" for load in loads),
+        " ".join(
+            f"{message.id}/{message.attempt} for {(message.ends_at_us - now_us) // MILLISECOND_US} ms"
+            for message in messages
+        ),
         ids=ids,
         endpoint=entry.endpoint.id,
         dest=entry.endpoint.destination,
@@ -230,9 +237,9 @@
 
 
 def _log_outcome(event: AttemptFinished) -> None:
-    """Log the outcome of an attempt for one message, for those who follow every one."""
+    """Log the outcome of an attempt for one message at debug level."""
     debug_event(
-        "outcome %s/%d at %s: %s after %d ms, wait %d ms, told %s",
+        "attempt ended: message %s/%d, endpoint %s, %s after %d ms, Retry-After %d ms, load report %s",
         event.id,
         event.attempt,
         event.endpoint,
--- a/scalefall/net/attempt_request.py
+++ b/scalefall/net/attempt_request.py
@@ -1,4 +1,4 @@
-"""The HTTP request of an attempt: one message as it is, or several as rows of JSON."""
+"""Encodes the HTTP request of an attempt: the body of one message, or several messages as rows of JSON."""
 
 from __future__ import annotations
 
@@ -9,13 +9,12 @@
 from scalefall.net.attempt_state import Attempt, MessageInCall
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-MIN_MILLISECOND_DEADLINE_US = (
-    10 * MILLISECOND_US
-)  # a deadline from here on is told in milliseconds: 10 % is near enough
-SINGLE_TARGET = "/v1/messages"  # where the protocol takes one message
-BATCH_TARGET = "/v1/messages:batch"  # and where several
-BASE64_GROUP_BYTES, BASE64_GROUP_CHARACTERS = 3, 4  # RFC 4648: three bytes become four characters
-ROW_SEPARATOR_BYTES = 2  # a row's comma, and its part of the brackets around all
+MIN_MILLISECOND_DEADLINE_US = 10 * MILLISECOND_US  # sent in milliseconds from here on, as the error is below 10 %
+SINGLE_TARGET = "/v1/messages"  # the protocol's path for one message
+BATCH_TARGET = "/v1/messages:batch"  # the protocol's path for several
+BASE64_GROUP_BYTES = 3  # RFC 4648: bytes that are encoded together
+BASE64_GROUP_CHARACTERS = 4  # RFC 4648: characters that encode one group
+ROW_SEPARATOR_BYTES = 2  # for a row's comma and the array's brackets
 
 
 def encode_request(attempt: Attempt, now_us: int) -> bytes:
@@ -23,7 +22,7 @@
 
     Args:
         attempt: The attempt; it has at least one message.
-        now_us: Now, in monotonic microseconds; the deadline that the endpoint is told counts from it.
+        now_us: Now, in monotonic microseconds; the deadline in the request counts from it.
     """
     messages = attempt.messages
     left_us = max(1, max(message.ends_at_us for message in messages) - now_us)
@@ -38,14 +37,14 @@
 
 
 def batch_row_size(message_id: str, idempotency_key: str | None, body: bytes) -> int:
-    """Return how many bytes a message takes of the body of a call with several."""
+    """Return how many bytes a message takes in the body of a call with several."""
     empty_row = json.dumps(_batch_row(message_id, idempotency_key, ""), separators=(",", ":"))
-    groups = -(-len(body) // BASE64_GROUP_BYTES)  # rounded up: the last one is padded
+    groups = -(-len(body) // BASE64_GROUP_BYTES)  # rounded up, as the last group is padded
     return len(empty_row) + BASE64_GROUP_CHARACTERS * groups + ROW_SEPARATOR_BYTES
 
 
 def _encode_single(host: str, message: MessageInCall, deadline: tuple[str, str]) -> bytes:
-    """Return the request for one message, whose body goes out as it came."""
+    """Return the request for one message, with its body unchanged."""
     fields = [("X-Request-Id", message.id), deadline, ("Content-Type", "application/octet-stream")]
     if message.idempotency_key is not None:
         fields.insert(1, ("Idempotency-Key", message.idempotency_key))
@@ -53,7 +52,7 @@
 
 
 def _encode_batch(host: str, messages: list[MessageInCall], deadline: tuple[str, str]) -> bytes:
-    """Return the request for several messages, each a row with its body in base64."""
+    """Return the request for several messages, each a JSON row with its body in base64."""
     rows = [
         _batch_row(message.id, message.idempotency_key, base64.b64encode(message.body).decode()) for message in messages
     ]
@@ -62,7 +61,7 @@
 
 
 def _batch_row(message_id: str, idempotency_key: str | None, body: str) -> dict[str, str]:
-    """Return a message's row of a call with several; body is base64."""
+    """Return a message's row in a call with several; the body is base64."""
     if idempotency_key is None:
         return {"id": message_id, "body": body}
     return {"id": message_id, "key": idempotency_key, "body": body}
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -1,7 +1,7 @@
-"""What became of an attempt's messages, read off the endpoint's answer by the protocol's table of outcomes.
+"""Reads the results of an attempt's messages from the endpoint's answer, by the protocol's table of outcomes.
 
-A connection that could not be had, or that broke before the call's last byte was written, proves that nothing has run;
-after that byte it may have.
+If the dial failed, or the connection broke before the call's last byte was written, nothing has run; after that byte
+the messages may have run.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from scalefall.policy.events import Outcome
 
 SECOND_US = 1_000_000  # microseconds in a second
-SECONDS = re.compile(r"\d{1,9}(\.\d{0,9})?\Z")  # a Retry-After: decimals are the protocol's own, HTTP has none
-STATE_OUTCOMES = {  # the protocol's states of one message in an answer for several
+RETRY_AFTER = re.compile(r"\d{1,9}(\.\d{0,9})?\Z")  # in seconds; the protocol allows decimals, HTTP does not
+STATE_OUTCOMES = {  # by the protocol's state of one message in an answer for several
     "accepted": Outcome.OK,
     "fault": Outcome.ERROR,
     "deferred": Outcome.OVERLOADED,
     "expired": Outcome.NOT_SENT,
     "no_more": Outcome.NOT_SENT,
 }
-FINAL_STATES = ("accepted", "expired")  # those after which a message needs no further attempt
+FINAL_STATES = ("accepted", "expired")  # a message in one of these needs no further attempt
 
 
 @dataclass(slots=True)
 class MessageResult:
-    """What became of one message of an attempt, or of all of them alike.
+    """The result of an attempt for one message, or the same result for all of them.
 
     Attributes:
-        outcome: How the attempt ended for it.
-        retry_after_us: For how long the endpoint wants nothing more, in microseconds; 0 if it said nothing of it.
+        outcome: The outcome of the attempt.
+        retry_after_us: The Retry-After that the endpoint demands, in microseconds; 0 without one.
         finished: The message needs no further attempt.
-        unreadable: The endpoint could not read the call with several messages; one of them may spoil the others.
+        unreadable: The endpoint could not read a call with several messages; one of them may be the cause.
     """
 
     outcome: Outcome
@@ -46,16 +46,16 @@
     unreadable: bool = False
 
 
-AttemptResult: TypeAlias = MessageResult | dict[str, MessageResult]  # one for all messages, or one for each by its id
+AttemptResult: TypeAlias = MessageResult | dict[str, MessageResult]  # for all messages, or by message id
 
 
 def read_answer(attempt: Attempt, reader: http.AnswerReader, answers_carry_report: bool) -> AttemptResult | None:
-    """Return what a whole answer says; None if it cannot be used.
+    """Return the result in a whole answer; None if the answer is unusable.
 
     Args:
         attempt: The attempt that it answers.
-        reader: Has read the whole answer.
-        answers_carry_report: The endpoints report their load with each answer to a call that they took up.
+        reader: The reader of the whole answer.
+        answers_carry_report: Endpoints add a load report to each answer to a call that they accepted.
     """
     if reader.status == 200 and len(attempt.messages) > 1:
         return _read_batch(attempt, reader)
@@ -65,16 +65,16 @@
 def read_broken_answer(
     attempt: Attempt, reader: http.AnswerReader, error: Exception, answers_carry_report: bool
 ) -> MessageResult:
-    """Return what became of an attempt to which no whole answer came.
+    """Return the result of an attempt that got no whole answer.
 
-    A first line of 200 is true for a single message; whatever else a spoilt answer says, the call may have run. Where
-    the connection broke within an answer, the first line counts.
+    A status of 200 is final for a single message. After any other malformed answer the call may have run. If the
+    connection broke within an answer, its status line counts.
 
     Args:
         attempt: The attempt.
-        reader: Has read what came of the answer.
-        error: What ended the attempt.
-        answers_carry_report: The endpoints report their load with each answer to a call that they took up.
+        reader: The reader of the part of the answer that was received.
+        error: The error that ended the attempt.
+        answers_carry_report: Endpoints add a load report to each answer to a call that they accepted.
     """
     if not attempt.written:
         return MessageResult(Outcome.CONNECT_FAILED)
@@ -94,13 +94,13 @@
 
 
 def read_retry_after(fields: dict[str, str]) -> int:
-    """Return an answer's Retry-After in microseconds, rounded up as a wait is not cut short; 0 if it has none."""
+    """Return an answer's Retry-After in microseconds, rounded up; 0 if it has none."""
     value = fields.get("retry-after", "")
-    return math.ceil(float(value) * SECOND_US) if SECONDS.match(value) else 0
+    return math.ceil(float(value) * SECOND_US) if RETRY_AFTER.match(value) else 0
 
 
 def read_load_report(fields: dict[str, str]) -> dict[str, float]:
-    """Return the load report that an answer carries, figures by name; one that cannot be read is as good as none."""
+    """Return an answer's load report, as values by metric name; empty if it is missing or cannot be read."""
     text = fields.get("x-load")
     if not text:
         return {}
@@ -109,13 +109,13 @@
         if all(0 <= value < math.inf for value in report.values()):
             return report
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError):
-        pass  # not an object of numbers either
+        pass  # not an object of numbers
     log.warning("load report cannot be read: %.80r", text)
     return {}
 
 
 def _read_status(attempt: Attempt, reader: http.AnswerReader, answers_carry_report: bool) -> MessageResult:
-    """Return what an answer's status and fields say of all messages of an attempt."""
+    """Return the result for all messages of an attempt from an answer's status and fields."""
     retry_after_us = read_retry_after(reader.fields)
     is_single = len(attempt.messages) == 1
     match reader.status:
@@ -137,9 +137,9 @@
 
 
 def _rejection(attempt: Attempt, reader: http.AnswerReader, retry_after_us: int, answers_carry_report: bool) -> Outcome:
-    """Return who rejected an attempt with 429 or 503: this side's egress, the endpoint, or its limit of connections.
+    """Return the outcome of a 429 or 503: not sent by the local egress, overloaded, or out of connections.
 
-    What rejects a call knows its load and reports it; what rejects a new connection does not get so far.
+    An endpoint that rejects a call reports its load. One that rejects a new connection answers without a load report.
     """
     if "x-egress-full" in reader.fields:
         return Outcome.NOT_SENT
@@ -157,7 +157,7 @@
 
 
 def _read_batch(attempt: Attempt, reader: http.AnswerReader) -> dict[str, MessageResult] | None:
-    """Return what an answer for several messages says of each; None if it cannot be used."""
+    """Return the result of each message from an answer for several; None if the answer is unusable."""
     retry_after_us = read_retry_after(reader.fields)
     results: dict[str, MessageResult] = {}
     try:
--- a/scalefall/net/attempt_state.py
+++ b/scalefall/net/attempt_state.py
@@ -1,4 +1,4 @@
-"""What one attempt is about: the messages that it carries, the endpoint that it goes to, and how far it has come."""
+"""The state of one attempt: its messages, its endpoint and its progress."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
         id: The message's id.
         attempt: The number of this attempt among the message's attempts, from 0.
         ends_at_us: When the message stops waiting for an answer, in monotonic microseconds.
-        idempotency_key: The key under which the endpoint drops a repeat; None without one.
+        idempotency_key: The key by which the endpoint drops a repeat; None without one.
         body: The message's body.
-        not_idempotent: It must not take effect twice: once it may have run, it has failed.
-        start_by_us: Its first byte must not go out later, in monotonic microseconds: the endpoints drop a repeat only
-            until then.
+        not_idempotent: The message must not take effect twice: it has failed once an attempt may have run.
+        start_by_us: The latest time for the first byte, in monotonic microseconds: endpoints drop a repeat only until
+            then.
     """
 
     id: str
@@ -40,12 +40,12 @@
 
     Attributes:
         entry: The endpoint, and where to dial.
-        messages: The messages that it carries, the one with the most time first.
-        started_at_us: When it began, in monotonic microseconds.
-        task: The task that carries it out.
-        connection: The connection that it has now; None before it has one, and once that is released or closed.
-        written: The call's last byte is on its way, so that the messages may have run.
-        over: Its messages have their outcomes; what it still brings touches nothing.
+        messages: Its messages, the one with the latest deadline first.
+        started_at_us: When it started, in monotonic microseconds.
+        task: The task that runs it.
+        connection: Its connection; None before the dial ends, and after the connection is released or closed.
+        written: The call's last byte has been sent, so that the messages may have run.
+        over: All of its messages have their outcomes; later events are ignored.
     """
 
     entry: Entry
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -1,7 +1,7 @@
 """Carries out attempts: one call to an endpoint, with one message or several, over a pool of connections.
 
-`attempt_state` has what an attempt is, `attempt_request` its bytes, `connection_pool` the connections, and
-`attempt_result` tells how it has ended.
+`attempt_state` defines an attempt, `attempt_request` encodes it, `connection_pool` provides its connection, and
+`attempt_result` reads its result from the answer.
 """
 
 from __future__ import annotations
@@ -29,10 +29,8 @@
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-MAX_ANSWER_DURATION_US = (
-    1000 * MILLISECOND_US
-)  # from an answer's first byte to its last: a retry needs the rest of the time
-MAX_DELIVERED_ANSWER_DURATION_US = 200 * MILLISECOND_US  # the same, once its first line has said all that matters
+MAX_ANSWER_DURATION_US = 1000 * MILLISECOND_US  # from the first byte to the last; leaves time for a retry
+MAX_DELIVERED_ANSWER_DURATION_US = 200 * MILLISECOND_US  # where a status of 200 has already decided the outcome
 
 
 class Attempts:
@@ -51,12 +49,12 @@
 
         Args:
             scheduler: The clock, and the tasks that carry out attempts.
-            settings: The time for a dial and for idle connections, and whether answers carry load reports.
-            max_sockets: How many connections to endpoints there may be.
-            report_outcome: Takes how an attempt has ended for one message, and whether the endpoint could not read a
-                call with several.
-            may_begin: Tells whether a call may still go out to an endpoint, once its connection is up.
-            is_pending: Tells whether the message with an id still waits for an answer.
+            settings: The time limits of dials and idle connections, and whether answers carry load reports.
+            max_sockets: The limit of connections to endpoints.
+            report_outcome: Called with the outcome of an attempt for one message, and whether the endpoint could not
+                read a call with several messages.
+            may_begin: Returns whether a call may still go out to an endpoint, once its connection is up.
+            is_pending: Returns whether the message with this id still waits for an answer.
         """
         self._scheduler = scheduler
         self._settings = settings
@@ -68,22 +66,22 @@
 
     @property
     def in_flight(self) -> int:
-        """How many attempts have not ended for all of their messages."""
+        """The number of attempts that have not ended for all of their messages."""
         return len({id(attempt) for attempt in self._in_flight.values()})
 
     def begin(self, entry: Entry, messages: list[MessageInCall]) -> None:
-        """Begin an attempt with these messages, at least one; it goes on as a task of its own."""
+        """Start an attempt with these messages, at least one; it runs as a task of its own."""
         attempt = Attempt(entry, messages, self._scheduler.now())
         for message in messages:
-            assert_invariant((message.id, message.attempt) not in self._in_flight, "an attempt is begun once")
+            assert_invariant((message.id, message.attempt) not in self._in_flight, "an attempt is started once")
             self._in_flight[message.id, message.attempt] = attempt
         attempt.task = self._scheduler.spawn(self._run, attempt)
 
     def cancel(self, message_id: str, attempt_number: int) -> None:
-        """Stop waiting for one message of an attempt.
+        """Cancel one message of an attempt.
 
-        The connection is closed with the last message of the attempt: as long as it is open the message counts as in
-        flight, and must not be reported as ended.
+        The connection stays open until the last message of the attempt ends. While it is open, a cancelled message
+        is still in flight and must not be reported as ended.
         """
         attempt = self._in_flight.get((message_id, attempt_number))
         if attempt is None or attempt.over:
@@ -101,7 +99,7 @@
         self._pool.close_idle(entry)
 
     def endpoint_left(self, entry: Entry) -> None:
-        """Close the idle connections to an endpoint that wants nothing new any more, or has gone."""
+        """Close the idle connections to an endpoint that drains or has been removed, and drop its statistics."""
         self._pool.remove_endpoint(entry)
 
     def close(self) -> None:
@@ -111,14 +109,14 @@
     # -- one attempt
 
     def _run(self, attempt: Attempt) -> None:
-        """Carry an attempt to its end, whatever happens on the way; runs as a task."""
+        """Run an attempt to its end, whatever fails on the way; runs as a task."""
         if attempt.over:
             return
         self._pool.in_use += 1
         reader = http.AnswerReader()
         try:
             self._perform(attempt, reader)
-        except Exception as error:  # noqa: BLE001 - a fault of ours must leave none of the messages without an outcome
+        except Exception as error:  # noqa: BLE001 - a program error must leave no message without an outcome
             if not isinstance(error, (OSError, http.Malformed)):
                 self._scheduler.failed("attempt", self._perform)
             if not attempt.over:
@@ -132,13 +130,13 @@
     def _perform(self, attempt: Attempt, reader: http.AnswerReader) -> None:
         """Connect, send the call and read its answer.
 
-        An endpoint starts a call at its last byte, so one that is overtaken in its middle never ran. So its bytes may
-        go out until the end of any message's time, which has its final answer by then, or of the time for which a
-        repeat is dropped.
+        An endpoint runs a call only after its last byte, so a call that is cut off before never ran. Sending stops at
+        the earliest end of a message's time, as that message has its final answer by then, or at the earliest end of
+        the time in which endpoints drop a repeat.
 
         Raises:
-            OSError: The connection could not be had or broke, or the time was up.
-            http.Malformed: What came is no answer.
+            OSError: The connection failed or broke, or the time was up.
+            http.Malformed: The answer is not valid HTTP.
         """
         until_us = max(message.ends_at_us for message in attempt.messages)
         pool = self._pool
@@ -149,7 +147,7 @@
         if attempt.over:
             self._close_connection(attempt)
             return
-        if not self._may_begin(attempt.entry):  # drained, or told to wait, while the connection came up
+        if not self._may_begin(attempt.entry):  # a drain or a Retry-After came during the dial
             pool.release(connection, attempt.entry)
             attempt.connection = None
             self._end(attempt, MessageResult(Outcome.NOT_SENT))
@@ -170,9 +168,9 @@
             self._end_answered(attempt, connection, reader)
 
     def _drop_late_messages(self, attempt: Attempt) -> None:
-        """Drop messages from the call that might take effect twice by now, or are over.
+        """Drop the messages from the call that might take effect twice by now, or have ended.
 
-        A dial may take over a second, and a call with several messages waits for the one that has most time.
+        A dial may take over a second, and a call with several messages waits until the latest deadline among them.
         """
         now_us = self._scheduler.now()
         late = [
@@ -185,11 +183,11 @@
             self._report(attempt, message, MessageResult(Outcome.NOT_SENT), {})
 
     def _receive(self, attempt: Attempt, sock: socket.socket, reader: http.AnswerReader, until_us: int) -> bool:
-        """Read the whole answer; return False if the attempt was over before.
+        """Read the whole answer; return False if the attempt ended before.
 
         Raises:
             OSError: The connection broke, or the time was up.
-            http.Malformed: What came is no answer.
+            http.Malformed: The answer is not valid HTTP.
         """
         started_at_us = 0
         while not reader.complete:
@@ -211,7 +209,7 @@
     # -- its end
 
     def _end_answered(self, attempt: Attempt, connection: Connection, reader: http.AnswerReader) -> None:
-        """End an attempt with its whole answer, and keep its connection if it can serve another."""
+        """End an attempt with its whole answer, and release its connection if it is reusable."""
         self._pool.record_use(connection, was_lost=False)
         results = read_answer(attempt, reader, self._settings.answers_carry_report)
         if connection.is_new:
@@ -227,14 +225,14 @@
         self._end(attempt, results, reader)
 
     def _end_broken(self, attempt: Attempt, reader: http.AnswerReader, error: Exception) -> None:
-        """End an attempt to which no whole answer came."""
+        """End an attempt that got no whole answer."""
         result = read_broken_answer(attempt, reader, error, self._settings.answers_carry_report)
         if attempt.written and attempt.connection is not None:
             self._pool.record_use(attempt.connection, was_lost=result.outcome is Outcome.RESET)
         self._end(attempt, result, reader)
 
     def _end(self, attempt: Attempt, results: AttemptResult, reader: http.AnswerReader | None = None) -> None:
-        """Report every message's outcome, once. What an attempt that is over still brings touches nothing."""
+        """Report every message's outcome, once. Later events of the attempt are ignored."""
         attempt.over = True
         load_report = read_load_report(reader.fields) if reader is not None and reader.head_done else {}
         self._close_connection(attempt)
@@ -245,7 +243,7 @@
     def _report(
         self, attempt: Attempt, message: MessageInCall, result: MessageResult, load_report: dict[str, float]
     ) -> None:
-        """Report how the attempt has ended for one message."""
+        """Report the outcome of the attempt for one message."""
         del self._in_flight[message.id, message.attempt]
         event = AttemptFinished(
             message.id,
@@ -260,9 +258,9 @@
         self._report_outcome(event, result.unreadable)
 
     def _close_connection(self, attempt: Attempt) -> None:
-        """Close an attempt's connection, if it has one, and end its task's pause on it."""
+        """Close an attempt's connection, if it has one, and resume the task that waits on it."""
         if attempt.task is not None:
-            self._scheduler.wake(attempt.task, streams.Interrupted("the attempt is over"))
+            self._scheduler.wake(attempt.task, streams.Interrupted("the attempt has ended"))
         if attempt.connection is not None:
             attempt.connection.sock.close()
             attempt.connection = None
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to endpoints: idle ones are kept for the next attempts, and new ones are dialled.
+"""The pool of connections to endpoints: reuses idle connections, and dials new ones.
 
-Each idle connection has a task that watches it. It closes the connection in time, and at once when the endpoint closes
-it or sends what nobody asked for.
+A task watches each idle connection. It closes the connection after its retention time, and at once when the endpoint
+closes it or sends unexpected bytes.
 """
 
 from __future__ import annotations
@@ -18,21 +18,19 @@
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # an idle connection is closed so long before its endpoint would close it
-REUSE_DELAY_US = (
-    20 * MILLISECOND_US
-)  # so long after an answer a connection is not used again: what still comes shows in it
-STALE_AFTER_US = 80 * MILLISECOND_US  # a rested connection that nobody used for so long may have died meanwhile
-MAX_STALE_LOSS_RATE = 0.03  # above this share of lost calls on stale connections, what must not run twice avoids these
-STALE_LOSS_AVERAGED_CALLS = 50  # calls on stale connections over which that share is averaged, exponentially
+IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # between this side's close of an idle connection and the endpoint's
+REUSE_DELAY_US = 20 * MILLISECOND_US  # after an answer, in which surplus bytes of the answer may still arrive
+STALE_AFTER_US = 80 * MILLISECOND_US  # after the reuse delay; the peer may have dropped such a connection unnoticed
+MAX_STALE_LOSS_RATE = 0.03  # above it, calls that must not run twice avoid stale connections
+STALE_LOSS_AVERAGED_CALLS = 50  # the span of the stale loss rate's exponential mean
 
 
 class SocketLimitError(OSError):
-    """All connections that the sender may have are in use."""
+    """All sockets that the sender may open are in use."""
 
 
 class EndpointKey(NamedTuple):
-    """An endpoint at its address: a new endpoint at a known address is not the one that was there before."""
+    """An endpoint at its address. A new endpoint at a known address has another key than its predecessor."""
 
     endpoint_id: str
     address: tuple[str, int]
@@ -40,13 +38,13 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connection while an attempt has it.
+    """A connection that an attempt uses.
 
     Attributes:
-        sock: The socket, without blocking.
-        key: The endpoint, and its address.
-        is_new: It was dialled for this attempt.
-        was_stale: It had been idle for so long that it may have died unseen.
+        sock: The non-blocking socket.
+        key: The endpoint and its address.
+        is_new: The connection was dialled for this attempt.
+        was_stale: The connection was idle for so long that the peer may have dropped it unnoticed.
     """
 
     sock: socket.socket
@@ -57,13 +55,13 @@
 
 @dataclass(slots=True, eq=False)
 class IdleConnection:
-    """One idle time of a connection, and the task that watches it.
+    """An idle connection in the pool, and the task that watches it.
 
     Attributes:
         sock: The socket.
-        key: The endpoint, and its address.
-        reusable_at_us: From when an attempt may have it, in monotonic microseconds.
-        idle_close_us: After how many microseconds its endpoint closes it.
+        key: The endpoint and its address.
+        reusable_at_us: The earliest time of its reuse, in monotonic microseconds.
+        idle_close_us: The endpoint's idle timeout, in microseconds.
         watcher: The task that watches it.
     """
 
@@ -75,12 +73,12 @@
 
 
 class ConnectionPool:
-    """Hands out connections to endpoints, and takes them back when their answers are whole.
+    """Provides connections to endpoints, and takes them back after their answers.
 
     Attributes:
-        in_use: The attempts that have a connection or wait for one; whoever carries out attempts counts them here.
-        retention: For how long idle connections are kept.
-        stale_loss_rate: The share, of late, of calls on stale connections that were reset without an answer.
+        in_use: The number of attempts that have a connection or wait for one; the caller counts them.
+        retention: Decides how long idle connections are kept.
+        stale_loss_rate: The recent fraction of calls on stale connections that were reset without an answer.
     """
 
     def __init__(self, scheduler: Scheduler, settings: Settings, max_sockets: int) -> None:
@@ -88,31 +86,30 @@
 
         Args:
             scheduler: The clock, and the tasks that watch idle connections.
-            settings: How long a dial may take, and after how long endpoints close idle connections, where an
-                endpoint's entry does not say.
-            max_sockets: How many connections there may be, in use and idle.
+            settings: The dial timeout and the endpoints' idle timeout, where an endpoint's entry has none.
+            max_sockets: The limit of connections, in use and idle.
         """
         self._scheduler = scheduler
         self._settings = settings
         self._max_sockets = max_sockets
-        self._idle_by_endpoint: dict[EndpointKey, deque[IdleConnection]] = {}  # used last at the right; none is empty
-        self._idle: dict[IdleConnection, None] = {}  # all of them, the longest idle first
+        self._idle_by_endpoint: dict[EndpointKey, deque[IdleConnection]] = {}  # most recently used last; none is empty
+        self._idle: dict[IdleConnection, None] = {}  # all, the longest idle first
         self.in_use = 0
         self.retention = ConnectionRetention(settings.replica_count)
         self.stale_loss_rate = 0.0
 
     def connect(self, entry: Entry, until_us: int, avoid_stale: bool) -> Connection:
-        """Return the connection used last of those that are idle, have rested and are still up; otherwise a new one.
+        """Return the most recently used idle connection that is reusable and still open, or else a new one.
 
         Args:
-            entry: The endpoint, and where to dial.
-            until_us: Until when a dial may take, in monotonic microseconds.
-            avoid_stale: Rather dial than take a connection that may have died unseen.
+            entry: The endpoint and its address.
+            until_us: The end of the time for a dial, in monotonic microseconds.
+            avoid_stale: Dial instead of reusing a stale connection.
 
         Raises:
-            SocketLimitError: No further socket may be opened.
-            streams.TimeUp: The dial took too long.
-            OSError: The endpoint cannot be reached, or the attempt was called off while it waited.
+            SocketLimitError: All sockets that the sender may open are in use.
+            streams.TimeUp: The dial timed out.
+            OSError: The endpoint is unreachable, or the attempt was cancelled during the dial.
         """
         now_us = self._scheduler.now()
         key = EndpointKey(entry.endpoint.id, entry.address)
@@ -120,9 +117,10 @@
         return self._pop_idle(key, now_us, avoid_stale) or self._dial(entry, key, until_us)
 
     def release(self, connection: Connection, entry: Entry) -> None:
-        """Keep a connection for the next attempts, or close it where none is to be kept; whoever had it lets go of it.
+        """Return a connection to the pool, or close it if none is kept; the caller must not use it again.
 
-        It rests first: more than belongs to an answer may come right behind it, and must not answer the next call.
+        The connection is reusable only after a delay: surplus bytes may follow the answer, and must not be read as
+        the answer to the next call.
         """
         idle_close_us = entry.idle_us or self._settings.idle_close_us
         if not self.retention.retention_us(connection.key, idle_close_us):
@@ -134,9 +132,9 @@
         idle.watcher = self._scheduler.spawn(self._watch, idle)
 
     def record_use(self, connection: Connection, was_lost: bool) -> None:
-        """Take in whether a call on a connection was reset without an answer.
+        """Record whether a call on a connection was reset without an answer.
 
-        Connections may die unseen while they are idle; how often, only calls on stale ones tell.
+        Idle connections may be dropped unnoticed. Only calls on stale connections measure how often that happens.
         """
         if connection.was_stale:
             self.stale_loss_rate += (was_lost - self.stale_loss_rate) / STALE_LOSS_AVERAGED_CALLS
@@ -147,7 +145,7 @@
             self._discard(idle)
 
     def remove_endpoint(self, entry: Entry) -> None:
-        """Close the idle connections to an endpoint that has left, and forget what was learned of it."""
+        """Close the idle connections to an endpoint that left the list, and drop its statistics."""
         self.close_idle(entry)
         self.retention.remove_endpoint(EndpointKey(entry.endpoint.id, entry.address))
 
@@ -157,7 +155,7 @@
             self._discard(idle)
 
     def _pop_idle(self, key: EndpointKey, now_us: int, avoid_stale: bool) -> Connection | None:
-        """Return the idle connection used last that has rested and is up; close those found dead on the way."""
+        """Return the most recently used idle connection that is reusable and open; close those found broken."""
         same_endpoint = self._idle_by_endpoint.get(key)
         if same_endpoint is None:
             return None
@@ -172,17 +170,17 @@
         return None
 
     def _dial(self, entry: Entry, key: EndpointKey, until_us: int) -> Connection:
-        """Open a new connection; where there are too many, those that have been idle longest make room for it."""
+        """Open a new connection; at the socket limit, close the longest idle ones first."""
         while self._idle and self.in_use + len(self._idle) > self._max_sockets:
             self._discard(next(iter(self._idle)))
         if self.in_use > self._max_sockets:
-            raise SocketLimitError("no socket left")
+            raise SocketLimitError(f"no socket left: {self.in_use} connections in use, limit {self._max_sockets}")
         dial_until_us = self._scheduler.now() + (entry.dial_us or self._settings.dial_timeout_us)
         sock = streams.dial(self._scheduler, entry.address, min(until_us, dial_until_us))
         return Connection(sock, key, is_new=True, was_stale=False)
 
     def _watch(self, idle: IdleConnection) -> None:
-        """Close an idle connection in time, and at once when its endpoint does or sends anything; runs as a task."""
+        """Close an idle connection after its time, or at once if its endpoint closes it or sends; runs as a task."""
         retention_us = REUSE_DELAY_US + self.retention.retention_us(idle.key, idle.idle_close_us)
         span_us = min(max(idle.idle_close_us // 2, idle.idle_close_us - IDLE_CLOSE_MARGIN_US), retention_us)
         if idle in self._idle:
@@ -191,7 +189,7 @@
                 self._discard(idle)
 
     def _remove(self, idle: IdleConnection) -> None:
-        """Take a connection out of the pool, and end its watcher's pause: nobody waits for its socket then."""
+        """Take a connection out of the pool, and end its watcher's wait for the socket."""
         del self._idle[idle]
         same_endpoint = self._idle_by_endpoint[idle.key]
         same_endpoint.remove(idle)
@@ -201,14 +199,14 @@
             self._scheduler.wake(idle.watcher, "removed")
 
     def _discard(self, idle: IdleConnection) -> None:
-        """Close an idle connection, unless it is in the pool no more."""
+        """Close an idle connection, unless it has left the pool."""
         if idle in self._idle:
             self._remove(idle)
             idle.sock.close()
 
 
 def _is_up(sock: socket.socket) -> bool:
-    """Return whether a connection is open and nothing has come on it."""
+    """Return whether a connection is open and has no unread bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -485,7 +485,7 @@
         assert call.fields["x-request-id"] == "m"
         firm.world.until(lambda: outcomes)
         assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", Outcome.NOT_SENT)
-        assert counted == ["the module sends to endpoints that the list has"]
+        assert counted == ["the engine sends only to listed endpoints"]
 
     play(firm, steps)
 
