--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -1,4 +1,4 @@
-"""Discovery's list of endpoints, kept up by a watch."""
+"""The endpoint list from discovery, updated by a watch."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointListUpdate, ListUpdateKind
 
-MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # of one object of the list, also where the memory that is set allows less
-ANNOUNCE_TIMEOUT_US = 2_000_000  # so long after a start the old list is taken as it is, if nothing has been heard
+MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # of one object of the list, also if the memory limit allows less
+ANNOUNCE_TIMEOUT_US = 2_000_000  # after the start, to use the old list if discovery has sent nothing
 
 
 class DiscoveryList(EndpointList):
     """The endpoints that discovery lists.
 
-    Where lists are pushed, what discovery has counts as told whether or not a watch is open. So one is open all the
-    time, and the engine hears of what was known before only when discovery has said what of it still holds. Where they
-    are polled, each failure of the watch is one FAILED event.
+    Where lists are pushed, the sender counts as notified of discovery's list whether or not a watch is open. So a watch
+    is always open, and the engine gets the list of the last run only once discovery has answered. Where lists are
+    polled, each failure of the watch is one FAILED event.
     """
 
     def __init__(
@@ -33,29 +33,29 @@
         seed: int = 0,
         removed_retention_us: int = MIN_REMOVED_RETENTION_US,
     ) -> None:
-        """Start with the list as this sender had it last.
+        """Start with the list that this sender had last.
 
         Args:
             scheduler: The clock, and the task of the watch.
             discovery: Discovery's address.
             known: The list that this sender had last.
-            on_change: Takes what the engine is to hear of the list.
-            pushed: Discovery pushes lists; else they are polled when the engine asks for it.
-            max_object_bytes: How long one object of the list may be, where that is more than 1 MiB.
-            seed: The seed of the random spread of the watch.
+            on_change: Called with each update for the engine.
+            pushed: Discovery pushes lists; otherwise they are polled when the engine requests it.
+            max_object_bytes: The size limit of one object of the list; at least 1 MiB.
+            seed: The seed of the random jitter of the watch.
             removed_retention_us: For how many microseconds a removed endpoint is kept; at least 60 s.
         """
         super().__init__(scheduler, known, on_change, removed_retention_us)
         self._pushed = pushed
         self._is_announced = not pushed
-        self._failure_reported = False  # the last event said that the watch failed
+        self._failure_reported = False  # the last event was FAILED
         max_object_bytes = max(max_object_bytes, MIN_OBJECT_LIMIT_BYTES)
         self._watch = ListWatch(scheduler, discovery, self, pushed, max_object_bytes, seed)
 
     def start(self) -> None:
-        """Tell the engine of the list that is known, now or once discovery is heard, and open the watch if it is due.
+        """Pass the known list to the engine, now or after discovery's first answer, and open the watch if needed.
 
-        Without endpoints nothing can go out before a list comes: the watch is opened at once then too.
+        Without endpoints nothing can be sent before a list arrives, so the watch is opened at once then too.
         """
         if self._pushed:
             self._scheduler.call_at(self._scheduler.now() + ANNOUNCE_TIMEOUT_US, self._announce_initial_list)
@@ -67,8 +67,8 @@
     def subscribe(self) -> None:
         """Open a watch, unless there is one.
 
-        From then on it is opened anew whenever it breaks: the engine's backoff after a failure may be longer than a
-        change has time.
+        The watch is then reopened whenever it breaks: the engine's backoff after a failure may exceed the time in which
+        a change must arrive.
         """
         self._watch.open()
 
@@ -77,7 +77,7 @@
         self._watch.move(discovery)
 
     def handle_update(self, update: ListUpdate) -> None:
-        """Take in a list, or what of it has changed, and tell the engine."""
+        """Apply a list, or the changes of a list, and notify the engine."""
         if update.unreadable_entries:
             self._log_unreadable(update)
         self._announce_initial_list()
@@ -86,19 +86,19 @@
             self._apply_and_notify(update)
 
     def watch_active(self) -> None:
-        """Take in that discovery has said something: a poll was heard, whether or not anything is new."""
+        """Handle a sign of life from discovery: a poll has succeeded, whether or not the list has changed."""
         self._announce_initial_list()
         if self._failure_reported:
             self._failure_reported = False
             self._on_change(EndpointListUpdate(ListUpdateKind.CHANGES, []))
 
     def watch_failed(self) -> None:
-        """Tell the engine that the watch broke."""
+        """Notify the engine that the watch failed."""
         self._failure_reported = True
         self._on_change(EndpointListUpdate(ListUpdateKind.FAILED))
 
     def _announce_initial_list(self) -> None:
-        """Tell the engine, once, of what was known before, ahead of what is new."""
+        """Pass the list of the last run to the engine, once, before any newer update."""
         if not self._is_announced:
             self._is_announced = True
             self._on_change(self.initial_list())
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoints that a sender may call, by id, and what the engine hears of them.
+"""The endpoints that a sender may call, by id, and the updates of the list for the engine.
 
-`discovery_list` keeps them up by a watch on discovery, `static_list` has them from the operator's file.
+`discovery_list` gets them from a watch on discovery, `static_list` from the operator's file.
 """
 
 from __future__ import annotations
@@ -14,19 +14,17 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
-MIN_REMOVED_RETENTION_US = (
-    60_000_000  # an endpoint gone for so long is forgotten: no call is out there; or as long as messages take
-)
+MIN_REMOVED_RETENTION_US = 60_000_000  # a removed endpoint is kept this long, or as long as messages may take
 
 
 class EndpointList:
     """A list of endpoints, without a source of its own.
 
     Attributes:
-        entries: The endpoints by id, with those that have gone lately.
-        left_at: When each endpoint that drains or has gone began to, in monotonic microseconds, by id.
+        entries: The endpoints by id, those removed recently included.
+        left_at: By id, when each draining or removed endpoint started to drain, in monotonic microseconds.
         seq: The list's version.
-        unreadable_entries: How many entries could not be read so far.
+        unreadable_entries: The number of entries so far that could not be read.
     """
 
     def __init__(
@@ -41,70 +39,70 @@
         Args:
             scheduler: The clock.
             known: The list.
-            on_change: Takes what the engine is to hear of the list.
+            on_change: Called with each update for the engine.
             removed_retention_us: For how many microseconds a removed endpoint is kept; at least 60 s.
         """
         self._scheduler = scheduler
         self._on_change = on_change
         self._removed_retention_us = max(removed_retention_us, MIN_REMOVED_RETENTION_US)
-        self._is_announced = True  # the engine has heard of the list, or hears of it before any change
+        self._is_announced = True  # the engine has the list, or gets it before any change
         self.entries: dict[str, Entry] = {}
         self.left_at: dict[str, int] = {}
-        self._removed_at: dict[str, int] = {}  # when each that has gone went, in monotonic microseconds, in this order
+        self._removed_at: dict[str, int] = {}  # by id, in monotonic microseconds, the oldest first
         self._entry_counts: Counter[int] = Counter()  # by destination
-        self._owners: dict[tuple[str, int], str] = {}  # the endpoint in service that came last at an address
-        self._in_maintenance: set[str] = set()  # these drain, whatever the list says
-        self._listed: dict[str, Entry] = {}  # what the list says of those that drain for their maintenance
+        self._owners: dict[tuple[str, int], str] = {}  # the latest ready endpoint at each address
+        self._in_maintenance: set[str] = set()  # these drain, whatever their listed status
+        self._listed: dict[str, Entry] = {}  # the listed entries of those that drain for maintenance
         self.seq = known.seq
         self.unreadable_entries = 0
-        self._last_unreadable: tuple[str, ...] = ()  # the entries that could not be read last, as they are logged once
+        self._last_unreadable: tuple[str, ...] = ()  # the last entries that could not be read, to log them once
         self._apply(known)
 
     def start(self) -> None:
-        """Tell the engine of the list."""
+        """Pass the list to the engine."""
         self._on_change(self.initial_list())
 
     def initial_list(self) -> EndpointListUpdate:
-        """Return the event for the list as this sender had it last; it may be old."""
+        """Return the event for the list that this sender had last; it may be out of date."""
         return EndpointListUpdate(ListUpdateKind.CACHED, [entry.endpoint for entry in self.entries.values()])
 
     def subscribe(self) -> None:
-        """Ask for newer lists; a list without a source has none."""
+        """Subscribe to newer lists; does nothing for a list without a source."""
 
     def serves(self, destination: int) -> bool:
-        """Return whether the list names, or has lately named, an endpoint of a destination; an empty one says yes."""
+        """Return whether the list has, or recently had, an endpoint of a destination; True if the list is empty."""
         return not self.entries or destination in self._entry_counts
 
     def has_endpoint(self, endpoint_id: str) -> bool:
-        """Return whether the list has an endpoint that has not gone."""
+        """Return whether the list has an endpoint that has not been removed."""
         return endpoint_id in self.entries and endpoint_id not in self._removed_at
 
     def is_replaced(self, entry: Entry) -> bool:
-        """Return whether a call meant for this endpoint, which has left, would reach another one at its address."""
+        """Return whether this endpoint drains or is removed, and another one has taken over its address."""
         endpoint_id = entry.endpoint.id
         return endpoint_id in self.left_at and self._owners.get(entry.address, endpoint_id) != endpoint_id
 
     def extend_removed_retention(self, removed_retention_us: int) -> None:
-        """Remember endpoints that have gone for so many microseconds, if that is longer than before.
+        """Keep removed endpoints for this many microseconds, if that is longer than before.
 
-        Messages may take longer now; what is out may still be there for as long as before.
+        Called when messages may take longer; messages in flight still have the time that they had before.
         """
         self._removed_retention_us = max(self._removed_retention_us, removed_retention_us)
 
     def start_maintenance(self, endpoint_ids: set[str]) -> None:
-        """Let endpoints drain from now on, also where the list names them only later."""
+        """Let endpoints drain from now on, also those that the list adds later."""
         self._in_maintenance |= endpoint_ids
         self._reapply(endpoint_ids)
 
     def end_maintenance(self, endpoint_id: str) -> None:
-        """Let an endpoint be as the list has it again."""
+        """Restore an endpoint's listed status."""
         self._in_maintenance.discard(endpoint_id)
         self._reapply({endpoint_id})
 
     def handle_update(self, update: ListUpdate) -> None:
-        """Take in a list, or what of it has changed, and tell the engine.
+        """Apply a list, or the changes of a list, and notify the engine.
 
-        An entry that could not be read stays as it was.
+        An endpoint whose new entry cannot be read keeps its old one.
         """
         if update.unreadable_entries:
             self._log_unreadable(update)
@@ -112,11 +110,11 @@
             self._apply_and_notify(update)
 
     def _is_newer(self, update: ListUpdate) -> bool:
-        """Return whether an update is more than what is known already."""
+        """Return whether an update is a whole list or newer than the known version."""
         return update.is_full or update.seq > self.seq
 
     def _apply_and_notify(self, update: ListUpdate) -> None:
-        """Apply an update, and tell the engine."""
+        """Apply an update, and notify the engine."""
         log.info(
             "endpoint list: version %d, %s %d", update.seq, "all" if update.is_full else "changed", len(update.entries)
         )
@@ -128,11 +126,11 @@
         self._on_change(EndpointListUpdate(kind, self._endpoints(endpoint_ids)))
 
     def _endpoints(self, endpoint_ids: list[str]) -> list[Endpoint]:
-        """Return endpoints as the engine hears of them: as they are kept."""
+        """Return endpoints as this list has them, for an event to the engine."""
         return [self.entries[endpoint_id].endpoint for endpoint_id in endpoint_ids]
 
     def _apply(self, update: ListUpdate) -> None:
-        """Take over an update's entries and version."""
+        """Apply an update's entries and version."""
         now_us = self._scheduler.now()
         if update.is_full:
             self._mark_missing(update, now_us)
@@ -156,7 +154,7 @@
         self._drop_expired_removed(now_us)
 
     def _mark_missing(self, update: ListUpdate, now_us: int) -> None:
-        """Mark as gone what a whole list does not name."""
+        """Mark endpoints that a whole list does not contain as removed."""
         listed = {entry.endpoint.id for entry in update.entries}
         for endpoint_id in self.entries.keys() - listed - set(update.unreadable_entries):
             self._listed.pop(endpoint_id, None)
@@ -164,7 +162,7 @@
             self._removed_at.setdefault(endpoint_id, now_us)
 
     def _reapply(self, endpoint_ids: set[str]) -> None:
-        """Put into force anew what the list says of endpoints whose maintenance begins or ends."""
+        """Apply the listed entries of endpoints again when their maintenance begins or ends."""
         present = sorted(endpoint_id for endpoint_id in endpoint_ids if self.has_endpoint(endpoint_id))
         if not present:
             return
@@ -189,7 +187,7 @@
             self._entry_counts[entry.endpoint.destination] += 1
 
     def _drop_expired_removed(self, now_us: int) -> None:
-        """Forget what went so long ago that nothing is out there: ids and addresses are ever new."""
+        """Drop endpoints removed so long ago that no call is in flight there; without this the list would only grow."""
         while self._removed_at and next(iter(self._removed_at.values())) < now_us - self._removed_retention_us:
             endpoint_id = next(iter(self._removed_at))
             address = self.entries[endpoint_id].address
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -1,4 +1,4 @@
-"""Discovery's list as it comes in: a stream of JSON objects cut into single ones, and their entries. No socket."""
+"""Parses discovery's endpoint list: splits a stream of JSON objects, and reads their entries. Uses no socket."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 from scalefall.errors import RemoteProtocolError
 from scalefall.policy.events import Endpoint, EndpointStatus
 
-MAX_NAME_CHARACTERS = 255  # characters of an id, a zone, a kind: they go into the journal with each call
-MAX_DEPTH = 32  # objects within one another; a list has two
-ERROR_EXCERPT_BYTES = 40  # of what is no list, in the error's text
-ERROR_EXCERPT_CHARACTERS = 20  # of a name that is too long, in the error's text
+MAX_NAME_CHARACTERS = 255  # of an id, a zone or a kind: the journal records them with each call
+MAX_DEPTH = 32  # of nested objects; a list has two levels
+ERROR_EXCERPT_BYTES = 40  # of invalid data, in an error's text
+ERROR_EXCERPT_CHARACTERS = 20  # of a name that is too long, in an error's text
 HEALTH_STATUS = {
     "in_service": EndpointStatus.READY,
     "terminating": EndpointStatus.DRAINING,
     "terminated": EndpointStatus.GONE,
 }
 JSON_STRING = rb'"(?:[^"\\]++|\\.)*+"'
-FLAT_OBJECT = rb'\{(?:[^{}"]++|' + JSON_STRING + rb")*+\}"  # an object with none in it, as an entry is: one step
+FLAT_OBJECT = (
+    rb'\{(?:[^{}"]++|' + JSON_STRING + rb")*+\}"
+)  # an object without nested ones, such as an entry, as one token
 TOKEN = re.compile(
     FLAT_OBJECT + b"|" + JSON_STRING + rb'|[{}"]', re.DOTALL
-)  # a lone quotation mark: a text that has not all come
+)  # a lone quotation mark starts an incomplete string
 JSON_WHITESPACE = b" \t\r\n"
 
-EntryRow = TypedDict(  # one endpoint in discovery's JSON; `class` is no name that a class body could have
+EntryRow = TypedDict(  # one endpoint in discovery's JSON; the functional form, as `class` is a keyword
     "EntryRow",
     {
         "host": str,
@@ -41,11 +43,11 @@
 
 
 class ListObject(TypedDict):
-    """One object of discovery's JSON, as it is meant to be: what has come is checked where it is read.
+    """One valid object of discovery's JSON; `read_list` checks what was received.
 
     Attributes:
         seq: The list's version.
-        whole: It is the whole list; else what has changed.
+        whole: The object is the whole list; otherwise the changes.
         hosts: The endpoints.
     """
 
@@ -55,22 +57,22 @@
 
 
 class EndpointListError(RemoteProtocolError, ValueError):
-    """A list of endpoints cannot be read; the text says what is wrong.
+    """An endpoint list cannot be read; the text states the reason.
 
-    Also a ValueError: it has come as JSON, and a value in it is unacceptable.
+    Also a ValueError, as a value in the JSON is invalid.
     """
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One endpoint as the list has it: what the engine hears of it, and where to dial.
+    """One endpoint of the list: its data for the engine, and how to connect to it.
 
     Attributes:
-        endpoint: What the engine hears.
-        address: Where to dial, host and port.
-        host: What it is called in a request's Host field; empty: by its id.
-        dial_us: How many microseconds a dial to it may take; 0: as the settings say.
-        idle_us: After how many microseconds it closes an idle connection; 0: as the settings say.
+        endpoint: The data for the engine.
+        address: The host and port to dial.
+        host: The value of a request's Host field; the endpoint's id if empty.
+        dial_us: The dial timeout in microseconds; that of the settings if 0.
+        idle_us: The endpoint's idle timeout in microseconds; that of the settings if 0.
     """
 
     endpoint: Endpoint
@@ -82,13 +84,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """The list, or what of it has changed, at a version.
+    """The whole list, or its changes, at a version.
 
     Attributes:
         seq: The version.
-        is_full: It is the whole list; else what has changed.
-        entries: Its entries.
-        unreadable_entries: The entries that could not be read, by id where that much could, else as empty texts.
+        is_full: The update is the whole list; otherwise the changes.
+        entries: The entries.
+        unreadable_entries: The ids of the entries that cannot be read; empty strings where the id cannot be read.
     """
 
     seq: int
@@ -98,31 +100,31 @@
 
 
 class ObjectStream:
-    """Cuts a stream of JSON objects into single ones, on one line each or indented over many."""
+    """Splits a stream of JSON objects, each on one line or indented over many."""
 
     def __init__(self, max_bytes: int) -> None:
         """Start at the beginning of a stream.
 
         Args:
-            max_bytes: How long one object may be; a longer one is an error before it is held whole.
+            max_bytes: The size limit of one object; a longer one is an error before it is complete.
         """
         self._max_bytes = max_bytes
-        self._text = bytearray()  # from the first object on that is not whole
-        self._scanned = 0  # bytes of the text that have been looked at
-        self._depth = 0  # of the object within which these end
+        self._text = bytearray()  # from the start of the first incomplete object
+        self._scanned = 0  # bytes of the text that have been scanned
+        self._depth = 0  # of nested objects at the end of the scanned bytes
 
     @property
     def is_between_objects(self) -> bool:
-        """Whether no part of an object has come yet that is not whole."""
+        """Whether no incomplete object has been received."""
         return not self._text
 
     def feed(self, data: bytes) -> list[ListObject]:
-        """Return the objects that are whole by now, parsed from JSON.
+        """Add data to the stream; return the objects that it completes, parsed from JSON.
 
         Raises:
-            EndpointListError: This is no stream of objects, or one is too long or nests too deep.
-            ValueError: An object is no JSON.
-            RecursionError: Its arrays nest too deep.
+            EndpointListError: The data is not a stream of objects, or an object is too long or nests too deep.
+            ValueError: An object is not valid JSON.
+            RecursionError: The arrays of an object nest too deep.
         """
         self._text += data
         found: list[ListObject] = []
@@ -133,7 +135,7 @@
                 break
             self._scanned = token.end()
             if self._depth and len(text) > 1:
-                continue  # an entry, or a text within an object
+                continue  # an entry, or a string within an object
             if not self._depth and text.startswith(b"{"):
                 start = self._skip_space(start, token.start())
             self._track_depth(text)
@@ -146,55 +148,55 @@
         del self._text[:start]
         self._scanned -= start
         if len(self._text) > self._max_bytes:
-            raise EndpointListError("an object of the list is too long")
+            raise EndpointListError(f"list of endpoints: an object is longer than {self._max_bytes} bytes")
         return found
 
     def _track_depth(self, text: bytes) -> None:
-        """Follow the depth past one token.
+        """Update the depth for one token.
 
         Raises:
-            EndpointListError: It nests too deep, or stands outside of an object.
+            EndpointListError: The token nests too deep, or stands outside an object.
         """
         if text == b"{":
             self._depth += 1
             if self._depth > MAX_DEPTH:
-                raise EndpointListError("a list nests too deep")
+                raise EndpointListError(f"list of endpoints: objects nest deeper than {MAX_DEPTH} levels")
         elif text == b"}":
             self._depth -= 1
             if self._depth < 0:
-                raise EndpointListError("no list")
+                raise EndpointListError("list of endpoints: closing brace outside an object")
         elif not self._depth and not text.startswith(b"{"):
-            raise EndpointListError("no list")
+            raise EndpointListError("list of endpoints: string outside an object")
 
     def _skip_space(self, start: int, end: int) -> int:
-        """Return the end of a stretch between two objects.
+        """Return the end of the white space between two objects.
 
         Raises:
-            EndpointListError: There is more than white space in it.
+            EndpointListError: There is more than white space.
         """
         between = self._text[start:end].strip(JSON_WHITESPACE)
         if between:
-            raise EndpointListError(f"no list: {bytes(between[:ERROR_EXCERPT_BYTES])!r}")
+            raise EndpointListError(f"list of endpoints: not an object: {bytes(between[:ERROR_EXCERPT_BYTES])!r}")
         return end
 
 
-def read_list(table: ListObject, strict: bool = True) -> ListUpdate:
+def read_list(list_object: ListObject, strict: bool = True) -> ListUpdate:
     """Return discovery's object as an update.
 
     Args:
-        table: The object, parsed from JSON.
-        strict: Every entry has to be readable; else one that is not costs that entry alone, unless none can be read.
+        list_object: The object, parsed from JSON.
+        strict: Every entry must be readable; otherwise unreadable entries are skipped, unless none can be read.
 
     Raises:
-        EndpointListError: It cannot be read; the text names what is wrong.
-        ValueError: A number in it cannot be read.
-        OverflowError: A number in it is infinite.
+        EndpointListError: The object cannot be read; the text states the reason.
+        ValueError: A number in the object cannot be read.
+        OverflowError: A number in the object is infinite.
     """
     entries: list[Entry] = []
     unreadable_entries: list[str] = []
     first_reason = ""
     try:
-        seq, whole, rows = table["seq"], table.get("whole", False), table["hosts"]
+        seq, whole, rows = list_object["seq"], list_object.get("whole", False), list_object["hosts"]
         if isinstance(seq, bool) or not isinstance(seq, int):
             raise EndpointListError(f"seq must be a whole number, not {seq!r}")
         for row in rows:
@@ -213,7 +215,7 @@
 
 
 def _id_of(row: EntryRow) -> str:
-    """Return the id of an entry that cannot be read; empty if not even that can."""
+    """Return the id of an unreadable entry; empty if the id cannot be read either."""
     endpoint_id = row.get("host") if isinstance(row, dict) else None
     return endpoint_id if isinstance(endpoint_id, str) else ""
 
@@ -232,15 +234,18 @@
         EndpointListError: A value is wrong.
         ValueError: A number cannot be read.
         OverflowError: A number is infinite.
-        TypeError: A value has the wrong type, or the row is no object.
+        TypeError: A value has the wrong type, or the row is not an object.
         KeyError: A value is missing.
-        AttributeError: A text is none.
+        AttributeError: The address is not a string.
     """
     host, port = row["dial"].rsplit(":", 1)
     if not isinstance(row["host"], str) or not isinstance(row["block"], int) or row["health"] not in HEALTH_STATUS:
-        raise EndpointListError(f"list of endpoints: {row['host']!r} has a wrong value")
+        raise EndpointListError(f"list of endpoints: wrong host, block or health in the entry {row['host']!r}")
     if max(len(row["host"]), len(host), len(str(row["site"])), len(str(row["class"]))) > MAX_NAME_CHARACTERS:
-        raise EndpointListError(f"list of endpoints: a name of {row['host'][:ERROR_EXCERPT_CHARACTERS]!r} is too long")
+        raise EndpointListError(
+            f"list of endpoints: a name in the entry {row['host'][:ERROR_EXCERPT_CHARACTERS]!r} is longer than "
+            f"{MAX_NAME_CHARACTERS} characters"
+        )
     return Entry(
         Endpoint(
             row["host"],
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -1,7 +1,7 @@
-"""The watch on discovery's list of endpoints: a stream of lists that is opened again whenever it breaks.
+"""The watch on discovery's endpoint list: a stream of lists that is reopened whenever it breaks.
 
-A change counts as told 6 s after discovery had it and could be reached. The times here are chosen so that they add up
-to less, whatever failed on the way: docs/design/races.md has the sums.
+A sender counts as notified of a change 6 s after discovery has the change and is reachable. The timeouts here add up to
+less, whatever fails on the way: docs/design/races.md has the sums.
 """
 
 from __future__ import annotations
@@ -17,55 +17,52 @@
 from scalefall.net.scheduler import Scheduler, Task
 
 SECOND_US = 1_000_000  # microseconds in a second
-DIAL_TIMEOUT_US = SECOND_US  # a dial to discovery, and the request on it, are given up after this
-FIRST_RESPONSE_TIMEOUT_US = 3 * SECOND_US  # a watch that has not answered after this is broken
-IDLE_TIMEOUT_US = 3 * SECOND_US  # and so is one that said nothing for so long: discovery sends a line each 2 s
-BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # of an object that is still coming, for each of which it may take so long again
-MOVE_RETRY_WINDOW_US = (
-    3 * SECOND_US
-)  # after a move, discovery may come up a moment later: it is tried again for so long,
-MOVE_RETRY_INTERVAL_US = SECOND_US // 10  # so often
-IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # within this, a watch that fell silent is opened anew, and
-CLOSED_RECONNECT_JITTER_US = (
-    2 * SECOND_US
-)  # within this, one that was heard and broke otherwise: not all senders in one moment
-MIN_BACKOFF_US = SECOND_US // 20  # the first backoff; each further failure doubles it,
-MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # up to this where lists are pushed,
-MAX_POLLED_BACKOFF_US = 4 * SECOND_US // 5  # and up to this where they are polled
-YIELD_BYTES, YIELD_ENTRIES = 32 * 1024, 100  # bytes and entries of a list after which other tasks have their turn
+DIAL_TIMEOUT_US = SECOND_US  # of a dial to discovery, and of sending the request
+FIRST_RESPONSE_TIMEOUT_US = 3 * SECOND_US
+IDLE_TIMEOUT_US = 3 * SECOND_US  # discovery sends a line every 2 s
+BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # each such part of an incomplete object extends the time by one timeout
+MOVE_RETRY_WINDOW_US = 3 * SECOND_US  # after a move, as discovery may come up at the new address a moment later
+MOVE_RETRY_INTERVAL_US = SECOND_US // 10
+IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # after an idle timeout
+CLOSED_RECONNECT_JITTER_US = 2 * SECOND_US  # after an active watch broke: senders must not all reconnect at once
+MIN_BACKOFF_US = SECOND_US // 20  # doubled by each further failure
+MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # where lists are pushed
+MAX_POLLED_BACKOFF_US = 4 * SECOND_US // 5  # where lists are polled
+YIELD_BYTES = 32 * 1024  # of a list, after which other tasks run
+YIELD_ENTRIES = 100  # of a list, after which other tasks run
 
 
 class WatchListener(Protocol):
-    """What a watch tells what it learns, and asks for the version from which it goes on.
+    """The receiver of a watch's updates, which also holds the version to resume from.
 
     Attributes:
-        seq: The version of the list that is known; the watch sets it to 0 where discovery counts anew.
+        seq: The version of the known list; the watch sets it to 0 if discovery restarts its numbering.
     """
 
     seq: int
 
     def handle_update(self, update: ListUpdate) -> None:
-        """Take in a list, or what of it has changed."""
+        """Apply a list, or the changes of a list."""
 
     def watch_active(self) -> None:
-        """Take in that discovery has said something, a list or a line that says only that it is there."""
+        """Handle a sign of life from discovery: a list or a blank keep-alive line."""
 
     def watch_failed(self) -> None:
-        """Take in that the watch broke, other than by silence."""
+        """Handle a broken watch, unless it broke by an idle timeout."""
 
 
 @dataclass(slots=True)
 class _WatchConnection:
-    """What has come of one watch's answer.
+    """The state of one watch's HTTP answer.
 
     Attributes:
         reader: Reads the HTTP answer.
-        objects: Cuts its body into objects.
-        active_at_us: When it began, or last said a whole object or a blank line, in monotonic microseconds.
-        received_at_us: When any bytes came last, in monotonic microseconds.
-        timeout_us: How long the next word may take, in microseconds.
-        bytes_since_active: The bytes of the body that came since the last word.
-        is_first: No update has come yet.
+        objects: Splits the body into objects.
+        active_at_us: The time of the request, or of the last whole object or blank line, in monotonic microseconds.
+        received_at_us: The time of the last bytes, in monotonic microseconds.
+        timeout_us: The time limit for the next object or blank line, in microseconds.
+        bytes_since_active: The bytes of the body since the last whole object or blank line.
+        is_first: No update has been received yet.
     """
 
     reader: http.AnswerReader
@@ -77,13 +74,13 @@
     is_first: bool = True
 
     def deadline_us(self) -> int:
-        """Return until when the next bytes have to come, in monotonic microseconds."""
+        """Return the deadline for the next bytes, in monotonic microseconds."""
         waits = 1 + self.bytes_since_active // BYTES_PER_IDLE_TIMEOUT
         return min(self.active_at_us + self.timeout_us * waits, self.received_at_us + self.timeout_us)
 
 
 class ListWatch:
-    """Keeps one watch open, from when it is first asked for."""
+    """Keeps one watch open after the first call of `open`."""
 
     def __init__(
         self,
@@ -94,16 +91,16 @@
         max_object_bytes: int,
         seed: int,
     ) -> None:
-        """Make a watch that is not open yet.
+        """Create a watch that is not open yet.
 
         Args:
             scheduler: The clock, and the task of the watch.
             discovery: Discovery's address.
-            listener: Takes what the watch learns.
-            pushed: Discovery pushes lists to all senders, so that a broken watch is opened anew at once; else senders
-                poll, and each failure counts.
-            max_object_bytes: How long one object of the stream may be.
-            seed: The seed of the random spread.
+            listener: Receives the updates.
+            pushed: Discovery pushes lists to all senders, so that a broken watch is reopened at once; otherwise senders
+                poll, and each failure is reported.
+            max_object_bytes: The size limit of one object of the stream.
+            seed: The seed of the random jitter.
         """
         self._scheduler = scheduler
         self._discovery = discovery
@@ -111,21 +108,21 @@
         self._pushed = pushed
         self._max_object_bytes = max_object_bytes
         self._random = random.Random(seed)
-        self._last_active_at_us = -1  # when a watch last said anything
-        self._reconnect_soon = False  # the last watch broke by saying nothing
+        self._last_active_at_us = -1  # the time of the last whole object or blank line
+        self._reconnect_soon = False  # the last watch ended by an idle timeout or a restarted numbering: no failure
         self._moved_at_us = -MOVE_RETRY_WINDOW_US
         self._task: Task | None = None
 
     def open(self) -> None:
-        """Open the watch, unless it is open; from then on it is opened anew whenever it breaks."""
+        """Open the watch, unless it is open; it is then reopened whenever it breaks."""
         if self._task is None:
             self._task = self._scheduler.spawn(self._run)
 
     def move(self, discovery: tuple[str, int]) -> None:
         """Watch discovery at another address from now on.
 
-        It is watched there at once, from its whole list, as it may number its versions anew. What was watched or asked
-        for before is no failure.
+        The new watch starts at once and requests the whole list, as discovery may restart its version numbering there.
+        The end of the watch at the old address is not reported as a failure.
         """
         if discovery == self._discovery:
             return
@@ -133,10 +130,10 @@
         self._moved_at_us = self._scheduler.now()
         self._listener.seq = 0
         if self._task is not None:
-            self._scheduler.wake(self._task, streams.Interrupted("discovery has moved"))
+            self._scheduler.wake(self._task, streams.Interrupted("the address of discovery has changed"))
 
     def _run(self) -> None:
-        """Watch for good, with a backoff between two watches; runs as a task."""
+        """Watch forever, with a backoff between two watches; runs as a task."""
         backoff_us = MIN_BACKOFF_US
         while True:
             discovery, started_at_us = self._discovery, self._scheduler.now()
@@ -152,10 +149,10 @@
             backoff_us = self._back_off(self._last_active_at_us >= started_at_us, backoff_us)
 
     def _back_off(self, was_active: bool, backoff_us: int) -> int:
-        """Wait until the watch is to be opened anew; return the backoff that the next failure doubles.
+        """Wait before the watch is reopened; return the backoff that the next failure doubles.
 
         Args:
-            was_active: The watch that broke had said something.
+            was_active: The watch that broke had received a whole object or a blank line.
             backoff_us: The last backoff, in microseconds.
         """
         if self._pushed:
@@ -173,7 +170,7 @@
         return backoff_us
 
     def _watch_once(self, discovery: tuple[str, int]) -> str:
-        """Follow one watch to its end; return why it ended."""
+        """Run one watch to its end; return the reason of the end."""
         self._reconnect_soon = False
         sock = None
         try:
@@ -187,13 +184,13 @@
         return "ended"
 
     def _follow(self, sock: socket.socket, discovery: tuple[str, int]) -> None:
-        """Ask for the list from the version that is known, and take in what comes.
+        """Request the list from the known version on, and process the answer.
 
         Raises:
-            OSError: The connection broke or fell silent, or discovery refused or has moved.
-            http.Malformed: What came is no answer.
-            ValueError: What came is no list.
-            RecursionError: It nests too deep.
+            OSError: The connection broke or timed out, discovery answered with an error, or its address has changed.
+            http.Malformed: The answer is not valid HTTP.
+            ValueError: The body is not a valid list.
+            RecursionError: The body nests too deep.
         """
         target = f"/v1/servers?stream=1&index={self._listener.seq}"
         request = http.request("GET", target, "discovery", [])
@@ -206,7 +203,7 @@
             data = self._receive(sock, connection)
             self._check_address(discovery)
             if not data:
-                raise ConnectionResetError("discovery closed it")
+                raise ConnectionResetError("discovery closed the connection")
             connection.received_at_us = self._scheduler.now()
             reader.feed(data)
             if not reader.head_done:
@@ -216,31 +213,32 @@
             self._process(connection, reader.take(), discovery)
 
     def _receive(self, sock: socket.socket, connection: _WatchConnection) -> bytes:
-        """Return the next bytes of a watch; a TimeUp means that it fell silent if its answer had begun."""
+        """Return the next bytes of a watch; a TimeUp after the answer's head is an idle timeout."""
         try:
             return streams.receive(self._scheduler, sock, connection.deadline_us())
         except streams.TimeUp:
-            self._reconnect_soon = connection.reader.head_done  # what it would have told counts as told soon
+            self._reconnect_soon = connection.reader.head_done  # the sender soon counts as notified
             raise
 
     def _process(self, connection: _WatchConnection, data: bytes, discovery: tuple[str, int]) -> None:
-        """Take in the next bytes of a watch's body. A long list lets other tasks have their turns."""
-        was_between = connection.objects.is_between_objects
-        tables = connection.objects.feed(data)
-        for table in tables:
+        """Process the next bytes of a watch's body. A long list yields to other tasks."""
+        was_between_objects = connection.objects.is_between_objects
+        list_objects = connection.objects.feed(data)
+        for list_object in list_objects:
             if len(data) >= YIELD_BYTES:
                 self._scheduler.sleep(0)
-            update = read_list(table, strict=False)
+            update = read_list(list_object, strict=False)
             if len(update.entries) >= YIELD_ENTRIES:
                 self._scheduler.sleep(0)
             if connection.is_first and not update.is_full and update.seq < self._listener.seq:
                 self._listener.seq, self._reconnect_soon = 0, True
-                raise OSError("discovery counts its versions anew")
+                raise OSError(f"discovery restarted its version numbering at {update.seq}")
             connection.is_first = False
             self._check_address(discovery)
             self._listener.handle_update(update)
         connection.bytes_since_active += len(data)
-        if tables or (data and was_between and data.isspace()):  # a part of an object is no word: it may drip for good
+        # A part of an object does not count as activity: it could arrive byte by byte without end.
+        if list_objects or (data and was_between_objects and data.isspace()):
             self._listener.watch_active()
             self._last_active_at_us = connection.active_at_us = self._scheduler.now()
             connection.timeout_us, connection.bytes_since_active = IDLE_TIMEOUT_US, 0
@@ -248,12 +246,12 @@
             self._scheduler.sleep(0)
 
     def _check_address(self, discovery: tuple[str, int]) -> None:
-        """Check that discovery has not moved while this task was not paused, so that nothing woke it.
+        """Check that discovery's address has not changed while this task ran, as then nothing interrupts it.
 
-        What the old address still says must not become the version that the new one is asked from.
+        An update from the old address must not set the version that is requested from the new one.
 
         Raises:
-            OSError: It has moved.
+            OSError: The address has changed.
         """
         if discovery != self._discovery:
-            raise OSError("discovery has moved")
+            raise OSError("the address of discovery has changed")
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -1,7 +1,7 @@
-"""A list of endpoints from a file of the operator's own: nothing is watched, and a new file replaces it at once.
+"""The endpoint list from the operator's configuration file, without a watch; a new file replaces it at once.
 
-An endpoint that the new list no longer has drains first, so that calls which are out may end and fresh work stops under
-the drain rule, and is gone after the grace. One that comes back meanwhile is ready again, and is not gone later.
+An endpoint that is missing in the new list drains first, so that calls in flight can end while new work stops, and is
+removed after the drain grace. If a later list has it again within the grace, it is ready again and stays.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ListChange(NamedTuple):
-    """How many endpoints differ between one list and the next."""
+    """The number of endpoints that differ between two lists."""
 
     added: int
     removed: int
@@ -25,7 +25,7 @@
 
 
 class StaticList(EndpointList):
-    """The endpoints that the operator's file has."""
+    """The endpoints in the operator's file."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         Args:
             scheduler: The clock.
             known: The list.
-            on_change: Takes what the engine is to hear of the list.
-            drain_grace_us: How many microseconds an endpoint drains before it has gone.
+            on_change: Called with each update for the engine.
+            drain_grace_us: The time from an endpoint's removal from the file to its end, in microseconds.
         """
         super().__init__(scheduler, known, on_change)
         self._drain_grace_us = drain_grace_us
-        self._removed_in: dict[str, int] = {}  # endpoints that drain as they were removed, and in which version
+        self._removed_in: dict[str, int] = {}  # the version that removed each endpoint that drains
 
     def initial_list(self) -> EndpointListUpdate:
-        """Return the event for the list, which is no old one, as it is the file's."""
+        """Return the event for the list, which is current, as it comes from the file."""
         return EndpointListUpdate(ListUpdateKind.WHOLE, [entry.endpoint for entry in self.entries.values()])
 
     def serves(self, destination: int) -> bool:
-        """Return whether the list names, or has lately named, an endpoint of a destination."""
+        """Return whether the list has, or recently had, an endpoint of a destination."""
         return destination in self._entry_counts
 
     def replace(self, entries: list[Entry]) -> ListChange:
@@ -78,7 +78,7 @@
         return ListChange(len(added), len(removed), len(changed))
 
     def _is_listed(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint is in the list now: it neither drains after its removal nor has gone."""
+        """Return whether an endpoint is in the current list: it neither drains after its removal nor has ended."""
         entry = self.entries.get(endpoint_id)
         return (
             entry is not None
@@ -87,7 +87,7 @@
         )
 
     def _end_drain(self, version: int) -> None:
-        """Let the endpoints be gone that were removed in a version and have not come back."""
+        """Mark as terminated the endpoints that a version removed and no later one has added again."""
         endpoint_ids = [endpoint_id for endpoint_id, removed_in in self._removed_in.items() if removed_in == version]
         for endpoint_id in endpoint_ids:
             del self._removed_in[endpoint_id]
