--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts against an endpoint that the test plays: the table of outcomes, and a model of connections' states."""
+"""Attempts against an endpoint simulated by the test: the table of outcomes, and a state machine of connections."""
 
 import dataclasses
 import json
@@ -28,10 +28,10 @@
     return Calls(world, settings(), None)
 
 
-def begun(world, *names, told=None, **more):
-    """A call that is out at an endpoint that has read it; told: what differs in the settings."""
+def begun(world, *names, changed_settings=None, **more):
+    """Start a call, and return once its endpoint has read it."""
     peer = Peer(world)
-    calls = Calls(world, settings(**(told or {})), peer.address)
+    calls = Calls(world, settings(**(changed_settings or {})), peer.address)
     calls.begin(*names, **more)
     sock = peer.accept()
     return calls, peer, sock, peer.read(sock)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(("status", "fields", "outcome", "wait", "finished"), TABLE)
-def test_a_single_answer_is_read_off_the_table(world, status, fields, outcome, wait, finished):
+def test_status_and_fields_of_a_single_answer_give_its_outcome(world, status, fields, outcome, wait, finished):
     def play():
         calls, _, sock, request = begun(world, "m")
         assert (request.method, request.target) == ("POST", "/v1/messages")
@@ -70,7 +70,7 @@
     world.play(play)
 
 
-def test_a_batch_ends_as_its_states_tell_each_with_its_wait(world):
+def test_each_message_of_a_batch_ends_by_its_state_with_the_retry_after(world):
     def play():
         calls, _, sock, request = begun(world, *"abcdef")
         rows = json.loads(bytes(request.body))
@@ -103,7 +103,7 @@
         (200, b"{broken", O.ERROR),
     ],
 )
-def test_a_batch_may_fare_alike_and_an_unusable_answer_may_have_run(world, status, body, outcome):
+def test_an_answer_without_states_gives_all_messages_of_a_batch_one_outcome(world, status, body, outcome):
     def play():
         calls, _, sock, _ = begun(world, "a", "b")
         sock.send(http.answer(status, [], body))
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("end", [reset, socket.socket.close])
 @pytest.mark.parametrize(("sent", "outcome"), BREAKS)
-def test_a_connection_that_breaks_after_the_last_byte(world, sent, outcome, end):
+def test_outcome_of_a_connection_that_breaks_after_the_requests_last_byte(world, sent, outcome, end):
     def play():
         calls, _, sock, _ = begun(world, "m")
         sock.send(sent)
@@ -135,8 +135,8 @@
     world.play(play)
 
 
-GOOD = b"HTTP/1.1 200 OK\r\n"
-SPOILT = [
+OK_LINE = b"HTTP/1.1 200 OK\r\n"
+MALFORMED = [
     (b"\x00\xff\x13 noise with no end of a line", O.ERROR),
     (b"HTTP/1.7 200 OK\r\n\r\n", O.ERROR),
     (b"HTTP/1.1 two hundred\r\n\r\n", O.ERROR),
@@ -145,30 +145,30 @@
     (b"HTTP/1.1 503 No\r\nX: y\r\n", O.ERROR),
     (b"HTTP/1.1 429 No\r\nRetry-After: 9\r\nContent-Length: 70\r\n\r\nx", O.ERROR),
     (b"HTTP/1.1 503 No\r\nContent-Length: -4\r\n\r\n", O.ERROR),
-    (GOOD + b"X: y\r\n", O.OK),
-    (GOOD + b"no field\r\n\r\n", O.OK),
-    (GOOD + b"X: " + b"y" * 40_000, O.OK),
-    (GOOD + b"Content-Length: 9\r\n\r\nx", O.OK),
-    (GOOD + b"Content-Length: 3221225472\r\n\r\nxx", O.OK),
-    (GOOD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", O.OK),
-    (GOOD + b"Content-Length: 1, 2\r\n\r\n", O.OK),
-    (GOOD + b"\r\n", O.OK),
-    (GOOD + b"Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n", O.OK),
+    (OK_LINE + b"X: y\r\n", O.OK),
+    (OK_LINE + b"no field\r\n\r\n", O.OK),
+    (OK_LINE + b"X: " + b"y" * 40_000, O.OK),
+    (OK_LINE + b"Content-Length: 9\r\n\r\nx", O.OK),
+    (OK_LINE + b"Content-Length: 3221225472\r\n\r\nxx", O.OK),
+    (OK_LINE + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", O.OK),
+    (OK_LINE + b"Content-Length: 1, 2\r\n\r\n", O.OK),
+    (OK_LINE + b"\r\n", O.OK),
+    (OK_LINE + b"Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n", O.OK),
 ]
 
 
-@pytest.mark.parametrize(("sent", "outcome"), SPOILT)
-def test_a_spoilt_answer_ends_its_call_soon_and_its_connection_with_it(world, sent, outcome):
-    """A first line of 200 is true, and the message over: it stayed in the journal for good. Whatever else it says, the
-    call may have run. Calls waited up to their whole time for the rest, and held a slot."""
+@pytest.mark.parametrize(("sent", "outcome"), MALFORMED)
+def test_a_malformed_answer_ends_its_call_soon_and_closes_its_connection(world, sent, outcome):
+    """A status of 200 is final, but the message stayed in the journal forever. After any other malformed answer the
+    call may have run. Calls waited until their deadline for the rest of the answer, and used up a slot."""
 
     def play():
         calls, _, sock, _ = begun(world, "m", span=30 * S)
-        began = world.now()
+        started_at = world.now()
         sock.send(sent)
         event = calls.outcome("m")
         assert (event.outcome, event.finished, event.retry_after_us) == (outcome, outcome is O.OK, 0)
-        assert world.now() - began < 2 * S
+        assert world.now() - started_at < 2 * S
         assert closed(world, sock)
         assert not calls.attempts._pool._idle
 
@@ -180,11 +180,11 @@
     [
         http.answer(200, [], b"[" * 20_000),
         http.answer(200, [], b"{"),
-        GOOD + b"\r\n[",
+        OK_LINE + b"\r\n[",
         http.answer(200, [], b'[{"id":"a","state":["accepted"]}]'),
     ],
 )
-def test_a_spoilt_answer_to_several_messages_may_have_run_for_all(world, sent):
+def test_all_messages_of_a_batch_with_a_malformed_answer_may_have_run(world, sent):
     def play():
         calls, _, sock, _ = begun(world, "a", "b", span=30 * S)
         sock.send(sent)
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("more", [http.answer(200, []), b"noise"])
 @pytest.mark.parametrize("span", [0, 5 * MS])
-def test_what_comes_behind_an_answer_does_not_answer_the_next_call(world, more, span):
+def test_surplus_bytes_after_an_answer_do_not_answer_the_next_call(world, more, span):
     def play():
         calls, peer, sock, _ = begun(world, "m")
         ahead = b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hints\r\n\r\n"
@@ -229,7 +229,7 @@
         "\xff",
     ],
 )
-def test_a_report_that_cannot_be_read_is_ignored_and_its_answer_counts(world, report):
+def test_an_unreadable_load_report_is_ignored_and_its_answer_counts(world, report):
     def play():
         calls, _, sock, _ = begun(world, "m")
         sock.send(http.answer(200, [("X-Load", report)]))
@@ -239,18 +239,18 @@
     world.play(play)
 
 
-def test_a_refused_dial_and_one_that_never_comes_up_could_not_connect(world):
+def test_a_refused_dial_and_one_that_times_out_are_connect_failures(world):
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(dial_timeout_us=S), peer.address)
-        full = [socket.socket() for _ in range(80)]  # the listener's queue is full: the dial goes unanswered
+        full = [socket.socket() for _ in range(80)]  # fill the listener's backlog: the dial gets no answer
         for sock in full:
             sock.setblocking(False)
             sock.connect_ex(peer.address)
-        began = world.now()
+        started_at = world.now()
         calls.begin("m", span=5 * S)
         assert calls.outcome("m").outcome is O.CONNECT_FAILED
-        assert S <= world.now() - began < 2 * S
+        assert S <= world.now() - started_at < 2 * S
         peer.listener.close()
         calls.begin("n")
         assert calls.outcome("n").outcome is O.CONNECT_FAILED
@@ -260,8 +260,8 @@
     world.play(play)
 
 
-def test_a_call_that_was_not_all_written_never_ran_however_it_ends(world):
-    """Connect failure against reset turns on the last byte: an endpoint that stops reading has not got it."""
+def test_a_call_whose_last_byte_was_not_written_is_a_connect_failure_however_it_ends(world):
+    """The last byte decides between connect failure and reset: an endpoint that stops reading has not received it."""
 
     def play():
         peer = Peer(world)
@@ -281,14 +281,14 @@
     world.play(play)
 
 
-@pytest.mark.parametrize("ends", ["a repeat's time", "the time of one"])
-def test_a_call_that_is_overtaken_in_its_middle_is_not_completed(world, ends):
-    """The endpoint takes its last byte late: by then a repeat would run again, or a message has its final answer."""
+@pytest.mark.parametrize("ends", ["start-by time", "deadline"])
+def test_a_call_is_not_completed_after_the_start_by_time_or_deadline_of_a_message(world, ends):
+    """The endpoint reads the last byte late: by then a repeat would run again, or a message has its final answer."""
 
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(), peer.address)
-        early = {"start_by_us": world.now() + S} if ends == "a repeat's time" else {"span": S}
+        early = {"start_by_us": world.now() + S} if ends == "start-by time" else {"span": S}
         messages = [calls.message("long", span=5 * S), calls.message("early", **{"span": 5 * S} | early)]
         messages[0].body = b"x" * (8 << 20)
         calls.attempts.begin(calls.entry, messages)
@@ -303,10 +303,10 @@
     world.play(play)
 
 
-@pytest.mark.parametrize(("comes", "outcome"), [(b"HTTP/1.1 2", O.ERROR), (b"x", O.ERROR), (None, O.RESET)])
-def test_what_an_endpoint_does_to_an_idle_connection_just_before_a_call_costs_that_call_alone(world, comes, outcome):
-    """Half a line, or its end, between the last look at the connection and the first byte: the call may have run, and
-    the connection is of no further use."""
+@pytest.mark.parametrize(("received", "outcome"), [(b"HTTP/1.1 2", O.ERROR), (b"x", O.ERROR), (None, O.RESET)])
+def test_bytes_or_a_close_on_an_idle_connection_just_before_a_call_affect_that_call_alone(world, received, outcome):
+    """The endpoint sends half a line or closes between the pool's check of the connection and the first byte: the call
+    may have run, and the connection must not be reused."""
 
     def play():
         calls, peer, sock, _ = begun(world, "first")
@@ -314,13 +314,13 @@
         assert calls.outcome("first").outcome is O.OK
         world.sleep(20 * MS)
 
-        def may_begin(_):  # asked between the two
-            sock.send(comes) if comes else sock.close()
+        def may_begin(_):  # called between the check and the first byte
+            sock.send(received) if received else sock.close()
             return True
 
         calls.attempts._may_begin = may_begin
         calls.begin("second")
-        if comes:
+        if received:
             peer.read(sock)
             sock.send(http.answer(200, []))
         assert calls.outcome("second").outcome is outcome
@@ -332,27 +332,27 @@
     world.play(play)
 
 
-@pytest.mark.parametrize("first", ["its answer", "the cancel"])
-def test_a_call_that_is_answered_and_cancelled_in_one_moment_has_one_outcome(world, first):
+@pytest.mark.parametrize("first", ["answer", "cancel"])
+def test_a_call_that_is_answered_and_cancelled_at_the_same_time_has_one_outcome(world, first):
     def play():
         calls, peer, sock, _ = begun(world, "m")
         woken(world)
         sock.send(http.answer(200, []))
-        if first == "its answer":
+        if first == "answer":
             calls.outcome("m")
         calls.attempts.cancel("m", 0)
-        assert calls.outcome("m").outcome is (O.OK if first == "its answer" else O.CANCELLED)
+        assert calls.outcome("m").outcome is (O.OK if first == "answer" else O.CANCELLED)
         world.sleep(S)
         assert len(calls.told) == 1
-        calls.begin("n")  # and no connection on which the answer of another lies
-        sock = peer.accept() if first == "the cancel" else sock
+        calls.begin("n")  # not on a connection with an unread answer to another call
+        sock = peer.accept() if first == "cancel" else sock
         assert peer.read(sock).fields["x-request-id"] == "n"
 
     world.play(play)
 
 
-def test_a_batch_stays_whole_until_its_last_message_stops_waiting(world):
-    """On an open connection a message counts as out: told as ended before, it could be sent a second time."""
+def test_a_cancelled_message_of_a_batch_ends_with_the_last_message(world):
+    """While the connection is open a message is in flight: reported as ended before, it could be sent a second time."""
 
     def play():
         peer = Peer(world)
@@ -369,8 +369,8 @@
     world.play(play)
 
 
-def test_what_may_not_begin_any_more_is_not_sent_and_its_connection_is_kept(world):
-    """A dial may end after the endpoint was told to drain, or this sender to wait."""
+def test_an_attempt_that_may_not_begin_after_its_dial_is_not_sent_and_its_connection_is_kept(world):
+    """A drain of the endpoint or a Retry-After may start during the dial."""
 
     def play():
         peer = Peer(world)
@@ -388,8 +388,8 @@
     world.play(play)
 
 
-def test_what_might_take_effect_twice_by_now_is_left_out_of_a_call(world):
-    """A call whose dial took past the end of a key's window went out all the same: sent again outside its window."""
+def test_a_message_past_its_idempotency_window_is_left_out_of_a_call(world):
+    """A call was sent although its dial had outlasted the idempotency key: the endpoint ran the repeat again."""
 
     def play():
         peer = Peer(world)
@@ -409,9 +409,9 @@
     world.play(play)
 
 
-def test_what_is_over_by_the_time_its_connection_is_up_is_left_out_of_a_call(world):
-    """A call with several messages waits for the one with most time: one whose time had run out meanwhile, and which
-    had its final answer, was sent with the others. Seen on a day on which connections come up late."""
+def test_a_message_that_ended_during_the_dial_is_left_out_of_a_call(world):
+    """A call with several messages dials until the latest deadline among them: with slow connections, a message whose
+    deadline had passed, and which had its final answer, was sent with the others."""
 
     def play():
         peer = Peer(world)
@@ -430,7 +430,7 @@
     world.play(play)
 
 
-CROWDED = [
+REJECTIONS = [
     ([], 503, True, O.CONNECTIONS_EXHAUSTED),
     ([LOAD], 503, True, O.OVERLOADED),
     ([], 429, True, O.OVERLOADED),
@@ -440,13 +440,15 @@
 ]
 
 
-@pytest.mark.parametrize(("fields", "status", "reports", "outcome"), CROWDED)
-def test_a_new_connection_refused_with_no_report_met_a_full_table(world, fields, status, reports, outcome):
+@pytest.mark.parametrize(("fields", "status", "reports", "outcome"), REJECTIONS)
+def test_a_503_without_load_report_on_a_new_connection_means_connections_exhausted(
+    world, fields, status, reports, outcome
+):
     def play():
-        calls, peer, sock, _ = begun(world, "m", told={"answers_carry_report": reports})
+        calls, peer, sock, _ = begun(world, "m", changed_settings={"answers_carry_report": reports})
         sock.send(http.answer(status, fields, b""))
         assert calls.outcome("m").outcome is outcome
-        if outcome is O.CONNECTIONS_EXHAUSTED:  # on a connection that was let in before it is the call that is refused
+        if outcome is O.CONNECTIONS_EXHAUSTED:  # on an accepted connection, the same answer rejects the call
             calls.begin("n")
             world.sleep(50 * MS)
             sock = peer.accept()
@@ -463,9 +465,9 @@
 
 
 @pytest.mark.parametrize(("senders", "span"), [(1, 5 * S), (40, 125 * MS)])
-def test_an_idle_connection_is_kept_for_one_senders_part_of_the_time(world, senders, span):
+def test_an_idle_connection_is_kept_for_the_idle_timeout_divided_by_the_senders(world, senders, span):
     def play():
-        calls, _, sock, _ = begun(world, "m", told={"replica_count": senders, "idle_close_us": 5 * S})
+        calls, _, sock, _ = begun(world, "m", changed_settings={"replica_count": senders, "idle_close_us": 5 * S})
         sock.send(http.answer(200, [LOAD], b""))
         calls.outcome("m")
         answered = world.now()
@@ -475,7 +477,7 @@
     world.play(play)
 
 
-def test_room_is_made_by_closing_the_connection_that_has_been_idle_longest(world):
+def test_at_the_socket_limit_the_longest_idle_connection_is_closed(world):
     def play():
         peers = [Peer(world) for _ in range(3)]
         calls, socks = Calls(world, settings(), None, most=2), []
@@ -493,7 +495,7 @@
 
 
 def test_a_new_endpoint_at_a_known_address_is_not_the_old_one(world):
-    """Connections were kept by address: news of an endpoint that had gone closed those of the one in its place."""
+    """Connections were pooled by address: the removal of an endpoint closed those of its successor at the address."""
 
     def play():
         calls, peer, sock, _ = begun(world, "m")
@@ -512,13 +514,14 @@
         calls.begin("o")
         assert peer.read(new).fields["x-request-id"] == "o"
         assert peer.accepted == 2
-        assert calls.attempts._pool._idle_by_endpoint == {}  # nothing is kept for an endpoint with no idle connection
+        assert calls.attempts._pool._idle_by_endpoint == {}  # no entry remains for an endpoint without idle connections
 
     world.play(play)
 
 
-def test_what_must_not_run_twice_avoids_idle_connections_while_these_die_unseen(world):
-    """A fifth of the connections kept for 0.1 s were reset at the next request; a fee on one of them had failed."""
+def test_a_call_that_must_not_run_twice_avoids_stale_connections_while_these_are_often_lost(world):
+    """A fifth of the connections idle for 0.1 s were reset at the next request, and a message that must not run twice
+    failed on one of them."""
 
     def play():
         peer = Peer(world)
@@ -538,17 +541,17 @@
 
         sock = call()
         world.sleep(S)
-        call(sock, not_idempotent=True)  # no reason for doubt yet
+        call(sock, not_idempotent=True)  # no stale connection has been lost yet
         for _ in range(2):
             world.sleep(S)
             call(sock, end=reset)
             sock = call()
-        assert call(sock, not_idempotent=True) is sock  # used a moment ago
+        assert call(sock, not_idempotent=True) is sock  # not stale
         world.sleep(S)
         other = call(not_idempotent=True)
-        call(other)  # the one used last
+        call(other)  # the most recently used connection
         world.sleep(S)
-        for _ in range(40):  # the others use it on, and find it alive
+        for _ in range(40):  # calls that may run twice go on with it, and none is lost
             call(other)
             world.sleep(S)
         assert call(other, not_idempotent=True) is other
@@ -557,7 +560,7 @@
 
 
 class Connections(RuleBasedStateMachine):
-    """What connections there are, and in which state, as the endpoint sees them; random steps on both sides."""
+    """The connections and their states as the endpoint sees them, under random steps of both sides."""
 
     @initialize()
     def start(self):
@@ -590,7 +593,7 @@
             name = f"m{self.number}"
             self.calls.begin(name, *(f"{name}-{n}" for n in range(1, names)), span=60 * S)
             if self.idle:
-                sock = self.idle.pop()  # the one used last
+                sock = self.idle.pop()  # the most recently used
             else:
                 sock, self.known = self.peer.accept(), self.known + 1
             body = self.peer.read(sock)
@@ -615,8 +618,8 @@
 
     @precondition(lambda self: self.out)
     @rule(data=st.data())
-    def garble(self, data):
-        self.end(b"who knows\r\n", data.draw(st.sampled_from(sorted(self.out))), O.ERROR)
+    def send_garbage(self, data):
+        self.end(b"garbage\r\n", data.draw(st.sampled_from(sorted(self.out))), O.ERROR)
 
     @precondition(lambda self: self.out)
     @rule(data=st.data())
@@ -626,17 +629,17 @@
         for message in list(one.messages):
             self.calls.attempts.cancel(message.id, 0)
         sock = self.end(b"", name, O.CANCELLED)
-        self.calls.attempts.cancel(name, 0)  # again, when it is over: nothing
+        self.calls.attempts.cancel(name, 0)  # again, after its end: no effect
         self.step(lambda: closed(self.world, sock) or self.fail())
 
     @precondition(lambda self: self.idle)
-    @rule(data=st.data(), said=st.sampled_from([b"", b"HTTP/1.1 200 OK\r\n\r\n"]))
-    def idle_one_ends(self, data, said):
-        """Closed by the endpoint, or spoiled by what nobody asked for: never used again."""
+    @rule(data=st.data(), surplus=st.sampled_from([b"", b"HTTP/1.1 200 OK\r\n\r\n"]))
+    def end_idle(self, data, surplus):
+        """The endpoint closes an idle connection or sends unexpected bytes: it is not used again."""
         sock = self.idle.pop(data.draw(st.integers(0, len(self.idle) - 1)))
 
         def play():
-            sock.send(said) if said else sock.close()
+            sock.send(surplus) if surplus else sock.close()
             self.world.sleep(MS)
 
         self.step(play)
@@ -660,13 +663,13 @@
         raise AssertionError("the connection should be closed")
 
     @invariant()
-    def books_agree(self):
+    def counts_agree(self):
         if hasattr(self, "world"):
             assert self.peer.accepted == self.known
             assert self.calls.attempts.in_flight == len(self.out)
             assert len(self.calls.attempts._pool._idle) == len(self.idle)
-            told = [(e.id, e.attempt) for e in self.calls.told]
-            assert len(told) == len(set(told))
+            reported = [(event.id, event.attempt) for event in self.calls.told]
+            assert len(reported) == len(set(reported))
 
     def teardown(self):
         if hasattr(self, "world"):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The watch on discovery and the notices to the platform, whose side the test plays."""
+"""The watch on discovery and the delivery reports to the platform, with both peers simulated by the test."""
 
 import json
 import socket
@@ -18,27 +18,27 @@
 
 
 def watched(world, **more):
-    peer, told = Peer(world), []
+    peer, events = Peer(world), []
     endpoint_list = DiscoveryList(
-        world, peer.address, read_list(list_update(41, listed("e", HERE))), told.append, **more
+        world, peer.address, read_list(list_update(41, listed("e", HERE))), events.append, **more
     )
-    return peer, endpoint_list, told
+    return peer, endpoint_list, events
 
 
 def opened(world):
-    """The same with a watch open that has said nothing yet; its socket on discovery's side."""
-    peer, endpoint_list, told = watched(world)
+    """Return a list with an open watch that has received nothing, and the watch's socket on discovery's side."""
+    peer, endpoint_list, events = watched(world)
     endpoint_list.subscribe()
     sock = peer.accept()
     peer.read(sock)
-    return peer, endpoint_list, told, sock
+    return peer, endpoint_list, events, sock
 
 
-def test_a_watch_begins_from_the_known_version_and_tells_what_changes():
+def test_a_watch_starts_at_the_known_version_and_passes_changes_on():
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world)
+        peer, endpoint_list, events = watched(world)
         assert endpoint_list.initial_list().kind is K.CACHED
         assert [e.id for e in endpoint_list.initial_list().endpoints] == ["e"]
         endpoint_list.subscribe()
@@ -57,8 +57,8 @@
                 list_update(50, listed("f", HERE)),
             )
         )
-        world.until(lambda: len(told) == 3)
-        assert [(t.kind, [(e.id, e.status) for e in t.endpoints]) for t in told] == [
+        world.until(lambda: len(events) == 3)
+        assert [(event.kind, [(e.id, e.status) for e in event.endpoints]) for event in events] == [
             (K.CHANGES, [("f", EndpointStatus.READY)]),
             (K.CHANGES, [("e", EndpointStatus.DRAINING)]),
             (K.WHOLE, [("f", EndpointStatus.READY)]),
@@ -70,15 +70,15 @@
     world.play(play)
 
 
-MUTE = [STREAM, STREAM + b"2\r\n{\n\r\n"]  # answered, and then no whole word
+INCOMPLETE = [STREAM, STREAM + b"2\r\n{\n\r\n"]  # an answer without a whole object or blank line
 
 
 @pytest.mark.parametrize(
-    ("said", "end"),
+    ("answer", "end"),
     [
         *(
-            (said, end)
-            for said in (
+            (answer, end)
+            for answer in (
                 b"",
                 http.answer(503, []),
                 b"junk\r\n",
@@ -88,97 +88,97 @@
             )
             for end in (reset, socket.socket.close, None)
         ),
-        *((said, end) for said in MUTE for end in (reset, socket.socket.close)),
+        *((answer, end) for answer in INCOMPLETE for end in (reset, socket.socket.close)),
     ],
 )
-def test_a_watch_that_breaks_is_one_failure_and_can_be_asked_anew(said, end):
-    """Silence counts too: discovery sends a line every 2 s, and a cut-off machine says nothing at all."""
+def test_a_watch_that_breaks_is_one_failure_and_can_be_opened_again(answer, end):
+    """A watch that receives nothing is broken too: discovery sends a line every 2 s, an unreachable host nothing."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world)
+        peer, endpoint_list, events = watched(world)
         for times in (1, 2):
             endpoint_list.subscribe()
             sock = peer.accept()
             peer.read(sock)
-            sock.send(said)
+            sock.send(answer)
             world.sleep(MS)
-            began = world.now()
+            started_at = world.now()
             if end:
                 end(sock)
-            world.until(lambda times=times: len(told) == times)
-            assert [t.kind for t in told] == [K.FAILED] * times
-            assert world.now() - began < 5 * S
+            world.until(lambda times=times: len(events) == times)
+            assert [event.kind for event in events] == [K.FAILED] * times
+            assert world.now() - started_at < 5 * S
             assert endpoint_list.seq == 41
             assert peer.accepted == times
 
     world.play(play)
 
 
-@pytest.mark.parametrize("said", MUTE)
+@pytest.mark.parametrize("answer", INCOMPLETE)
 @pytest.mark.parametrize("drip", [None, b"1\r\n \r\n", b"2\r\n\r\n\r\n", b'9\r\n{"seq": 1\r\n'])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_never_says_a_whole_word_is_as_silent_as_one_that_says_nothing(said, drip, pushed):
-    """Its module asked again after up to 9 s, as after a call that failed; and parts of an object, or the white space
-    within one, kept it for good. What it would have told counts as told after 6 s."""
+def test_a_watch_without_a_whole_object_or_blank_line_times_out_like_an_idle_one(answer, drip, pushed):
+    """The engine reopened it only after up to 9 s, as after a failed call; and parts of an object, or white space
+    within one, kept it open forever. The sender counts as notified after 6 s."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world, pushed=pushed)
+        peer, endpoint_list, events = watched(world, pushed=pushed)
         endpoint_list.start()
         endpoint_list.subscribe()
         sock = peer.accept()
         peer.read(sock)
-        began = world.now()
-        sock.send(said)
+        started_at = world.now()
+        sock.send(answer)
 
-        def on():
+        def send_drip():
             try:
-                sock.send(b"1\r\n{\r\n" if said is STREAM and world.now() == began + MS else drip)
-                world.call_at(world.now() + S // 2, on)
+                sock.send(b"1\r\n{\r\n" if answer is STREAM and world.now() == started_at + MS else drip)
+                world.call_at(world.now() + S // 2, send_drip)
             except OSError:
-                pass  # it was given up
+                pass  # the sender has closed the connection
 
         if drip:
-            world.call_at(began + MS, on)
+            world.call_at(started_at + MS, send_drip)
         again = peer.accept()
         assert peer.read(again).target == "/v1/servers?stream=1&index=41"
-        assert world.now() - began < 5500 * MS
-        assert K.FAILED not in [t.kind for t in told]
+        assert world.now() - started_at < 5500 * MS
+        assert K.FAILED not in [event.kind for event in events]
 
     world.play(play)
 
 
-def test_a_long_list_that_keeps_coming_is_no_silence():
+def test_a_long_list_that_keeps_arriving_does_not_time_out():
     world = World()
 
     def play():
-        peer, _endpoint_list, told, sock = opened(world)
+        peer, _endpoint_list, events, sock = opened(world)
         data = STREAM + chunk(list_update(42, *(listed(f"e{number}", HERE) for number in range(2000))))
         for at in range(0, len(data), 48 * 1024):  # 6 s in all
             sock.send(data[at : at + 48 * 1024])
             world.sleep(S)
-        world.until(lambda: told)
-        assert [(t.kind, len(t.endpoints)) for t in told] == [(K.WHOLE, 2000)]
+        world.until(lambda: events)
+        assert [(event.kind, len(event.endpoints)) for event in events] == [(K.WHOLE, 2000)]
         assert peer.accepted == 1
 
     world.play(play)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list(pushed):
-    """Its changes were taken for old ones, and the list stayed as it was for good."""
+def test_the_whole_list_is_requested_after_discovery_restarts_its_numbering(pushed):
+    """The changes were taken for old ones, and the list was never updated again."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world, pushed=pushed)
+        peer, endpoint_list, events = watched(world, pushed=pushed)
         endpoint_list.subscribe()
         sock = peer.accept()
         assert peer.read(sock).target == "/v1/servers?stream=1&index=41"
         sock.send(STREAM + chunk(list_update(3, listed("f", HERE), whole=False)))
-        began, again = world.now(), peer.accept()
+        started_at, again = world.now(), peer.accept()
         assert peer.read(again).target == "/v1/servers?stream=1&index=0"
-        assert world.now() - began < 2500 * MS
+        assert world.now() - started_at < 2500 * MS
         again.send(STREAM + chunk(list_update(3, listed("f", HERE))))
         again.send(
             chunk(list_update(2, listed("g", HERE), whole=False), list_update(4, listed("h", HERE), whole=False))
@@ -186,12 +186,12 @@
         world.until(lambda: "h" in endpoint_list.entries)
         assert endpoint_list.seq == 4
         assert "g" not in endpoint_list.entries
-        assert K.FAILED not in [t.kind for t in told]
+        assert K.FAILED not in [event.kind for event in events]
 
     world.play(play)
 
 
-def test_a_change_that_comes_in_the_turn_in_which_its_watch_is_given_up_comes_again():
+def test_a_change_that_arrives_as_its_watch_times_out_is_received_by_the_next_watch():
     world = World()
 
     def play():
@@ -215,19 +215,19 @@
     return b"".join(b"%x\r\n%s\r\n" % (len(line), line) for line in data.splitlines(True))
 
 
-def test_a_list_may_come_indented_and_one_bad_entry_costs_itself(caplog):
-    """Cut at each line's end, an indented list was no object at all: the watch broke at it, again and again."""
+def test_a_list_may_be_indented_and_an_unreadable_entry_is_skipped_alone(caplog):
+    """Split at line ends, an indented list was not a valid object: the watch broke at it again and again."""
     world = World()
 
     def play():
-        peer, endpoint_list, told, sock = opened(world)
+        peer, endpoint_list, events, sock = opened(world)
         for seq in (50, 51):
             data = STREAM * (seq == 50) + indented(list_update(seq, listed("f", HERE), {"host": "e"})) + chunk(None)
             for at in range(0, len(data), 50):
                 sock.send(data[at : at + 50])
                 world.sleep(MS)
         world.until(lambda: endpoint_list.seq == 51)
-        assert [(t.kind, [e.id for e in t.endpoints]) for t in told] == [(K.WHOLE, ["f", "e"])] * 2
+        assert [(event.kind, [e.id for e in event.endpoints]) for event in events] == [(K.WHOLE, ["f", "e"])] * 2
         assert set(endpoint_list.entries) == {"e", "f"}
         assert not endpoint_list.left_at
         assert peer.accepted == 1
@@ -237,185 +237,190 @@
     world.play(play)
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told():
-    """6 s after its last word at the latest; the module's pause after a failure may be 9 s."""
+def test_an_idle_watch_is_reopened_before_the_sender_counts_as_notified_of_missed_changes():
+    """That is 6 s after the watch's last object or line; the engine's backoff after a failure may be 9 s."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world)
+        peer, endpoint_list, events = watched(world)
         endpoint_list.subscribe()
         for _ in range(5):
             sock = peer.accept()
             peer.read(sock)
             sock.send(STREAM + chunk(None))
-            heard = world.now()
+            active_at = world.now()
             again = peer.accept()
-            assert world.now() - heard < 5500 * MS
-            assert K.FAILED not in [t.kind for t in told]
-            told.clear()
-            again.close()  # an ask that fails is the module's to repeat
-            world.until(lambda: told)
-            assert [t.kind for t in told] == [K.FAILED]
+            assert world.now() - active_at < 5500 * MS
+            assert K.FAILED not in [event.kind for event in events]
+            events.clear()
+            again.close()  # the engine repeats a failed request
+            world.until(lambda: events)
+            assert [event.kind for event in events] == [K.FAILED]
             endpoint_list.subscribe()
             sock = peer.accept()
             sock.send(STREAM + chunk(None))
-            world.until(lambda: len(told) == 2)
-            assert (told[1].kind, told[1].endpoints) == (K.CHANGES, [])  # heard again, nothing new
+            world.until(lambda: len(events) == 2)
+            assert (events[1].kind, events[1].endpoints) == (K.CHANGES, [])  # discovery has answered, without changes
             sock.close()
-            world.until(lambda: len(told) == 3)
-            told.clear()
+            world.until(lambda: len(events) == 3)
+            events.clear()
             endpoint_list.subscribe()
 
     world.play(play)
 
 
-def test_where_lists_are_pushed_a_watch_is_opened_at_the_start_and_anew_whenever_it_breaks():
-    """What discovery has counts as told from the first moment: nothing goes out on the old list before that is heard.
-    Without a watch of its own accord a sender went on with the list it was born with for good."""
+def test_where_lists_are_pushed_a_watch_is_opened_at_the_start_and_reopened_whenever_it_breaks():
+    """The sender counts as notified of discovery's list from its start: nothing is sent by the old list before
+    discovery has answered. Without a watch that opens by itself, a sender used the list from its start forever."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world, pushed=True)
+        peer, endpoint_list, events = watched(world, pushed=True)
         endpoint_list.start()
         sock = peer.accept()
         assert peer.read(sock).target.endswith("index=41")
         sock.send(STREAM)
         world.sleep(100 * MS)
-        assert told == []
+        assert events == []
         sock.send(chunk(list_update(42, listed("f", HERE), whole=False)))
-        world.until(lambda: len(told) == 2)
-        assert [(t.kind, [e.id for e in t.endpoints]) for t in told] == [(K.CACHED, ["e"]), (K.CHANGES, ["f"])]
-        for times in range(8):  # closed, or silent for so long that it is broken
-            began = world.now()
+        world.until(lambda: len(events) == 2)
+        assert [(event.kind, [e.id for e in event.endpoints]) for event in events] == [
+            (K.CACHED, ["e"]),
+            (K.CHANGES, ["f"]),
+        ]
+        for times in range(8):  # closed, or timed out
+            started_at = world.now()
             if times % 2:
                 sock.close()
             sock = peer.accept()
-            assert world.now() - began < (S if times % 2 else 4 * S)
+            assert world.now() - started_at < (S if times % 2 else 4 * S)
             peer.read(sock)
             sock.send(STREAM + chunk(None))
-        assert len(told) == 2  # no failure that the module should answer with a pause of its own
+        assert len(events) == 2  # no failure, to which the engine would react with a backoff
 
     world.play(play)
 
 
-def test_where_lists_are_pushed_silence_at_the_start_ends_the_wait():
+def test_where_lists_are_pushed_the_old_list_is_used_if_discovery_does_not_answer_in_time():
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world, pushed=True)
+        peer, endpoint_list, events = watched(world, pushed=True)
         endpoint_list.start()
-        began = world.now()
-        world.until(lambda: told)
-        assert [t.kind for t in told] == [K.CACHED]
-        assert world.now() - began < 3 * S
+        started_at = world.now()
+        world.until(lambda: events)
+        assert [event.kind for event in events] == [K.CACHED]
+        assert world.now() - started_at < 3 * S
         sock = peer.accept()
         peer.read(sock)
         sock.send(STREAM + chunk(None))
         world.sleep(S)
-        assert len(told) == 1
+        assert len(events) == 1
 
     world.play(play)
 
 
-def test_beats_keep_a_watch():
+def test_blank_lines_keep_a_watch_open():
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world)
+        peer, endpoint_list, events = watched(world)
         endpoint_list.subscribe()
         sock = peer.accept()
         sock.send(STREAM)
         for _ in range(10):
             sock.send(chunk(None))
             world.sleep(2 * S)
-        assert told == []
+        assert events == []
         assert peer.accepted == 1
 
     world.play(play)
 
 
-def test_when_discovery_moves_the_watch_and_the_notices_move_and_nothing_is_lost():
-    """SIGHUP ended the process; the old address takes no connection any more and closes its own a moment later."""
+def test_when_discovery_moves_the_watch_and_the_delivery_reports_move_and_nothing_is_lost():
+    """SIGHUP ended the process. The old address accepts no connection any more, and closes its own a moment later."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world)
+        peer, endpoint_list, events = watched(world)
         new, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
+        reports = DeliveryReports(world, peer.address, done.append)
         endpoint_list.subscribe()
         old = peer.accept()
         peer.read(old)
         old.send(STREAM + chunk(None))
-        notices.report_failed("a")
+        reports.report_failed("a")
         post = peer.accept()
         peer.read(post)
-        for part in (endpoint_list, notices):
+        for part in (endpoint_list, reports):
             part.move(new.address)
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
         assert closed(world, old)
-        sock.send(STREAM + chunk(list_update(3, listed("f", HERE))))  # its versions may be numbered anew
-        world.until(lambda: told)
-        assert told[0].kind is K.WHOLE
+        sock.send(
+            STREAM + chunk(list_update(3, listed("f", HERE)))
+        )  # the new discovery may number its versions differently
+        world.until(lambda: events)
+        assert events[0].kind is K.WHOLE
         assert endpoint_list.seq == 3
         assert set(endpoint_list.left_at) == {"e"}
-        reset(post)  # the notice that was out there goes out again at the new one
+        reset(post)  # the report in flight there is repeated at the new address
         post = new.accept()
         assert b'"a"' in new.read(post).body
         post.send(http.answer(204, []))
         world.until(lambda: done == ["a"])
-        endpoint_list.move(new.address)  # no move at all: the watch stays
+        endpoint_list.move(new.address)  # the same address: the watch stays
         sock.send(chunk(list_update(4, listed("g", HERE), whole=False)))
-        world.until(lambda: len(told) == 2)
+        world.until(lambda: len(events) == 2)
         assert (peer.accepted, new.accepted) == (2, 2)
 
     world.play(play)
 
 
 def about_to_move(world):
-    """A watch that has had its first word from one discovery, and another one that is to be moved to."""
-    _peer, endpoint_list, told, old = opened(world)
+    """Return a list with an active watch on one discovery, and the peer to which discovery will move."""
+    _peer, endpoint_list, events, old = opened(world)
     old.send(STREAM + chunk(None))
     world.sleep(MS)
-    return endpoint_list, told, old, Peer(world)
+    return endpoint_list, events, old, Peer(world)
 
 
 @pytest.mark.parametrize("length", [1, 400])
-@pytest.mark.parametrize("said_first", [True, False])
-def test_what_the_old_discovery_says_as_it_is_left_does_not_number_the_new_one(length, said_first):
-    """Learned after the move, its version went to the new address as the one to count from, which told only what came
-    after it: the list stayed as the old one had it."""
+@pytest.mark.parametrize("is_received_first", [True, False])
+def test_an_update_from_the_old_address_during_a_move_does_not_set_the_requested_version(length, is_received_first):
+    """The update was applied after the move, and its version was requested from the new address, which sent only later
+    changes: the list stayed as the old discovery had it."""
     world = World()
 
     def play():
-        endpoint_list, told, old, new = about_to_move(world)
+        endpoint_list, events, old, new = about_to_move(world)
         woken(world)
         old.send(chunk(list_update(99, *(listed(f"x{n}", HERE) for n in range(length)), whole=False)))
-        if said_first:  # its task has been woken by these bytes as the move comes
+        if is_received_first:  # these bytes resume the watch's task before the move
             world.wake(endpoint_list._watch._task, READY)
         endpoint_list.move(new.address)
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
         sock.send(STREAM + chunk(list_update(3, listed("f", HERE))))
-        world.until(lambda: told)
-        assert [event.kind for event in told] == [K.WHOLE]
+        world.until(lambda: events)
+        assert [event.kind for event in events] == [K.WHOLE]
         assert set(endpoint_list.left_at) == {"e"}
 
     world.play(play)
 
 
-def test_a_long_list_of_the_old_discovery_is_dropped_where_the_move_comes_between_two_of_its_objects():
+def test_the_remaining_objects_of_the_old_discovery_are_dropped_after_a_move_between_two_of_them():
     world = World()
 
     def play():
-        endpoint_list, told, old, new = about_to_move(world)
-        moved = endpoint_list.handle_update
+        endpoint_list, events, old, new = about_to_move(world)
+        handle_update = endpoint_list.handle_update
 
-        def handle_update(update):
-            moved(update)
-            endpoint_list.move(new.address)  # while the watch's task runs, so that nothing wakes it
+        def handle_update_and_move(update):
+            handle_update(update)
+            endpoint_list.move(new.address)  # while the watch's task runs, so that nothing interrupts it
 
-        endpoint_list.handle_update = handle_update
+        endpoint_list.handle_update = handle_update_and_move
         old.send(
             chunk(list_update(50, listed("f", HERE), whole=False), list_update(51, listed("g", HERE), whole=False))
         )
@@ -423,38 +428,38 @@
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
         assert "f" in endpoint_list.entries
         assert "g" not in endpoint_list.entries
-        assert len(told) == 1
+        assert len(events) == 1
 
     world.play(play)
 
 
 @pytest.mark.parametrize("watching", [True, False])
-def test_after_a_move_discovery_is_asked_until_it_answers_without_waiting_for_the_module(watching):
-    """What it has to tell counts as told 4 s after SIGHUP; the module's pause after a failure may be 8 s."""
+def test_after_a_move_the_watch_is_retried_until_discovery_answers_without_waiting_for_the_engine(watching):
+    """The sender counts as notified 4 s after SIGHUP; the engine's backoff after a failure may be 8 s."""
     world = World()
 
     def play():
-        peer, endpoint_list, told = watched(world)
+        peer, endpoint_list, events = watched(world)
         endpoint_list.subscribe()
         sock = peer.accept()
         if not watching:
             sock.close()
-            world.until(lambda: told)
-        new, failures = Peer(world), len(told)
-        began = world.now()
+            world.until(lambda: events)
+        new, failures = Peer(world), len(events)
+        started_at = world.now()
         endpoint_list.move(new.address)
         new.accept().close()
         sock = new.accept()
         sock.send(STREAM + chunk(list_update(1, listed("f", HERE))))
-        world.until(lambda: len(told) > failures)
-        assert told[-1].kind is K.WHOLE
-        assert world.now() - began < S
+        world.until(lambda: len(events) > failures)
+        assert events[-1].kind is K.WHOLE
+        assert world.now() - started_at < S
 
     world.play(play)
 
 
-def test_endpoints_that_went_are_forgotten_in_time_and_an_address_belongs_to_the_newest():
-    """Ids and addresses are ever new on a long day; everything that had ever been listed was kept."""
+def test_removed_endpoints_are_dropped_after_a_time_and_an_address_belongs_to_its_newest_endpoint():
+    """New ids and addresses appear all day, and every endpoint ever listed was kept."""
     world = World()
 
     def play():
--- a/tests/test_list_stream.py
+++ b/tests/test_list_stream.py
@@ -1,4 +1,4 @@
-"""Discovery's list as it comes in: cut into objects whatever its layout, and its entries."""
+"""Parsing of discovery's endpoint list: its objects in any layout, and their entries."""
 
 import json
 
@@ -15,17 +15,19 @@
     lambda inner: st.lists(inner, max_size=2) | st.dictionaries(st.just("k"), inner, max_size=1),
     max_leaves=4,
 )
-TABLES = st.lists(st.dictionaries(st.text(st.sampled_from('ab"\\{}'), max_size=4), VALUES, max_size=4), max_size=4)
+LIST_OBJECTS = st.lists(
+    st.dictionaries(st.text(st.sampled_from('ab"\\{}'), max_size=4), VALUES, max_size=4), max_size=4
+)
 
 
 @settings(derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
-@given(TABLES, st.sampled_from([None, 0, 2, "\t"]), st.sampled_from(["", "\n", " \r\n\n"]), st.integers(1, 40))
-def test_objects_come_out_one_by_one_in_any_layout_and_cut_anywhere(tables, indent, between, piece):
-    data = "".join(json.dumps(table, indent=indent) + between for table in tables).encode()
+@given(LIST_OBJECTS, st.sampled_from([None, 0, 2, "\t"]), st.sampled_from(["", "\n", " \r\n\n"]), st.integers(1, 40))
+def test_objects_are_split_in_any_layout_and_at_any_chunk_size(list_objects, indent, between, piece):
+    data = "".join(json.dumps(item, indent=indent) + between for item in list_objects).encode()
     objects, found = ObjectStream(10_000), []
     for at in range(0, len(data), piece):
         found += objects.feed(data[at : at + piece])
-    assert found == tables
+    assert found == list_objects
 
 
 @pytest.mark.parametrize(
@@ -43,12 +45,12 @@
         b'{"a":"' + b"x" * 20_000,
     ],
 )
-def test_what_is_no_list_is_an_error_at_once(data):
+def test_data_that_is_not_a_list_is_an_error_at_once(data):
     with pytest.raises((ValueError, RecursionError)):
         ObjectStream(10_000 if b"x" in data else 1_000_000).feed(data)
 
 
-def test_an_entry_that_cannot_be_read_costs_itself():
+def test_an_unreadable_entry_is_skipped_alone():
     wrong = [
         {"host": "x"},
         7,
--- a/tests/test_notified_in_time.py
+++ b/tests/test_notified_in_time.py
@@ -1,6 +1,6 @@
-"""A change counts as told 6 s after discovery had it and could be reached, whatever failed, was refused or given up.
+"""A change reaches the sender within 6 s after discovery has it and is reachable, whatever failed before.
 
-The sender with its engine, and discovery played by the test. All random draws are the longest."""
+Runs the sender with its engine against a simulated discovery. All random waits are the longest."""
 
 import socket
 
@@ -11,34 +11,34 @@
 
 from scalefall.net import http, list_watch
 
-TOLD = 6 * S
-ANSWER = 140 * MS  # discovery serves one call at a time, and takes about so long for it (docs/performance.md),
-REFUSAL = S  # and answers 503 to what has waited for so long
-LONGEST = 1 - 2**-53  # what random() gives at most
-DOWN = 60 * S
-MOST_ASKS = 100  # in that time: a discovery that is down is not flooded
+NOTIFIED_US = 6 * S  # after this, the sender counts as notified
+ANSWER_US = 140 * MS  # discovery's time per call, which it serves one at a time (docs/performance.md)
+REJECTION_US = S  # discovery answers 503 to a call that has waited this long
+MAX_RANDOM = 1 - 2**-53  # the largest value of random()
+DOWNTIME_US = 60 * S
+MAX_DOWNTIME_WATCHES = 100  # bounds the load on a discovery that is down
 
 
 class Discovery:
-    """The platform's side of a sender's watch, and how each of the sender's watches ended."""
+    """Discovery's side of a sender's watch, and the times at which the sender's watches ended."""
 
     def __init__(self, folder, pushed):
         self.firm = Firm(folder, polls_endpoint_list=not pushed, replica_count=30)
         self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
-        self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch._watch_once
-        self.list._watch._watch_once, self.waiting, self.sockets = self._ends, None, []
+        self.peer, self.ended, self._watch_once = self.firm.platform, [], self.list._watch._watch_once
+        self.list._watch._watch_once, self.waiting, self.sockets = self._watch_and_record_end, None, []
         for source in (self.list._watch._random, self.firm.sender.engine.state.random):
-            source.random = lambda: LONGEST
+            source.random = lambda: MAX_RANDOM
 
-    def _ends(self, address):
-        why = self._watch_at(address)
+    def _watch_and_record_end(self, address):
+        reason = self._watch_once(address)
         self.ended.append(self.world.now())
         if self.waiting is not None:
             self.world.wake(self.waiting)
-        return why
+        return reason
 
     def until_ended(self):
-        """Until one more watch, or try to open one, has ended."""
+        """Wait until one more watch, or attempt to open one, has ended."""
         self.waiting = getcurrent()
         self.world.pause(self.world.now() + 20 * S)
         self.waiting = None
@@ -46,29 +46,29 @@
     def refuse(self):
         self.peer.listener.close()
 
-    def back(self):
+    def listen_again(self):
         self.peer.listener = socket.create_server(self.peer.address, backlog=64)
         self.peer.listener.setblocking(False)
 
-    def call(self, answer=None, span=ANSWER):
-        """The next call, answered after the span, or never; when it came."""
+    def call(self, answer=None, delay_us=ANSWER_US):
+        """Accept the next call, answer it after the delay (never if None), and return the time of the call."""
         sock = self.peer.accept()
-        came = self.world.now()
-        self.sockets.append(sock)  # stays open
+        accepted_at = self.world.now()
+        self.sockets.append(sock)  # keeps the connection open
         self.peer.read(sock)
         if answer is not None:
-            self.world.sleep(span)
+            self.world.sleep(delay_us)
             sock.send(answer)
-        return came
+        return accepted_at
 
-    def tell_change(self):
+    def send_change(self):
         change = list_update(2, listed("f", self.firm.endpoint.address), whole=False)
         self.call(STREAM + chunk(change))
         self.world.until(lambda: "f" in self.list.entries)
 
 
 def unanswered(discovery):
-    """The listener's queue is full: a dial gets no answer, and is given up after its time."""
+    """Let the next dial time out, as the listener's backlog is full."""
     full = [socket.socket() for _ in range(80)]
     for sock in full:
         sock.setblocking(False)
@@ -86,34 +86,34 @@
 def refused(discovery):
     discovery.refuse()
     discovery.until_ended()
-    discovery.back()
+    discovery.listen_again()
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-@pytest.mark.parametrize("end", ["silent", "closed"])
+@pytest.mark.parametrize("end", ["idle", "closed"])
 @pytest.mark.parametrize("dial", [refused, unanswered])
-def test_a_change_is_told_in_time_past_a_watch_that_ends_a_dial_that_fails_and_a_503(tmp_path, pushed, end, dial):
+def test_a_change_arrives_in_time_after_a_broken_watch_a_failed_dial_and_a_503(tmp_path, pushed, end, dial):
     discovery = Discovery(tmp_path, pushed)
     world = discovery.world
 
     def play():
         discovery.firm.watched()
         world.until(lambda: discovery.list._watch._last_active_at_us > 0)
-        fell = world.now()
+        ended_at = world.now()
         if end == "closed":
             discovery.firm.watch.close()
         discovery.until_ended()
         dial(discovery)
-        discovery.call(http.answer(503, []), REFUSAL)
-        discovery.tell_change()
-        assert world.now() - fell < TOLD, f"{(world.now() - fell) / S} s"
+        discovery.call(http.answer(503, []), REJECTION_US)
+        discovery.send_change()
+        assert world.now() - ended_at < NOTIFIED_US, f"{(world.now() - ended_at) / S} s"
 
     world.play(play)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_after_a_long_time_down_a_change_is_told_in_time_past_a_call_given_up_and_a_503(tmp_path, pushed):
-    """Its call came in the moment in which discovery came back, and is never answered."""
+def test_after_a_long_downtime_a_change_arrives_in_time_after_a_call_that_times_out_and_a_503(tmp_path, pushed):
+    """The first call arrives at the moment at which discovery is back, and is never answered."""
     discovery = Discovery(tmp_path, pushed)
     world = discovery.world
 
@@ -122,21 +122,21 @@
         discovery.refuse()
         discovery.firm.watch.close()
         discovery.until_ended()
-        world.sleep(DOWN)
-        asks = len(discovery.ended)
-        discovery.back()
-        came = discovery.call()
-        discovery.call(http.answer(503, []), REFUSAL)
-        discovery.tell_change()
-        assert world.now() - came < TOLD, f"{(world.now() - came) / S} s"
-        assert asks <= MOST_ASKS
+        world.sleep(DOWNTIME_US)
+        watches = len(discovery.ended)
+        discovery.listen_again()
+        accepted_at = discovery.call()
+        discovery.call(http.answer(503, []), REJECTION_US)
+        discovery.send_change()
+        assert world.now() - accepted_at < NOTIFIED_US, f"{(world.now() - accepted_at) / S} s"
+        assert watches <= MAX_DOWNTIME_WATCHES
 
     world.play(play)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_long_list_that_stops_in_its_middle_is_silence_from_its_last_byte_on(tmp_path, pushed):
-    """Each 64 KiB of it had given it 3 s more: what came after its last byte was told 9 s later and more."""
+def test_a_change_arrives_in_time_after_a_long_list_that_stops_in_the_middle(tmp_path, pushed):
+    """Each 64 KiB of the list extended the timeout by 3 s: a change after its last byte arrived 9 s later or more."""
     discovery = Discovery(tmp_path, pushed)
     world = discovery.world
 
@@ -146,8 +146,8 @@
         data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_IDLE_TIMEOUT]
         discovery.firm.send(discovery.firm.watch, data)
         world.sleep(MS)
-        fell = world.now()
-        discovery.tell_change()
-        assert world.now() - fell < TOLD, f"{(world.now() - fell) / S} s"
+        stopped_at = world.now()
+        discovery.send_change()
+        assert world.now() - stopped_at < NOTIFIED_US, f"{(world.now() - stopped_at) / S} s"
 
     world.play(play)
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -1,4 +1,4 @@
-"""A list from the operator's own file: what goes drains under the rule, and a change is there at once or not at all."""
+"""The endpoint list from the operator's file: removed endpoints drain, and a change applies at once or not at all."""
 
 import dataclasses
 import socket
@@ -33,59 +33,59 @@
 
 
 def static_list(world, *names):
-    told = []
-    return StaticList(world, ListUpdate(1, True, [entry(name) for name in names]), told.append, S), told
+    events = []
+    return StaticList(world, ListUpdate(1, True, [entry(name) for name in names]), events.append, S), events
 
 
-def test_what_goes_drains_at_once_and_is_gone_after_the_grace():
+def test_a_removed_endpoint_drains_at_once_and_ends_after_the_grace():
     world = World()
 
     def play():
-        endpoint_list, told = static_list(world, "a", "b")
+        endpoint_list, events = static_list(world, "a", "b")
         assert endpoint_list.initial_list().kind is ListUpdateKind.WHOLE
         assert endpoint_list.replace([entry("b"), entry("c")]) == (1, 1, 0)
-        assert [statuses(event) for event in told] == [{"a": "DRAINING", "c": "READY"}]
+        assert [statuses(event) for event in events] == [{"a": "DRAINING", "c": "READY"}]
         assert endpoint_list.left_at["a"] == world.now()
         world.sleep(S - 1)
-        assert len(told) == 1
+        assert len(events) == 1
         world.sleep(2 * MS)
-        assert statuses(told[1]) == {"a": "GONE"}
+        assert statuses(events[1]) == {"a": "GONE"}
 
     world.play(play)
 
 
-def test_what_comes_back_within_the_grace_stays():
+def test_an_endpoint_that_is_listed_again_within_the_grace_stays():
     world = World()
 
     def play():
-        endpoint_list, told = static_list(world, "a", "b")
+        endpoint_list, events = static_list(world, "a", "b")
         endpoint_list.replace([entry("b")])
         world.sleep(S // 2)
         assert endpoint_list.replace([entry("a"), entry("b")]) == (1, 0, 0)
         world.sleep(2 * S)
-        assert [statuses(event) for event in told] == [{"a": "DRAINING"}, {"a": "READY"}]
+        assert [statuses(event) for event in events] == [{"a": "DRAINING"}, {"a": "READY"}]
         assert "a" not in endpoint_list.left_at
         endpoint_list.replace([entry("b")])
         world.sleep(2 * S)
-        assert statuses(told[-1]) == {"a": "GONE"}
+        assert statuses(events[-1]) == {"a": "GONE"}
 
     world.play(play)
 
 
-def test_only_what_changed_is_told_and_a_new_limit_is_not_undone_by_what_went():
+def test_only_changes_are_passed_on_and_a_removal_does_not_undo_a_new_limit():
     world = World()
 
     def play():
-        endpoint_list, told = static_list(world, "a", "b")
+        endpoint_list, events = static_list(world, "a", "b")
         assert endpoint_list.replace([entry("b", weight=9.0)]) == (0, 1, 1)
-        assert [end.id for end in told[0].endpoints] == ["a", "b"]  # the new limit is told last
+        assert [end.id for end in events[0].endpoints] == ["a", "b"]  # the new limit comes last
         assert endpoint_list.replace([entry("b", weight=9.0)]) == (0, 0, 0)
-        assert len(told) == 1
+        assert len(events) == 1
 
     world.play(play)
 
 
-# -- the whole sender on a file
+# -- the whole sender with a file
 
 
 def read(text, tmp_path, seed=1):
@@ -102,11 +102,11 @@
     )
 
 
-def hand_in(world, sender, name, cls="fee", dest=7, span=5 * S):
-    transaction = DeliveryRequest(name, cls, dest, world.now() + span, None, b"body")
-    sender.admission.submit(transaction)
-    world.until(lambda: transaction.admission is not None)
-    return transaction.admission
+def submit(world, sender, name, cls="fee", dest=7, span=5 * S):
+    request = DeliveryRequest(name, cls, dest, world.now() + span, None, b"body")
+    sender.admission.submit(request)
+    world.until(lambda: request.admission is not None)
+    return request.admission
 
 
 def serve(world, peer, sock):
@@ -126,37 +126,37 @@
     return sender
 
 
-def test_a_sender_on_a_file_delivers_and_its_routes_carry_what_they_say(tmp_path):
+def test_a_sender_with_a_file_delivers_and_its_routes_carry_their_classes(tmp_path):
     world = World()
 
     def play():
         peer = Peer(world)
         sender = started(world, tmp_path, at(peer), 4, b"3s", b"classes fee")
-        assert hand_in(world, sender, "m1") == Accepted()
+        assert submit(world, sender, "m1") == Accepted()
         assert serve(world, peer, peer.accept()).fields["host"] == "{}:{}".format(*peer.address)
-        assert hand_in(world, sender, "m2", "note") == NotServed()
-        assert isinstance(hand_in(world, sender, "m3", dest=8), Rejected)
+        assert submit(world, sender, "m2", "note") == NotServed()
+        assert isinstance(submit(world, sender, "m3", dest=8), Rejected)
         reload(world, sender, lambda: read(SITE % (at(peer), 4, b"3s", b"classes every"), tmp_path))
-        assert hand_in(world, sender, "m4", "note") == Accepted()
+        assert submit(world, sender, "m4", "note") == Accepted()
 
     world.play(play)
 
 
-def test_an_endpoint_that_the_file_no_longer_has_gets_nothing_fresh(tmp_path):
+def test_an_endpoint_removed_from_the_file_gets_no_new_calls(tmp_path):
     world = World()
 
     def play():
         old, new = Peer(world), Peer(world)
         sender = started(world, tmp_path, at(old), 4, b"3s", b"")
-        hand_in(world, sender, "m1")
-        out = old.accept()
-        old.read(out)  # m1 is out there when the file changes, and may end
+        submit(world, sender, "m1")
+        old_sock = old.accept()
+        old.read(old_sock)  # m1 is in flight there when the file changes, and may end
         reload(world, sender, lambda: read(SITE % (at(new), 4, b"3s", b""), tmp_path))
         for n in range(3):
-            assert hand_in(world, sender, f"n{n}") == Accepted()
+            assert submit(world, sender, f"n{n}") == Accepted()
             serve(world, new, new.accept() if n == 0 or new.accepted == n else None)
             world.sleep(S)
-        out.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        old_sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         world.sleep(S)
         assert old.accepted == 1
         assert not sender.tracker.open
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("error", ["site.scale:1:1: one\nsite.scale:2:1: two", "short"])
-def test_a_file_that_cannot_be_used_changes_nothing_and_every_error_is_logged(tmp_path, caplog, error):
+def test_an_invalid_file_changes_nothing_and_every_error_is_logged(tmp_path, caplog, error):
     world = World()
 
     def play():
@@ -178,7 +178,7 @@
 
         reload(world, sender, broken)
         assert (dict(sender.endpoint_list.entries), sender.routes.rules, sender.endpoint_list.seq) == before
-        assert hand_in(world, sender, "m1") == Accepted()
+        assert submit(world, sender, "m1") == Accepted()
         serve(world, peer, peer.accept())
 
     world.play(play)
@@ -186,26 +186,26 @@
     assert lines == [f"configuration not taken, the old settings stay: {line}" for line in error.splitlines()]
 
 
-def test_the_file_is_read_beside_the_sending_and_a_second_signal_meanwhile_reads_once_more(tmp_path):
+def test_the_file_is_read_in_a_thread_and_a_signal_meanwhile_causes_one_more_read(tmp_path):
     world = World()
 
     def play():
         peer = Peer(world)
         sender = started(world, tmp_path, at(peer), 4, b"3s", b"")
-        held, reads = threading.Event(), []
+        release, reads = threading.Event(), []
 
         def slow():
             reads.append(threading.current_thread() is threading.main_thread())
-            held.wait(60)
+            release.wait(60)
             return read(SITE % (at(peer), 2, b"3s", b""), tmp_path)
 
         sender.reload(slow)
         sender.reload(slow)
-        assert hand_in(world, sender, "m1") == Accepted()  # while the thread reads
+        assert submit(world, sender, "m1") == Accepted()  # while the thread reads
         serve(world, peer, peer.accept())
         assert sender.routes.rules[7].attempts == 4
         sender.reload(slow)
-        held.set()
+        release.set()
         world.until(lambda: not sender.reloader.reloading)
         assert reads == [False, False]
         assert sender.routes.rules[7].attempts == 2
@@ -213,7 +213,7 @@
     world.play(play)
 
 
-def test_a_wait_is_never_told_longer_than_the_policy_says(tmp_path):
+def test_retry_after_is_capped_by_the_route(tmp_path):
     world = World()
 
     def play():
@@ -224,12 +224,12 @@
     world.play(play)
 
 
-def test_without_a_reports_address_a_given_up_message_is_over_with_a_line_in_the_log(tmp_path, caplog):
+def test_without_a_reports_address_the_delivery_report_is_logged(tmp_path, caplog):
     world = World()
 
     def play():
         sender = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"3s", b"")
-        assert hand_in(world, sender, "m1", span=2 * S) == Accepted()
+        assert submit(world, sender, "m1", span=2 * S) == Accepted()
         world.until(lambda: not sender.tracker.open)
         assert not sender.journal.pending
 
@@ -239,25 +239,25 @@
     ]
 
 
-def test_a_thread_that_ends_early_wakes_nobody_by_mistake():
+def test_a_thread_that_ends_early_interrupts_no_other_wait():
     world = World()
 
     def play():
         for n in range(20):
             assert world.in_thread(lambda n=n: n) == n
-        began = world.now()
+        started_at = world.now()
         world.sleep(S)
-        assert world.now() - began >= S
+        assert world.now() - started_at >= S
         with pytest.raises(ZeroDivisionError):
             world.in_thread(lambda: 1 / 0)
 
     world.play(play)
 
 
-# -- what the file says of one pool's connections
+# -- connection settings of the file
 
 
-def test_a_pools_idle_close_goes_before_the_senders():
+def test_a_pools_idle_close_overrides_the_senders():
     world = World()
 
     def play():
@@ -265,30 +265,30 @@
         calls = Calls(world, settings(idle_close_us=60 * S), peer.address)
         calls.entry = dataclasses.replace(calls.entry, idle_us=2 * S)
         calls.begin("m")
-        sock, began = peer.accept(), world.now()
+        sock, started_at = peer.accept(), world.now()
         serve(world, peer, sock)
         assert closed(world, sock)
-        assert world.now() - began < 2 * S
+        assert world.now() - started_at < 2 * S
 
     world.play(play)
 
 
-def test_a_routes_dial_within_goes_before_the_default():
+def test_a_routes_dial_within_overrides_the_default():
     world = World()
 
     def play():
         peer = Peer(world)
         calls = Calls(world, settings(dial_timeout_us=60 * S), peer.address)
         calls.entry = dataclasses.replace(calls.entry, dial_us=S // 2)
-        full = [socket.socket() for _ in range(80)]  # the listener's queue is full: the dial goes unanswered
+        full = [socket.socket() for _ in range(80)]  # fill the listener's backlog: the dial gets no answer
         for sock in full:
             sock.setblocking(False)
             sock.connect_ex(peer.address)
         world.sleep(MS)
         calls.begin("m")
-        told = calls.outcome("m")
-        assert told.outcome is Outcome.CONNECT_FAILED
-        assert S // 2 <= told.latency_us < S
+        event = calls.outcome("m")
+        assert event.outcome is Outcome.CONNECT_FAILED
+        assert S // 2 <= event.latency_us < S
         for sock in full:
             sock.close()
 
