--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -50,14 +50,14 @@
         """Start with no attempt in flight.
 
         Args:
-            scheduler: The clock, and the tasks that carry the attempts.
+            scheduler: The clock, and the tasks that run the attempts.
             settings: The number of messages per call by kind of endpoint, and the drain grace.
             max_sockets: The limit of connections to endpoints.
             events: Passes outcomes to the engine.
             tracker: The requests in flight.
             journal: Records the starts and outcomes of attempts.
             endpoint_list: The endpoints and their addresses.
-            wall_offset_us: The difference of wall time and monotonic time, in microseconds.
+            wall_offset_us: Wall time minus monotonic time, in microseconds.
         """
         self._scheduler = scheduler
         self._settings = settings
@@ -69,7 +69,7 @@
         self._wall_offset_us = wall_offset_us
         self._retry_after_until: dict[int | str, int] = {}  # by wait scope, in monotonic microseconds
         self.attempts = Attempts(
-            scheduler, settings, max_sockets, self._finish_message, self.may_begin, tracker.open.__contains__
+            scheduler, settings, max_sockets, self._handle_outcome, self.may_begin, tracker.open.__contains__
         )
 
     # -- sends
@@ -194,7 +194,7 @@
         for endpoint_id in self._endpoint_list.left_at:
             self.attempts.endpoint_left(self._endpoint_list.entries[endpoint_id])
 
-    def _finish_message(self, event: AttemptFinished, unreadable: bool) -> None:
+    def _handle_outcome(self, event: AttemptFinished, unreadable: bool) -> None:
         """Record the outcome of an attempt for one message, and report it to the engine.
 
         If the endpoint could not read a call with several messages, one of them may be the cause: each message is
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -48,7 +48,7 @@
         """Start with no attempt in flight.
 
         Args:
-            scheduler: The clock, and the tasks that carry out attempts.
+            scheduler: The clock, and the tasks that run the attempts.
             settings: The time limits of dials and idle connections, and whether answers carry load reports.
             max_sockets: The limit of connections to endpoints.
             report_outcome: Called with the outcome of an attempt for one message, and whether the endpoint could not
@@ -130,8 +130,8 @@
     def _perform(self, attempt: Attempt, reader: http.AnswerReader) -> None:
         """Connect, send the call and read its answer.
 
-        An endpoint runs a call only after its last byte, so a call that is cut off before never ran. Sending stops at
-        the earliest end of a message's time, as that message has its final answer by then, or at the earliest end of
+        An endpoint runs a call only after its last byte, so a call that is cut off before that never ran. Sending stops
+        at the earliest end of a message's time, as that message has its final answer by then, or at the earliest end of
         the time in which endpoints drop a repeat.
 
         Raises:
@@ -168,7 +168,7 @@
             self._end_answered(attempt, connection, reader)
 
     def _drop_late_messages(self, attempt: Attempt) -> None:
-        """Drop the messages from the call that might take effect twice by now, or have ended.
+        """Drop from the call the messages that might take effect twice by now, or have ended.
 
         A dial may take over a second, and a call with several messages waits until the latest deadline among them.
         """
@@ -206,7 +206,7 @@
             until_us = min(until_us, started_at_us + max_answer_us)
         return True
 
-    # -- its end
+    # -- end of an attempt
 
     def _end_answered(self, attempt: Attempt, connection: Connection, reader: http.AnswerReader) -> None:
         """End an attempt with its whole answer, and release its connection if it is reusable."""
--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -86,7 +86,7 @@
             self._apply_and_notify(update)
 
     def watch_active(self) -> None:
-        """Handle a sign of life from discovery: a poll has succeeded, whether or not the list has changed."""
+        """Handle activity of discovery: a poll has succeeded, whether or not the list has changed."""
         self._announce_initial_list()
         if self._failure_reported:
             self._failure_reported = False
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -14,7 +14,7 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
-MIN_REMOVED_RETENTION_US = 60_000_000  # a removed endpoint is kept this long, or as long as messages may take
+MIN_REMOVED_RETENTION_US = 60_000_000  # or as long as messages may take: calls may be in flight to a removed endpoint
 
 
 class EndpointList:
@@ -22,7 +22,7 @@
 
     Attributes:
         entries: The endpoints by id, those removed recently included.
-        left_at: By id, when each draining or removed endpoint started to drain, in monotonic microseconds.
+        left_at: By id, when each draining or removed endpoint left service, in monotonic microseconds.
         seq: The list's version.
         unreadable_entries: The number of entries so far that could not be read.
     """
@@ -187,7 +187,7 @@
             self._entry_counts[entry.endpoint.destination] += 1
 
     def _drop_expired_removed(self, now_us: int) -> None:
-        """Drop endpoints removed so long ago that no call is in flight there; without this the list would only grow."""
+        """Drop endpoints removed too long ago for calls in flight: ids are not reused, so they would accumulate."""
         while self._removed_at and next(iter(self._removed_at.values())) < now_us - self._removed_retention_us:
             endpoint_id = next(iter(self._removed_at))
             address = self.entries[endpoint_id].address
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -20,12 +20,8 @@
     "terminated": EndpointStatus.GONE,
 }
 JSON_STRING = rb'"(?:[^"\\]++|\\.)*+"'
-FLAT_OBJECT = (
-    rb'\{(?:[^{}"]++|' + JSON_STRING + rb")*+\}"
-)  # an object without nested ones, such as an entry, as one token
-TOKEN = re.compile(
-    FLAT_OBJECT + b"|" + JSON_STRING + rb'|[{}"]', re.DOTALL
-)  # a lone quotation mark starts an incomplete string
+FLAT_OBJECT = rb'\{(?:[^{}"]++|' + JSON_STRING + rb")*+\}"  # without nested objects, as an entry is
+TOKEN = re.compile(FLAT_OBJECT + b"|" + JSON_STRING + rb'|[{}"]', re.DOTALL)  # a lone " starts an incomplete string
 JSON_WHITESPACE = b" \t\r\n"
 
 EntryRow = TypedDict(  # one endpoint in discovery's JSON; the functional form, as `class` is a keyword
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -45,10 +45,10 @@
         """Apply a list, or the changes of a list."""
 
     def watch_active(self) -> None:
-        """Handle a sign of life from discovery: a list or a blank keep-alive line."""
+        """Handle activity of discovery: a list or a blank keep-alive line."""
 
     def watch_failed(self) -> None:
-        """Handle a broken watch, unless it broke by an idle timeout."""
+        """Handle a watch that broke other than by an idle timeout."""
 
 
 @dataclass(slots=True)
@@ -217,7 +217,7 @@
         try:
             return streams.receive(self._scheduler, sock, connection.deadline_us())
         except streams.TimeUp:
-            self._reconnect_soon = connection.reader.head_done  # the sender soon counts as notified
+            self._reconnect_soon = connection.reader.head_done  # the sender soon counts as notified of missed changes
             raise
 
     def _process(self, connection: _WatchConnection, data: bytes, discovery: tuple[str, int]) -> None:
--- a/scalefall/net/static_list.py
+++ b/scalefall/net/static_list.py
@@ -40,7 +40,7 @@
             scheduler: The clock.
             known: The list.
             on_change: Called with each update for the engine.
-            drain_grace_us: The time from an endpoint's removal from the file to its end, in microseconds.
+            drain_grace_us: The time from an endpoint's removal from the file to its termination, in microseconds.
         """
         super().__init__(scheduler, known, on_change)
         self._drain_grace_us = drain_grace_us
@@ -78,7 +78,7 @@
         return ListChange(len(added), len(removed), len(changed))
 
     def _is_listed(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint is in the current list: it neither drains after its removal nor has ended."""
+        """Return whether an endpoint is in the current list: it neither drains after its removal nor is terminated."""
         entry = self.entries.get(endpoint_id)
         return (
             entry is not None
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -551,7 +551,7 @@
         other = call(not_idempotent=True)
         call(other)  # the most recently used connection
         world.sleep(S)
-        for _ in range(40):  # calls that may run twice go on with it, and none is lost
+        for _ in range(40):  # calls that may run twice still use it, and none is lost
             call(other)
             world.sleep(S)
         assert call(other, not_idempotent=True) is other
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -357,9 +357,8 @@
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
         assert closed(world, old)
-        sock.send(
-            STREAM + chunk(list_update(3, listed("f", HERE)))
-        )  # the new discovery may number its versions differently
+        # The new discovery may number its versions differently.
+        sock.send(STREAM + chunk(list_update(3, listed("f", HERE))))
         world.until(lambda: events)
         assert events[0].kind is K.WHOLE
         assert endpoint_list.seq == 3
