--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -359,7 +359,7 @@
         sock, _ = firm.call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
         firm.world.until(lambda: not firm.sender.dispatcher.may_begin(entry))
-        firm.sender.dispatcher.forget_expired_waits()  # this one has not expired
+        firm.sender.dispatcher.drop_expired_waits()  # this one has not expired
         assert not firm.sender.dispatcher.may_begin(entry)
         firm.world.sleep(600 * MS)
         assert firm.sender.dispatcher.may_begin(entry)
@@ -485,7 +485,7 @@
         assert call.fields["x-request-id"] == "m"
         firm.world.until(lambda: outcomes)
         assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", Outcome.NOT_SENT)
-        assert counted == ["the module sends to endpoints that the list has"]
+        assert counted == ["the engine sends only to listed endpoints"]
 
     play(firm, steps)
 
