--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -58,7 +58,7 @@
 
     from scalefall.net.config import Config
     from scalefall.net.list_stream import read_list
-    from scalefall.net.rate_keeper import TIME_PER_RATE_US
+    from scalefall.net.rate_saver import SAVE_INTERVAL_PER_RATE_US
     from scalefall.net.scheduler import Scheduler
     from scalefall.net.sender import Sender
 
@@ -98,7 +98,7 @@
             settings(polls_endpoint_list=False, replica_count=number),
             known,
         )
-        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * TIME_PER_RATE_US
+        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * SAVE_INTERVAL_PER_RATE_US
         sender = Sender(scheduler, config)
         scheduler.spawn(sender.start)
 
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -10,7 +10,7 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointReport, Outcome
 
-OUTAGE_SEEN_US = 2_000_000  # an endpoint back from maintenance counts as seen down for so long already
+ASSUMED_OUTAGE_US = 2_000_000  # an endpoint back from maintenance counts as seen down for so long already
 INSUFFICIENT_STORAGE = 507  # the status of a call that could not be kept
 
 
@@ -93,5 +93,5 @@
         if self._endpoint_list.has_endpoint(endpoint):
             now_us = self._scheduler.now()
             # The second call counts as sent after the moment at which the engine hears of the first.
-            for sent_us in (now_us - OUTAGE_SEEN_US, now_us + 2 * self._tick_us):
+            for sent_us in (now_us - ASSUMED_OUTAGE_US, now_us + 2 * self._tick_us):
                 self._events.gather(EndpointReport(endpoint, sent_us, Outcome.CONNECT_FAILED))
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.deadline_monitor import DeadlineMonitor
 from scalefall.net.delivery_request import Accepted, Conflict, DeliveryRequest, GivenUp, NotServed, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.endpoint_list import EndpointList
@@ -18,8 +18,8 @@
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-RETRY_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
-RETRY_WHEN_CLOSING_US = 500_000  # and by one that is about to end: its replicas are there at once
+RETRY_AFTER_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
+RETRY_AFTER_IN_SHUTDOWN_US = 500_000  # and by one that is about to end: its replicas are there at once
 
 
 class Admission:
@@ -35,7 +35,7 @@
         settings: Settings,
         events: EventQueue,
         tracker: DeliveryTracker,
-        deadline_watch: DeadlineWatch,
+        deadline_monitor: DeadlineMonitor,
         journal: Journal,
         endpoint_list: EndpointList,
         routes: RouteTable,
@@ -48,7 +48,7 @@
             settings: The classes in force and the most messages that may be open.
             events: Carries what the engine has to decide.
             tracker: The requests in flight.
-            deadline_watch: Sees to the end of accepted messages.
+            deadline_monitor: Sees to the end of accepted messages.
             journal: Holds each message before it counts as accepted.
             endpoint_list: Tells which destinations have endpoints.
             routes: Tells which classes a route carries.
@@ -59,7 +59,7 @@
         self._events = events
         self._tracker = tracker
         self._open = tracker.open
-        self._deadline_watch = deadline_watch
+        self._deadline_monitor = deadline_monitor
         self._journal = journal
         self._endpoint_list = endpoint_list
         self._routes = routes
@@ -86,7 +86,7 @@
             returned = pending.final_answer is FinalAnswer.RETURNED
             request.decide(Rejected(pending.retry_after_ms * MILLISECOND_US) if returned else GivenUp())
         elif self._closes_at_us is not None and self._scheduler.now() >= self._closes_at_us:
-            request.decide(Rejected(RETRY_WHEN_CLOSING_US, True))
+            request.decide(Rejected(RETRY_AFTER_IN_SHUTDOWN_US, True))
         elif not self._routes.carries(request.destination, request.class_name):
             request.decide(NotServed())
         elif (
@@ -94,7 +94,7 @@
             or len(self._open) >= self._settings.max_queued
             or not self._journal.has_capacity(len(request.body))
         ):
-            request.decide(Rejected(RETRY_WHEN_FULL_US, True))
+            request.decide(Rejected(RETRY_AFTER_WHEN_FULL_US, True))
         else:
             self._tracker.add(request)
             request.message_class = self._settings.classes.get(request.class_name)
@@ -128,9 +128,9 @@
             pending.key_scope_zone = message_class.key_scope_zone
             pending.key_ttl_us = message_class.key_ttl_us
         if self._journal.record_accepted(pending):
-            self._deadline_watch.watch(request)
+            self._deadline_monitor.watch(request)
         else:
-            request.decide(Rejected(RETRY_WHEN_FULL_US, True))
+            request.decide(Rejected(RETRY_AFTER_WHEN_FULL_US, True))
             self.withdraw(request)
 
     def _submit_repeated(self, request: DeliveryRequest) -> None:
--- a/scalefall/net/deadline_watch.py
+++ b/scalefall/net/deadline_monitor.py
@@ -13,11 +13,13 @@
 from scalefall.net.scheduler import Scheduler, Timer
 from scalefall.policy.events import MessageWithdrawn
 
-OVERDUE_US = 50_000  # microseconds past its deadline after which a message that the engine has not ended is failed:
+OVERDUE_GRACE_US = (
+    50_000  # microseconds past its deadline after which a message that the engine has not ended is failed:
+)
 # long enough for the engine's own timer and the step that follows it
 
 
-class DeadlineWatch:
+class DeadlineMonitor:
     """Fails accepted messages that are still open shortly after their deadline.
 
     The engine ends every message in time; this watch holds should it lose one.
@@ -52,10 +54,10 @@
 
     def _set_timer(self, due_us: int) -> None:
         """Have the timer fire for this deadline, unless it fires for an earlier one."""
-        if self._timer is None or due_us + OVERDUE_US < self._timer.at:
+        if self._timer is None or due_us + OVERDUE_GRACE_US < self._timer.at:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer = self._scheduler.call_at(due_us + OVERDUE_US, self._fail_overdue)
+            self._timer = self._scheduler.call_at(due_us + OVERDUE_GRACE_US, self._fail_overdue)
 
     def _fail_overdue(self) -> None:
         """Fail what is open past its deadline.
@@ -68,10 +70,10 @@
         self._timer = None
         failed = []
         while self._deadlines and (
-            self._deadlines[0][0] + OVERDUE_US <= now_us or self._deadlines[0][1] not in self._open
+            self._deadlines[0][0] + OVERDUE_GRACE_US <= now_us or self._deadlines[0][1] not in self._open
         ):
             request = self._open.get(heapq.heappop(self._deadlines)[1])
-            if request is not None and request.due_us + OVERDUE_US <= now_us:
+            if request is not None and request.due_us + OVERDUE_GRACE_US <= now_us:
                 failed.append(request.id)
                 self._final_answers.fail(request.id)
                 self._events.gather(MessageWithdrawn(request.id))
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -18,15 +18,20 @@
 from scalefall.net.logs import debug_event, log
 from scalefall.net.scheduler import Scheduler, Task
 
-MS = 1000  # microseconds
-STEP_US = 120 * MS  # a POST with no answer after this gets another one beside it
-MAX_POSTS = 8  # in flight at a time, so that a platform that hangs holds few sockets
-POST_US = MAX_POSTS * STEP_US  # a POST may take so long: the first has ended when the last may start
-MIN_BACKOFF_US, MAX_BACKOFF_US = 20 * MS, 160 * MS  # after a POST that was refused or broke, doubled each time
-MAX_LINES = 100  # reports in one POST
+MILLISECOND_US = 1000  # microseconds
+HEDGE_DELAY_US = 120 * MILLISECOND_US  # a POST with no answer after this gets another one beside it
+MAX_POSTS_IN_FLIGHT = 8  # in flight at a time, so that a platform that hangs holds few sockets
+POST_TIMEOUT_US = (
+    MAX_POSTS_IN_FLIGHT * HEDGE_DELAY_US
+)  # a POST may take so long: the first has ended when the last may start
+MIN_BACKOFF_US, MAX_BACKOFF_US = (
+    20 * MILLISECOND_US,
+    160 * MILLISECOND_US,
+)  # after a POST that was refused or broke, doubled each time
+MAX_REPORTS_PER_POST = 100  # reports in one POST
 MAX_BODY_BYTES = 48 * 1024  # of one POST; the protocol allows 64 KiB
-LATE_US = 300 * MS  # a message counts as lost if its report comes so long after its deadline
-LOG_INTERVAL_US = 1000 * MS  # failures are logged no more often
+MAX_REPORT_DELAY_US = 300 * MILLISECOND_US  # a message counts as lost if its report comes so long after its deadline
+LOG_INTERVAL_US = 1000 * MILLISECOND_US  # failures are logged no more often
 NO_CONTENT, BAD_REQUEST = 204, 400  # the platform has taken the reports; it cannot read one of them
 NO_STATUS = 0  # of a POST that had no answer
 
@@ -137,7 +142,7 @@
         self._idle_socket: socket.socket | None = None  # kept from the POST before
         self._idle_socket_peer = platform
         self._posts: dict[_Post, None] = {}
-        self._max_lines = MAX_LINES
+        self._max_lines = MAX_REPORTS_PER_POST
         self._backoff_us = MIN_BACKOFF_US
         self._logged_at = -LOG_INTERVAL_US
         self._task: Task | None = None
@@ -182,11 +187,11 @@
     def _start_posts(self) -> None:
         """Start a POST, and another whenever one has ended or a step has passed, until all reports are delivered."""
         while self._reports:
-            if len(self._posts) < MAX_POSTS:
+            if len(self._posts) < MAX_POSTS_IN_FLIGHT:
                 post = _Post(self._most_urgent(), alone=not self._posts)
                 self._posts[post] = None
                 self._scheduler.spawn(self._carry_out, post)
-            woken_by = self._scheduler.sleep(STEP_US)
+            woken_by = self._scheduler.sleep(HEDGE_DELAY_US)
             if woken_by is _PostEnd.NOT_DELIVERED:  # the next one at once would end as this one
                 backoff_us = self._backoff_us
                 self._backoff_us = min(MAX_BACKOFF_US, 2 * backoff_us)
@@ -194,7 +199,7 @@
 
     def _most_urgent(self) -> list[str]:
         """The messages of the next POST: those whose report can be in time, the most urgent first; then late ones."""
-        late = self._scheduler.now() - LATE_US
+        late = self._scheduler.now() - MAX_REPORT_DELAY_US
         message_ids: list[str] = []
         size = 0
         for message_id in sorted(self._reports, key=lambda key: _urgency(self._reports[key], late)):
@@ -215,7 +220,7 @@
             status = self._post(b"".join(lines))
         finally:
             del self._posts[post]
-        elapsed_ms = (self._scheduler.now() - started) // MS
+        elapsed_ms = (self._scheduler.now() - started) // MILLISECOND_US
         debug_event("delivery reports: %s after %d ms: %d", " ".join(post.message_ids), elapsed_ms, status)
         if status == NO_CONTENT:
             self._confirm(post.message_ids)
@@ -227,7 +232,7 @@
 
     def _confirm(self, message_ids: list[str]) -> None:
         self._backoff_us = MIN_BACKOFF_US
-        self._max_lines = MAX_LINES
+        self._max_lines = MAX_REPORTS_PER_POST
         for message_id in message_ids:
             if self._reports.pop(message_id, None) is not None:
                 self._delivered(message_id)
@@ -270,7 +275,7 @@
             OSError: The connection was not made, or broke.
             http.Malformed: The answer is no HTTP.
         """
-        until = self._scheduler.now() + POST_US
+        until = self._scheduler.now() + POST_TIMEOUT_US
         peer = self._idle_socket_peer
         try:
             if sock is None:
--- a/scalefall/net/delivery_tracker.py
+++ b/scalefall/net/delivery_tracker.py
@@ -8,8 +8,8 @@
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
 
 SECOND_US = 1_000_000  # microseconds in a second
-REMEMBER_ID_US = 30 * SECOND_US  # a repeat of a finished id comes within this time, or not at all
-BYTES_PER_REMEMBERED_ID = 4096  # of the memory limit, for each finished id: 192 MB remember 46,875 of them
+FINISHED_ID_RETENTION_US = 30 * SECOND_US  # a repeat of a finished id comes within this time, or not at all
+MEMORY_BYTES_PER_FINISHED_ID = 4096  # of the memory limit, for each finished id: 192 MB remember 46,875 of them
 
 
 class DeliveryTracker:
@@ -29,7 +29,7 @@
             memory_bytes: The process's memory limit, which bounds how many finished ids are remembered.
         """
         self._scheduler = scheduler
-        self._max_finished = memory_bytes // BYTES_PER_REMEMBERED_ID
+        self._max_finished = memory_bytes // MEMORY_BYTES_PER_FINISHED_ID
         self._open: dict[str, DeliveryRequest] = {}
         self._finished: dict[str, tuple[int, int]] = {}
         self.open: Mapping[str, DeliveryRequest] = self._open
@@ -52,6 +52,9 @@
         if request is not None and isinstance(request.admission, Accepted):
             finished, now_us = self._finished, self._scheduler.now()
             finished[message_id] = now_us, request.fingerprint()
-            while len(finished) > self._max_finished or next(iter(finished.values()))[0] < now_us - REMEMBER_ID_US:
+            while (
+                len(finished) > self._max_finished
+                or next(iter(finished.values()))[0] < now_us - FINISHED_ID_RETENTION_US
+            ):
                 del finished[next(iter(finished))]
         return request
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -19,7 +19,7 @@
 from scalefall.net.journal_records import (
     FILE_HEADER,
     FRAME,
-    ZONE_BYTES,
+    RESERVED_ZONE_BYTES,
     AttemptFinished,
     AttemptStarted,
     FinalAnswer,
@@ -105,7 +105,7 @@
             False if it does not fit or cannot be written: the message must not be accepted then.
         """
         record = journal_records.encode_accepted(delivery)
-        copy_bytes = FRAME.size + len(record) + ZONE_BYTES
+        copy_bytes = FRAME.size + len(record) + RESERVED_ZONE_BYTES
         if not self._fits(self._copy_bytes + copy_bytes) or not self._append(record, copy_bytes):
             return False
         assert_invariant(delivery.id not in self.pending, "an id is taken on once")
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -22,15 +22,15 @@
 FILE_HEADER = b"scalefall journal 1\n"
 FRAME = struct.Struct("<II")  # length of the record, CRC-32 of it
 NO_TEXT = 0xFFFF  # in place of a text's length
-MAX_SPAN = 0xFFFFFFFF  # the largest time span that a record can hold, in milliseconds
-ZONE_BYTES = 128  # reserved in each copy of a delivery for the names of zones that attempts will add
+MAX_SPAN_MS = 0xFFFFFFFF  # the largest time span that a record can hold, in milliseconds
+RESERVED_ZONE_BYTES = 128  # reserved in each copy of a delivery for the names of zones that attempts will add
 
 # What an ACCEPTED record holds before its texts and its body:
 #   due, destination, attempts, when an attempt that may have run started (0: none did), flags, final answer (0: none),
 #   a time span in milliseconds, when the attempt in flight started (0: none was ever)
 # The span is the time to retry after where there is a final answer, and that of the idempotency key otherwise.
 ACCEPTED = struct.Struct("<qiIqBBIq")
-ACCEPTED_TEXTS = 5  # id, class, idempotency key, zone where it may have run, zone of the attempt in flight
+ACCEPTED_TEXT_COUNT = 5  # id, class, idempotency key, zone where it may have run, zone of the attempt in flight
 ATTEMPT_STARTED = struct.Struct("<qH")  # when, number of messages; then the zone and the messages' ids
 FINAL_ANSWER = struct.Struct("<BI")  # the answer, the time to retry after in milliseconds; then the message's id
 TEXT_LENGTH = struct.Struct("<H")
@@ -114,7 +114,7 @@
     key_scope_zone: bool = False
     key_ttl_us: int = 0
     copy_bytes: int = field(default=0, repr=False)
-    zone_bytes: int = field(default=ZONE_BYTES, repr=False)
+    zone_bytes: int = field(default=RESERVED_ZONE_BYTES, repr=False)
 
 
 class AttemptStarted(NamedTuple):
@@ -182,7 +182,7 @@
     """All of a delivery: written when it is accepted, and with its history when the journal is compacted."""
     answer = delivery.final_answer
     if answer is None:
-        span_ms, body = min(delivery.key_ttl_us // 1000, MAX_SPAN), delivery.body
+        span_ms, body = min(delivery.key_ttl_us // 1000, MAX_SPAN_MS), delivery.body
     else:
         span_ms, body = delivery.retry_after_ms, b""
     fixed = ACCEPTED.pack(
@@ -279,7 +279,7 @@
 
 def _decode_accepted(record: bytes) -> PendingDelivery:
     due, destination, attempts, ran_at, flags, answer, span_ms, started_at = ACCEPTED.unpack_from(record, 1)
-    texts, end = _decode_texts(record, 1 + ACCEPTED.size, ACCEPTED_TEXTS)
+    texts, end = _decode_texts(record, 1 + ACCEPTED.size, ACCEPTED_TEXT_COUNT)
     message_id, class_name, idempotency_key, ran_in_zone, attempt_zone = texts
     return PendingDelivery(  # by position, which takes a start with a full journal 2 us less for each message
         message_id or "",
@@ -299,7 +299,7 @@
         IDEMPOTENCIES[flags >> IDEMPOTENCY_SHIFT & IDEMPOTENCY_MASK],
         bool(flags & KEY_SCOPE_ZONE),
         0 if answer else span_ms * 1000,
-        FRAME.size + len(record) + ZONE_BYTES,
+        FRAME.size + len(record) + RESERVED_ZONE_BYTES,
     )
 
 
--- a/scalefall/net/learned_rates.py
+++ b/scalefall/net/learned_rates.py
@@ -20,9 +20,9 @@
 DISK_DIVISOR = 16  # this part of the folder's limit is for the file and for the copy that replaces it,
 MIN_RESERVED_BYTES = 32 * 1024  # but at least so much
 MAX_RESERVED_BYTES = 4 * 1024 * 1024  # and at most so much, enough for some 30,000 rows
-ROW_BYTES = 64  # of a row at most, unless its route has a long name
-ROW_VALUES = 4  # destination, route, own rate, limit
-HEAD_BYTES = 64  # reserved for the first line, the time at which the file was written
+MAX_ROW_BYTES = 64  # of a row at most, unless its route has a long name
+VALUES_PER_ROW = 4  # destination, route, own rate, limit
+HEADER_RESERVED_BYTES = 64  # reserved for the first line, the time at which the file was written
 ROWS_PER_SLICE = 128  # written in a row before other tasks have their turn: less than a millisecond
 MAX_AGE_US = 60_000_000  # what is older says nothing about the rates of now
 
@@ -54,7 +54,7 @@
         wall_us: The present time, microseconds since the epoch.
         yield_control: Called now and then, to let other tasks run.
     """
-    if len(rates) * ROW_BYTES > limit_bytes // 2:
+    if len(rates) * MAX_ROW_BYTES > limit_bytes // 2:
         rates = sorted(rates, key=lambda rate: -rate.own_rate)
     lines = _lines(rates, limit_bytes // 2 - BLOCK_BYTES, wall_us, yield_control)
     try:
@@ -66,7 +66,7 @@
 def _lines(rates: list[LearnedRate], limit_bytes: int, wall_us: int, yield_control: Callable[[], object]) -> list[str]:
     """The file's lines, as many as the limit holds."""
     lines = [str(wall_us)]
-    size = HEAD_BYTES
+    size = HEADER_RESERVED_BYTES
     for number, rate in enumerate(rates, 1):
         line = json.dumps(to_row(rate))
         if number % ROWS_PER_SLICE == 0:
@@ -113,7 +113,7 @@
     Raises:
         LearnedRateError: The row has other values.
     """
-    if len(row) != ROW_VALUES:
+    if len(row) != VALUES_PER_ROW:
         raise LearnedRateError("a row has a wrong number of values")
     destination, route, own_rate, limit = row
     if not isinstance(destination, int) or not isinstance(route, str):
--- a/scalefall/net/rate_keeper.py
+++ b/scalefall/net/rate_saver.py
@@ -9,11 +9,11 @@
 from scalefall.policy.events import LearnedRate
 
 SECOND_US = 1_000_000  # microseconds in a second
-SAVE_PERIOD_US = SECOND_US  # the least time between two saves: an older copy than this is of little use
-TIME_PER_RATE_US = SECOND_US // 200  # and no more than 200 rates a second, however many there are
+MIN_SAVE_INTERVAL_US = SECOND_US  # the least time between two saves: an older copy than this is of little use
+SAVE_INTERVAL_PER_RATE_US = SECOND_US // 200  # and no more than 200 rates a second, however many there are
 
 
-class RateKeeper:
+class RateSaver:
     """Writes the learned rates into the state folder again and again while the sender runs."""
 
     def __init__(
@@ -41,7 +41,7 @@
         """Return the rates that the process before has left, if they are of use."""
         return learned_rates.load(self._state_folder, self._limit_bytes, self._scheduler.wall())
 
-    def keep_saving(self) -> None:
+    def save_periodically(self) -> None:
         """Save until stopped, with a pause that grows with the number of rates; runs as a task."""
         while not self._stopped:
             rates = self._current_rates()
@@ -52,12 +52,12 @@
                 self._scheduler.wall(),
                 lambda: self._scheduler.sleep(0),
             )
-            self._scheduler.sleep(max(SAVE_PERIOD_US, len(rates) * TIME_PER_RATE_US))
+            self._scheduler.sleep(max(MIN_SAVE_INTERVAL_US, len(rates) * SAVE_INTERVAL_PER_RATE_US))
 
     def stop(self) -> None:
         """Begin no further save of the task's."""
         self._stopped = True
 
-    def save_last(self) -> None:
+    def save_final(self) -> None:
         """Save at once and without pauses, at the end of the process."""
         learned_rates.save(self._state_folder, self._limit_bytes, self._current_rates(), self._scheduler.wall())
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.deadline_monitor import DeadlineMonitor
 from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
 from scalefall.net.delivery_tracker import DeliveryTracker
@@ -29,7 +29,7 @@
         classes: Mapping[str, MessageClass],
         events: EventQueue,
         tracker: DeliveryTracker,
-        deadline_watch: DeadlineWatch,
+        deadline_monitor: DeadlineMonitor,
         journal: Journal,
         delivery_reports: DeliveryReporter,
         wall_offset_us: int,
@@ -40,7 +40,7 @@
             classes: The message classes in force.
             events: Carries the open messages and the learned rates to the engine.
             tracker: Tracks the open messages.
-            deadline_watch: Sees to their end.
+            deadline_monitor: Sees to their end.
             journal: What the last process left.
             delivery_reports: Tells the platform what it is still owed.
             wall_offset_us: What to add to monotonic time for wall time, in microseconds.
@@ -48,13 +48,13 @@
         self._classes = classes
         self._events = events
         self._tracker = tracker
-        self._deadline_watch = deadline_watch
+        self._deadline_monitor = deadline_monitor
         self._journal = journal
         self._delivery_reports = delivery_reports
         self._wall_offset_us = wall_offset_us
         self._learned_rates: list[LearnedRate] = []
 
-    def hold_learned_rates(self, rates: list[LearnedRate]) -> None:
+    def defer_learned_rates(self, rates: list[LearnedRate]) -> None:
         """Keep the rates that the last process learned until the first endpoint list is there."""
         self._learned_rates = rates
 
@@ -96,7 +96,7 @@
             message_class=message_class,
         )
         self._tracker.add(request)
-        self._deadline_watch.watch(request)
+        self._deadline_monitor.watch(request)
         self._events.gather(
             Message(
                 id=pending.id,
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -15,13 +15,13 @@
 from scalefall.net.static_list import StaticList
 from scalefall.policy.settings import Settings
 
-ReadAgain = Callable[[], Config]
+LoadConfig = Callable[[], Config]
 
 
 class Reloader(Protocol):
     """Puts a configuration that is read again into force, as far as that needs no restart."""
 
-    def reload(self, read_again: ReadAgain) -> None:
+    def reload(self, load_config: LoadConfig) -> None:
         """Read the configuration and take it; one that cannot be used is logged and changes nothing."""
 
 
@@ -48,10 +48,10 @@
         self._endpoint_list = endpoint_list
         self._delivery_reports = delivery_reports
 
-    def reload(self, read_again: ReadAgain) -> None:
+    def reload(self, load_config: LoadConfig) -> None:
         """Read the configuration and take it at once; see `Reloader.reload`."""
         try:
-            config = read_again()
+            config = load_config()
         except ConfigError as error:
             log.error("configuration not taken, the old settings stay: %s", error)
             return
@@ -68,7 +68,7 @@
         self._settings.classes.clear()
         self._settings.classes.update(classes)
         self._settings.max_attempts = new.max_attempts
-        self._endpoint_list.remember_for(forget_endpoints_after_us(self._settings))
+        self._endpoint_list.remember_for(endpoint_retention_us(self._settings))
 
     def _log_changes(self, new: Settings) -> None:
         """Log what differs from the settings in force, if anything does."""
@@ -122,19 +122,19 @@
         self._scheduler.call_at(self._scheduler.now(), gc.freeze)
         self._settings.attempts = {number: rules.attempts for number, rules in fleet.routes.items()}
 
-    def reload(self, read_again: ReadAgain) -> None:
+    def reload(self, load_config: LoadConfig) -> None:
         """Have the configuration read in a thread and taken afterwards; see `Reloader.reload`."""
         self._read_once_more = True
         if not self.reloading:
             self.reloading = True
-            self._scheduler.spawn(self._reload, read_again)
+            self._scheduler.spawn(self._reload, load_config)
 
-    def _reload(self, read_again: ReadAgain) -> None:
+    def _reload(self, load_config: LoadConfig) -> None:
         try:
             while self._read_once_more:
                 self._read_once_more = False
                 try:
-                    config = self._scheduler.in_thread(read_again)
+                    config = self._scheduler.in_thread(load_config)
                 except ConfigError as error:
                     for line in str(error).splitlines():
                         log.error("configuration not taken, the old settings stay: %s", line)
@@ -161,6 +161,6 @@
         )
 
 
-def forget_endpoints_after_us(settings: Settings) -> int:
+def endpoint_retention_us(settings: Settings) -> int:
     """Return for how long an endpoint that went has to be known: twice as long as any message may take."""
     return 2 * max((message_class.deadline_us for message_class in settings.classes.values()), default=0)
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -12,7 +12,7 @@
 from scalefall.net.admission import Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
 from scalefall.net.config import Address, Config
-from scalefall.net.deadline_watch import DeadlineWatch
+from scalefall.net.deadline_monitor import DeadlineMonitor
 from scalefall.net.delivery_reports import DeliveryReporter, DeliveryReports, LoggedDeliveryReports
 from scalefall.net.delivery_tracker import DeliveryTracker
 from scalefall.net.discovery_list import DiscoveryList
@@ -23,9 +23,9 @@
 from scalefall.net.journal import Journal
 from scalefall.net.logs import log
 from scalefall.net.maintenance_store import MaintenanceStore
-from scalefall.net.rate_keeper import RateKeeper
+from scalefall.net.rate_saver import RateSaver
 from scalefall.net.recovery import Recovery
-from scalefall.net.reloader import FleetReloader, ReadAgain, Reloader, SettingsReloader, forget_endpoints_after_us
+from scalefall.net.reloader import FleetReloader, LoadConfig, Reloader, SettingsReloader, endpoint_retention_us
 from scalefall.net.route_table import RouteTable
 from scalefall.net.scheduler import Scheduler
 from scalefall.net.sender_loop import SenderLoop
@@ -34,8 +34,8 @@
 from scalefall.policy.engine import Engine
 from scalefall.policy.events import EndpointListUpdate
 
-HOUSEKEEPING_US = 10_000_000  # microseconds between two reports of broken invariants, and clean-ups
-OWN_SOCKETS = 24  # descriptors that are neither a client's nor an endpoint's
+HOUSEKEEPING_INTERVAL_US = 10_000_000  # microseconds between two reports of broken invariants, and clean-ups
+RESERVED_SOCKETS = 24  # descriptors that are neither a client's nor an endpoint's
 LIST_MEMORY_DIVISOR = 16  # one object of discovery's list may take this part of the memory limit
 INGRESS_MEMORY_DIVISOR = 4  # and what all clients have sent so far may take this part
 
@@ -56,12 +56,12 @@
         events: What the engine hears with the next step.
         loop: Runs the steps.
         tracker: The messages in flight.
-        deadline_watch: Sees to it that none is open past its deadline.
+        deadline_monitor: Sees to it that none is open past its deadline.
         admission: Where an ingress submits and withdraws requests.
         dispatcher: The attempts, and what stops one from beginning.
         journal: What outlives the process.
         recovery: What the last process left.
-        rate_keeper: Saves the learned rates.
+        rate_saver: Saves the learned rates.
         endpoint_list: The endpoints, from discovery or from the operator's file.
         routes: The rules of routes from that file.
         delivery_reports: Tells the platform of messages that were given up.
@@ -78,7 +78,7 @@
         Raises:
             OSError: The state folder cannot be used.
         """
-        max_sockets = (config.sockets - OWN_SOCKETS) // 2  # as many for clients as for endpoints
+        max_sockets = (config.sockets - RESERVED_SOCKETS) // 2  # as many for clients as for endpoints
         settings = replace(config.settings, call_slots=min(config.settings.call_slots, max_sockets))
         self.config = config
         self.address: Address = config.listen
@@ -103,7 +103,7 @@
         self._admin_state = AdminState(self._maintenance_store.load() if self._maintenance_store else set())
         maintenance_bytes = self._maintenance_store.reserved_bytes if self._maintenance_store else 0
         self.journal = Journal(config.state, config.disk_bytes - rates_bytes - maintenance_bytes)
-        self.rate_keeper = RateKeeper(self._scheduler, self.engine.learned_rates, config.state, rates_bytes)
+        self.rate_saver = RateSaver(self._scheduler, self.engine.learned_rates, config.state, rates_bytes)
 
     def _connect_delivery(self, max_sockets: int) -> None:
         """Connect what a message passes through, from its submission to its final answer."""
@@ -111,13 +111,13 @@
         self.delivery_reports = self._make_delivery_reports()
         self.endpoint_list, self.reloader = self._make_list_and_reloader()
         final_answers = FinalAnswers(self.tracker, self.journal, self.delivery_reports, self.routes)
-        self.deadline_watch = DeadlineWatch(scheduler, self.tracker.open, self.events, final_answers)
+        self.deadline_monitor = DeadlineMonitor(scheduler, self.tracker.open, self.events, final_answers)
         self.admission = Admission(
             scheduler,
             settings,
             self.events,
             self.tracker,
-            self.deadline_watch,
+            self.deadline_monitor,
             self.journal,
             self.endpoint_list,
             self.routes,
@@ -158,7 +158,7 @@
                 not settings.polls_endpoint_list,
                 config.memory_bytes // LIST_MEMORY_DIVISOR,
                 config.seed,
-                forget_endpoints_after_us(settings),
+                endpoint_retention_us(settings),
             )
             return endpoint_list, SettingsReloader(settings, endpoint_list, self.delivery_reports)
         static_list = StaticList(scheduler, config.known, self._endpoint_list_changed, settings.drain_grace_us)
@@ -181,7 +181,7 @@
             settings.classes,
             self.events,
             self.tracker,
-            self.deadline_watch,
+            self.deadline_monitor,
             self.journal,
             self.delivery_reports,
             self.wall_offset_us,
@@ -207,7 +207,7 @@
             ingress=self.ingress,
             attempts=self.dispatcher.attempts,
             delivery_reports=self.delivery_reports,
-            rate_keeper=self.rate_keeper,
+            rate_saver=self.rate_saver,
             admin_server=self.admin_server,
         )
 
@@ -219,7 +219,7 @@
         """
         for doubt in self.config.doubts:
             log.warning("configuration: %s", doubt)
-        self.recovery.hold_learned_rates(self.rate_keeper.load())
+        self.recovery.defer_learned_rates(self.rate_saver.load())
         if self.admin_actions is not None:
             self.admin_actions.resume_maintenance()
         self.endpoint_list.start()
@@ -229,12 +229,12 @@
         log.info("ready: %s at %s:%d", self.config.name, *self.address)
         if self.admin_server is not None and self.config.admin is not None:
             self.admin_address = self.admin_server.listen(self.config.admin)
-        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
-        self._scheduler.spawn(self.rate_keeper.keep_saving)
+        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_INTERVAL_US, self._run_housekeeping)
+        self._scheduler.spawn(self.rate_saver.save_periodically)
 
-    def reload(self, read_again: ReadAgain) -> None:
+    def reload(self, load_config: LoadConfig) -> None:
         """Read the configuration again, as SIGHUP asks for, and take what needs no restart."""
-        self.reloader.reload(read_again)
+        self.reloader.reload(load_config)
 
     def close(self) -> None:
         """Shut down gracefully, as SIGTERM asks for; the scheduler stops within 3.3 s."""
@@ -250,15 +250,15 @@
         """Report broken invariants, and forget what is over; every so often."""
         invariants.log_violations()
         self.dispatcher.forget_expired_waits()
-        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_US, self._run_housekeeping)
+        self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_INTERVAL_US, self._run_housekeeping)
 
 
-def run(config: Config, read_again: ReadAgain | None = None) -> None:
+def run(config: Config, load_config: LoadConfig | None = None) -> None:
     """Serve until SIGTERM or SIGINT has been heeded.
 
     Args:
         config: What to serve.
-        read_again: Reads the configuration once more at a SIGHUP; without it, SIGHUP takes `config` again.
+        load_config: Reads the configuration once more at a SIGHUP; without it, SIGHUP takes `config` again.
 
     Raises:
         OSError: The state folder or an address cannot be used.
@@ -267,6 +267,6 @@
     sender = Sender(scheduler, config)
     for number in (signal.SIGTERM, signal.SIGINT):
         scheduler.on_signal(number, sender.close)
-    scheduler.on_signal(signal.SIGHUP, lambda: sender.reload(read_again or (lambda: config)))
+    scheduler.on_signal(signal.SIGHUP, lambda: sender.reload(load_config or (lambda: config)))
     sender.start()
     scheduler.run()
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from scalefall.net.admission import RETRY_WHEN_FULL_US, Admission
+from scalefall.net.admission import RETRY_AFTER_WHEN_FULL_US, Admission
 from scalefall.net.attempt_dispatcher import AttemptDispatcher
 from scalefall.net.delivery_request import Accepted, AdmissionResult, Rejected
 from scalefall.net.delivery_tracker import DeliveryTracker
@@ -92,7 +92,7 @@
         except Exception:  # noqa: BLE001 - nothing was promised yet: what came in this step goes elsewhere
             log.exception("the module failed in a turn")
             assert_invariant(False, "the module failed in a turn")
-            admission = Rejected(RETRY_WHEN_FULL_US, True)
+            admission = Rejected(RETRY_AFTER_WHEN_FULL_US, True)
         for message_id in submitted:
             request = self._open.get(message_id)
             if request is not None:
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -12,16 +12,16 @@
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.front import Front
 from scalefall.net.logs import log
-from scalefall.net.rate_keeper import RateKeeper
+from scalefall.net.rate_saver import RateSaver
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import ShuttingDown
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 # The timetable, counted from SIGTERM. The platform kills the process 3.7 s after it.
-LINGER_US = 1000 * MILLISECOND_US  # for so long clients that have not noticed yet still connect
-IDLE_END_US = 2600 * MILLISECOND_US  # from here on, with no attempt out, there is nothing left to wait for
-NO_ATTEMPTS_US = 3000 * MILLISECOND_US  # no attempt is to be out any more, and no new message is admitted
-END_US = 3200 * MILLISECOND_US  # the process ends, whatever is still out
+MIN_LISTEN_US = 1000 * MILLISECOND_US  # for so long clients that have not noticed yet still connect
+PENDING_WAIT_US = 2600 * MILLISECOND_US  # from here on, with no attempt out, there is nothing left to wait for
+ATTEMPTS_END_US = 3000 * MILLISECOND_US  # no attempt is to be out any more, and no new message is admitted
+FORCED_END_US = 3200 * MILLISECOND_US  # the process ends, whatever is still out
 LAST_ANSWERS_US = 3270 * MILLISECOND_US  # those who came last have their answers by then
 POLL_US = 20 * MILLISECOND_US  # between two looks at whether the process may end
 LAST_POLL_US = 5 * MILLISECOND_US  # the same, once the listener is closed and only its last clients are served
@@ -44,7 +44,7 @@
         ingress: Front,
         attempts: Attempts,
         delivery_reports: DeliveryReporter,
-        rate_keeper: RateKeeper,
+        rate_saver: RateSaver,
         admin_server: AdminServer | None,
     ) -> None:
         """Shut these parts down, once asked to.
@@ -57,7 +57,7 @@
             ingress: Lets its clients go.
             attempts: What is out to endpoints.
             delivery_reports: What the platform has still to be told.
-            rate_keeper: Saves the learned rates once more.
+            rate_saver: Saves the learned rates once more.
             admin_server: Stops listening.
         """
         self._scheduler = scheduler
@@ -67,7 +67,7 @@
         self._ingress = ingress
         self._attempts = attempts
         self._delivery_reports = delivery_reports
-        self._rate_keeper = rate_keeper
+        self._rate_saver = rate_saver
         self._admin_server = admin_server
         self.started_at_us = 0
 
@@ -76,9 +76,9 @@
         if self.started_at_us:
             return
         self.started_at_us = self._scheduler.now()
-        no_attempts_at_us = self.started_at_us + NO_ATTEMPTS_US
+        no_attempts_at_us = self.started_at_us + ATTEMPTS_END_US
         self._admission.close_at(no_attempts_at_us)
-        self._rate_keeper.stop()
+        self._rate_saver.stop()
         log.info("closing: %d open, %d attempts out", len(self._open), self._attempts.in_flight)
         self._events.gather(ShuttingDown(no_attempts_at_us))
         self._ingress.close_idle()
@@ -99,16 +99,18 @@
         self._scheduler.sleep(LAST_POLL_US)
         log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.in_flight)
         invariants.log_violations()
-        self._rate_keeper.save_last()
+        self._rate_saver.save_final()
         self._scheduler.stop()
 
     def _may_end(self) -> bool:
         """Return whether there is nothing left that is worth waiting for."""
         elapsed_us = self._elapsed_us()
-        if elapsed_us >= END_US:
+        if elapsed_us >= FORCED_END_US:
             return True
-        nothing_due = (not self._open and self._delivery_reports.idle) or elapsed_us >= IDLE_END_US
-        return elapsed_us >= LINGER_US and nothing_due and not self._attempts.in_flight and not self._ingress.answering
+        nothing_due = (not self._open and self._delivery_reports.idle) or elapsed_us >= PENDING_WAIT_US
+        return (
+            elapsed_us >= MIN_LISTEN_US and nothing_due and not self._attempts.in_flight and not self._ingress.answering
+        )
 
     def _elapsed_us(self) -> int:
         return self._scheduler.now() - self.started_at_us
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -23,7 +23,7 @@
 from helpers import message_class, settings
 from nethelp import MS, STREAM, Calls, Peer, S, World, chunk, closed, list_update, listed
 from test_adapter import CONFIG
-from test_sender import Firm
+from test_sender import SenderHarness
 
 from scalefall import adapter
 from scalefall.assignment.model import ShardGrant
@@ -252,30 +252,30 @@
 def firm_played(function, **changes):
     """The whole host, in a folder that is forgotten."""
     with tempfile.TemporaryDirectory() as folder:
-        firm = Firm(folder, **changes)
-        return play(firm.world, lambda: (firm.watched(), function(firm))[1])
-
-
-def host_verdicts(firm):
-    found = {"host-too-late": answer(firm.world, firm.hand_in("a", deadline="1u"))}
-    firm.taken("b")
-    found["host-same-again"] = answer(firm.world, firm.hand_in("b"))
-    found["host-conflict"] = answer(firm.world, firm.hand_in("b", body=b"another"))
-    firm.sender.ingress.drain(True)
-    found["host-draining"] = answer(firm.world, firm.hand_in("c"))
-    firm.sender.ingress.drain(False)
-    firm.sender.close()
-    found["host-closing"] = answer(firm.world, firm.hand_in("d"))
-    firm.sender.admission.close_at(firm.world.now())  # as some time later
-    found["host-closed"] = answer(firm.world, firm.hand_in("e"))
+        harness = SenderHarness(folder, **changes)
+        return play(harness.world, lambda: (harness.accept_watch(), function(harness))[1])
+
+
+def host_verdicts(harness):
+    found = {"host-too-late": answer(harness.world, harness.submit("a", deadline="1u"))}
+    harness.submit_accepted("b")
+    found["host-same-again"] = answer(harness.world, harness.submit("b"))
+    found["host-conflict"] = answer(harness.world, harness.submit("b", body=b"another"))
+    harness.sender.ingress.drain(True)
+    found["host-draining"] = answer(harness.world, harness.submit("c"))
+    harness.sender.ingress.drain(False)
+    harness.sender.close()
+    found["host-closing"] = answer(harness.world, harness.submit("d"))
+    harness.sender.admission.close_at(harness.world.now())  # as some time later
+    found["host-closed"] = answer(harness.world, harness.submit("e"))
     return found
 
 
-def full_host_verdicts(firm):
-    firm.taken("m")
+def full_host_verdicts(harness):
+    harness.submit_accepted("m")
     return {
-        "host-unknown-destination": answer(firm.world, firm.hand_in("a", dest=9)),
-        "host-full": answer(firm.world, firm.hand_in("b", body=b"x" * 60_000)),
+        "host-unknown-destination": answer(harness.world, harness.submit("a", dest=9)),
+        "host-full": answer(harness.world, harness.submit("b", body=b"x" * 60_000)),
     }
 
 
@@ -320,16 +320,16 @@
     }
 
 
-def host_calls(firm):
+def host_calls(harness):
     """A call of each class of messages; how much time is left of it depends on the host's turns."""
     found = {}
     for name in ("safe", "keyed", "zoned", "unsafe", "ordered"):
-        firm.taken(f"m-{name}", cls=name, key="k" if name in ("keyed", "zoned") else None)
-        sock = firm.endpoint.accept()
-        data = listen(firm.world, sock, http.RequestReader())
+        harness.submit_accepted(f"m-{name}", cls=name, key="k" if name in ("keyed", "zoned") else None)
+        sock = harness.endpoint.accept()
+        data = listen(harness.world, sock, http.RequestReader())
         found[f"host-{name}"] = re.sub(rb"X-Deadline: \d+m\r", b"X-Deadline: <left>m\r", data)
         sock.send(http.answer(200, [], keep=False))
-        firm.world.until(lambda: not firm.owed())
+        harness.world.until(lambda: not harness.pending_ids())
     return found
 
 
@@ -426,21 +426,21 @@
 }
 
 
-def operator_calls(firm):
+def operator_calls(harness):
     found = {}
 
     def say(name, data):
-        sock = dial(firm.sender.admin_address)
+        sock = dial(harness.sender.admin_address)
         sock.send(data)
-        found[name] = answer(firm.world, sock)
+        found[name] = answer(harness.world, sock)
 
     for number, (method, path) in enumerate(OPERATED):
         say(f"{number:02} {method} {path}", http.request(method, path, "s", []))
     for name, data in OPERATED_BADLY.items():
         say(name, data)
-    firm.sender.admin_actions.store.reserved_bytes = 0
+    harness.sender.admin_actions.store.reserved_bytes = 0
     say("no-room", http.request("PUT", "/endpoints/e/maint", "s", []))
-    firm.sender.close()
+    harness.sender.close()
     say("closing", http.request("GET", "/healthcheck", "s", []))
     return found
 
--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -24,20 +24,20 @@
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "example" / "config.json").read_text())
 DISK_BYTES = EXAMPLE["limits"]["disk_mb"] * 1_000_000
-LIST = 1024  # endpoints, each of its own destination
+ENDPOINT_COUNT = 1024  # endpoints, each of its own destination
 CLASSES = (
     ("status-update", Idempotency.IDEMPOTENT),
     ("event-notice", Idempotency.WITH_KEY),
     ("fee-order", Idempotency.NOT_IDEMPOTENT),
 )
-SPARE = 4096  # bytes, before the journal would make a shorter copy of itself
-TIME_US = 24_000_000  # of each message: a whole deadline of the example's shortest class
-LONG = 60  # seconds after which a start is given up
+MIN_UNUSED_BYTES = 4096  # bytes, before the journal would make a shorter copy of itself
+DEADLINE_US = 24_000_000  # of each message: a whole deadline of the example's shortest class
+TIMEOUT_S = 60  # seconds after which a start is given up
 
 
 def write_config(folder, **settings):
-    """A known list of LIST endpoints at an address that answers nobody, and a discovery that is down."""
-    hosts = [listed(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(LIST)]
+    """A known list of ENDPOINT_COUNT endpoints at an address that answers nobody, and a discovery that is down."""
+    hosts = [listed(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(ENDPOINT_COUNT)]
     table = EXAMPLE | {
         "discovery": "127.0.0.1:9",
         "known": {"seq": 1, "whole": True, "hosts": hosts},
@@ -52,12 +52,12 @@
     """Take on messages until the folder takes no more, and write attempts until the file is as long as it may be: each
     has one or more that may have run, some have one that is out. Gives back how many messages."""
     limit, wall = learned_rates.reserved_bytes(DISK_BYTES), time.time_ns() // 1000
-    learned_rates.save(folder, limit, [LearnedRate(number, "", 1.0, 5.0) for number in range(LIST)], wall)
+    learned_rates.save(folder, limit, [LearnedRate(number, "", 1.0, 5.0) for number in range(ENDPOINT_COUNT)], wall)
     journal, accepted = Journal(str(folder), DISK_BYTES - limit), 0
     while journal.record_accepted(_message(accepted, wall)):
         accepted += 1
     for name in cycle(list(journal.pending)):
-        if journal.unused_bytes < SPARE:
+        if journal.unused_bytes < MIN_UNUSED_BYTES:
             break
         if journal.pending[name].in_flight:
             journal.record_attempt_finished(name, True)
@@ -71,7 +71,14 @@
     key = f"k{number}" if idempotency is Idempotency.WITH_KEY else None
     key_ttl_us = 6_000_000 if idempotency is Idempotency.WITH_KEY else 0
     return PendingDelivery(
-        f"m{number}", name, number % LIST, wall + TIME_US, key, b"body", idempotency=idempotency, key_ttl_us=key_ttl_us
+        f"m{number}",
+        name,
+        number % ENDPOINT_COUNT,
+        wall + DEADLINE_US,
+        key,
+        b"body",
+        idempotency=idempotency,
+        key_ttl_us=key_ttl_us,
     )
 
 
@@ -91,14 +98,14 @@
     try:
         lines = _until_ready(child.stderr)
         address = lines[-1].split()[-1]
-        with urllib.request.urlopen(f"http://{address}/healthz", timeout=LONG) as answer:
+        with urllib.request.urlopen(f"http://{address}/healthz", timeout=TIMEOUT_S) as answer:
             assert answer.status == 200
         seconds = time.monotonic() - began
         restored = [int(line.split("restored: ")[1].split()[0]) for line in lines if "restored: " in line]
         return Start(seconds, sum(restored))
     finally:
         child.kill()
-        child.wait(LONG)
+        child.wait(TIMEOUT_S)
         child.stderr.close()
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -5,7 +5,7 @@
 
 import pytest
 from nethelp import MS, Peer, S, chunk, closed, list_update, listed, read
-from test_sender import Firm
+from test_sender import SenderHarness
 
 from scalefall.net import http
 from scalefall.net.admin import MAX_CALLERS
@@ -14,63 +14,63 @@
 
 
 @pytest.fixture
-def firm(tmp_path):
-    return Firm(tmp_path, admin=("127.0.0.1", 0))
+def harness(tmp_path):
+    return SenderHarness(tmp_path, admin=("127.0.0.1", 0))
 
 
-def send(firm, data):
-    sock = socket.create_connection(firm.sender.admin_address)
+def send(harness, data):
+    sock = socket.create_connection(harness.sender.admin_address)
     sock.setblocking(False)
     sock.send(data)
     return sock
 
 
-def call(firm, method, path):
+def call(harness, method, path):
     """The status of one call; its connection is closed behind the answer, and it took no time."""
-    sock, began = send(firm, http.request(method, path, "s", [])), firm.world.now()
-    status = read(firm.world, sock, http.AnswerReader()).status
-    assert closed(firm.world, sock)
-    assert firm.world.now() - began < S
+    sock, began = send(harness, http.request(method, path, "s", [])), harness.world.now()
+    status = read(harness.world, sock, http.AnswerReader()).status
+    assert closed(harness.world, sock)
+    assert harness.world.now() - began < S
     return status
 
 
-def play(firm, function):
-    firm.world.play(lambda: (firm.watched(), function()))
+def play(harness, function):
+    harness.world.play(lambda: (harness.accept_watch(), function()))
 
 
-def test_an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says_and_across_a_restart(firm):
+def test_an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says_and_across_a_restart(harness):
     def steps():
-        assert call(firm, "PUT", "/endpoints/e/maint") == call(firm, "PUT", "/endpoints/e/maint") == 200
-        firm.send(firm.watch, chunk(list_update(2, listed("e", firm.endpoint.address))))
-        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
-        firm.taken("a")
-        firm.die()
-        firm.start()
-        firm.watched()
-        assert firm.sender.endpoint_list.entries["e"].endpoint.status.name == "DRAINING"
-        firm.taken("b")
-        firm.world.sleep(2 * S)
-        assert firm.endpoint.accepted == 0
-        assert call(firm, "PUT", "/endpoints/e/ready") == 200  # one call back undoes both
+        assert call(harness, "PUT", "/endpoints/e/maint") == call(harness, "PUT", "/endpoints/e/maint") == 200
+        harness.send(harness.watch, chunk(list_update(2, listed("e", harness.endpoint.address))))
+        harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
+        harness.submit_accepted("a")
+        harness.kill()
+        harness.start()
+        harness.accept_watch()
+        assert harness.sender.endpoint_list.entries["e"].endpoint.status.name == "DRAINING"
+        harness.submit_accepted("b")
+        harness.world.sleep(2 * S)
+        assert harness.endpoint.accepted == 0
+        assert call(harness, "PUT", "/endpoints/e/ready") == 200  # one call back undoes both
         names = set()
         while names != {"a", "b"}:
-            sock, request = firm.call()
+            sock, request = harness.accept_call()
             names.add(request.fields["x-request-id"])
             sock.send(http.answer(200, [], keep=False))
-        firm.die()
-        firm.start()
-        firm.watched()
-        assert not firm.sender.admin_actions.state.in_maintenance
-        firm.world.until(lambda: "e" not in firm.sender.endpoint_list.left_at)
+        harness.kill()
+        harness.start()
+        harness.accept_watch()
+        assert not harness.sender.admin_actions.state.in_maintenance
+        harness.world.until(lambda: "e" not in harness.sender.endpoint_list.left_at)
 
-    play(firm, steps)
+    play(harness, steps)
 
 
 @pytest.mark.parametrize("neighbour", [False, True])
 def test_what_comes_back_is_cold_and_gets_a_few_calls_first(tmp_path, neighbour):
     """It has been restarted while it was out; without this it met all that had waited for it at once."""
-    firm = Firm(tmp_path, admin=("127.0.0.1", 0))
-    other = Peer(firm.world) if neighbour else None
+    harness = SenderHarness(tmp_path, admin=("127.0.0.1", 0))
+    other = Peer(harness.world) if neighbour else None
 
     def serve(peer):
         sock = peer.accept()
@@ -79,36 +79,38 @@
 
     def steps():
         if neighbour:
-            firm.send(firm.watch, chunk(list_update(2, listed("e", firm.endpoint.address), listed("f", other.address))))
-            firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
-        assert call(firm, "PUT", "/endpoints/e/maint") == 200
+            harness.send(
+                harness.watch, chunk(list_update(2, listed("e", harness.endpoint.address), listed("f", other.address)))
+            )
+            harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
+        assert call(harness, "PUT", "/endpoints/e/maint") == 200
         if neighbour:
-            firm.taken("n")
+            harness.submit_accepted("n")
             serve(other)
         else:
-            firm.taken(*(f"m{n}" for n in range(8)))
-        firm.world.sleep(3 * S)
+            harness.submit_accepted(*(f"m{n}" for n in range(8)))
+        harness.world.sleep(3 * S)
         if neighbour:
-            firm.taken("o")
+            harness.submit_accepted("o")
             serve(other)
-        assert call(firm, "PUT", "/endpoints/e/ready") == 200
-        began = firm.world.now()
+        assert call(harness, "PUT", "/endpoints/e/ready") == 200
+        began = harness.world.now()
         if neighbour:  # it serves on, and takes nearly all
-            firm.taken(*(f"m{n}" for n in range(8)))
+            harness.submit_accepted(*(f"m{n}" for n in range(8)))
             for _ in range(6):
                 serve(other)
-            assert firm.world.now() - began < 3 * S
-            assert accepted(firm.endpoint) <= 2
+            assert harness.world.now() - began < 3 * S
+            assert accepted(harness.endpoint) <= 2
         else:  # one first, and then more
-            firm.world.sleep(300 * MS)
-            early = accepted(firm.endpoint)
+            harness.world.sleep(300 * MS)
+            early = accepted(harness.endpoint)
             assert early <= 1
-            for sock in firm.endpoint.waiting if early else ():
+            for sock in harness.endpoint.waiting if early else ():
                 sock.send(http.answer(200, [], keep=False))
             for _ in range(2):
-                serve(firm.endpoint)
+                serve(harness.endpoint)
 
-    play(firm, steps)
+    play(harness, steps)
 
 
 def accepted(peer):
@@ -120,27 +122,27 @@
     return number
 
 
-def test_what_has_gone_while_it_was_out_does_not_come_back(firm):
+def test_what_has_gone_while_it_was_out_does_not_come_back(harness):
     def steps():
-        assert call(firm, "PUT", "/endpoints/e/maint") == 200
-        firm.send(firm.watch, chunk(list_update(2, listed("f", firm.endpoint.address))))
-        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
-        assert call(firm, "PUT", "/endpoints/e/ready") == 200
-        assert "e" in firm.sender.endpoint_list.left_at
-        assert not firm.sender.endpoint_list.has_endpoint("e")
-        assert call(firm, "PUT", "/endpoints/e/maint") == 404
+        assert call(harness, "PUT", "/endpoints/e/maint") == 200
+        harness.send(harness.watch, chunk(list_update(2, listed("f", harness.endpoint.address))))
+        harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
+        assert call(harness, "PUT", "/endpoints/e/ready") == 200
+        assert "e" in harness.sender.endpoint_list.left_at
+        assert not harness.sender.endpoint_list.has_endpoint("e")
+        assert call(harness, "PUT", "/endpoints/e/maint") == 404
 
-    play(firm, steps)
+    play(harness, steps)
 
 
-def test_a_call_that_takes_out_cannot_be_kept_is_no_yes(firm, monkeypatch):
+def test_a_call_that_takes_out_cannot_be_kept_is_no_yes(harness, monkeypatch):
     def steps():
         monkeypatch.setattr(MaintenanceStore, "save", lambda self, names: False)
-        assert call(firm, "PUT", "/endpoints/e/maint") == 507
-        firm.taken("a")
-        assert firm.call()[1].fields["x-request-id"] == "a"
+        assert call(harness, "PUT", "/endpoints/e/maint") == 507
+        harness.submit_accepted("a")
+        assert harness.accept_call()[1].fields["x-request-id"] == "a"
 
-    play(firm, steps)
+    play(harness, steps)
 
 
 @pytest.mark.parametrize(
@@ -161,13 +163,13 @@
         ("DELETE", "*", 404),
     ],
 )
-def test_a_call_gets_the_status_that_it_deserves(firm, method, path, status):
+def test_a_call_gets_the_status_that_it_deserves(harness, method, path, status):
     def steps():
-        assert call(firm, method, path) == status
-        assert firm.sender.admin_actions.state.in_maintenance == set()
-        firm.taken("a")
+        assert call(harness, method, path) == status
+        assert harness.sender.admin_actions.state.in_maintenance == set()
+        harness.submit_accepted("a")
 
-    play(firm, steps)
+    play(harness, steps)
 
 
 @pytest.mark.parametrize(
@@ -178,56 +180,56 @@
         (b"PUT / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", 413),
     ],
 )
-def test_what_cannot_be_read_is_an_error(firm, data, status):
+def test_what_cannot_be_read_is_an_error(harness, data, status):
     def steps():
-        assert read(firm.world, send(firm, data), http.AnswerReader()).status == status
+        assert read(harness.world, send(harness, data), http.AnswerReader()).status == status
 
-    play(firm, steps)
+    play(harness, steps)
 
 
-def test_the_drain_empties_the_sender_and_ends_when_told(firm):
+def test_the_drain_empties_the_sender_and_ends_when_told(harness):
     def steps():
         def health():
-            sock = socket.create_connection(firm.sender.address)
+            sock = socket.create_connection(harness.sender.address)
             sock.setblocking(False)
             sock.send(http.request("GET", "/healthz", "s", []))
-            answer = read(firm.world, sock, http.AnswerReader())
+            answer = read(harness.world, sock, http.AnswerReader())
             return answer.status, answer.keep
 
-        idle = firm.hand_in("a")
-        assert firm.answer(idle).status == 202
-        began = firm.world.now()
-        assert call(firm, "PUT", "/healthcheck/fail") == call(firm, "PUT", "/healthcheck/fail") == 200
-        assert closed(firm.world, idle)
+        idle = harness.submit("a")
+        assert harness.read_answer(idle).status == 202
+        began = harness.world.now()
+        assert call(harness, "PUT", "/healthcheck/fail") == call(harness, "PUT", "/healthcheck/fail") == 200
+        assert closed(harness.world, idle)
         assert health() == (503, False)
-        assert call(firm, "GET", "/healthcheck") == 503
-        late = firm.hand_in("b")  # the front has not looked yet: it is served, and its connection ends
-        answer = firm.answer(late)
+        assert call(harness, "GET", "/healthcheck") == 503
+        late = harness.submit("b")  # the front has not looked yet: it is served, and its connection ends
+        answer = harness.read_answer(late)
         assert (answer.status, answer.keep) == (202, False)
-        assert closed(firm.world, late)
-        silent = socket.create_connection(firm.sender.address)
+        assert closed(harness.world, late)
+        silent = socket.create_connection(harness.sender.address)
         silent.setblocking(False)
-        assert closed(firm.world, silent)
-        assert firm.world.now() - began < 4 * S
-        assert call(firm, "PUT", "/healthcheck/ok") == 200
+        assert closed(harness.world, silent)
+        assert harness.world.now() - began < 4 * S
+        assert call(harness, "PUT", "/healthcheck/ok") == 200
         assert health() == (200, True)
-        assert call(firm, "GET", "/healthcheck") == 200
+        assert call(harness, "GET", "/healthcheck") == 200
 
-    play(firm, steps)
+    play(harness, steps)
 
 
-def test_callers_that_send_nothing_or_half_a_call_keep_nobody_out(firm):
+def test_callers_that_send_nothing_or_half_a_call_keep_nobody_out(harness):
     def steps():
-        idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_CALLERS)]
-        firm.world.sleep(10 * MS)
-        assert call(firm, "GET", "/healthcheck") == 200
-        assert firm.sender.admin_server.waiting_callers <= MAX_CALLERS
-        firm.world.sleep(3 * S)
-        assert firm.sender.admin_server.waiting_callers == 0
+        idle = [send(harness, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_CALLERS)]
+        harness.world.sleep(10 * MS)
+        assert call(harness, "GET", "/healthcheck") == 200
+        assert harness.sender.admin_server.waiting_callers <= MAX_CALLERS
+        harness.world.sleep(3 * S)
+        assert harness.sender.admin_server.waiting_callers == 0
         for sock in idle:
             sock.close()
 
-    play(firm, steps)
+    play(harness, steps)
 
 
 def test_the_names_of_what_is_out_have_room_for_1024_and_a_torn_file_stops_no_start(tmp_path):
--- a/tests/test_delivery_tracker.py
+++ b/tests/test_delivery_tracker.py
@@ -2,7 +2,7 @@
 
 from nethelp import S, World
 
-from scalefall.net.delivery_tracker import BYTES_PER_REMEMBERED_ID, REMEMBER_ID_US, DeliveryTracker
+from scalefall.net.delivery_tracker import MEMORY_BYTES_PER_FINISHED_ID, FINISHED_ID_RETENTION_US, DeliveryTracker
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
 
 
@@ -11,7 +11,7 @@
 
 
 def tracker(world, max_finished=100):
-    return DeliveryTracker(world, max_finished * BYTES_PER_REMEMBERED_ID)
+    return DeliveryTracker(world, max_finished * MEMORY_BYTES_PER_FINISHED_ID)
 
 
 def finish(deliveries, message_id, accepted=True):
@@ -42,7 +42,7 @@
     world = World()
     deliveries = tracker(world)
     finish(deliveries, "old")
-    world.clock += REMEMBER_ID_US
+    world.clock += FINISHED_ID_RETENTION_US
     finish(deliveries, "newer")
     assert list(deliveries.finished) == ["old", "newer"]
     world.clock += S
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,16 +1,16 @@
 """A restarted process is ready within 10 s, with a full journal and a long list. More starts: benchmarks/restart.py."""
 
 import pytest
-from restarthelp import LIST, fill_state, start, write_config
+from restarthelp import ENDPOINT_COUNT, fill_state, start, write_config
 
 from scalefall.net.config import read_config
 
-READY_S = 10
+MAX_START_S = 10
 STARTS = 3
-MANY = 6000  # messages that a folder of 3 MB takes, where they are small
+MIN_MESSAGES = 6000  # messages that a folder of 3 MB takes, where they are small
 
 
-@pytest.mark.parametrize("siblings", [1, LIST])
+@pytest.mark.parametrize("siblings", [1, ENDPOINT_COUNT])
 def test_on_a_full_journal_and_a_known_list_of_1024_it_is_ready_in_time(tmp_path, siblings):
     config = write_config(tmp_path, siblings=siblings)
     for number in range(STARTS):
@@ -18,8 +18,8 @@
         state.mkdir()
         accepted = fill_state(state)
         known = read_config({"RELAY_CONFIG": str(config), "RELAY_STATE": str(state)}).known
-        assert accepted > MANY
-        assert len(known.entries) == LIST
+        assert accepted > MIN_MESSAGES
+        assert len(known.entries) == ENDPOINT_COUNT
         done = start(config, state)
         assert done.restored == accepted, done
-        assert done.seconds < READY_S, done
+        assert done.seconds < MAX_START_S, done
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -10,7 +10,7 @@
 from helpers import message_class
 from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
 from test_journal import used_bytes
-from test_sender import Firm, owed, play
+from test_sender import SenderHarness, accepted_delivery, play
 
 from scalefall.net import http
 from scalefall.net.config import ConfigError
@@ -18,8 +18,8 @@
 
 
 @pytest.fixture
-def firm(tmp_path):
-    return Firm(tmp_path)
+def harness(tmp_path):
+    return SenderHarness(tmp_path)
 
 
 class Killed(BaseException):
@@ -29,17 +29,17 @@
 class Others:
     """Clients, the endpoint and the platform go on while the sender dies and comes back."""
 
-    def __init__(self, firm, answers):
-        self.firm, self.answers = firm, list(answers)
+    def __init__(self, harness, answers):
+        self.harness, self.answers = harness, list(answers)
         self.calls, self.delivered, self.notices, self.taken = [], set(), set(), False
 
     def stay(self):
         for task in (self.endpoint, self.platform):
-            self.firm.world.spawn(task)
+            self.harness.world.spawn(task)
 
     def endpoint(self):
         while True:
-            sock, request = self.firm.call()
+            sock, request = self.harness.accept_call()
             self.calls.append(request.fields["x-request-id"])
             status = self.answers.pop(0) if self.answers else 200
             if status:
@@ -50,8 +50,8 @@
 
     def platform(self):
         while True:
-            sock = self.firm.platform.accept()
-            request = self.firm.platform.read(sock)
+            sock = self.harness.platform.accept()
+            request = self.harness.platform.read(sock)
             if request.method == "GET":
                 sock.send(STREAM + chunk(None))
                 continue
@@ -60,7 +60,7 @@
 
     def client(self, cls):
         with contextlib.suppress(AssertionError, OSError):  # no answer: nothing is owed
-            self.taken = self.firm.answer(self.firm.hand_in("m", cls=cls, key="k")).status == 202
+            self.taken = self.harness.read_answer(self.harness.submit("m", cls=cls, key="k")).status == 202
 
 
 def dies_at(journal, number, before):
@@ -89,100 +89,100 @@
     """Each record against the byte that it stands for: the 202, a call's first byte, an outcome, a notice, its 204."""
     for number in count(1):
         (tmp_path / str(number)).mkdir()
-        firm = Firm(tmp_path / str(number))
-        others, over, killed = Others(firm, answers), [], False
-        dies_at(firm.sender.journal, number, before)
+        harness = SenderHarness(tmp_path / str(number))
+        others, over, killed = Others(harness, answers), [], False
+        dies_at(harness.sender.journal, number, before)
 
-        def life(*clients, firm=firm, others=others, over=over):
+        def life(*clients, harness=harness, others=others, over=over):
             others.stay()
             for cls in clients:
                 others.client(cls)
-            firm.world.sleep(20 * S)
+            harness.world.sleep(20 * S)
             over.append(True)
-            firm.world.stop()
+            harness.world.stop()
 
-        firm.world.spawn(life, cls)
+        harness.world.spawn(life, cls)
         try:
-            firm.world.run()
+            harness.world.run()
         except Killed:
             killed = True
-            firm.die()
-            firm.start()
-            firm.world.spawn(life)
-            firm.world.run()
+            harness.kill()
+            harness.start()
+            harness.world.spawn(life)
+            harness.world.run()
         assert over
-        assert firm.world.broken is None
+        assert harness.world.broken is None
         assert not others.taken or "m" in others.delivered | others.notices, f"record {number}: no end"
         assert cls != "unsafe" or len(others.calls) <= 1 + answers.count(503), f"record {number}: sent again"
-        assert firm.owed() == []
-        firm.die()
+        assert harness.pending_ids() == []
+        harness.kill()
         if not killed:  # it has no more records than that
             break
     assert number > 3
 
 
-def ends(firm, steps):
+def ends(harness, steps):
     """Whether the process ends by itself, in time after it was first told to, however long the steps would go on."""
-    close, told = firm.sender.close, []
+    close, told = harness.sender.close, []
 
     def closed():
-        told.append(firm.world.now())
+        told.append(harness.world.now())
         close()
 
     def whole():
-        firm.watched()
+        harness.accept_watch()
         steps()
-        firm.world.sleep(60 * S)
+        harness.world.sleep(60 * S)
 
-    firm.sender.close = closed
-    firm.world.spawn(whole)
-    firm.world.run()
-    assert firm.world.broken is None
-    return firm.world.now() - told[0] < 3300 * MS
+    harness.sender.close = closed
+    harness.world.spawn(whole)
+    harness.world.run()
+    assert harness.world.broken is None
+    return harness.world.now() - told[0] < 3300 * MS
 
 
 @pytest.mark.parametrize("more", ["SIGTERM", "SIGHUP", "SIGHUP to a broken file"])
 @pytest.mark.parametrize("later", [0, 1200 * MS])
-def test_what_comes_again_while_the_process_ends_does_not_hold_it_up(firm, more, later):
+def test_what_comes_again_while_the_process_ends_does_not_hold_it_up(harness, more, later):
     def broken():
         raise ConfigError("seen in a test")
 
     def steps():
-        firm.taken("m")
-        calls.append(firm.call())  # hangs
-        firm.sender.close()
-        firm.world.sleep(later)
+        harness.submit_accepted("m")
+        calls.append(harness.accept_call())  # hangs
+        harness.sender.close()
+        harness.world.sleep(later)
         if more == "SIGTERM":
-            firm.sender.close()
+            harness.sender.close()
         else:
-            firm.sender.reload(broken if "broken" in more else lambda: firm.sender.config)
+            harness.sender.reload(broken if "broken" in more else lambda: harness.sender.config)
 
     calls = []
-    assert ends(firm, steps)
-    assert firm.owed() == ["m"]
+    assert ends(harness, steps)
+    assert harness.pending_ids() == ["m"]
 
 
 @pytest.mark.parametrize("asked", ["before", "after"])
-def test_sigterm_before_the_first_look_answers_who_has_come(firm, asked):
+def test_sigterm_before_the_first_look_answers_who_has_come(harness, asked):
     """The signal came while the process started: it is heeded in the first look, beside the first client."""
-    world, socks = firm.world, []
+    world, socks = harness.world, []
     before = signal.getsignal(signal.SIGUSR1)
 
     def sigterm():
         if asked == "after":
-            socks.append(firm.hand_in("m"))
-        firm.sender.close()
+            socks.append(harness.submit("m"))
+        harness.sender.close()
 
     try:
         world.on_signal(signal.SIGUSR1, sigterm)
         if asked == "before":
-            socks.append(firm.hand_in("m"))
+            socks.append(harness.submit("m"))
         signal.raise_signal(signal.SIGUSR1)
 
         def steps():
-            firm.watched()
-            assert firm.answer(socks[0]).status == 202
-            firm.call()[0].send(http.answer(200, []))
+            harness.accept_watch()
+            assert harness.read_answer(socks[0]).status == 202
+            harness.accept_call()[0].send(http.answer(200, []))
             world.sleep(60 * S)
 
         world.spawn(steps)
@@ -191,125 +191,125 @@
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
     assert world.broken is None
-    assert firm.owed() == []
-    assert world.now() - firm.sender.shutdown.started_at_us < 3300 * MS
+    assert harness.pending_ids() == []
+    assert world.now() - harness.sender.shutdown.started_at_us < 3300 * MS
 
 
 @pytest.mark.parametrize("heard", [False, True])
-def test_a_notice_whose_answer_is_lost_as_the_process_ends_goes_out_again(firm, heard):
+def test_a_notice_whose_answer_is_lost_as_the_process_ends_goes_out_again(harness, heard):
     """The platform may have heard it; twice told does no harm."""
 
     def steps():
-        firm.taken("m", dest=7, cls="unsafe")
-        reset(firm.call()[0])  # it may have run: failed
-        firm.sender.close()
-        while not firm.posts:
-            firm.platform_met()
+        harness.submit_accepted("m", dest=7, cls="unsafe")
+        reset(harness.accept_call()[0])  # it may have run: failed
+        harness.sender.close()
+        while not harness.posts:
+            harness.accept_platform()
         if heard:
-            firm.posts[0][0].close()  # with its 204 on the way
+            harness.posts[0][0].close()  # with its 204 on the way
 
-    assert ends(firm, steps)
-    assert firm.owed() == ["m"]
-    firm.posts.clear()
-    firm.die()
-    firm.start()
-    play(firm, lambda: firm.notices() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
+    assert ends(harness, steps)
+    assert harness.pending_ids() == ["m"]
+    harness.posts.clear()
+    harness.kill()
+    harness.start()
+    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
 
 
-def test_calls_that_hang_as_the_process_ends_are_out_to_the_next_one(firm):
+def test_calls_that_hang_as_the_process_ends_are_out_to_the_next_one(harness):
     """Out at 3.2 s with no answer: what may be repeated goes out again, what must not fails."""
     calls = []
 
     def steps():
-        firm.taken("a", cls="safe")
-        firm.taken("b", cls="unsafe")
-        calls.extend((firm.call(), firm.call()))
-        firm.sender.close()
+        harness.submit_accepted("a", cls="safe")
+        harness.submit_accepted("b", cls="unsafe")
+        calls.extend((harness.accept_call(), harness.accept_call()))
+        harness.sender.close()
 
-    assert ends(firm, steps)
-    assert firm.owed() == ["a", "b"]
-    firm.die()
-    firm.start()
+    assert ends(harness, steps)
+    assert harness.pending_ids() == ["a", "b"]
+    harness.kill()
+    harness.start()
 
     def again():
-        sock, request = firm.call()
+        sock, request = harness.accept_call()
         assert request.fields["x-request-id"] == "a"
         sock.send(http.answer(200, []))
-        assert firm.notices() == [{"id": "b", "state": "failed"}]
-        firm.world.until(lambda: firm.owed() == [])
+        assert harness.receive_reports() == [{"id": "b", "state": "failed"}]
+        harness.world.until(lambda: harness.pending_ids() == [])
 
-    play(firm, again)
+    play(harness, again)
 
 
-def test_what_is_owed_of_a_class_that_the_next_settings_have_no_more_is_failed_at_once(firm):
+def test_what_is_owed_of_a_class_that_the_next_settings_have_no_more_is_failed_at_once(harness):
     def steps():
-        firm.sender.journal.record_accepted(owed(firm, "m", "keyed"))
-        firm.die()
+        harness.sender.journal.record_accepted(accepted_delivery(harness, "m", "keyed"))
+        harness.kill()
 
-    play(firm, steps)
-    firm.changes["classes"] = {"other": message_class("other", Idempotency.NOT_IDEMPOTENT)}
-    firm.start()
-    play(firm, lambda: firm.notices() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
+    play(harness, steps)
+    harness.changes["classes"] = {"other": message_class("other", Idempotency.NOT_IDEMPOTENT)}
+    harness.start()
+    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
 
 
 @pytest.mark.parametrize("cls", ["safe", "keyed", "zoned", "unsafe"])
 def test_what_a_restart_finds_in_a_full_folder_is_sent(tmp_path, cls):
     """The journal keeps room for each call's record beside what it has taken on."""
-    firm = Firm(tmp_path, disk=150_000, max_queued=5000, call_slots=50)
+    harness = SenderHarness(tmp_path, disk=150_000, max_queued=5000, call_slots=50)
 
     def steps():
-        while firm.sender.journal.record_accepted(owed(firm, f"m{len(firm.owed())}", cls)):
+        while harness.sender.journal.record_accepted(accepted_delivery(harness, f"m{len(harness.pending_ids())}", cls)):
             pass
-        firm.die()
+        harness.kill()
 
-    play(firm, steps)
-    firm.start()
+    play(harness, steps)
+    harness.start()
 
     def again():
-        names = set(firm.owed())
+        names = set(harness.pending_ids())
         assert len(names) > 100
-        assert firm.answer(firm.hand_in("more", cls="safe")).status == 503
+        assert harness.read_answer(harness.submit("more", cls="safe")).status == 503
         while names:
-            sock, request = firm.call()
+            sock, request = harness.accept_call()
             names.discard(request.fields["x-request-id"])
             sock.send(http.answer(200, [], keep=False))
             assert used_bytes(tmp_path) <= 150_000
-            firm.world.sleep(MS)
-        assert not firm.posts
+            harness.world.sleep(MS)
+        assert not harness.posts
 
-    play(firm, again)
+    play(harness, again)
 
 
 @pytest.mark.parametrize("first", ["the list", "the death of its watch"])
-def test_a_change_in_the_moment_in_which_its_watch_breaks_is_told(firm, first):
+def test_a_change_in_the_moment_in_which_its_watch_breaks_is_told(harness, first):
     """Where the word came first it holds; where the break came first the next watch brings it."""
 
     def steps():
-        word = chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating")))
-        woken(firm.world)
+        word = chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating")))
+        woken(harness.world)
         if first == "the list":
-            firm.watch.send(word)
-        firm.watch.close()
+            harness.watch.send(word)
+        harness.watch.close()
         if first != "the list":
-            firm.watched()
-            firm.watch.send(word)
-        firm.world.until(lambda: "e" in firm.sender.endpoint_list.left_at)
+            harness.accept_watch()
+            harness.watch.send(word)
+        harness.world.until(lambda: "e" in harness.sender.endpoint_list.left_at)
 
-    play(firm, steps)
+    play(harness, steps)
 
 
-def test_a_client_that_hands_in_and_leaves_in_one_moment_leaves_nothing_that_is_sent(firm):
+def test_a_client_that_hands_in_and_leaves_in_one_moment_leaves_nothing_that_is_sent(harness):
     """Its request and its end lie there together as they are read."""
 
     def steps():
-        woken(firm.world)
-        sock = firm.hand_in("gone")
+        woken(harness.world)
+        sock = harness.submit("gone")
         sock.shutdown(socket.SHUT_WR)
         sock.close()
-        firm.world.sleep(S)
-        assert firm.owed() == []
-        assert firm.endpoint.accepted == 0
-        firm.taken("stays")
-        assert firm.call()[1].fields["x-request-id"] == "stays"
+        harness.world.sleep(S)
+        assert harness.pending_ids() == []
+        assert harness.endpoint.accepted == 0
+        harness.submit_accepted("stays")
+        assert harness.accept_call()[1].fields["x-request-id"] == "stays"
 
-    play(firm, steps)
+    play(harness, steps)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,7 +5,14 @@
 from nethelp import MS, S, World
 
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.shutdown import END_US, IDLE_END_US, LAST_ANSWERS_US, LINGER_US, NO_ATTEMPTS_US, Shutdown
+from scalefall.net.shutdown import (
+    FORCED_END_US,
+    PENDING_WAIT_US,
+    LAST_ANSWERS_US,
+    MIN_LISTEN_US,
+    ATTEMPTS_END_US,
+    Shutdown,
+)
 from scalefall.policy.events import ShuttingDown
 
 SLACK_US = 60 * MS  # pauses between looks, and the last bytes
@@ -38,7 +45,7 @@
             ingress=self.parts,
             attempts=self.parts,
             delivery_reports=self.parts,
-            rate_keeper=self.parts,
+            rate_saver=self.parts,
             admin_server=self.parts,
         )
 
@@ -56,10 +63,10 @@
 @pytest.mark.parametrize(
     ("busy", "open_requests", "ends_at_us"),
     [
-        ({}, 0, LINGER_US),
-        ({}, 3, IDLE_END_US),
-        ({"idle": False}, 0, IDLE_END_US),
-        ({"in_flight": 1}, 1, END_US),
+        ({}, 0, MIN_LISTEN_US),
+        ({}, 3, PENDING_WAIT_US),
+        ({"idle": False}, 0, PENDING_WAIT_US),
+        ({"in_flight": 1}, 1, FORCED_END_US),
     ],
 )
 def test_it_ends_once_there_is_nothing_left_that_is_worth_waiting_for(busy, open_requests, ends_at_us):
@@ -88,13 +95,13 @@
         "stop_listening",
         "close",
         "end",
-        "save_last",
+        "save_final",
     ]
-    assert play.parts.done[0] == ("close_at", began, began + NO_ATTEMPTS_US)
-    assert play.heard == [ShuttingDown(began + NO_ATTEMPTS_US)]
+    assert play.parts.done[0] == ("close_at", began, began + ATTEMPTS_END_US)
+    assert play.heard == [ShuttingDown(began + ATTEMPTS_END_US)]
 
 
 def test_a_second_start_does_not_move_the_end():
     play = Play(in_flight=1)
-    assert play.run((S, play.shutdown.start)) < END_US + SLACK_US
+    assert play.run((S, play.shutdown.start)) < FORCED_END_US + SLACK_US
     assert [name for name, *_ in play.parts.done].count("close_idle") == 1
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -7,7 +7,7 @@
 import pytest
 from greenlet import getcurrent
 from nethelp import MS, STREAM, S, chunk, list_update, listed
-from test_sender import Firm
+from test_sender import SenderHarness
 
 from scalefall.net import http, list_watch
 
@@ -23,11 +23,11 @@
     """The platform's side of a sender's watch, and how each of the sender's watches ended."""
 
     def __init__(self, folder, pushed):
-        self.firm = Firm(folder, polls_endpoint_list=not pushed, replica_count=30)
-        self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
-        self.peer, self.ended, self._watch_at = self.firm.platform, [], self.list._watch._watch_once
+        self.harness = SenderHarness(folder, polls_endpoint_list=not pushed, replica_count=30)
+        self.world, self.list = self.harness.world, self.harness.sender.endpoint_list
+        self.peer, self.ended, self._watch_at = self.harness.platform, [], self.list._watch._watch_once
         self.list._watch._watch_once, self.waiting, self.sockets = self._ends, None, []
-        for source in (self.list._watch._random, self.firm.sender.engine.state.random):
+        for source in (self.list._watch._random, self.harness.sender.engine.state.random):
             source.random = lambda: LONGEST
 
     def _ends(self, address):
@@ -62,7 +62,7 @@
         return came
 
     def tell_change(self):
-        change = list_update(2, listed("f", self.firm.endpoint.address), whole=False)
+        change = list_update(2, listed("f", self.harness.endpoint.address), whole=False)
         self.call(STREAM + chunk(change))
         self.world.until(lambda: "f" in self.list.entries)
 
@@ -97,11 +97,11 @@
     world = discovery.world
 
     def play():
-        discovery.firm.watched()
+        discovery.harness.accept_watch()
         world.until(lambda: discovery.list._watch._heard_at_us > 0)
         fell = world.now()
         if end == "closed":
-            discovery.firm.watch.close()
+            discovery.harness.watch.close()
         discovery.until_ended()
         dial(discovery)
         discovery.call(http.answer(503, []), REFUSAL)
@@ -118,9 +118,9 @@
     world = discovery.world
 
     def play():
-        discovery.firm.watched()
+        discovery.harness.accept_watch()
         discovery.refuse()
-        discovery.firm.watch.close()
+        discovery.harness.watch.close()
         discovery.until_ended()
         world.sleep(DOWN)
         asks = len(discovery.ended)
@@ -141,10 +141,10 @@
     world = discovery.world
 
     def play():
-        discovery.firm.watched()
-        hosts = (listed(f"x{number}", discovery.firm.endpoint.address) for number in range(2000))
+        discovery.harness.accept_watch()
+        hosts = (listed(f"x{number}", discovery.harness.endpoint.address) for number in range(2000))
         data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_WAIT]
-        discovery.firm.send(discovery.firm.watch, data)
+        discovery.harness.send(discovery.harness.watch, data)
         world.sleep(MS)
         fell = world.now()
         discovery.tell_change()
