--- a/scalefall/cli/logs.py
+++ b/scalefall/cli/logs.py
@@ -1,7 +1,7 @@
 """Logs: the sender's lines of today on a terminal, or JSON lines with the same event names, by structlog.
 
 The network code logs through the standard library, with a message's fields (id, class, dest, endpoint) beside the text.
-An event's name is the constant text that its line begins with, as docs/operate/on-call.md lists them: "taken on".
+An event's name is the constant text that its line begins with, as docs/operate/on-call.md lists them: "accepted".
 """
 
 from __future__ import annotations
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -1,4 +1,4 @@
-"""What operators ask for at run time, carried out: maintenance of endpoints, and a drain of the sender."""
+"""Carries out operators' calls at run time: maintenance of endpoints, and draining the sender."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointReport, Outcome
 
-ASSUMED_OUTAGE_US = 2_000_000  # an endpoint back from maintenance counts as seen down for so long already
-INSUFFICIENT_STORAGE = 507  # the status of a call that could not be kept
+ASSUMED_OUTAGE_US = 2_000_000  # an endpoint that returns from maintenance counts as unreachable for this long
+INSUFFICIENT_STORAGE = 507  # the status of a call whose change could not be stored
 
 
 class AdminActions:
-    """Carries out the calls of the admin server, and keeps what has to outlive a restart.
+    """Carries out the calls of the admin server, and stores the state that persists across restarts.
 
     Attributes:
-        state: What the operators have asked for so far.
-        store: Keeps which endpoints are in maintenance, across a restart.
+        state: The state that operators have set.
+        store: Stores the endpoints in maintenance.
     """
 
     def __init__(
@@ -32,16 +32,16 @@
         endpoint_list: EndpointList,
         ingress: Front,
     ) -> None:
-        """Carry out calls on these parts.
+        """Set up the calls on these components.
 
         Args:
             scheduler: The clock.
-            tick_us: Length of the engine's tick in microseconds.
-            state: Understands the calls.
-            store: Keeps which endpoints are in maintenance.
-            events: Tells the engine of endpoints that come back.
-            endpoint_list: Lets endpoints drain and come back.
-            ingress: Drains.
+            tick_us: The length of the engine's tick in microseconds.
+            state: Decides on the calls.
+            store: Stores the endpoints in maintenance.
+            events: Notifies the engine of endpoints that return from maintenance.
+            endpoint_list: Starts and ends maintenance of endpoints.
+            ingress: Drains the clients' connections.
         """
         self._scheduler = scheduler
         self._tick_us = tick_us
@@ -52,11 +52,11 @@
         self.state = state
 
     def resume_maintenance(self) -> None:
-        """Take out the endpoints that were in maintenance when the last process ended."""
+        """Restart the maintenance of the endpoints that were in maintenance when the previous process ended."""
         self._endpoint_list.start_maintenance(self.state.in_maintenance)
 
     def handle(self, method: str, target: str) -> int:
-        """Carry out a call, and return its HTTP status: success only once it is done and kept."""
+        """Carry out a call, and return its HTTP status: success only once it is done and stored."""
         ready = not self._ingress.closing
         status, command = self.state.decide(method, target, ready, self._endpoint_list.has_endpoint)
         if command is None:
@@ -81,17 +81,17 @@
         return status
 
     def _store(self, in_maintenance: set[str]) -> bool:
-        """Store which endpoints are in maintenance, if that changes; False if it could not be written."""
+        """Store the endpoints in maintenance if they change; return whether the store is up to date."""
         return in_maintenance == self.state.in_maintenance or self.store.save(in_maintenance)
 
     def _report_restarted(self, endpoint: str) -> None:
-        """Have an endpoint that is back from maintenance met as after an outage that others have seen.
+        """Report an endpoint that returns from maintenance to the engine as one that was unreachable.
 
-        It has been restarted, so it gets a few calls and then more. Where its neighbours have served meanwhile, the
-        destination as a whole was not down.
+        It has been restarted, so it goes through slow start. If other endpoints of its destination have served
+        meanwhile, the engine does not treat the whole destination as down.
         """
         if self._endpoint_list.has_endpoint(endpoint):
             now_us = self._scheduler.now()
-            # The second call counts as sent after the moment at which the engine hears of the first.
+            # The second report's call counts as sent after the engine has handled the first report.
             for sent_us in (now_us - ASSUMED_OUTAGE_US, now_us + 2 * self._tick_us):
                 self._events.gather(EndpointReport(endpoint, sent_us, Outcome.CONNECT_FAILED))
--- a/scalefall/net/admin_state.py
+++ b/scalefall/net/admin_state.py
@@ -1,14 +1,14 @@
-"""What an operator has asked of the sender: endpoints in maintenance, and whether it drains. No socket, file or clock.
+"""The operators' state of the sender: endpoints in maintenance, and the drain. No socket, file or clock.
 
 The admin API, each call without a body:
 
 | call | meaning |
 | --- | --- |
-| GET /healthcheck | 200 if the sender serves, 503 if it drains or is not ready |
+| GET /healthcheck | 200 if the sender serves, 503 if it is draining or not ready |
 | PUT /healthcheck/fail, /healthcheck/ok | start and end the drain |
 | PUT /endpoints/ID/maint, /endpoints/ID/ready | start and end the maintenance of an endpoint |
 
-Each of them may come twice, and one call that ends a state undoes all that started it.
+The calls are idempotent: a single call that ends a state undoes any number of calls that started it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AdminAction(Enum):
-    """What a call asks the sender to do."""
+    """The action that a call requests."""
 
     START_MAINTENANCE = "start maintenance"
     END_MAINTENANCE = "end maintenance"
@@ -31,10 +31,10 @@
 
 
 class AdminCommand(NamedTuple):
-    """What has to be done before a call is answered.
+    """An action to carry out before a call is answered.
 
     Attributes:
-        action: What to do.
+        action: The action.
         endpoint: The id of the endpoint, for an action on one.
     """
 
@@ -43,11 +43,11 @@
 
 
 class AdminDecision(NamedTuple):
-    """The answer to a call, given that its command succeeds.
+    """The answer to a call, provided that its command succeeds.
 
     Attributes:
         status: The HTTP status.
-        command: What has to be done first; None for nothing.
+        command: The command to carry out first; None if there is none.
     """
 
     status: int
@@ -55,26 +55,26 @@
 
 
 class AdminState:
-    """What is in force; a call is decided first, and applied once it has been carried out.
+    """The current state; a call is decided first, and its command applied once it has been carried out.
 
     Attributes:
         in_maintenance: The ids of the endpoints in maintenance.
-        draining: Whether the sender drains.
+        draining: Whether the sender is draining.
     """
 
     def __init__(self, in_maintenance: set[str]) -> None:
-        """Begin with these endpoints in maintenance, and no drain."""
+        """Start with these endpoints in maintenance, and not draining."""
         self.in_maintenance = set(in_maintenance)
         self.draining = False
 
     def decide(self, method: str, target: str, ready: bool, is_known: Callable[[str], bool]) -> AdminDecision:
-        """Decide a call; nothing changes by it.
+        """Decide on a call without changing the state.
 
         Args:
             method: Its HTTP method.
-            target: The target of its request, as it came.
-            ready: Whether the process could serve.
-            is_known: Tells whether the endpoint list has an endpoint of this id.
+            target: Its request target, as received.
+            ready: Whether the process can serve.
+            is_known: Returns whether the endpoint list has an endpoint with this id.
         """
         segments = [unquote(segment) for segment in target.partition("?")[0].split("/")[1:]]
         match segments:
@@ -103,7 +103,7 @@
         return AdminDecision(NOT_FOUND)
 
     def apply(self, command: AdminCommand) -> None:
-        """Take in a command that has been carried out, and stored where it must be."""
+        """Update the state by a command that has been carried out, and stored if it has to be."""
         match command.action:
             case AdminAction.START_MAINTENANCE:
                 self.in_maintenance.add(command.endpoint)
@@ -116,5 +116,5 @@
 
 
 def _put(method: str, command: AdminCommand) -> AdminDecision:
-    """Any other method than PUT is not allowed."""
+    """Return the decision for a call that allows only PUT."""
     return AdminDecision(OK, command) if method == "PUT" else AdminDecision(METHOD_NOT_ALLOWED)
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -1,4 +1,4 @@
-"""What becomes of a request at submission, and how one is accepted."""
+"""Admission: decides on submitted requests, and journals those that are accepted."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-RETRY_AFTER_WHEN_FULL_US = 1_000_000  # when to come back, told by a sender that has no capacity
-RETRY_AFTER_IN_SHUTDOWN_US = 500_000  # and by one that is about to end: its replicas are there at once
+RETRY_AFTER_WHEN_FULL_US = 1_000_000  # Retry-After of a sender without capacity
+RETRY_AFTER_IN_SHUTDOWN_US = 500_000  # Retry-After during shutdown: shorter, as replicas can take the message at once
 
 
 class Admission:
-    """Decides on requests where the engine is not needed, and passes the others to it.
+    """Decides on requests that do not need the engine, and passes the others to it.
 
-    An ingress submits requests, and withdraws those whose client has gone. The answer to a request comes through its
-    `decide`: at once, or with the next step of the engine.
+    An ingress submits requests, and withdraws those whose client has disconnected. The answer to a request is given
+    through its `decide`: at once, or in the next step of the engine.
     """
 
     def __init__(
@@ -41,17 +41,17 @@
         routes: RouteTable,
         wall_offset_us: int,
     ) -> None:
-        """Admit requests from now on.
+        """Set up admission with these components.
 
         Args:
             scheduler: The clock.
-            settings: The classes in force and the most messages that may be open.
-            events: Carries what the engine has to decide.
-            tracker: The requests in flight.
-            deadline_monitor: Sees to the end of accepted messages.
-            journal: Holds each message before it counts as accepted.
-            endpoint_list: Tells which destinations have endpoints.
-            routes: Tells which classes a route carries.
+            settings: The current classes and the limit of pending messages.
+            events: Passes requests to the engine.
+            tracker: The pending requests.
+            deadline_monitor: Enforces the deadlines of accepted messages.
+            journal: Stores each message before it is answered as accepted.
+            endpoint_list: Knows which destinations have endpoints.
+            routes: Knows which classes a route carries.
             wall_offset_us: What to add to monotonic time for wall time, in microseconds.
         """
         self._scheduler = scheduler
@@ -67,13 +67,13 @@
         self._closes_at_us: int | None = None
 
     def close_at(self, at_us: int) -> None:
-        """Reject every new message from a moment on (monotonic, microseconds)."""
+        """Reject every new message from this time on (monotonic, microseconds)."""
         self._closes_at_us = at_us
 
     def submit(self, request: DeliveryRequest) -> None:
-        """Decide on a request, or hand it to the engine, whose answer comes with its next step.
+        """Decide on a request, or pass it to the engine, which answers in its next step.
 
-        Ids are fresh: under one that was used before, no other message is delivered.
+        Under an id that is in use or was used recently, no other message is delivered.
         """
         message_id = request.id
         pending = self._journal.pending.get(message_id)
@@ -82,7 +82,7 @@
         elif message_id in self._tracker.finished:
             same = self._tracker.finished[message_id][1] == request.fingerprint()
             request.decide(Accepted() if same else Conflict())
-        elif pending is not None:  # ended, and its delivery report on the way: the same answer here
+        elif pending is not None:  # its final answer is not reported yet: give the same answer
             returned = pending.final_answer is FinalAnswer.RETURNED
             request.decide(Rejected(pending.retry_after_ms * MILLISECOND_US) if returned else GivenUp())
         elif self._closes_at_us is not None and self._scheduler.now() >= self._closes_at_us:
@@ -101,16 +101,16 @@
             self._events.gather(Message(message_id, request.destination, request.class_name, request.due_us))
 
     def withdraw(self, request: DeliveryRequest) -> None:
-        """Forget a request whose client went before it had its answer: nothing is owed any more."""
+        """Drop a request whose client disconnected before the answer: it needs neither delivery nor report."""
         if self._open.get(request.id) is request and not request.repeat_accepted:
             self._tracker.discard(request.id)
             self._journal.record_finished(request.id)
             self._events.gather(MessageWithdrawn(request.id))
 
     def accept(self, request: DeliveryRequest) -> None:
-        """Write a message that the engine keeps into the journal, before its answer goes out.
+        """Journal a message that the engine has admitted, before the answer is sent.
 
-        What the journal cannot hold after all is rejected.
+        If the journal cannot store it, the message is rejected.
         """
         if log.isEnabledFor(logging.DEBUG):
             self._log_accepted(request)
@@ -134,10 +134,10 @@
             self.withdraw(request)
 
     def _submit_repeated(self, request: DeliveryRequest) -> None:
-        """Decide on the id of an open request submitted once more.
+        """Decide on a request with the id of an open one.
 
-        What is open stays as it was submitted, whoever asks: otherwise another's body would be delivered under its id,
-        and that client's leaving would withdraw it.
+        The open request does not change: otherwise a client could have another body delivered under that id, or
+        withdraw the message by disconnecting.
         """
         first = self._open[request.id]
         if first.fingerprint() == request.fingerprint() and isinstance(first.admission, Accepted):
@@ -148,7 +148,7 @@
 
     def _log_accepted(self, request: DeliveryRequest) -> None:
         debug_event(
-            "taken on %s: %s for %d, %d ms left",
+            "accepted %s: class %s, destination %d, %d ms left",
             request.id,
             request.class_name,
             request.destination,
--- a/scalefall/net/deadline_monitor.py
+++ b/scalefall/net/deadline_monitor.py
@@ -1,4 +1,4 @@
-"""The deadlines of accepted messages: none stays open past its own, whatever became of it in the engine."""
+"""Enforces the deadlines of accepted messages, as a fallback for the engine."""
 
 from __future__ import annotations
 
@@ -13,16 +13,14 @@
 from scalefall.net.scheduler import Scheduler, Timer
 from scalefall.policy.events import MessageWithdrawn
 
-OVERDUE_GRACE_US = (
-    50_000  # microseconds past its deadline after which a message that the engine has not ended is failed:
-)
-# long enough for the engine's own timer and the step that follows it
+# How long after its deadline an open message is failed: longer than the engine's own timer and its next step take.
+OVERDUE_GRACE_US = 50_000
 
 
 class DeadlineMonitor:
     """Fails accepted messages that are still open shortly after their deadline.
 
-    The engine ends every message in time; this watch holds should it lose one.
+    The engine ends every message by its deadline; this monitor covers one that it has lost track of.
     """
 
     def __init__(
@@ -32,19 +30,19 @@
         events: EventQueue,
         final_answers: FinalAnswers,
     ) -> None:
-        """Start with nothing to watch.
+        """Start with no deadlines.
 
         Args:
             scheduler: The clock and its timers.
-            open_requests: The requests in flight, by message id.
-            events: Hears of the messages that were failed here.
-            final_answers: Fails them.
+            open_requests: The pending requests, by message id.
+            events: Notifies the engine of the messages that were failed here.
+            final_answers: Fails the messages.
         """
         self._scheduler = scheduler
         self._open = open_requests
         self._events = events
         self._final_answers = final_answers
-        self._deadlines: list[tuple[int, str]] = []  # a heap: when a message has to have ended, and its id
+        self._deadlines: list[tuple[int, str]] = []  # a heap of deadlines and message ids
         self._timer: Timer | None = None
 
     def watch(self, request: DeliveryRequest) -> None:
@@ -53,17 +51,17 @@
         self._set_timer(request.due_us)
 
     def _set_timer(self, due_us: int) -> None:
-        """Have the timer fire for this deadline, unless it fires for an earlier one."""
+        """Set the timer for this deadline, unless it is set for an earlier one."""
         if self._timer is None or due_us + OVERDUE_GRACE_US < self._timer.at:
             if self._timer is not None:
                 self._timer.cancel()
             self._timer = self._scheduler.call_at(due_us + OVERDUE_GRACE_US, self._fail_overdue)
 
     def _fail_overdue(self) -> None:
-        """Fail what is open past its deadline.
+        """Fail the messages that are open past their deadline.
 
-        Where the process was held up for so long, the engine's own timer has come due in the same round of the
-        scheduler: the engine's step goes first.
+        Runs the engine's step first: after a long stall of the process, the engine's own timer has expired in the same
+        round of the scheduler.
         """
         self._events.step_now()
         now_us = self._scheduler.now()
@@ -80,5 +78,5 @@
         if self._deadlines:
             self._set_timer(self._deadlines[0][0])
         if failed:
-            log.error("open past their time, and failed: %s", " ".join(failed))
-        assert_invariant(not failed, "the module ends every message in its time")
+            log.error("messages open past their deadline, failed: %s", " ".join(failed))
+        assert_invariant(not failed, "the engine ends every message by its deadline")
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -1,8 +1,8 @@
-"""Reports to the platform of messages that were accepted and not delivered: POST /reports, again until it answers 204.
+"""Delivery reports to the platform, of accepted messages that were not delivered: POST /reports until it answers 204.
 
-A report has to arrive within moments of its message's deadline, so nothing here waits for a lost connection to be found
-out. While a POST has no answer, another one goes out beside it on a new connection: a kept connection may have died
-unseen, and a path that was cut is found open again within a step. A report that arrives twice does no harm.
+A report has to arrive shortly after its message's deadline, too soon to wait until a lost connection is detected. So
+POSTs are hedged: while one has no answer, another one starts on a new connection. This covers an idle connection that
+was lost unnoticed, and finds a restored network path within one hedging delay. A duplicate report is harmless.
 """
 
 from __future__ import annotations
@@ -18,33 +18,30 @@
 from scalefall.net.logs import debug_event, log
 from scalefall.net.scheduler import Scheduler, Task
 
-MILLISECOND_US = 1000  # microseconds
-HEDGE_DELAY_US = 120 * MILLISECOND_US  # a POST with no answer after this gets another one beside it
-MAX_POSTS_IN_FLIGHT = 8  # in flight at a time, so that a platform that hangs holds few sockets
-POST_TIMEOUT_US = (
-    MAX_POSTS_IN_FLIGHT * HEDGE_DELAY_US
-)  # a POST may take so long: the first has ended when the last may start
-MIN_BACKOFF_US, MAX_BACKOFF_US = (
-    20 * MILLISECOND_US,
-    160 * MILLISECOND_US,
-)  # after a POST that was refused or broke, doubled each time
-MAX_REPORTS_PER_POST = 100  # reports in one POST
+MILLISECOND_US = 1000  # microseconds in a millisecond
+HEDGE_DELAY_US = 120 * MILLISECOND_US  # another POST starts if none was answered within this time
+MAX_POSTS_IN_FLIGHT = 8  # bounds the sockets that an unresponsive platform can hold
+POST_TIMEOUT_US = MAX_POSTS_IN_FLIGHT * HEDGE_DELAY_US  # the first POST has ended when the last one may start
+MIN_BACKOFF_US = 20 * MILLISECOND_US  # after a failed POST; doubles with each further failure
+MAX_BACKOFF_US = 160 * MILLISECOND_US
+MAX_REPORTS_PER_POST = 100
 MAX_BODY_BYTES = 48 * 1024  # of one POST; the protocol allows 64 KiB
-MAX_REPORT_DELAY_US = 300 * MILLISECOND_US  # a message counts as lost if its report comes so long after its deadline
-LOG_INTERVAL_US = 1000 * MILLISECOND_US  # failures are logged no more often
-NO_CONTENT, BAD_REQUEST = 204, 400  # the platform has taken the reports; it cannot read one of them
-NO_STATUS = 0  # of a POST that had no answer
+MAX_REPORT_DELAY_US = 300 * MILLISECOND_US  # after the deadline; a message with a later report counts as lost
+LOG_INTERVAL_US = 1000 * MILLISECOND_US  # least time between two log lines about failures
+NO_CONTENT = 204  # the platform has taken the reports
+BAD_REQUEST = 400  # the platform cannot read one of the reports
+NO_STATUS = 0  # the POST had no answer
 
 
 class DeliveryReporter(Protocol):
-    """Where the failures of accepted messages are reported."""
+    """Reports accepted messages that were not delivered."""
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is left to report."""
+        """Return whether nothing is left to report."""
 
     def report_failed(self, message_id: str, due_us: int = 0) -> None:
-        """Report that a message was given up, with no promise about its effect.
+        """Report that a message was given up; whether it had an effect is unknown.
 
         Args:
             message_id: The message.
@@ -56,21 +53,21 @@
 
         Args:
             message_id: The message.
-            retry_after_ms: How long the client should wait before it does so.
+            retry_after_ms: How long the client should wait before it submits the message again.
             due_us: Its deadline, monotonic, in microseconds; the earliest is reported first.
         """
 
     def move(self, platform: tuple[str, int]) -> None:
-        """Report to another address from now on."""
+        """Report to another address."""
 
 
 class LoggedDeliveryReports:
-    """Where no platform listens: each report is a line in the log, and has been delivered with it."""
+    """Stands in for a platform: logs each report, which counts as delivered with that."""
 
     idle = True
 
     def __init__(self, delivered: Callable[[str], None]) -> None:
-        """Set what is called with the id of each message that is reported."""
+        """Set the function that is called with the id of each reported message."""
         self._delivered = delivered
 
     def report_failed(self, message_id: str, due_us: int = 0) -> None:
@@ -93,10 +90,10 @@
 
 @dataclass(slots=True)
 class _Report:
-    """A report that has not been delivered.
+    """A report that the platform has not confirmed.
 
     Attributes:
-        due_us: The deadline of its message, monotonic, in microseconds; only the order matters.
+        due_us: The deadline of its message, monotonic, in microseconds; used for ordering only.
         line: Its line in the body of a POST.
     """
 
@@ -106,59 +103,59 @@
 
 @dataclass(slots=True, eq=False)
 class _Post:
-    """A POST that is in flight.
+    """A POST in flight.
 
     Attributes:
         message_ids: The messages whose reports it carries.
-        alone: Whether no other was in flight when it started.
+        started_alone: Whether no other POST was in flight when it started.
     """
 
     message_ids: list[str]
-    alone: bool
+    started_alone: bool
 
 
 class _PostEnd(Enum):
-    """How the POST ended that wakes the task which starts them."""
+    """The result of a POST, by which it wakes the task that starts POSTs."""
 
     DELIVERED = "delivered"
     NOT_DELIVERED = "not delivered"
 
 
 class DeliveryReports:
-    """The reports that the platform has not confirmed, and the POSTs that carry them."""
+    """Queues the reports that the platform has not confirmed, and posts them."""
 
     def __init__(self, scheduler: Scheduler, platform: tuple[str, int], delivered: Callable[[str], None]) -> None:
-        """Set up with nothing to report.
+        """Start with nothing to report.
 
         Args:
             scheduler: Runs the tasks.
-            platform: Where reports are posted.
+            platform: The address that reports are posted to.
             delivered: Called with the id of each message whose report the platform has confirmed.
         """
         self._scheduler = scheduler
         self._platform = platform
         self._delivered = delivered
         self._reports: dict[str, _Report] = {}
-        self._idle_socket: socket.socket | None = None  # kept from the POST before
+        self._idle_socket: socket.socket | None = None  # reused by the next POST
         self._idle_socket_peer = platform
         self._posts: dict[_Post, None] = {}
-        self._max_lines = MAX_REPORTS_PER_POST
+        self._max_reports = MAX_REPORTS_PER_POST
         self._backoff_us = MIN_BACKOFF_US
         self._logged_at = -LOG_INTERVAL_US
         self._task: Task | None = None
 
     @property
     def idle(self) -> bool:
-        """Whether the platform has confirmed all reports."""
+        """Return whether the platform has confirmed all reports."""
         return not self._reports
 
     @property
     def posts_in_flight(self) -> int:
-        """How many POSTs have not ended."""
+        """Return the number of POSTs in flight."""
         return len(self._posts)
 
     def move(self, platform: tuple[str, int]) -> None:
-        """Post to another address from now on; a POST in flight may still be answered at the old one."""
+        """Post to another address; POSTs in flight to the old one continue."""
         if platform != self._platform:
             self._platform = platform
             self._backoff_us = MIN_BACKOFF_US
@@ -182,38 +179,38 @@
         if self._task is None or self._task.dead:
             self._task = self._scheduler.spawn(self._start_posts)
 
-    # -- which POSTs go out
+    # -- scheduling POSTs
 
     def _start_posts(self) -> None:
-        """Start a POST, and another whenever one has ended or a step has passed, until all reports are delivered."""
+        """Start a POST whenever one has ended or a hedging delay has passed, until all reports are confirmed."""
         while self._reports:
             if len(self._posts) < MAX_POSTS_IN_FLIGHT:
-                post = _Post(self._most_urgent(), alone=not self._posts)
+                post = _Post(self._most_urgent(), started_alone=not self._posts)
                 self._posts[post] = None
-                self._scheduler.spawn(self._carry_out, post)
+                self._scheduler.spawn(self._run_post, post)
             woken_by = self._scheduler.sleep(HEDGE_DELAY_US)
-            if woken_by is _PostEnd.NOT_DELIVERED:  # the next one at once would end as this one
+            if woken_by is _PostEnd.NOT_DELIVERED:  # an immediate retry would fail as well
                 backoff_us = self._backoff_us
                 self._backoff_us = min(MAX_BACKOFF_US, 2 * backoff_us)
                 self._scheduler.sleep(backoff_us)
 
     def _most_urgent(self) -> list[str]:
-        """The messages of the next POST: those whose report can be in time, the most urgent first; then late ones."""
-        late = self._scheduler.now() - MAX_REPORT_DELAY_US
+        """Return the messages of the next POST: by deadline, with those whose report is already too late last."""
+        too_late = self._scheduler.now() - MAX_REPORT_DELAY_US
         message_ids: list[str] = []
         size = 0
-        for message_id in sorted(self._reports, key=lambda key: _urgency(self._reports[key], late)):
+        for message_id in sorted(self._reports, key=lambda key: _urgency(self._reports[key], too_late)):
             size += len(self._reports[message_id].line)
             if message_ids and size > MAX_BODY_BYTES:
                 break
             message_ids.append(message_id)
-            if len(message_ids) == self._max_lines:
+            if len(message_ids) == self._max_reports:
                 break
         return message_ids
 
     # -- one POST
 
-    def _carry_out(self, post: _Post) -> None:
+    def _run_post(self, post: _Post) -> None:
         started = self._scheduler.now()
         lines = [self._reports[message_id].line for message_id in post.message_ids if message_id in self._reports]
         try:
@@ -221,34 +218,39 @@
         finally:
             del self._posts[post]
         elapsed_ms = (self._scheduler.now() - started) // MILLISECOND_US
-        debug_event("delivery reports: %s after %d ms: %d", " ".join(post.message_ids), elapsed_ms, status)
+        debug_event(
+            "delivery reports: %s posted, after %d ms status %d", " ".join(post.message_ids), elapsed_ms, status
+        )
         if status == NO_CONTENT:
             self._confirm(post.message_ids)
         elif status == BAD_REQUEST:
             self._isolate_unreadable(post.message_ids)
-        if self._task is not None and (status != NO_STATUS or post.alone):
+        if self._task is not None and (status != NO_STATUS or post.started_alone):
             delivered = status == NO_CONTENT
             self._scheduler.wake(self._task, _PostEnd.DELIVERED if delivered else _PostEnd.NOT_DELIVERED)
 
     def _confirm(self, message_ids: list[str]) -> None:
         self._backoff_us = MIN_BACKOFF_US
-        self._max_lines = MAX_REPORTS_PER_POST
+        self._max_reports = MAX_REPORTS_PER_POST
         for message_id in message_ids:
             if self._reports.pop(message_id, None) is not None:
                 self._delivered(message_id)
 
     def _isolate_unreadable(self, message_ids: list[str]) -> None:
-        """Send one report at a time, and one that the platform cannot read after the others: it must not block them."""
-        self._max_lines = 1
+        """Post one report at a time, and put a report that the platform cannot read behind all others."""
+        self._max_reports = 1
         if len(message_ids) == 1 and message_ids[0] in self._reports:
-            log.error("delivery report unreadable for the platform, retried after the others: %s", message_ids[0])
+            log.error(
+                "delivery report rejected by the platform with status 400, retried after all others: %s", message_ids[0]
+            )
             self._reports[message_ids[0]].due_us = max(report.due_us for report in self._reports.values()) + 1
 
     def _post(self, body: bytes) -> int:
-        """Post a body; an idle connection that has gone meanwhile is replaced at once.
+        """Post a body; if the idle connection turns out to be closed, retry at once on a new one.
 
         Returns:
-            The answer's status; NO_STATUS if none came, or all of the body's reports were delivered meanwhile.
+            The answer's status; NO_STATUS if there was none, or if the body is empty because another POST has
+            delivered all of its reports.
         """
         if not body:
             return NO_STATUS
@@ -266,14 +268,14 @@
         now = self._scheduler.now()
         if now >= self._logged_at + LOG_INTERVAL_US:
             self._logged_at = now
-            log.warning("delivery reports: %d not delivered, retrying: %s", len(self._reports), error)
+            log.warning("delivery reports: POST failed, %d reports pending, retrying: %s", len(self._reports), error)
 
     def _exchange(self, sock: socket.socket | None, body: bytes) -> int:
-        """Post a body over an idle connection, or else over a new one; the answer's status.
+        """Post a body over an idle connection, or over a new one if None is given; return the answer's status.
 
         Raises:
-            OSError: The connection was not made, or broke.
-            http.Malformed: The answer is no HTTP.
+            OSError: The connection could not be made, or broke.
+            http.Malformed: The answer is not valid HTTP.
         """
         until = self._scheduler.now() + POST_TIMEOUT_US
         peer = self._idle_socket_peer
@@ -300,10 +302,10 @@
                 continue
             reader.ended()
             if not reader.complete:
-                raise OSError("the platform closed the connection")
+                raise OSError("platform closed the connection before the end of its answer")
         return reader
 
 
-def _urgency(report: _Report, late: int) -> tuple[bool, int]:
-    """A key to sort by: reports of messages whose deadline was before a time come last."""
-    return report.due_us < late, report.due_us
+def _urgency(report: _Report, too_late_us: int) -> tuple[bool, int]:
+    """Return a sort key: by deadline, with the deadlines before a time last."""
+    return report.due_us < too_late_us, report.due_us
--- a/scalefall/net/delivery_request.py
+++ b/scalefall/net/delivery_request.py
@@ -1,6 +1,6 @@
-"""What an ingress submits for delivery, and the answers that it may get.
+"""The request that an ingress submits for delivery, and its possible answers.
 
-No protocol is in here, so that a second ingress, with a protocol of its own, can use the same sender.
+Independent of any protocol, so that an ingress with another protocol can use the same sender.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The sender is responsible for the message: it will be delivered, or its failure reported."""
+    """The sender has taken responsibility for the message: it will be delivered, or its failure reported."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,8 +21,8 @@
     """The message was not accepted and has had no effect: submitting it again is harmless.
 
     Attributes:
-        retry_after_us: How long the client should wait before it does so, in microseconds.
-        unavailable: Whether the sender had no capacity or was shutting down. Otherwise the policy shed the message.
+        retry_after_us: How long the client should wait before it submits the message again, in microseconds.
+        unavailable: Whether the sender had no capacity or was shutting down; otherwise the engine shed the message.
     """
 
     retry_after_us: int
@@ -31,17 +31,17 @@
 
 @dataclass(slots=True, frozen=True)
 class GivenUp:
-    """The message will not be delivered any more; whether it had an effect is not known."""
+    """The message will not be delivered; whether it had an effect is unknown."""
 
 
 @dataclass(slots=True, frozen=True)
 class Conflict:
-    """Its id belongs to another message that is in progress: nothing is done with this one."""
+    """The id belongs to another message; the request is ignored."""
 
 
 @dataclass(slots=True, frozen=True)
 class NotServed:
-    """Its route carries no messages of its class: nothing is done with it, now or later."""
+    """The route carries no messages of this class; the request is ignored, and a repeat would be as well."""
 
 
 AdmissionResult = Accepted | Rejected | GivenUp | Conflict | NotServed
@@ -49,22 +49,22 @@
 
 @dataclass(slots=True, eq=False)
 class DeliveryRequest:
-    """A message that a client has submitted, and the answer once there is one.
+    """A message that a client has submitted, and its answer once it is decided.
 
     Attributes:
-        id: The client's id of the message, unique among those in progress.
+        id: The client's id of the message, unique among pending messages.
         class_name: Its class, a key of the settings' classes.
-        destination: The number of the destination that it is for.
-        due_us: When it has to have been delivered, monotonic, in microseconds.
-        idempotency_key: What tells the destination that two attempts are of one message; None if there is none.
-        body: What is delivered.
-        attempts: How many attempts have started.
+        destination: The number of its destination.
+        due_us: Its deadline, monotonic, in microseconds.
+        idempotency_key: The key by which the destination recognizes a repeated message; None if there is none.
+        body: The payload.
+        attempts: The number of attempts that have started.
         admission: The answer; None until it is decided.
-        repeat_accepted: Whether a second client was told that the message is accepted. The first one can then no
-            longer withdraw it by closing its connection.
+        repeat_accepted: Whether a repeated submission was answered as accepted. Closing the connection of the first
+            one then no longer withdraws the message.
         send_alone: Whether it must not share a call with other messages.
-        message_class: The rules that it was accepted under.
-        on_decided: Called once the answer is there.
+        message_class: The class rules as of its acceptance.
+        on_decided: Called once the answer is decided.
     """
 
     id: str
@@ -81,11 +81,11 @@
     on_decided: Callable[[], object] | None = None
 
     def fingerprint(self) -> int:
-        """The same number for each request for the same delivery, whoever submits it; valid in this process only."""
+        """Return a hash that is equal for requests for the same delivery; valid within this process only."""
         return hash((self.class_name, self.destination, self.idempotency_key, self.body))
 
     def decide(self, admission: AdmissionResult) -> None:
-        """Set the answer and notify the ingress; any answer after the first is ignored."""
+        """Set the answer and notify the ingress; later answers are ignored."""
         if self.admission is None:
             self.admission = admission
             if self.on_decided is not None:
--- a/scalefall/net/delivery_tracker.py
+++ b/scalefall/net/delivery_tracker.py
@@ -1,4 +1,4 @@
-"""The messages in flight, and the ids of those that ended lately."""
+"""The messages in flight, and the ids of those that finished recently."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
 
 SECOND_US = 1_000_000  # microseconds in a second
-FINISHED_ID_RETENTION_US = 30 * SECOND_US  # a repeat of a finished id comes within this time, or not at all
-MEMORY_BYTES_PER_FINISHED_ID = 4096  # of the memory limit, for each finished id: 192 MB remember 46,875 of them
+FINISHED_ID_RETENTION_US = 30 * SECOND_US  # clients do not repeat a finished id later than this
+MEMORY_BYTES_PER_FINISHED_ID = 4096  # one id is retained per so much of the memory limit: 46,875 ids for 192 MB
 
 
 class DeliveryTracker:
-    """Knows each message from its submission to its end, and its id for a while afterwards.
+    """Tracks each message from its submission to its end, and retains its id for some time afterwards.
 
     Attributes:
-        open: Requests that were submitted and have not ended, by message id. For reading only.
-        finished: Ids of accepted messages that have ended: when (monotonic, microseconds) and the request's
-            fingerprint, the oldest first. For reading only.
+        open: Requests that were submitted and have not finished, by message id. Read-only.
+        finished: For the ids of accepted messages that have finished, the time (monotonic, microseconds) and the
+            request's fingerprint, the oldest first. Read-only.
     """
 
     def __init__(self, scheduler: Scheduler, memory_bytes: int) -> None:
@@ -26,7 +26,7 @@
 
         Args:
             scheduler: The clock.
-            memory_bytes: The process's memory limit, which bounds how many finished ids are remembered.
+            memory_bytes: The memory limit of the process, which bounds the number of retained ids.
         """
         self._scheduler = scheduler
         self._max_finished = memory_bytes // MEMORY_BYTES_PER_FINISHED_ID
@@ -36,17 +36,17 @@
         self.finished: Mapping[str, tuple[int, int]] = self._finished
 
     def add(self, request: DeliveryRequest) -> None:
-        """Track a request from now on."""
+        """Start to track a request."""
         self._open[request.id] = request
 
     def discard(self, message_id: str) -> None:
-        """Forget an open request that nothing is owed for any more, together with its id."""
+        """Remove an open request that needs no final answer, without retaining its id."""
         del self._open[message_id]
 
     def finish(self, message_id: str) -> DeliveryRequest | None:
-        """End a message for the engine, and return its request, or None if it is not open.
+        """Finish a message, and return its request, or None if it is not open.
 
-        The id of an accepted message is remembered for as long as a repeat of it may be on its way.
+        Retains the id of an accepted message for as long as a repeat of it may still arrive.
         """
         request = self._open.pop(message_id, None)
         if request is not None and isinstance(request.admission, Accepted):
--- a/scalefall/net/files.py
+++ b/scalefall/net/files.py
@@ -1,21 +1,21 @@
-"""Small files in the state folder, each replaced as a whole, so that a reader never finds half of one."""
+"""Atomic replacement of small files in the state folder."""
 
 from __future__ import annotations
 
 import os
 
-BLOCK_BYTES = 512  # file systems count in blocks: a file takes its size, rounded up to whole ones
+BLOCK_BYTES = 512  # file systems allocate whole blocks: a file takes its size rounded up to a multiple
 
 
 def replace_file(path: str, data: bytes) -> None:
-    """Write a file beside the one at a path, and put it in its place.
+    """Replace a file atomically: write a temporary file beside it and rename that.
 
     Args:
         path: The file to replace; it need not exist.
-        data: What it holds afterwards.
+        data: The new contents.
 
     Raises:
-        OSError: It could not be written; the file at the path is as it was.
+        OSError: The write failed; the file at the path is unchanged.
     """
     partial = path + ".new"
     with open(partial, "wb") as file:
--- a/scalefall/net/final_answers.py
+++ b/scalefall/net/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answers that the engine gives: shed or failed, to the client or to the platform."""
+"""Carries out the engine's final answers, shed or failed: to the client, or as a delivery report to the platform."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 class FinalAnswers:
     """Ends messages that are not delivered.
 
-    One that was not accepted yet has the answer to its own request. For one that was accepted the platform is owed a
-    delivery report, which the journal keeps until it has arrived.
+    A message that was not accepted yet is answered on its own request. For an accepted message the platform gets a
+    delivery report, which stays in the journal until the platform has confirmed it.
     """
 
     def __init__(
@@ -29,13 +29,13 @@
         delivery_reports: DeliveryReporter,
         routes: RouteTable,
     ) -> None:
-        """Give answers for the messages of this tracker.
+        """Set up final answers for the messages of a tracker.
 
         Args:
-            tracker: Ends the messages.
-            journal: Keeps what the platform has to be told.
-            delivery_reports: Tells the platform.
-            routes: Bounds how long a client is told to wait.
+            tracker: The messages in flight.
+            journal: Stores the final answers that have to be reported.
+            delivery_reports: Reports them to the platform.
+            routes: Limits the retry-after times.
         """
         self._tracker = tracker
         self._journal = journal
@@ -43,13 +43,13 @@
         self._routes = routes
 
     def shed(self, message_id: str, retry_after_us: int) -> None:
-        """Hand a message back: to send it again after the wait, in microseconds, does no harm."""
+        """End a message that had no effect: the client may submit it again after this time, in microseconds."""
         request = self._tracker.finish(message_id)
         if request is None:
             return
         retry_after_us = self._routes.cap_retry_after(request.destination, retry_after_us)
         if log.isEnabledFor(logging.DEBUG):
-            _log_end("refused %s", request)
+            _log_end("shed %s", request)
         if request.admission is None:
             request.decide(Rejected(retry_after_us))
             return
@@ -58,7 +58,7 @@
         self._delivery_reports.report_returned(message_id, retry_after_ms, request.due_us)
 
     def fail(self, message_id: str) -> None:
-        """Give a message up, with no promise about its effect."""
+        """Give a message up; whether it had an effect is unknown."""
         request = self._tracker.finish(message_id)
         if request is None:
             return
@@ -72,5 +72,5 @@
 
 
 def _log_end(text: str, request: DeliveryRequest) -> None:
-    """Log the end of a message for those who follow every one."""
+    """Log the end of a message at debug level."""
     debug_event(text, request.id, id=request.id, class_=request.class_name, dest=request.destination)
--- a/scalefall/net/invariants.py
+++ b/scalefall/net/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the program: asserted in debug builds, counted in release builds (``python -O``)."""
+"""Invariants: asserted in debug mode, counted in optimized mode (``python -O``)."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from scalefall.net.logs import log
 
-violations: Counter[str] = Counter()  # by the invariant's name, since the process started
+violations: Counter[str] = Counter()  # count by the invariant's name, since the process started
 
 
 def assert_invariant(condition: object, name: str) -> bool:
     """Check that an invariant holds.
 
     Args:
-        condition: What has to be true.
-        name: What the invariant says, in words; violations are counted by it.
+        condition: The condition that has to be true.
+        name: A statement of the invariant; violations are counted by it.
 
     Returns:
-        Whether it holds. Only a release build returns False.
+        Whether it holds. Only optimized mode returns False.
 
     Raises:
-        AssertionError: In a debug build, if it does not hold.
+        AssertionError: In debug mode, if it does not hold.
     """
     if condition:
         return True
@@ -31,6 +31,6 @@
 
 
 def log_violations() -> None:
-    """Log each invariant that was broken since the start, with how often; the caller chooses when."""
+    """Log each invariant that was violated since the start, with the number of violations."""
     for name, count in sorted(violations.items()):
         log.warning("invariant broken: %s, %d times since the start", name, count)
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -1,9 +1,9 @@
-"""The sender's journal: a file in the state folder with all that the sender is responsible for.
+"""The sender's journal: a write-ahead log in the state folder of the messages that the sender is responsible for.
 
-Records are appended before what they say takes effect, so that the next process knows of each message that was accepted
-and of each attempt that may have run. A tail that was torn by the death of the process is cut off. When the file and a
-compacted copy of it would no longer both fit into the folder's limit, the copy takes the file's place. Nothing is
-accepted for which that could not be kept.
+Each record is appended before the step that it records takes effect, so that recovery finds every accepted message and
+every attempt that may have run. An incomplete record at the end, as a killed process leaves it, is truncated. The
+journal is compacted when the file and a compacted copy of it would together exceed the folder's limit. A message is
+accepted only if its records fit within that limit.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from scalefall.net.logs import log
 
 FILE_NAME = "journal"
-COPY_FLAGS = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND  # a copy that was left behind is overwritten
-FILE_MODE = 0o600  # the messages' bodies are nobody else's
-ROUNDING_BYTES = 4 * BLOCK_BYTES  # the file and its copy take whole blocks, and each begins with FILE_HEADER
-MAX_SPARE_BYTES = 64 * 1024  # kept free for the small records between two compactions,
-SPARE_DIVISOR = 8  # but no more than this part of a limit that is small
+COPY_FLAGS = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND  # overwrites an incomplete copy
+FILE_MODE = 0o600  # message bodies are confidential
+ROUNDING_BYTES = 4 * BLOCK_BYTES  # the file and its copy each occupy whole blocks and begin with FILE_HEADER
+MAX_SPARE_BYTES = 64 * 1024  # reserved for small records between two compactions
+SPARE_DIVISOR = 8  # the reserve is at most this fraction of the limit
 
 
 class _OpenFile(NamedTuple):
@@ -45,18 +45,18 @@
 
 
 class Journal:
-    """The open file, and what it holds. Closing it is the caller's part; it is a context manager too.
+    """The open journal file and the deliveries that it records. The caller closes it; it is also a context manager.
 
     Attributes:
-        pending: What the sender is responsible for, by the id of the message.
+        pending: The deliveries that the sender is responsible for, by message id.
     """
 
     def __init__(self, folder: str, limit_bytes: int) -> None:
-        """Open the journal of a folder, or start one, and read what the process before was responsible for.
+        """Open the journal of a folder, or create it, and replay its records.
 
         Args:
             folder: The state folder.
-            limit_bytes: What the file and its compacted copy may take together.
+            limit_bytes: The most bytes that the file and its compacted copy may take together.
 
         Raises:
             OSError: The file cannot be opened or read.
@@ -66,7 +66,7 @@
         self._copy_path = self._path + ".new"
         self._limit_bytes = limit_bytes
         self._spare_bytes = min(MAX_SPARE_BYTES, limit_bytes // SPARE_DIVISOR)
-        self._copy_bytes = 0  # what all of pending takes in a compacted copy
+        self._copy_bytes = 0  # size of a compacted copy of all pending deliveries
         self._remove_copy()
         self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_APPEND, FILE_MODE)
         self._size = self._load()
@@ -84,46 +84,46 @@
         self.close()
 
     def close(self) -> None:
-        """Close the file; no record can be written any more."""
+        """Close the file; no further record can be written."""
         os.close(self._file)
 
     @property
     def unused_bytes(self) -> int:
-        """What is left of the limit beside the file and its compacted copy."""
+        """Return the bytes of the limit that neither the file nor its compacted copy uses."""
         return self._limit_bytes - self._size - self._copy_bytes
 
-    # -- records that are written
+    # -- writing records
 
     def has_capacity(self, body_bytes: int) -> bool:
-        """Whether a message with so long a body would fit; record_accepted has the last word."""
+        """Return whether a message with a body of this size would fit; record_accepted checks it exactly."""
         return self._fits(self._copy_bytes + body_bytes + ROUNDING_BYTES)
 
     def record_accepted(self, delivery: PendingDelivery) -> bool:
-        """Write that the sender is responsible for a message.
+        """Record that the sender is responsible for a message.
 
         Returns:
-            False if it does not fit or cannot be written: the message must not be accepted then.
+            Whether the record was written. If it was not, the message must not be accepted.
         """
         record = journal_records.encode_accepted(delivery)
         copy_bytes = FRAME.size + len(record) + RESERVED_ZONE_BYTES
         if not self._fits(self._copy_bytes + copy_bytes) or not self._append(record, copy_bytes):
             return False
-        assert_invariant(delivery.id not in self.pending, "an id is taken on once")
+        assert_invariant(delivery.id not in self.pending, "a message id is accepted at most once at a time")
         delivery.copy_bytes = copy_bytes
         self.pending[delivery.id] = delivery
         self._copy_bytes += copy_bytes
         return True
 
     def record_attempt_started(self, message_ids: list[str], wall_us: int, zone: str) -> bool:
-        """Write that an attempt is about to start.
+        """Record that an attempt is about to start.
 
         Args:
-            message_ids: The messages that it carries; those that are no longer pending are left out.
-            wall_us: The present time, microseconds since the epoch.
+            message_ids: The messages that it carries; those that are not pending are skipped.
+            wall_us: The current time, in microseconds since the epoch.
             zone: The zone of the endpoint.
 
         Returns:
-            False if a compacted copy would no longer fit, or it cannot be written: the attempt must not start then.
+            Whether it was written and a compacted copy would still fit; if not, the attempt must not start.
         """
         message_ids = [message_id for message_id in message_ids if message_id in self.pending]
         needed = _zone_bytes(zone)
@@ -137,24 +137,24 @@
         return True
 
     def record_attempt_finished(self, message_id: str, may_have_run: bool) -> None:
-        """Write how the attempt in flight ended; one that delivered the message is a record_finished instead."""
+        """Record that the attempt in flight ended without delivering the message; see record_finished for delivery."""
         if message_id in self.pending:
             self._append(journal_records.encode_attempt_finished(message_id, may_have_run))
             self._finish_attempt(self.pending[message_id], may_have_run)
 
     def record_finished(self, message_id: str) -> None:
-        """Write that the sender is no longer responsible: delivered, withdrawn, or its final answer reported."""
+        """Record that a message is finished: delivered, withdrawn, or its final answer reported."""
         if message_id in self.pending:
             self._append(journal_records.encode_finished(message_id))
             self._copy_bytes -= self.pending.pop(message_id).copy_bytes
 
     def record_final_answer(self, message_id: str, final_answer: FinalAnswer, retry_after_ms: int) -> None:
-        """Write that a message will not be delivered any more, which has to be reported."""
+        """Record that a message will not be delivered and that its final answer has to be reported."""
         if message_id in self.pending:
             self._append(journal_records.encode_final_answer(message_id, final_answer, retry_after_ms))
             self._give_final_answer(self.pending[message_id], final_answer, retry_after_ms)
 
-    # -- what the records do to what is pending
+    # -- applying records to the pending deliveries
 
     def _start_attempt(self, delivery: PendingDelivery, wall_us: int, zone: str) -> None:
         more = _zone_bytes(zone) - delivery.zone_bytes
@@ -182,7 +182,7 @@
         delivery.body = b""
 
     def _replay(self, record: Record) -> None:
-        """Do to what is pending what the process before has written; what is not pending any more is passed over."""
+        """Apply a record of the file to the pending deliveries; ignore messages that are not pending."""
         if isinstance(record, PendingDelivery):
             self.pending[record.id] = record
             self._copy_bytes += record.copy_bytes
@@ -197,7 +197,7 @@
                 self._replay_end(delivery, record)
 
     def _replay_end(self, delivery: PendingDelivery, record: AttemptFinished | FinalAnswerGiven | Finished) -> None:
-        """The same for the end of an attempt or of the message itself."""
+        """Apply a record that ends an attempt or the delivery itself."""
         match record:
             case AttemptFinished():
                 self._finish_attempt(delivery, record.may_have_run)
@@ -209,15 +209,15 @@
     # -- the file
 
     def _fits(self, copy_bytes: int) -> bool:
-        """Whether an old file and a new one with so many bytes of records stay within the limit together."""
+        """Return whether a file and its copy, each with this many bytes of records, stay within the limit."""
         return 2 * copy_bytes + self._spare_bytes + ROUNDING_BYTES <= self._limit_bytes
 
     def _append(self, record: bytes, more_copy_bytes: int = 0) -> bool:
-        """Write a record at the end, after a compaction if it needs one; False if it cannot be written.
+        """Append a record, compacting first if the limit requires it; return whether it was written.
 
         Args:
             record: The record without its frame.
-            more_copy_bytes: What the record will add to a compacted copy.
+            more_copy_bytes: The bytes that the record adds to a compacted copy.
         """
         framed = journal_records.frame(record)
         used_bytes = self._size + len(framed) + self._copy_bytes + more_copy_bytes + ROUNDING_BYTES
@@ -226,8 +226,8 @@
         try:
             _write_all(self._file, framed)
         except OSError as error:
-            log.error("journal: write failed: %s", error)
-            self._truncate(self._size)  # half a record in the middle would hide all that follows
+            log.error("journal: write failed, record not stored: %s", error)
+            self._truncate(self._size)  # recovery stops at an incomplete record and would lose all later ones
             return False
         self._size += len(framed)
         return True
@@ -236,14 +236,14 @@
         try:
             os.ftruncate(self._file, size)
         except OSError as error:
-            log.error("journal: truncation failed: %s", error)
+            log.error("journal: truncation to %d bytes failed: %s", size, error)
 
     def compact(self) -> bool:
-        """Replace the file by a copy that holds what is pending and nothing else; False if that cannot be written."""
+        """Replace the file by a copy that holds only the pending deliveries; return whether that succeeded."""
         try:
             copy = self._write_copy()
         except OSError as error:
-            log.error("journal: compaction failed: %s", error)
+            log.error("journal: compaction failed, the old file stays in use: %s", error)
             self._remove_copy()
             return False
         os.close(self._file)
@@ -251,7 +251,7 @@
         return True
 
     def _write_copy(self) -> _OpenFile:
-        """Write the copy and put it in the file's place; OSError if it cannot be written, and the file is as it was."""
+        """Write the copy and rename it over the file; an OSError leaves the file unchanged."""
         descriptor = os.open(self._copy_path, COPY_FLAGS, FILE_MODE)
         try:
             size = os.write(descriptor, FILE_HEADER)
@@ -266,43 +266,43 @@
         return _OpenFile(descriptor, size)
 
     def _remove_copy(self) -> None:
-        """Remove the copy of a compaction that was not finished: the file still holds everything."""
+        """Remove the copy of an interrupted compaction; the file is still complete."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._copy_path)
 
     def _load(self) -> int:
-        """Replay the file's records and cut off what cannot be read; the file's size afterwards."""
+        """Replay the file's records, truncate it behind the last readable one, and return its size."""
         with open(self._path, "rb") as file:
             data = file.read()
         if not data.startswith(FILE_HEADER):
-            return self._start_anew(len(data))
+            return self._reset_file(len(data))
         end = len(FILE_HEADER)
         try:
-            for record, end in journal_records.read_records(data):  # noqa: B007 - used behind the loop
+            for record, end in journal_records.read_records(data):  # noqa: B007 - used after the loop
                 self._replay(record)
         except RecordError as error:
-            log.error("journal: unreadable record: %s", error)
+            log.error("journal: unreadable record, it and all later ones are discarded: %s", error)
         if end < len(data):
-            log.warning("journal: torn tail cut: %d bytes", len(data) - end)
+            log.warning("journal: incomplete tail truncated: %d bytes", len(data) - end)
             self._truncate(end)
         return end
 
-    def _start_anew(self, foreign_bytes: int) -> int:
-        """Drop what the file holds, which is no journal; the file's size afterwards."""
-        if foreign_bytes:
-            log.error("journal: file is no journal, started anew: %d bytes dropped", foreign_bytes)
+    def _reset_file(self, invalid_bytes: int) -> int:
+        """Replace contents that are no journal by an empty journal, and return the file's size."""
+        if invalid_bytes:
+            log.error("journal: file has no journal header, replaced by an empty journal: %d bytes lost", invalid_bytes)
         self._truncate(0)
         os.write(self._file, FILE_HEADER)
         return len(FILE_HEADER)
 
 
 def _zone_bytes(zone: str) -> int:
-    """What a copy may need for a zone's name: that of the first attempt that may have run, and of the one in flight."""
+    """Return the most bytes that a copy needs for a zone's name, which may occur in two attempts of a delivery."""
     return 2 * len(zone.encode())
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Write all of the data, in as many parts as the system takes; OSError if it cannot."""
+    """Write all of the data, in several calls if the system writes less at a time."""
     written = 0
     while written < len(data):
         written += os.write(descriptor, data[written:])
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -1,10 +1,10 @@
-"""The records of the sender's journal: what each holds, and its bytes. No I/O and no clock.
+"""The record format of the sender's journal: the fields and the encoding of each record. No I/O and no clock.
 
-A journal is ``FILE_HEADER`` and then records, each behind a ``FRAME`` with its length and its CRC-32. The first byte of
-a record is its kind; what follows it is in the table of ``RecordKind``. Integers are little-endian. A text is its
-length in bytes, of 16 bits, and its UTF-8; the length ``NO_TEXT`` stands for None.
+A journal is ``FILE_HEADER`` followed by records, each preceded by a ``FRAME`` with its length and its CRC-32. The first
+byte of a record is its kind; ``RecordKind`` lists what follows it. Integers are little-endian. A text is its length in
+bytes, as 16 bits, and then its UTF-8; the length ``NO_TEXT`` stands for None.
 
-Times are wall-clock times, in microseconds since the epoch: the monotonic clock may begin anew with the machine.
+Times are wall-clock times, in microseconds since the epoch: the monotonic clock restarts when the machine does.
 """
 
 from __future__ import annotations
@@ -20,48 +20,50 @@
 from scalefall.policy.settings import Idempotency
 
 FILE_HEADER = b"scalefall journal 1\n"
-FRAME = struct.Struct("<II")  # length of the record, CRC-32 of it
-NO_TEXT = 0xFFFF  # in place of a text's length
-MAX_SPAN_MS = 0xFFFFFFFF  # the largest time span that a record can hold, in milliseconds
-RESERVED_ZONE_BYTES = 128  # reserved in each copy of a delivery for the names of zones that attempts will add
-
-# What an ACCEPTED record holds before its texts and its body:
-#   due, destination, attempts, when an attempt that may have run started (0: none did), flags, final answer (0: none),
-#   a time span in milliseconds, when the attempt in flight started (0: none was ever)
-# The span is the time to retry after where there is a final answer, and that of the idempotency key otherwise.
+FRAME = struct.Struct("<II")  # length and CRC-32 of the record
+NO_TEXT = 0xFFFF  # stands for None in place of a text's length
+MAX_SPAN_MS = 0xFFFFFFFF  # the longest duration that a record can hold
+RESERVED_ZONE_BYTES = 128  # reserved per delivery in a compacted copy, for the zone names of later attempts
+
+# The fixed fields of an ACCEPTED record, before its texts and its body:
+#   deadline, destination, attempts, start of the first attempt that may have run (0: none), flags,
+#   final answer (0: none), a duration in milliseconds, start of the last attempt (0: none)
+# The duration is the retry-after time of a delivery with a final answer, and the lifetime of the idempotency key
+# otherwise.
 ACCEPTED = struct.Struct("<qiIqBBIq")
-ACCEPTED_TEXT_COUNT = 5  # id, class, idempotency key, zone where it may have run, zone of the attempt in flight
-ATTEMPT_STARTED = struct.Struct("<qH")  # when, number of messages; then the zone and the messages' ids
-FINAL_ANSWER = struct.Struct("<BI")  # the answer, the time to retry after in milliseconds; then the message's id
+ACCEPTED_TEXT_COUNT = 5  # id, class, idempotency key, zone of the first attempt that may have run, of the last one
+ATTEMPT_STARTED = struct.Struct("<qH")  # start, number of messages; then the zone and the message ids
+FINAL_ANSWER = struct.Struct("<BI")  # the answer, the retry-after time in milliseconds; then the message id
 TEXT_LENGTH = struct.Struct("<H")
 
 IN_FLIGHT = 1  # flag: an attempt has started and has not finished
-IDEMPOTENCY_SHIFT, IDEMPOTENCY_MASK = 1, 3  # two bits of the flags, an index into IDEMPOTENCIES
-KEY_SCOPE_ZONE = 8  # flag: the idempotency key holds within a zone only
+IDEMPOTENCY_SHIFT = 1  # two bits of the flags are an index into IDEMPOTENCIES
+IDEMPOTENCY_MASK = 3
+KEY_SCOPE_ZONE = 8  # flag: the idempotency key is valid within one zone only
 IDEMPOTENCIES = (
     None,
     Idempotency.IDEMPOTENT,
     Idempotency.WITH_KEY,
     Idempotency.NOT_IDEMPOTENT,
-)  # None: the record does not say
+)  # None: written by a version that did not record it
 
 
 class RecordKind:
-    """The first byte of a record, and what follows it."""
+    """The first byte of a record; the comments list what follows it."""
 
-    ACCEPTED = b"T"  # ACCEPTED, its texts, and the body to the record's end
+    ACCEPTED = b"T"  # ACCEPTED, its texts, and the body up to the end of the record
     ATTEMPT_STARTED = b"P"  # ATTEMPT_STARTED, its texts
-    ATTEMPT_FINISHED = b"O"  # one byte, whether it may have run; the message's id
+    ATTEMPT_FINISHED = b"O"  # one byte, whether the attempt may have run; the message id
     FINAL_ANSWER = b"N"  # FINAL_ANSWER, its text
-    FINISHED = b"E"  # the message's id
+    FINISHED = b"E"  # the message id
 
 
 class RecordError(StorageError):
-    """A record has the right checksum and yet cannot be read: another version of the program wrote it."""
+    """A record has a valid checksum but cannot be decoded: another version of the program wrote it."""
 
 
 class FinalAnswer(Enum):
-    """How an accepted message ended that was not delivered. The values are those of the records."""
+    """The final answer of an accepted message that was not delivered. The values are stored in records."""
 
     FAILED = 1
     RETURNED = 2
@@ -72,28 +74,28 @@
 
 @dataclass(slots=True)
 class PendingDelivery:
-    """A message that the sender is responsible for: not delivered yet, or with its final answer not reported yet.
+    """A message that the sender is responsible for: not delivered, or its final answer not reported.
 
     Attributes:
         id: The client's id of the message.
         class_name: Its class.
-        destination: The number of the destination that it is for.
-        due_wall_us: When it has to have been delivered.
-        idempotency_key: What tells the destination that two attempts are of one message; None if there is none.
-        body: What is delivered; empty once there is a final answer.
-        attempts: How many attempts have started.
-        may_have_run_wall_us: When the first attempt started that may have run; 0 if there was none.
-        may_have_run_zone: The zone that this attempt went to.
+        destination: The number of its destination.
+        due_wall_us: Its deadline.
+        idempotency_key: The key by which the destination recognizes a repeated message; None if there is none.
+        body: The payload; empty once there is a final answer.
+        attempts: The number of attempts that have started.
+        may_have_run_wall_us: The start of the first attempt that may have run; 0 if there was none.
+        may_have_run_zone: The zone of that attempt.
         in_flight: Whether an attempt has started and has not finished.
-        attempt_started_wall_us: When the last attempt started.
-        attempt_zone: The zone that it went to.
-        final_answer: How it ended, if it did without being delivered.
+        attempt_started_wall_us: The start of the last attempt.
+        attempt_zone: The zone of the last attempt.
+        final_answer: The final answer of a message that will not be delivered; None before.
         retry_after_ms: With the answer RETURNED, how long the client should wait before it submits the message again.
-        idempotency: Whether it may be sent again, by its class at the time when it was accepted. None: not known.
-        key_scope_zone: Whether its idempotency key holds within a zone only, by the same class.
-        key_ttl_us: For how long a destination remembers the key, by the same class.
-        copy_bytes: What a compacted journal needs for it.
-        zone_bytes: How much of that is reserved for names of zones.
+        idempotency: Whether it may be repeated, by its class as it was accepted. None: not known.
+        key_scope_zone: Whether its idempotency key is valid within one zone only, by the same class.
+        key_ttl_us: How long a destination remembers the key, by the same class.
+        copy_bytes: The bytes that it takes in a compacted journal.
+        zone_bytes: The bytes of copy_bytes that are reserved for zone names.
     """
 
     id: str
@@ -121,7 +123,7 @@
     """One attempt with one or several messages is about to start.
 
     Attributes:
-        wall_us: When.
+        wall_us: The time of its start.
         zone: The zone of its endpoint.
         message_ids: The messages that it carries.
     """
@@ -136,7 +138,7 @@
 
     Attributes:
         message_id: The message.
-        may_have_run: Whether the destination may have acted on it.
+        may_have_run: Whether the destination may have processed it.
     """
 
     message_id: str
@@ -144,11 +146,11 @@
 
 
 class FinalAnswerGiven(NamedTuple):
-    """A message will not be delivered any more; this has to be reported.
+    """A message will not be delivered, and its final answer has to be reported.
 
     Attributes:
         message_id: The message.
-        final_answer: How it ended.
+        final_answer: The answer to report.
         retry_after_ms: How long the client should wait before it submits the message again.
     """
 
@@ -170,16 +172,16 @@
 Record = PendingDelivery | AttemptStarted | AttemptFinished | FinalAnswerGiven | Finished
 
 
-# -- from typed records to bytes
+# -- encoding
 
 
 def frame(record: bytes) -> bytes:
-    """A record as it stands in the file, behind its length and its checksum."""
+    """Return a record as the file holds it, preceded by its length and its checksum."""
     return FRAME.pack(len(record), zlib.crc32(record)) + record
 
 
 def encode_accepted(delivery: PendingDelivery) -> bytes:
-    """All of a delivery: written when it is accepted, and with its history when the journal is compacted."""
+    """Return the record of a delivery, with its history if it has one: for its acceptance and for compaction."""
     answer = delivery.final_answer
     if answer is None:
         span_ms, body = min(delivery.key_ttl_us // 1000, MAX_SPAN_MS), delivery.body
@@ -206,24 +208,24 @@
 
 
 def encode_attempt_started(message_ids: list[str], wall_us: int, zone: str) -> bytes:
-    """The record of an AttemptStarted."""
+    """Return the record of an AttemptStarted."""
     fixed = ATTEMPT_STARTED.pack(wall_us, len(message_ids))
     return RecordKind.ATTEMPT_STARTED + fixed + _encode_texts(zone, *message_ids)
 
 
 def encode_attempt_finished(message_id: str, may_have_run: bool) -> bytes:
-    """The record of an AttemptFinished."""
+    """Return the record of an AttemptFinished."""
     return RecordKind.ATTEMPT_FINISHED + bytes([may_have_run]) + _encode_texts(message_id)
 
 
 def encode_final_answer(message_id: str, final_answer: FinalAnswer, retry_after_ms: int) -> bytes:
-    """The record of a FinalAnswerGiven."""
+    """Return the record of a FinalAnswerGiven."""
     fixed = FINAL_ANSWER.pack(final_answer.value, retry_after_ms)
     return RecordKind.FINAL_ANSWER + fixed + _encode_texts(message_id)
 
 
 def encode_finished(message_id: str) -> bytes:
-    """The record of a Finished."""
+    """Return the record of a Finished."""
     return RecordKind.FINISHED + _encode_texts(message_id)
 
 
@@ -243,20 +245,20 @@
     return b"".join(parts)
 
 
-# -- from bytes to typed records
+# -- decoding
 
 
 def read_records(data: bytes) -> Iterator[tuple[Record, int]]:
-    """Read a journal up to its end, or up to where it is torn or damaged.
+    """Read a journal up to its end, or up to the first incomplete or corrupt record.
 
     Args:
         data: The journal, which begins with FILE_HEADER.
 
     Yields:
-        Each record, and the place in the data behind it.
+        Each record, and the offset of its end.
 
     Raises:
-        RecordError: A record is of no known kind, or does not hold what its kind does.
+        RecordError: A record has an unknown kind or does not match its kind's format.
     """
     end = len(FILE_HEADER)
     while end + FRAME.size <= len(data):
@@ -274,18 +276,18 @@
     try:
         return _DECODERS[kind](record)
     except (ValueError, struct.error, KeyError, IndexError) as error:
-        raise RecordError(f"record {kind!r}: {error!r}") from error
+        raise RecordError(f"record of kind {kind!r}, {len(record)} bytes: {error!r}") from error
 
 
 def _decode_accepted(record: bytes) -> PendingDelivery:
-    due, destination, attempts, ran_at, flags, answer, span_ms, started_at = ACCEPTED.unpack_from(record, 1)
+    deadline, destination, attempts, ran_at, flags, answer, span_ms, started_at = ACCEPTED.unpack_from(record, 1)
     texts, end = _decode_texts(record, 1 + ACCEPTED.size, ACCEPTED_TEXT_COUNT)
     message_id, class_name, idempotency_key, ran_in_zone, attempt_zone = texts
-    return PendingDelivery(  # by position, which takes a start with a full journal 2 us less for each message
+    return PendingDelivery(  # positional arguments save 2 us per message in the replay of a full journal
         message_id or "",
         class_name or "",
         destination,
-        due,
+        deadline,
         idempotency_key,
         record[end:],
         attempts,
@@ -332,19 +334,19 @@
 
 
 def _decode_last_text(data: bytes, start: int) -> str:
-    """The one text that a short record ends with; a start reads many of these."""
+    """Return the single text at the end of a record, faster than _decode_texts: replay decodes many of these."""
     length = TEXT_LENGTH.unpack_from(data, start)[0]
     if length == NO_TEXT:
         return ""
     start += TEXT_LENGTH.size
     end = start + length
     if end > len(data):
-        raise RecordError("a text is cut short")
+        raise RecordError(f"text ends at byte {end} of a record of {len(data)} bytes")
     return data[start:end].decode()
 
 
 def _decode_texts(data: bytes, start: int, number: int) -> tuple[list[str | None], int]:
-    """So many texts from a place on, and the place behind them."""
+    """Return this number of texts from an offset on, and the offset of their end."""
     texts: list[str | None] = []
     unpack_length = TEXT_LENGTH.unpack_from
     for _ in range(number):
@@ -356,6 +358,6 @@
             continue
         start = end + length
         if start > len(data):
-            raise RecordError("a text is cut short")
+            raise RecordError(f"text ends at byte {start} of a record of {len(data)} bytes")
         texts.append(data[end:start].decode())
     return texts, start
--- a/scalefall/net/learned_rates.py
+++ b/scalefall/net/learned_rates.py
@@ -1,6 +1,6 @@
-"""The rates that the policy engine has learned, kept in the state folder for the next process.
+"""The file in the state folder with the rates that the policy engine has learned, for the next process.
 
-They are a help and no promise: a file that is missing, old or unreadable is as good as none.
+The file is only an optimization: one that is missing, outdated or unreadable counts as empty.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from scalefall.policy.events import LearnedRate
 
 FILE_NAME = "paces"
-DISK_DIVISOR = 16  # this part of the folder's limit is for the file and for the copy that replaces it,
-MIN_RESERVED_BYTES = 32 * 1024  # but at least so much
-MAX_RESERVED_BYTES = 4 * 1024 * 1024  # and at most so much, enough for some 30,000 rows
-MAX_ROW_BYTES = 64  # of a row at most, unless its route has a long name
+DISK_DIVISOR = 16  # this fraction of the folder's limit is reserved for the file and the copy that replaces it
+MIN_RESERVED_BYTES = 32 * 1024
+MAX_RESERVED_BYTES = 4 * 1024 * 1024  # enough for some 30,000 rows
+MAX_ROW_BYTES = 64  # the size of a row unless its route has a long name
 VALUES_PER_ROW = 4  # destination, route, own rate, limit
-HEADER_RESERVED_BYTES = 64  # reserved for the first line, the time at which the file was written
-ROWS_PER_SLICE = 128  # written in a row before other tasks have their turn: less than a millisecond
-MAX_AGE_US = 60_000_000  # what is older says nothing about the rates of now
+HEADER_RESERVED_BYTES = 64  # reserved for the first line, the time of writing
+ROWS_PER_SLICE = 128  # encoded without yielding to other tasks: less than a millisecond
+MAX_AGE_US = 60_000_000  # older rates do not describe the present load
 
 
 class LearnedRateError(StorageError, ValueError):
-    """A row does not hold a learned rate."""
+    """A row of the file is not a learned rate."""
 
 
 def reserved_bytes(disk_bytes: int) -> int:
-    """How much of the state folder's limit is kept for learned rates; 3 MB have some 2,500 rows."""
+    """Return how much of the state folder's limit is reserved for learned rates; 3 MB give some 2,500 rows."""
     return min(max(MIN_RESERVED_BYTES, disk_bytes // DISK_DIVISOR), MAX_RESERVED_BYTES, disk_bytes // 3)
 
 
@@ -45,14 +45,14 @@
 ) -> None:
     """Replace the file by one with as many rates as half of the limit holds, the highest first if not all fit.
 
-    A file that cannot be written is logged, and the one before stays.
+    A write error is logged, and the previous file stays.
 
     Args:
         folder: The state folder.
-        limit_bytes: What the file and the copy that replaces it may take together.
-        rates: What the engine has learned.
-        wall_us: The present time, microseconds since the epoch.
-        yield_control: Called now and then, to let other tasks run.
+        limit_bytes: The most bytes that the file and the copy that replaces it may take together.
+        rates: The rates that the engine has learned.
+        wall_us: The current time, in microseconds since the epoch.
+        yield_control: Called after each slice of rows, to let other tasks run.
     """
     if len(rates) * MAX_ROW_BYTES > limit_bytes // 2:
         rates = sorted(rates, key=lambda rate: -rate.own_rate)
@@ -60,11 +60,11 @@
     try:
         replace_file(os.path.join(folder, FILE_NAME), ("\n".join(lines) + "\n").encode("ascii"))
     except OSError as error:
-        log.error("learned rates: write failed: %s", error)
+        log.error("learned rates: write failed, the previous file stays: %s", error)
 
 
 def _lines(rates: list[LearnedRate], limit_bytes: int, wall_us: int, yield_control: Callable[[], object]) -> list[str]:
-    """The file's lines, as many as the limit holds."""
+    """Return the file's lines, as many as the limit holds."""
     lines = [str(wall_us)]
     size = HEADER_RESERVED_BYTES
     for number, rate in enumerate(rates, 1):
@@ -79,15 +79,15 @@
 
 
 def load(folder: str, limit_bytes: int, wall_us: int) -> list[LearnedRate]:
-    """Read what the process before has learned.
+    """Read the rates that the previous process has learned.
 
     Args:
         folder: The state folder.
-        limit_bytes: No more of the file is read.
-        wall_us: The present time, microseconds since the epoch.
+        limit_bytes: The most bytes of the file that are read.
+        wall_us: The current time, in microseconds since the epoch.
 
     Returns:
-        The rates; none if there is no file, an old one, or one that cannot be read, which is logged.
+        The rates; none if the file is missing, outdated or unreadable. Only an unreadable file is logged.
     """
     try:
         with open(os.path.join(folder, FILE_NAME), encoding="ascii") as file:
@@ -98,30 +98,32 @@
     except FileNotFoundError:
         return []
     except (OSError, ValueError, TypeError, RecursionError) as error:
-        log.warning("learned rates: unreadable: %s", error)
+        log.warning("learned rates: unreadable, starting without them: %s", error)
         return []
 
 
 def to_row(rate: LearnedRate) -> list[str | int | float]:
-    """A learned rate as plain JSON: its destination, its route, its own rate and its limit."""
+    """Return a learned rate as JSON values: its destination, its route, its own rate and its limit."""
     return [rate.destination, rate.route, round(rate.own_rate, 3), round(rate.limit, 3)]
 
 
 def from_row(*row: Any) -> LearnedRate:
-    """The learned rate that a row of plain JSON holds.
+    """Return the learned rate that a row of JSON values holds.
 
     Raises:
-        LearnedRateError: The row has other values.
+        LearnedRateError: The row is not a learned rate.
     """
     if len(row) != VALUES_PER_ROW:
-        raise LearnedRateError("a row has a wrong number of values")
+        raise LearnedRateError(f"row has {len(row)} values instead of {VALUES_PER_ROW}")
     destination, route, own_rate, limit = row
     if not isinstance(destination, int) or not isinstance(route, str):
-        raise LearnedRateError("a row has a wrong value")
+        raise LearnedRateError(
+            f"row has a destination of type {type(destination).__name__} and a route of type {type(route).__name__}"
+        )
     try:
         own_rate, limit = float(own_rate), float(limit)
     except (TypeError, ValueError) as error:
-        raise LearnedRateError("a row has a wrong value") from error
+        raise LearnedRateError("row has a rate or a limit that is not a number") from error
     if not (0 <= own_rate < math.inf and 0 <= limit < math.inf):
-        raise LearnedRateError("a row has a wrong value")
+        raise LearnedRateError(f"row has rate {own_rate} and limit {limit}; both must be finite and not negative")
     return LearnedRate(destination, route, own_rate, limit)
--- a/scalefall/net/logs.py
+++ b/scalefall/net/logs.py
@@ -1,4 +1,4 @@
-"""The logger of all of scalefall, and its set-up in the platform's sender."""
+"""The logger of scalefall, and its configuration in the platform's sender."""
 
 from __future__ import annotations
 
@@ -12,22 +12,21 @@
     """Log a line about one message at debug level.
 
     Args:
-        text: The line, with a place for each of ``args``.
-        *args: The values that the line shows.
-        **fields: What stands beside the line for a reader that is a program, such as ``id``, ``class_``, ``dest`` or
-            ``endpoint``.
+        text: The format string of the line.
+        *args: The arguments of the format string.
+        **fields: Structured fields beside the line, for programs, such as ``id``, ``class_``, ``dest`` or ``endpoint``.
     """
     if log.isEnabledFor(logging.DEBUG):
         log.debug(text, *args, extra={"fields": fields})
 
 
 def log_to_standard_error(debug: bool) -> None:
-    """Send the log to standard error, as the platform's sender does.
+    """Configure logging to standard error, for the platform's sender.
 
-    A log that cannot be written, because nobody reads the pipe any more, is no error.
+    Errors in writing the log are ignored, such as a closed pipe.
 
     Args:
-        debug: Whether each message and each attempt is logged too.
+        debug: Whether to log each message and each attempt as well.
     """
     logging.basicConfig(
         level=logging.DEBUG if debug else logging.INFO,
--- a/scalefall/net/maintenance_store.py
+++ b/scalefall/net/maintenance_store.py
@@ -1,4 +1,4 @@
-"""Which endpoints are in maintenance, kept in the state folder: it stays in force across a restart."""
+"""The file in the state folder with the endpoints in maintenance, so that maintenance persists across restarts."""
 
 from __future__ import annotations
 
@@ -9,48 +9,53 @@
 from scalefall.net.files import BLOCK_BYTES, replace_file
 from scalefall.net.logs import log
 
-DISK_DIVISOR = 32  # this part of the folder's limit is for the names and for the copy that replaces their file,
-MIN_RESERVED_BYTES = 8 * 1024  # but at least so much: enough for some 300 names of a usual length
+DISK_DIVISOR = 32  # this fraction of the folder's limit is reserved for the file and the copy that replaces it
+MIN_RESERVED_BYTES = 8 * 1024  # enough for some 300 ids of a usual length
 
 
 class MaintenanceStore:
     """The file with the ids of the endpoints in maintenance.
 
     Attributes:
-        reserved_bytes: How much of the state folder it may take, its next copy included.
+        reserved_bytes: The most bytes that the file and the copy that replaces it may take together.
     """
 
     def __init__(self, folder: str, disk_bytes: int) -> None:
-        """Find the file in a folder whose files may take so many bytes together; nothing is read yet."""
+        """Set the folder, and the limit for all of its files together; read nothing yet."""
         self.reserved_bytes = max(MIN_RESERVED_BYTES, disk_bytes // DISK_DIVISOR)
         self._path = os.path.join(folder, "maintenance")
 
     def load(self) -> set[str]:
-        """Read the ids; none if there is no file, or one that cannot be read, which is logged."""
+        """Return the stored ids; none if the file is missing, or unreadable, which is logged."""
         try:
             with open(self._path, encoding="utf-8") as file:
                 return _endpoint_ids(file.read(self.reserved_bytes))
         except FileNotFoundError:
             return set()
         except (OSError, ValueError, RecursionError, StorageError) as error:
-            log.error("maintenance: unreadable, no endpoint is in maintenance: %s", error)
+            log.error("maintenance: file unreadable, starting with no endpoint in maintenance: %s", error)
             return set()
 
     def save(self, endpoints: set[str]) -> bool:
         """Replace the file.
 
         Returns:
-            False if there is no room for the ids or the file cannot be written, which is logged; the file is then as
-            it was.
+            Whether the file was written. If not, because the ids exceed the limit or the write failed, the reason is
+            logged and the previous file stays.
         """
         data = json.dumps(sorted(endpoints)).encode()
         if len(data) > self.reserved_bytes // 2 - BLOCK_BYTES:
-            log.error("maintenance: no capacity for so many endpoints: %d", len(endpoints))
+            log.error(
+                "maintenance: not saved, %d endpoint ids take %d bytes of %d allowed",
+                len(endpoints),
+                len(data),
+                self.reserved_bytes // 2 - BLOCK_BYTES,
+            )
             return False
         try:
             replace_file(self._path, data)
         except OSError as error:
-            log.error("maintenance: write failed: %s", error)
+            log.error("maintenance: write failed, the previous file stays: %s", error)
             return False
         return True
 
@@ -58,5 +63,5 @@
 def _endpoint_ids(text: str) -> set[str]:
     ids = json.loads(text)
     if not isinstance(ids, list) or not all(isinstance(endpoint, str) for endpoint in ids):
-        raise StorageError("no list of names")
+        raise StorageError("contents are not a JSON list of strings")
     return set(ids)
--- a/scalefall/net/rate_saver.py
+++ b/scalefall/net/rate_saver.py
@@ -1,4 +1,4 @@
-"""Saves the rates that the engine has learned, for the process after this one."""
+"""Saves the rates that the engine has learned, for the next process."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from scalefall.policy.events import LearnedRate
 
 SECOND_US = 1_000_000  # microseconds in a second
-MIN_SAVE_INTERVAL_US = SECOND_US  # the least time between two saves: an older copy than this is of little use
-SAVE_INTERVAL_PER_RATE_US = SECOND_US // 200  # and no more than 200 rates a second, however many there are
+MIN_SAVE_INTERVAL_US = SECOND_US  # older copies than this are of little use
+SAVE_INTERVAL_PER_RATE_US = SECOND_US // 200  # limits saving to 200 rates per second
 
 
 class RateSaver:
-    """Writes the learned rates into the state folder again and again while the sender runs."""
+    """Writes the learned rates into the state folder periodically while the sender runs."""
 
     def __init__(
         self,
@@ -23,13 +23,13 @@
         state_folder: str,
         limit_bytes: int,
     ) -> None:
-        """Keep the rates of one engine.
+        """Set up saving for the rates of one engine.
 
         Args:
             scheduler: The clock, and the task that saves.
             current_rates: Returns the rates that the engine has learned so far.
-            state_folder: The folder that outlives the process.
-            limit_bytes: What the file and the copy that replaces it may take there together.
+            state_folder: The folder that persists across restarts.
+            limit_bytes: The most bytes that the file and the copy that replaces it may take together.
         """
         self._scheduler = scheduler
         self._current_rates = current_rates
@@ -38,11 +38,11 @@
         self._stopped = False
 
     def load(self) -> list[LearnedRate]:
-        """Return the rates that the process before has left, if they are of use."""
+        """Return the rates that the previous process saved, unless they are outdated."""
         return learned_rates.load(self._state_folder, self._limit_bytes, self._scheduler.wall())
 
     def save_periodically(self) -> None:
-        """Save until stopped, with a pause that grows with the number of rates; runs as a task."""
+        """Save until stopped, at an interval that grows with the number of rates; runs as a task."""
         while not self._stopped:
             rates = self._current_rates()
             learned_rates.save(
@@ -55,9 +55,9 @@
             self._scheduler.sleep(max(MIN_SAVE_INTERVAL_US, len(rates) * SAVE_INTERVAL_PER_RATE_US))
 
     def stop(self) -> None:
-        """Begin no further save of the task's."""
+        """Stop periodic saving; a save in progress completes."""
         self._stopped = True
 
     def save_final(self) -> None:
-        """Save at once and without pauses, at the end of the process."""
+        """Save once more without yielding, at the end of the process."""
         learned_rates.save(self._state_folder, self._limit_bytes, self._current_rates(), self._scheduler.wall())
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -1,4 +1,4 @@
-"""What the process before this one left: its journal and its learned rates, handed on at the start."""
+"""Recovery at the start: restores the pending messages and the learned rates of the previous process."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Recovery:
-    """Carries on with what was accepted before a restart.
+    """Restores the state of the previous process.
 
-    Delivery reports that the platform has not confirmed go out again, and the engine gets each open message with its
-    history. Learned rates follow the first endpoint list, as they belong to endpoints that it names.
+    Sends the delivery reports again that the platform has not confirmed, and passes each pending message with its
+    history to the engine. Learned rates follow the first endpoint list, since they refer to its endpoints.
     """
 
     def __init__(
@@ -34,15 +34,15 @@
         delivery_reports: DeliveryReporter,
         wall_offset_us: int,
     ) -> None:
-        """Recover into these parts.
+        """Set up recovery into these components.
 
         Args:
             classes: The message classes in force.
-            events: Carries the open messages and the learned rates to the engine.
-            tracker: Tracks the open messages.
-            deadline_monitor: Sees to their end.
-            journal: What the last process left.
-            delivery_reports: Tells the platform what it is still owed.
+            events: Passes the pending messages and the learned rates to the engine.
+            tracker: Tracks the pending messages.
+            deadline_monitor: Enforces their deadlines.
+            journal: The journal of the previous process.
+            delivery_reports: Sends the unconfirmed delivery reports.
             wall_offset_us: What to add to monotonic time for wall time, in microseconds.
         """
         self._classes = classes
@@ -55,17 +55,17 @@
         self._learned_rates: list[LearnedRate] = []
 
     def defer_learned_rates(self, rates: list[LearnedRate]) -> None:
-        """Keep the rates that the last process learned until the first endpoint list is there."""
+        """Store the rates that the previous process learned until the first endpoint list arrives."""
         self._learned_rates = rates
 
     def release_learned_rates(self) -> None:
-        """Hand the kept rates to the engine, once: the event before was the first endpoint list."""
+        """Pass the stored rates to the engine, once; the first endpoint list must already be among the events."""
         for rate in self._learned_rates:
             self._events.gather(rate)
         self._learned_rates = []
 
     def restore(self) -> None:
-        """Hand on all that the journal holds."""
+        """Restore all deliveries that the journal holds."""
         restored = 0
         for pending in list(self._journal.pending.values()):
             due_us = pending.due_wall_us - self._wall_offset_us
@@ -75,13 +75,17 @@
                 self._delivery_reports.report_failed(pending.id, due_us)
             else:
                 restored += 1
-                self._restore_open(pending, due_us)
+                self._restore_pending(pending, due_us)
         if self._journal.pending:
-            log.info("restored: %d open, %d with a notice to deliver", restored, len(self._journal.pending) - restored)
+            log.info(
+                "restored: %d pending messages, %d delivery reports to send",
+                restored,
+                len(self._journal.pending) - restored,
+            )
 
-    def _restore_open(self, pending: PendingDelivery, due_us: int) -> None:
-        """Hand on one message that is still to be delivered."""
-        if pending.in_flight:  # its attempt was out when the process died: it may have run
+    def _restore_pending(self, pending: PendingDelivery, due_us: int) -> None:
+        """Track a message that is still to be delivered, and pass it to the engine."""
+        if pending.in_flight:  # the attempt was in flight when the process ended: it may have run
             self._journal.record_attempt_finished(pending.id, True)
         message_class = self._class_when_accepted(pending)
         request = DeliveryRequest(
@@ -114,10 +118,10 @@
         )
 
     def _class_when_accepted(self, pending: PendingDelivery) -> MessageClass | None:
-        """Return a message's class as the settings have it now, but with the rules of its acceptance for repeats.
+        """Return the current class of a message, with the repeat rules under which the message was accepted.
 
-        Whether, where and for how long it may be repeated must not follow settings that have changed since: it may
-        have run under the old ones.
+        Whether, where and for how long it may be repeated must not follow later settings: an attempt may have run
+        under the old ones.
         """
         message_class = self._classes.get(pending.class_name)
         if message_class is None or pending.idempotency is None:
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again, and what may change while the sender runs is put into force."""
+"""Reload on SIGHUP: reads the configuration again and applies the settings that can change at run time."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class Reloader(Protocol):
-    """Puts a configuration that is read again into force, as far as that needs no restart."""
+    """Reloads the configuration and applies the settings that need no restart."""
 
     def reload(self, load_config: LoadConfig) -> None:
-        """Read the configuration and take it; one that cannot be used is logged and changes nothing."""
+        """Load the configuration and apply it; one that is invalid is logged and changes nothing."""
 
 
 class SettingsReloader:
-    """For a sender that discovery serves: discovery's address, message classes and attempts may change.
+    """Reloads a sender that uses discovery: the address of discovery, the message classes and the attempt limit.
 
-    Discovery, and with it the platform, may have moved. Everything else is settled at the start.
+    The platform has the same address as discovery. All other settings need a restart.
     """
 
     def __init__(
@@ -37,19 +37,19 @@
         endpoint_list: DiscoveryList,
         delivery_reports: DeliveryReporter,
     ) -> None:
-        """Reload into these parts.
+        """Set up reloading of these components.
 
         Args:
-            settings: The settings in force. Ingress, admission and engine share their table of classes with it.
-            endpoint_list: Moves its watch to discovery's new address.
-            delivery_reports: Move there as well.
+            settings: The current settings. Ingress, admission and engine share its table of classes.
+            endpoint_list: Moves its watch to the new address of discovery.
+            delivery_reports: Posts to the new address as well.
         """
         self._settings = settings
         self._endpoint_list = endpoint_list
         self._delivery_reports = delivery_reports
 
     def reload(self, load_config: LoadConfig) -> None:
-        """Read the configuration and take it at once; see `Reloader.reload`."""
+        """Load the configuration and apply it at once; see `Reloader.reload`."""
         try:
             config = load_config()
         except ConfigError as error:
@@ -62,7 +62,7 @@
         self._apply(config.settings)
 
     def _apply(self, new: Settings) -> None:
-        """Put classes and attempts into force. What is open keeps the rules that it was accepted under."""
+        """Apply message classes and the attempt limit; pending messages keep the rules of their acceptance."""
         self._log_changes(new)
         classes = dict(new.classes)
         self._settings.classes.clear()
@@ -71,68 +71,68 @@
         self._endpoint_list.remember_for(endpoint_retention_us(self._settings))
 
     def _log_changes(self, new: Settings) -> None:
-        """Log what differs from the settings in force, if anything does."""
+        """Log the differences from the current settings, if there are any."""
         before, after = self._settings.classes, new.classes
         added = sorted(after.keys() - before.keys())
-        dropped = sorted(before.keys() - after.keys())
+        removed = sorted(before.keys() - after.keys())
         changed = sorted(name for name in after.keys() & before.keys() if after[name] != before[name])
-        if added or dropped or changed or new.max_attempts != self._settings.max_attempts:
+        if added or removed or changed or new.max_attempts != self._settings.max_attempts:
             log.info(
-                "retuned: classes new: %s; gone: %s; changed: %s; attempts %d",
+                "settings changed: classes added: %s; removed: %s; changed: %s; max attempts %d",
                 " ".join(added) or "none",
-                " ".join(dropped) or "none",
+                " ".join(removed) or "none",
                 " ".join(changed) or "none",
                 new.max_attempts,
             )
 
 
 class FleetReloader:
-    """For a sender on a file of the operator's own: endpoints and routes' rules may change.
+    """Reloads a sender that uses a configuration file of the operator: the endpoints and the routes' rules.
 
-    The file may be long, and is read in a thread beside the sending. A signal that comes meanwhile has it read once
-    more.
+    The file may be large, so a thread reads it while the sender runs. A signal during a reload starts another one
+    afterwards.
 
     Attributes:
-        reloading: Whether a read is under way.
+        reloading: Whether a reload is in progress.
     """
 
     def __init__(self, scheduler: Scheduler, settings: Settings, endpoint_list: StaticList, routes: RouteTable) -> None:
-        """Reload into these parts.
+        """Set up reloading of these components.
 
         Args:
-            scheduler: Runs the read in a thread.
-            settings: The settings in force; attempts by route are replaced in them.
-            endpoint_list: Takes the file's endpoints.
-            routes: Takes the routes' rules.
+            scheduler: Runs the load in a thread.
+            settings: The current settings; their attempt limits by route are replaced.
+            endpoint_list: Receives the file's endpoints.
+            routes: Receives the routes' rules.
         """
         self._scheduler = scheduler
         self._settings = settings
         self._endpoint_list = endpoint_list
         self._routes = routes
-        self._read_once_more = False
+        self._reload_wanted = False
         self.reloading = False
 
     def apply_routes(self, fleet: Fleet) -> None:
-        """Put the routes' rules into force; what is open keeps its attempts.
+        """Apply the routes' rules; pending messages keep their attempt limits.
 
-        A large fleet stays as it is for long: the garbage collector, which held everything up for 0.1 s over 20,000
-        endpoints, need not go through it again.
+        Calls gc.freeze afterwards: a fleet rarely changes, and a garbage collection over 20,000 endpoints blocks the
+        process for 0.1 s.
         """
         self._routes.replace(fleet.routes)
         self._scheduler.call_at(self._scheduler.now(), gc.freeze)
         self._settings.attempts = {number: rules.attempts for number, rules in fleet.routes.items()}
 
     def reload(self, load_config: LoadConfig) -> None:
-        """Have the configuration read in a thread and taken afterwards; see `Reloader.reload`."""
-        self._read_once_more = True
+        """Load the configuration in a thread and apply it afterwards; see `Reloader.reload`."""
+        self._reload_wanted = True
         if not self.reloading:
             self.reloading = True
             self._scheduler.spawn(self._reload, load_config)
 
     def _reload(self, load_config: LoadConfig) -> None:
         try:
-            while self._read_once_more:
-                self._read_once_more = False
+            while self._reload_wanted:
+                self._reload_wanted = False
                 try:
                     config = self._scheduler.in_thread(load_config)
                 except ConfigError as error:
@@ -144,23 +144,23 @@
             self.reloading = False
 
     def _apply(self, config: Config) -> None:
-        """Take the routes and endpoints of a configuration that was read again."""
+        """Apply the routes and endpoints of a reloaded configuration."""
         for line in config.left:
-            log.warning("left as it was until a restart: %s", line)
+            log.warning("setting not applied, needs a restart: %s", line)
         fleet = config.fleet
-        assert fleet is not None, "a sender on a file has its fleet from there"
+        assert fleet is not None, "a sender without discovery has a fleet"
         self.apply_routes(fleet)
-        added, gone, changed = self._endpoint_list.replace(fleet.entries)
+        added, removed, changed = self._endpoint_list.replace(fleet.entries)
         log.info(
-            "configuration read again: %d endpoints, %d new, %d gone, %d changed; %d routes",
+            "configuration read again: %d endpoints, %d added, %d removed, %d changed; %d routes",
             len(fleet.entries),
             added,
-            gone,
+            removed,
             changed,
             len(fleet.routes),
         )
 
 
 def endpoint_retention_us(settings: Settings) -> int:
-    """Return for how long an endpoint that went has to be known: twice as long as any message may take."""
+    """Return how long a removed endpoint is remembered: twice the longest deadline of any class."""
     return 2 * max((message_class.deadline_us for message_class in settings.classes.values()), default=0)
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -1,4 +1,4 @@
-"""The sender: its parts put together, from the sockets to the engine, and its life from start to shutdown."""
+"""The sender: connects its components, from the sockets to the engine, and runs them from start to shutdown."""
 
 from __future__ import annotations
 
@@ -34,46 +34,45 @@
 from scalefall.policy.engine import Engine
 from scalefall.policy.events import EndpointListUpdate
 
-HOUSEKEEPING_INTERVAL_US = 10_000_000  # microseconds between two reports of broken invariants, and clean-ups
-RESERVED_SOCKETS = 24  # descriptors that are neither a client's nor an endpoint's
-LIST_MEMORY_DIVISOR = 16  # one object of discovery's list may take this part of the memory limit
-INGRESS_MEMORY_DIVISOR = 4  # and what all clients have sent so far may take this part
+HOUSEKEEPING_INTERVAL_US = 10_000_000
+RESERVED_SOCKETS = 24  # descriptors for other uses than clients and endpoints
+LIST_MEMORY_DIVISOR = 16  # one object of discovery's list may take this fraction of the memory limit
+INGRESS_MEMORY_DIVISOR = 4  # partly received requests of all clients may take this fraction of the memory limit
 
 
 class Sender:
-    """A sender on the sockets: it accepts messages over HTTP and delivers them as the engine decides.
+    """A sender: accepts messages over HTTP and delivers them as the engine decides.
 
-    To embed one, call `start()` on a scheduler of your own and `close()` to end it; the scheduler stops when it has
-    ended. Its parts are public, for those who put another ingress beside it or watch it; only its own code changes
-    what they are.
+    To embed one, call `start()` on a scheduler of your own, and `close()` to shut it down; that stops the scheduler.
+    Its components are public, so that callers can add another ingress or inspect them; only this class reassigns them.
 
     Attributes:
         config: The configuration that it was made from.
-        address: Where clients submit messages; with the true port once started.
-        admin_address: Where operators call; None if nowhere.
-        wall_offset_us: What to add to monotonic time for wall time, in microseconds.
-        engine: Takes every decision.
-        events: What the engine hears with the next step.
+        address: The address for clients; with the actual port once started.
+        admin_address: The address for operators; None if there is none.
+        wall_offset_us: The difference of wall time and monotonic time, in microseconds.
+        engine: Takes all decisions.
+        events: The events for the engine's next step.
         loop: Runs the steps.
-        tracker: The messages in flight.
-        deadline_monitor: Sees to it that none is open past its deadline.
-        admission: Where an ingress submits and withdraws requests.
-        dispatcher: The attempts, and what stops one from beginning.
-        journal: What outlives the process.
-        recovery: What the last process left.
+        tracker: The pending messages.
+        deadline_monitor: Fails messages that are open past their deadline.
+        admission: Lets an ingress submit and withdraw requests.
+        dispatcher: The attempts, and the conditions that prevent one from starting.
+        journal: The journal of pending messages.
+        recovery: Restores the state of the previous process.
         rate_saver: Saves the learned rates.
         endpoint_list: The endpoints, from discovery or from the operator's file.
-        routes: The rules of routes from that file.
-        delivery_reports: Tells the platform of messages that were given up.
+        routes: The rules of the routes in that file.
+        delivery_reports: Reports messages that were given up to the platform.
         ingress: The clients' connections.
         admin_server: The operators' connections; None without an address for them.
-        admin_actions: What the operators' calls do; None without an address for them.
-        reloader: Puts a configuration that is read again into force.
-        shutdown: The way to the end.
+        admin_actions: Carries out the operators' calls; None without an address for them.
+        reloader: Applies a reloaded configuration.
+        shutdown: Shuts the sender down.
     """
 
     def __init__(self, scheduler: Scheduler, config: Config) -> None:
-        """Put the parts together and read the state folder; nothing is sent or listened to yet.
+        """Connect the components and read the state folder; send nothing and do not listen yet.
 
         Raises:
             OSError: The state folder cannot be used.
@@ -96,7 +95,7 @@
         self._connect_lifecycle(min(max_sockets, config.memory_bytes // INGRESS_MEMORY_DIVISOR // bytes_per_client))
 
     def _open_state_folder(self) -> None:
-        """Divide the state folder's limit, and open what is kept there."""
+        """Divide the state folder's limit among its files, and open them."""
         config = self.config
         rates_bytes = learned_rates.reserved_bytes(config.disk_bytes)
         self._maintenance_store = MaintenanceStore(config.state, config.disk_bytes) if config.admin else None
@@ -106,7 +105,7 @@
         self.rate_saver = RateSaver(self._scheduler, self.engine.learned_rates, config.state, rates_bytes)
 
     def _connect_delivery(self, max_sockets: int) -> None:
-        """Connect what a message passes through, from its submission to its final answer."""
+        """Connect the components that a message passes through, from submission to final answer."""
         scheduler, settings = self._scheduler, self._settings
         self.delivery_reports = self._make_delivery_reports()
         self.endpoint_list, self.reloader = self._make_list_and_reloader()
@@ -146,7 +145,7 @@
         self.events.connect(self.loop.step)
 
     def _make_list_and_reloader(self) -> tuple[EndpointList, Reloader]:
-        """Make the endpoint list, from discovery or from the operator's file, and what reloads the one or the other."""
+        """Return the endpoint list, from discovery or from the operator's file, and the reloader that matches."""
         scheduler, config, settings = self._scheduler, self.config, self._settings
         if config.fleet is None:
             assert config.discovery is not None, "only a fleet comes without discovery"
@@ -167,14 +166,14 @@
         return static_list, reloader
 
     def _make_delivery_reports(self) -> DeliveryReporter:
-        """Make what tells the platform of messages that were given up; without a platform that is the log."""
+        """Return the reporter of messages that were given up; without a platform it writes to the log."""
         platform = self.config.discovery or self.config.reports
         if platform is None:
             return LoggedDeliveryReports(self.journal.record_finished)
         return DeliveryReports(self._scheduler, platform, self.journal.record_finished)
 
     def _connect_lifecycle(self, max_clients: int) -> None:
-        """Connect the ingress, and what starts, serves operators and ends."""
+        """Connect the ingress, recovery, the admin server and the shutdown."""
         scheduler, settings = self._scheduler, self._settings
         self.ingress = Front(scheduler, settings.classes, max_clients, self.admission.submit, self.admission.withdraw)
         self.recovery = Recovery(
@@ -212,7 +211,7 @@
         )
 
     def start(self) -> None:
-        """Carry on with what the last process left, and listen.
+        """Restore the state of the previous process, and listen.
 
         Raises:
             OSError: An address cannot be listened on.
@@ -233,32 +232,32 @@
         self._scheduler.spawn(self.rate_saver.save_periodically)
 
     def reload(self, load_config: LoadConfig) -> None:
-        """Read the configuration again, as SIGHUP asks for, and take what needs no restart."""
+        """Reload the configuration, as SIGHUP requests, and apply the settings that need no restart."""
         self.reloader.reload(load_config)
 
     def close(self) -> None:
-        """Shut down gracefully, as SIGTERM asks for; the scheduler stops within 3.3 s."""
+        """Shut down gracefully, as SIGTERM requests; the scheduler stops within 3.3 s."""
         self.shutdown.start()
 
     def _endpoint_list_changed(self, event: EndpointListUpdate) -> None:
-        """Pass on what the endpoint list has learned."""
+        """Pass an update of the endpoint list to the engine."""
         self.dispatcher.close_unwanted_connections()
         self.events.gather(event)
         self.recovery.release_learned_rates()
 
     def _run_housekeeping(self) -> None:
-        """Report broken invariants, and forget what is over; every so often."""
+        """Log violated invariants and drop expired waits, periodically."""
         invariants.log_violations()
         self.dispatcher.forget_expired_waits()
         self._scheduler.call_at(self._scheduler.now() + HOUSEKEEPING_INTERVAL_US, self._run_housekeeping)
 
 
 def run(config: Config, load_config: LoadConfig | None = None) -> None:
-    """Serve until SIGTERM or SIGINT has been heeded.
+    """Run a sender until SIGTERM or SIGINT has shut it down.
 
     Args:
-        config: What to serve.
-        load_config: Reads the configuration once more at a SIGHUP; without it, SIGHUP takes `config` again.
+        config: The configuration.
+        load_config: Loads the configuration again on SIGHUP; without it, SIGHUP applies `config` again.
 
     Raises:
         OSError: The state folder or an address cannot be used.
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -1,4 +1,4 @@
-"""The loop around the engine: one step takes the gathered events, and its actions are routed to who performs them."""
+"""The loop around the engine: each step passes it the gathered events and performs the actions that it returns."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class DecisionEngine(Protocol):
-    """What takes every decision: events in, actions out."""
+    """Takes all decisions: events in, actions out."""
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Return what is to be done about these events, at this moment (monotonic, microseconds)."""
+        """Return the actions that follow from these events at this time (monotonic, microseconds)."""
 
 
 class SenderLoop:
-    """Calls the engine once a step and performs what it decides.
+    """Calls the engine once per step and performs its actions.
 
-    The order within a step is part of the contract: final answers come first, so that a message which is shed in its
-    first step is never journaled; then the accepted ones are journaled; their attempts go out last.
+    The order within a step is part of the contract. Final answers come first, so that a message that is shed in its
+    first step is never journaled; then the accepted messages are journaled; attempts start last.
     """
 
     def __init__(
@@ -53,17 +53,17 @@
         final_answers: FinalAnswers,
         endpoint_list: EndpointList,
     ) -> None:
-        """Route the engine's actions to these parts.
+        """Route the engine's actions to these components.
 
         Args:
             scheduler: The clock, and the engine's timers.
-            engine: Takes every decision.
-            events: Gathers what the engine has to hear.
-            tracker: The requests in flight.
-            admission: Accepts what the engine keeps.
-            dispatcher: Sends, and closes connections.
-            final_answers: Ends what is shed or failed.
-            endpoint_list: Opens its watch when the engine wants it.
+            engine: Takes all decisions.
+            events: Gathers the events for the engine.
+            tracker: The pending requests.
+            admission: Journals the messages that the engine has admitted.
+            dispatcher: Starts attempts, and closes connections.
+            final_answers: Ends messages that are shed or failed.
+            endpoint_list: Subscribes to updates at the engine's request.
         """
         self._scheduler = scheduler
         self._engine = engine
@@ -76,7 +76,7 @@
         self._endpoint_list = endpoint_list
 
     def step(self) -> None:
-        """Hand the gathered events to the engine, perform its actions, and answer the requests among the events."""
+        """Pass the gathered events to the engine, perform its actions, and answer the requests among the events."""
         events = self._events.take_all()
         if not events:
             return
@@ -89,9 +89,9 @@
         try:
             self._perform(self._engine.handle(self._scheduler.now(), events), submitted)
             admission = Accepted()
-        except Exception:  # noqa: BLE001 - nothing was promised yet: what came in this step goes elsewhere
-            log.exception("the module failed in a turn")
-            assert_invariant(False, "the module failed in a turn")
+        except Exception:  # noqa: BLE001 - the step's new requests are unanswered: rejecting lets clients go elsewhere
+            log.exception("engine step failed, its new messages are rejected with 503")
+            assert_invariant(False, "an engine step completes without an exception")
             admission = Rejected(RETRY_AFTER_WHEN_FULL_US, True)
         for message_id in submitted:
             request = self._open.get(message_id)
@@ -101,7 +101,7 @@
                     self._admission.withdraw(request)
 
     def _perform(self, actions: list[Action], submitted: list[str]) -> None:
-        """Perform a step's actions; sends last, grouped by endpoint."""
+        """Perform the actions of a step; sends come last, grouped by endpoint."""
         sends: dict[str, list[Send]] = {}
         for action in actions:
             match action:
@@ -116,13 +116,13 @@
                 case SetTimer(token=token, delay_us=delay_us):
                     self._scheduler.call_at(self._scheduler.now() + delay_us, self._events.gather, TimerFired(token))
                 case _:
-                    self._perform_rare(action)
+                    self._perform_global(action)
         for message_id in submitted:
             if message_id in self._open:
                 self._admission.accept(self._open[message_id])
         self._dispatcher.dispatch(sends)
 
-    def _perform_rare(self, action: Action) -> None:
+    def _perform_global(self, action: Action) -> None:
         """Perform an action that belongs to no single message."""
         match action:
             case CloseIdleConnections(endpoint=endpoint):
@@ -131,6 +131,8 @@
             case PollEndpointList():
                 self._endpoint_list.subscribe()
             case LogLine(line=line):
-                log.info("module: %s", line)
+                log.info("engine: %s", line)
             case _:
-                assert_invariant(False, f"the module asks only for what is allowed here, not {type(action).__name__}")
+                assert_invariant(
+                    False, f"the engine returns only actions that a sender performs, not {type(action).__name__}"
+                )
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: answer while connections come, begin nothing that may not finish, and end in time."""
+"""Graceful shutdown: serves clients that still connect, lets attempts finish, and ends within a fixed time."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from scalefall.policy.events import ShuttingDown
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-# The timetable, counted from SIGTERM. The platform kills the process 3.7 s after it.
-MIN_LISTEN_US = 1000 * MILLISECOND_US  # for so long clients that have not noticed yet still connect
-PENDING_WAIT_US = 2600 * MILLISECOND_US  # from here on, with no attempt out, there is nothing left to wait for
-ATTEMPTS_END_US = 3000 * MILLISECOND_US  # no attempt is to be out any more, and no new message is admitted
-FORCED_END_US = 3200 * MILLISECOND_US  # the process ends, whatever is still out
-LAST_ANSWERS_US = 3270 * MILLISECOND_US  # those who came last have their answers by then
-POLL_US = 20 * MILLISECOND_US  # between two looks at whether the process may end
-LAST_POLL_US = 5 * MILLISECOND_US  # the same, once the listener is closed and only its last clients are served
+# The schedule of a shutdown, counted from SIGTERM. The platform kills the process 3.7 s after SIGTERM.
+MIN_LISTEN_US = 1000 * MILLISECOND_US  # clients that do not know of the shutdown yet still connect until then
+PENDING_WAIT_US = 2600 * MILLISECOND_US  # pending messages without an attempt in flight are not waited for any longer
+ATTEMPTS_END_US = 3000 * MILLISECOND_US  # deadline of all attempts; new messages are rejected from then on
+FORCED_END_US = 3200 * MILLISECOND_US  # ends the wait even with attempts in flight
+LAST_ANSWERS_US = 3270 * MILLISECOND_US  # the last clients are answered by then
+POLL_US = 20 * MILLISECOND_US  # interval of the checks whether the process may end
+LAST_POLL_US = 5 * MILLISECOND_US  # the same, once the listener is closed and only the last clients are served
 
 
 class Shutdown:
-    """Ends the process in an order in which nobody loses an answer, and within a fixed time.
+    """Ends the process within a fixed time, in an order in which no client loses an answer.
 
     Attributes:
         started_at_us: When the shutdown began (monotonic, microseconds); 0 before.
@@ -47,18 +47,18 @@
         rate_saver: RateSaver,
         admin_server: AdminServer | None,
     ) -> None:
-        """Shut these parts down, once asked to.
+        """Set up the shutdown of these components.
 
         Args:
             scheduler: The clock; it is stopped last.
-            open_requests: The requests in flight.
-            events: Tells the engine until when attempts may be out.
-            admission: Closes when no attempt may be out any more.
-            ingress: Lets its clients go.
-            attempts: What is out to endpoints.
-            delivery_reports: What the platform has still to be told.
-            rate_saver: Saves the learned rates once more.
-            admin_server: Stops listening.
+            open_requests: The pending requests.
+            events: Passes the deadline of all attempts to the engine.
+            admission: Rejects new messages from that deadline on.
+            ingress: The clients' connections, which are closed.
+            attempts: The attempts in flight.
+            delivery_reports: The reports that the platform has not confirmed.
+            rate_saver: Saves the learned rates a last time.
+            admin_server: The operators' listener, which is closed.
         """
         self._scheduler = scheduler
         self._open = open_requests
@@ -72,38 +72,44 @@
         self.started_at_us = 0
 
     def start(self) -> None:
-        """Begin to shut down; a second call changes nothing."""
+        """Begin to shut down; a second call has no effect."""
         if self.started_at_us:
             return
         self.started_at_us = self._scheduler.now()
         no_attempts_at_us = self.started_at_us + ATTEMPTS_END_US
         self._admission.close_at(no_attempts_at_us)
         self._rate_saver.stop()
-        log.info("closing: %d open, %d attempts out", len(self._open), self._attempts.in_flight)
+        log.info(
+            "shutdown started: %d pending messages, %d attempts in flight", len(self._open), self._attempts.in_flight
+        )
         self._events.gather(ShuttingDown(no_attempts_at_us))
         self._ingress.close_idle()
-        self._scheduler.spawn(self._wind_up)
+        self._scheduler.spawn(self._finish)
 
-    def _wind_up(self) -> None:
-        """Wait for what may still finish, let the last clients go, and stop the scheduler; runs as a task."""
+    def _finish(self) -> None:
+        """Wait for attempts and reports, serve the last clients, and stop the scheduler; runs as a task."""
         while not self._may_end():
             self._scheduler.sleep(POLL_US)
         self._ingress.stop_listening()
         if self._admin_server is not None:
             self._admin_server.close()
         self._scheduler.sleep(POLL_US)
-        # Whoever was in the listener's queue is served, and what they submitted is waited for.
+        # Clients that were in the listener's backlog are served, and the messages that they submitted are waited for.
         while self._elapsed_us() < LAST_ANSWERS_US and (self._ingress.answering or not self._may_end()):
             self._scheduler.sleep(LAST_POLL_US)
         self._ingress.end()
         self._scheduler.sleep(LAST_POLL_US)
-        log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.in_flight)
+        log.info(
+            "shutdown finished: %d pending messages left in the journal, %d attempts abandoned",
+            len(self._open),
+            self._attempts.in_flight,
+        )
         invariants.log_violations()
         self._rate_saver.save_final()
         self._scheduler.stop()
 
     def _may_end(self) -> bool:
-        """Return whether there is nothing left that is worth waiting for."""
+        """Return whether nothing remains to wait for, or the wait has reached its limit."""
         elapsed_us = self._elapsed_us()
         if elapsed_us >= FORCED_END_US:
             return True
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -172,18 +172,18 @@
     assert [
         logs.event_name(text)
         for text in (
-            "taken on %s: %s for %d, %d ms left",
+            "accepted %s: class %s, destination %d, %d ms left",
             "ready: %s at %s:%d",
-            "module: %s",
-            "closing: %d open",
+            "engine: %s",
+            "shutdown started: %d pending messages",
             "configuration not taken, the old settings stay: %s",
             "requests rejected: %d more",
         )
     ] == [
-        "taken on",
+        "accepted",
         "ready",
-        "module",
-        "closing",
+        "engine",
+        "shutdown started",
         "configuration not taken, the old settings stay",
         "requests rejected",
     ]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -116,7 +116,7 @@
         assert ask(process, name, path, key="k").status == 202
         toy.line(f"delivered {name} at")
     assert process.end(signal.SIGTERM) == 0
-    assert "0 left to the journal" in process.line("ended:")
+    assert "0 pending messages left in the journal" in process.line("shutdown finished:")
     assert not [line for line in process.seen if "invariant" in line or "Traceback" in line]
 
 
@@ -125,7 +125,7 @@
     assert ask(process, "nowhere", dest=9, deadline="8000m").status == 202  # longer than a restart beside load
     assert process.end() == -signal.SIGKILL
     process = sender("-O")
-    process.line("restored: 1 open")
+    process.line("restored: 1 pending")
     assert json.loads(toy.line("nowhere").removeprefix("notice "))["state"] == "returned"
     assert process.end(signal.SIGTERM) == 0
     again = sender("-O")
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -92,8 +92,10 @@
     edit(site / "partners" / "pojistovna.scale", f"endpoint a {{ at {gone}; zone praha }}", "")
     edit(site / "site.scale", "slots 12", "slots 13")
     sender.child.send_signal(signal.SIGHUP)
-    assert f"{site}/site.scale:8: slots of sender is 13 in the file, and stays 12" in sender.line("left as it was")
-    assert "2 endpoints, 0 new, 1 gone, 0 changed; 2 routes" in sender.line("configuration read again")
+    assert f"{site}/site.scale:8: slots of sender is 13 in the file, and stays 12" in sender.line(
+        "setting not applied, needs a restart"
+    )
+    assert "2 endpoints, 0 added, 1 removed, 0 changed; 2 routes" in sender.line("configuration read again")
     for n in range(8):
         assert ask(sender, f"m{n}").status == 202
         assert toy.line(f"delivered m{n} at").split()[-1] == stays.rpartition(":")[2]
@@ -108,13 +110,13 @@
     host, _, port = line["text"].split()[-1].rpartition(":")
     sender.at = (host, int(port))
     assert ask(sender, "m1", path="/status-update").status == 202
-    taken = json.loads(sender.line('"taken on"'))
+    taken = json.loads(sender.line('"accepted"'))
     assert (taken["id"], taken["class"], taken["dest"]) == ("m1", "status-update", 7)
     outcome = json.loads(sender.line('"outcome"'))
     assert outcome["outcome"] == "ok"
     assert outcome["endpoint"].startswith("pojistovna/")
     assert ask(sender, "m2", path="/status-update", dest=9, deadline="300m").status == 202
-    assert json.loads(sender.line('"refused"'))["id"] == "m2"
+    assert json.loads(sender.line('"shed"'))["id"] == "m2"
 
 
 def test_an_address_that_is_taken_is_one_line_and_exit_code_2(run):
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -426,7 +426,7 @@
         assert harness.read_answer(harness.submit("m")).status == 503
         harness.submit_accepted("n")
         assert harness.pending_ids() == ["n"]
-        assert counted == ["the module failed in a turn"]
+        assert counted == ["an engine step completes without an exception"]
 
     play(harness, steps)
 
@@ -449,7 +449,7 @@
             harness.start()
         assert harness.receive_reports() == [{"id": "m", "state": "failed"}]
         assert 7 * S < harness.world.now() - began < 8 * S
-        assert counted == ["the module ends every message in its time"]
+        assert counted == ["the engine ends every message by its deadline"]
         sock.close()
 
     play(harness, steps)
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -151,7 +151,7 @@
     loop.submit("m")
     loop.engine.actions = [Probe("e")]
     loop.loop.step()
-    assert broken == ["the module asks only for what is allowed here, not Probe"]
+    assert broken == ["the engine returns only actions that a sender performs, not Probe"]
 
 
 @pytest.mark.parametrize("answered", [False, True])
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -67,7 +67,7 @@
             harness.sender.reload(again)
             harness.submit_accepted(f"m{again is broken}")
         assert "not taken, the old settings stay: settings: grades[0].deadline" in caplog.text
-        assert "retuned" not in caplog.text
+        assert "settings changed" not in caplog.text
 
     play(harness, steps)
 
