--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -1,4 +1,4 @@
-"""What a long day leaves to the next process: a journal that is full, a long list, and rates learned of every endpoint.
+"""Helpers for restarts with large state: a full journal, a long endpoint list, and learned rates of every endpoint.
 
 Used by test_restart.py and benchmarks/restart.py.
 """
@@ -24,19 +24,19 @@
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "example" / "config.json").read_text())
 DISK_BYTES = EXAMPLE["limits"]["disk_mb"] * 1_000_000
-ENDPOINT_COUNT = 1024  # endpoints, each of its own destination
+ENDPOINT_COUNT = 1024  # each endpoint has its own destination
 CLASSES = (
     ("status-update", Idempotency.IDEMPOTENT),
     ("event-notice", Idempotency.WITH_KEY),
     ("fee-order", Idempotency.NOT_IDEMPOTENT),
 )
-MIN_UNUSED_BYTES = 4096  # bytes, before the journal would make a shorter copy of itself
-DEADLINE_US = 24_000_000  # of each message: a whole deadline of the example's shortest class
-TIMEOUT_S = 60  # seconds after which a start is given up
+MIN_UNUSED_BYTES = 4096  # stops filling before the journal would compact itself
+DEADLINE_US = 24_000_000  # the shortest deadline of the example's classes
+TIMEOUT_S = 60  # of one start
 
 
 def write_config(folder, **settings):
-    """A known list of ENDPOINT_COUNT endpoints at an address that answers nobody, and a discovery that is down."""
+    """Write a configuration with ENDPOINT_COUNT known endpoints at an unreachable address, and with discovery down."""
     hosts = [listed(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(ENDPOINT_COUNT)]
     table = EXAMPLE | {
         "discovery": "127.0.0.1:9",
@@ -49,8 +49,11 @@
 
 
 def fill_state(folder):
-    """Take on messages until the folder takes no more, and write attempts until the file is as long as it may be: each
-    has one or more that may have run, some have one that is out. Gives back how many messages."""
+    """Fill a state folder, and return the number of messages in it.
+
+    Accepts messages until the journal is full, then records attempts until the file reaches its limit: earlier ones
+    that may have run, and for each message a last one in flight.
+    """
     limit, wall = learned_rates.reserved_bytes(DISK_BYTES), time.time_ns() // 1000
     learned_rates.save(folder, limit, [LearnedRate(number, "", 1.0, 5.0) for number in range(ENDPOINT_COUNT)], wall)
     journal, accepted = Journal(str(folder), DISK_BYTES - limit), 0
@@ -84,12 +87,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    seconds: float  # from the start of the program to its 200 on /healthz
-    restored: int  # messages that it found open
+    seconds: float  # from the start of the program to the first 200 on /healthz
+    restored: int  # pending messages in its journal
 
 
 def start(config, state):
-    """Start the program until it is ready, and kill it then."""
+    """Start the program, wait until it is ready, and kill it."""
     environ = dict(RELAY_CONFIG=str(config), RELAY_STATE=str(state), RELAY_LISTEN="127.0.0.1:0")
     began = time.monotonic()
     child = subprocess.Popen(
@@ -115,4 +118,4 @@
         lines.append(line.rstrip())
         if "ready: " in line:
             return lines
-    raise AssertionError(f"ended before it was ready: {lines}")
+    raise AssertionError(f"process ended before it was ready: {lines}")
--- a/tests/test_delivery_reports.py
+++ b/tests/test_delivery_reports.py
@@ -1,4 +1,4 @@
-"""Reports to the platform of messages that were accepted and not delivered; the test plays the platform."""
+"""Delivery reports of messages that were accepted and not delivered; the test acts as the platform."""
 
 import itertools
 import json
@@ -9,15 +9,15 @@
 from scalefall.net.delivery_reports import DeliveryReports
 
 
-def test_notices_go_out_again_until_204():
+def test_reports_are_repeated_until_204():
     world = World()
 
     def play():
         peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        notices.report_failed("a")
-        notices.report_returned("b", 250)
-        for said in (b"", http.answer(503, []), b"junk\r\n", http.answer(500, [], keep=False)):
+        reports = DeliveryReports(world, peer.address, done.append)
+        reports.report_failed("a")
+        reports.report_returned("b", 250)
+        for answer in (b"", http.answer(503, []), b"junk\r\n", http.answer(500, [], keep=False)):
             sock = peer.accept()
             while True:
                 lines = bytes(peer.read(sock).body).splitlines()
@@ -25,47 +25,47 @@
                     {"id": "a", "state": "failed"},
                     {"id": "b", "state": "returned", "after_ms": 250},
                 ]
-                sock.send(said)
-                if said != http.answer(503, []):
+                sock.send(answer)
+                if answer != http.answer(503, []):
                     break
-                said = b""
+                answer = b""
             sock.close()
             assert done == []
-            assert not notices.idle
+            assert not reports.idle
         sock = peer.accept()
         peer.read(sock)
         sock.send(http.answer(204, []))
         world.until(lambda: done == ["a", "b"])
-        notices.report_failed("c")  # over the connection that is kept
+        reports.report_failed("c")  # over the idle connection
         assert b'"c"' in peer.read(sock).body
-        assert notices.idle is False
-        reset(sock)  # which has gone: at once over a new one
+        assert reports.idle is False
+        reset(sock)  # the idle connection is lost: retried at once over a new one
         sock = peer.accept()
         assert b'"c"' in peer.read(sock).body
 
     world.play(play)
 
 
-def test_one_notice_that_cannot_be_read_does_not_hold_back_the_others():
+def test_a_report_that_the_platform_cannot_read_does_not_block_the_others():
     world = World()
 
     def play():
         peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
+        reports = DeliveryReports(world, peer.address, done.append)
         for name in "abc":
-            notices.report_failed(name)
+            reports.report_failed(name)
         sock = peer.accept()
         while "c" not in done:
-            bad = b'"a"' in peer.read(sock).body
-            sock.send(http.answer(400 if bad else 204, []))
+            unreadable = b'"a"' in peer.read(sock).body
+            sock.send(http.answer(400 if unreadable else 204, []))
             world.sleep(MS)
         assert done == ["b", "c"]
-        assert not notices.idle
+        assert not reports.idle
 
     world.play(play)
 
 
-def test_a_silent_platform_is_given_up_and_asked_again():
+def test_a_post_without_an_answer_times_out_and_is_repeated():
     world = World()
 
     def play():
@@ -82,68 +82,68 @@
     world.play(play)
 
 
-def test_a_kept_connection_that_has_died_unseen_and_a_cut_cost_a_notice_no_more_than_a_step():
-    """One POST at a time had a second each, with pauses up to a second between: a message whose time was up during a
-    cut, or whose notice met a connection that had died, was told up to two seconds late. Seen at its end."""
+def test_a_stale_connection_or_a_network_cut_delays_a_report_by_at_most_one_hedging_delay():
+    """Guards against late reports: with one POST at a time, a time-out of 1 s and a backoff of up to 1 s, a report was
+    up to 2 s late if a network cut had just ended or its idle connection was stale."""
     world = World()
 
-    def told(peer, sock):
+    def confirm(peer, sock):
         peer.read(sock)
         sock.send(http.answer(204, []))
 
     def play():
         peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
-        notices.report_failed("a")
-        kept = peer.accept()
-        told(peer, kept)
+        reports = DeliveryReports(world, peer.address, done.append)
+        reports.report_failed("a")
+        idle = peer.accept()
+        confirm(peer, idle)
         world.until(lambda: done == ["a"])
         began = world.now()
-        notices.report_failed("b")
-        peer.read(kept)  # and no answer
-        told(peer, peer.accept())
+        reports.report_failed("b")
+        peer.read(idle)  # and no answer
+        confirm(peer, peer.accept())
         world.until(lambda: done == ["a", "b"])
         assert world.now() - began < 200 * MS
-        reset(kept)
-        notices.report_failed("c")
-        end, silent = world.now() + 6 * S, []
+        reset(idle)
+        reports.report_failed("c")
+        end, unanswered = world.now() + 6 * S, []
         while world.now() < end:
-            silent.append(peer.accept())
-        told(peer, peer.accept())
+            unanswered.append(peer.accept())
+        confirm(peer, peer.accept())
         world.until(lambda: "c" in done)
         assert world.now() - end < 400 * MS
-        assert len(silent) < 60
-        world.until(lambda: not notices.posts_in_flight)  # those that were silent end, and nothing goes on
+        assert len(unanswered) < 60
+        world.until(lambda: not reports.posts_in_flight)  # the unanswered POSTs end, and no further one starts
         world.sleep(S)
         accepted = peer.accepted
         world.sleep(5 * S)
         assert peer.accepted == accepted
-        assert notices.idle
+        assert reports.idle
 
     world.play(play)
 
 
-def test_of_many_notices_the_most_urgent_go_first_and_those_that_are_late_already_last():
+def test_reports_are_posted_by_deadline_and_those_already_too_late_last():
     world = World()
 
     def play():
         peer, done = Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
+        reports = DeliveryReports(world, peer.address, done.append)
         now = world.now()
-        for n in range(300):
-            notices.report_returned(f"n{n}", 5, now + (300 - n) * S)
-        notices.report_failed("late", now - S)
-        sock, told = peer.accept(), []
+        for number in range(300):
+            reports.report_returned(f"n{number}", 5, now + (300 - number) * S)
+        reports.report_failed("late", now - S)
+        sock, posted = peer.accept(), []
         while "late" not in done:
-            told.append([json.loads(line)["id"] for line in bytes(peer.read(sock).body).splitlines()])
+            posted.append([json.loads(line)["id"] for line in bytes(peer.read(sock).body).splitlines()])
             sock.send(http.answer(204, []))
             world.sleep(MS)
-        assert list(itertools.chain.from_iterable(told)) == [f"n{299 - n}" for n in range(300)] + ["late"]
-        assert len(told) == 4
-        for n in range(300):  # as many as a body may hold, whatever their ids
-            notices.report_failed(f"{n:0>199}", now)
+        assert list(itertools.chain.from_iterable(posted)) == [f"n{299 - number}" for number in range(300)] + ["late"]
+        assert len(posted) == 4
+        for number in range(300):  # long ids: the limit of the body counts instead of the limit of reports
+            reports.report_failed(f"{number:0>199}", now)
         size = 0
-        while not notices.idle:
+        while not reports.idle:
             size = max(size, len(peer.read(sock).body))
             sock.send(http.answer(204, []))
             world.sleep(MS)
@@ -152,17 +152,17 @@
     world.play(play)
 
 
-def test_a_resting_notice_goes_to_the_new_address_at_once():
+def test_a_report_in_backoff_is_posted_to_a_new_address_at_once():
     world = World()
 
     def play():
         peer, new, done = Peer(world), Peer(world), []
-        notices = DeliveryReports(world, peer.address, done.append)
+        reports = DeliveryReports(world, peer.address, done.append)
         peer.listener.close()
-        notices.report_failed("a")
+        reports.report_failed("a")
         world.sleep(5 * S)
         began = world.now()
-        notices.move(new.address)
+        reports.move(new.address)
         sock = new.accept()
         new.read(sock)
         sock.send(http.answer(204, []))
--- a/tests/test_delivery_tracker.py
+++ b/tests/test_delivery_tracker.py
@@ -1,4 +1,4 @@
-"""What is in flight, and for how long the id of what has ended is remembered."""
+"""The delivery tracker: open requests, and how long the ids of finished ones are retained."""
 
 from nethelp import S, World
 
@@ -28,7 +28,7 @@
     assert deliveries.finish("m") is None
 
 
-def test_only_the_ids_of_accepted_messages_are_remembered():
+def test_only_the_ids_of_accepted_messages_are_retained():
     deliveries = tracker(World())
     finish(deliveries, "accepted")
     finish(deliveries, "not yet", accepted=False)
@@ -38,7 +38,7 @@
     assert deliveries.finished["accepted"][1] == request("another id").fingerprint()
 
 
-def test_ids_are_forgotten_in_time_the_oldest_first():
+def test_finished_ids_expire_the_oldest_first():
     world = World()
     deliveries = tracker(world)
     finish(deliveries, "old")
@@ -50,7 +50,7 @@
     assert list(deliveries.finished) == ["newer", "newest"]
 
 
-def test_no_more_ids_are_remembered_than_the_memory_allows():
+def test_no_more_ids_are_retained_than_the_memory_limit_allows():
     deliveries = tracker(World(), max_finished=2)
     for message_id in "abc":
         finish(deliveries, message_id)
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -1,4 +1,4 @@
-"""Events between two steps: their order, and when the step runs that takes them."""
+"""The event queue: the order of events, and the time of the step that takes them."""
 
 import pytest
 from nethelp import MS, World
@@ -7,7 +7,7 @@
 from scalefall.policy.events import MessageWithdrawn
 
 
-def test_a_step_runs_once_at_the_end_of_the_tick_and_takes_events_in_their_order():
+def test_one_step_at_the_end_of_the_tick_takes_all_events_in_order():
     world = World()
     queue = EventQueue(world, 5 * MS)
     taken = []
@@ -26,7 +26,7 @@
     world.play(steps)
 
 
-def test_an_event_gathered_during_a_step_has_a_step_of_its_own():
+def test_an_event_gathered_during_a_step_is_taken_by_the_next_one():
     world = World()
     queue = EventQueue(world, MS)
     taken = []
@@ -47,7 +47,7 @@
     world.play(steps)
 
 
-def test_events_without_a_step_are_an_error():
+def test_running_a_step_before_one_is_connected_is_an_error():
     queue = EventQueue(World(), MS)
     with pytest.raises(RuntimeError):
         queue.step_now()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""A restarted process is ready within 10 s, with a full journal and a long list. More starts: benchmarks/restart.py."""
+"""A restarted process is ready within 10 s, with a full journal and a long list. See benchmarks/restart.py for more."""
 
 import pytest
 from restarthelp import ENDPOINT_COUNT, fill_state, start, write_config
@@ -7,11 +7,11 @@
 
 MAX_START_S = 10
 STARTS = 3
-MIN_MESSAGES = 6000  # messages that a folder of 3 MB takes, where they are small
+MIN_MESSAGES = 6000  # a folder of 3 MB holds at least this many small messages
 
 
 @pytest.mark.parametrize("siblings", [1, ENDPOINT_COUNT])
-def test_on_a_full_journal_and_a_known_list_of_1024_it_is_ready_in_time(tmp_path, siblings):
+def test_a_process_with_a_full_journal_and_1024_known_endpoints_is_ready_in_time(tmp_path, siblings):
     config = write_config(tmp_path, siblings=siblings)
     for number in range(STARTS):
         state = tmp_path / str(number)
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -1,4 +1,4 @@
-"""One step: the order in which a decision's actions are performed, and what a failing engine costs."""
+"""The sender loop: the order in which a step's actions are performed, and the effect of an engine that fails."""
 
 import pytest
 from helpers import settings
@@ -24,60 +24,67 @@
 
 
 class Engine:
-    """Answers each step with the actions that the test has laid ready."""
+    """Returns the actions that the test has set; raises if they are None."""
 
     def __init__(self):
-        self.heard, self.actions = [], []
+        self.events, self.actions = [], []
 
     def handle(self, now_us, events):
-        self.heard.extend(events)
+        self.events.extend(events)
         actions, self.actions = self.actions, []
         if actions is None:
             raise RuntimeError("seen in a test")
         return actions
 
 
-class Parts:
-    """Stands for all parts that a loop hands actions to, and writes down what they were asked for."""
+class FakeComponents:
+    """Stands in for all components that a loop passes actions to, and records the calls on them."""
 
     def __init__(self, tracker):
-        self.tracker, self.asked, self.attempts, self.entries = tracker, [], self, {"e": "entry of e"}
+        self.tracker, self.calls, self.attempts, self.entries = tracker, [], self, {"e": "entry of e"}
 
     def accept(self, request):
-        self.asked.append(("accept", request.id))
+        self.calls.append(("accept", request.id))
 
     def withdraw(self, request):
-        self.asked.append(("withdraw", request.id))
+        self.calls.append(("withdraw", request.id))
         self.tracker.discard(request.id)
 
     def shed(self, message_id, retry_after_us):
-        self.asked.append(("shed", message_id, retry_after_us))
+        self.calls.append(("shed", message_id, retry_after_us))
         self.tracker.finish(message_id).decide(Rejected(retry_after_us))
 
     def fail(self, message_id):
-        self.asked.append(("fail", message_id))
+        self.calls.append(("fail", message_id))
 
     def dispatch(self, sends):
-        self.asked.append(("dispatch", sends))
+        self.calls.append(("dispatch", sends))
 
     def cancel(self, message_id, attempt):
-        self.asked.append(("cancel", message_id, attempt))
+        self.calls.append(("cancel", message_id, attempt))
 
     def close_idle(self, entry):
-        self.asked.append(("close_idle", entry))
+        self.calls.append(("close_idle", entry))
 
     def subscribe(self):
-        self.asked.append(("subscribe",))
+        self.calls.append(("subscribe",))
 
 
-class Loop:
+class LoopHarness:
     def __init__(self):
         self.world, self.engine = World(), Engine()
         self.events = EventQueue(self.world, settings().tick_us)
         self.tracker = DeliveryTracker(self.world, 1 << 20)
-        self.parts = Parts(self.tracker)
+        self.components = FakeComponents(self.tracker)
         self.loop = SenderLoop(
-            self.world, self.engine, self.events, self.tracker, self.parts, self.parts, self.parts, self.parts
+            self.world,
+            self.engine,
+            self.events,
+            self.tracker,
+            self.components,
+            self.components,
+            self.components,
+            self.components,
         )
         self.events.connect(self.loop.step)
 
@@ -89,35 +96,35 @@
         return requests
 
 
-def test_final_answers_come_first_then_what_is_accepted_and_its_sends_last():
-    loop = Loop()
-    kept, shed = loop.submit("kept", "shed")
-    loop.engine.actions = [Send("kept", "e", S), Shed("shed", 100 * MS)]
-    loop.loop.step()
-    assert loop.parts.asked == [
+def test_final_answers_come_first_then_accepted_messages_and_sends_last():
+    harness = LoopHarness()
+    accepted, shed = harness.submit("accepted", "shed")
+    harness.engine.actions = [Send("accepted", "e", S), Shed("shed", 100 * MS)]
+    harness.loop.step()
+    assert harness.components.calls == [
         ("shed", "shed", 100 * MS),
-        ("accept", "kept"),
-        ("dispatch", {"e": [Send("kept", "e", S)]}),
+        ("accept", "accepted"),
+        ("dispatch", {"e": [Send("accepted", "e", S)]}),
     ]
-    assert (kept.admission, shed.admission) == (Accepted(), Rejected(100 * MS))
+    assert (accepted.admission, shed.admission) == (Accepted(), Rejected(100 * MS))
 
 
 def test_sends_are_grouped_by_endpoint_in_the_engines_order():
-    loop = Loop()
-    loop.submit("a", "b", "c")
-    loop.engine.actions = [Send("a", "f", S), Send("b", "e", S), Send("c", "f", S)]
-    loop.loop.step()
-    (_, sends), *_ = [asked for asked in loop.parts.asked if asked[0] == "dispatch"]
+    harness = LoopHarness()
+    harness.submit("a", "b", "c")
+    harness.engine.actions = [Send("a", "f", S), Send("b", "e", S), Send("c", "f", S)]
+    harness.loop.step()
+    (_, sends), *_ = [call for call in harness.components.calls if call[0] == "dispatch"]
     assert [(endpoint, [send.id for send in sends[endpoint]]) for endpoint in sends] == [
         ("f", ["a", "c"]),
         ("e", ["b"]),
     ]
 
 
-def test_actions_that_belong_to_no_message_go_to_their_parts_and_unknown_endpoints_are_passed_over():
-    loop = Loop()
-    loop.submit("m")
-    loop.engine.actions = [
+def test_each_action_goes_to_its_component_and_unknown_endpoints_are_ignored():
+    harness = LoopHarness()
+    harness.submit("m")
+    harness.engine.actions = [
         Fail("x"),
         CancelAttempt("y", 2),
         CloseIdleConnections("e"),
@@ -125,50 +132,55 @@
         PollEndpointList(),
         LogLine("line"),
     ]
-    loop.loop.step()
-    assert loop.parts.asked[:4] == [("fail", "x"), ("cancel", "y", 2), ("close_idle", "entry of e"), ("subscribe",)]
+    harness.loop.step()
+    assert harness.components.calls[:4] == [
+        ("fail", "x"),
+        ("cancel", "y", 2),
+        ("close_idle", "entry of e"),
+        ("subscribe",),
+    ]
 
 
-def test_a_timer_of_the_engine_comes_back_as_an_event_after_its_delay():
-    loop = Loop()
-    loop.submit("m")
-    loop.engine.actions = [SetTimer(7, 300 * MS)]
+def test_a_timer_of_the_engine_fires_as_an_event_after_its_delay():
+    harness = LoopHarness()
+    harness.submit("m")
+    harness.engine.actions = [SetTimer(7, 300 * MS)]
 
     def steps():
-        loop.loop.step()
-        loop.world.sleep(299 * MS)
-        assert TimerFired(7) not in loop.engine.heard
-        loop.world.sleep(100 * MS)
-        assert TimerFired(7) in loop.engine.heard
+        harness.loop.step()
+        harness.world.sleep(299 * MS)
+        assert TimerFired(7) not in harness.engine.events
+        harness.world.sleep(100 * MS)
+        assert TimerFired(7) in harness.engine.events
 
-    loop.world.play(steps)
+    harness.world.play(steps)
 
 
-def test_an_action_that_a_sender_does_not_perform_breaks_an_invariant(monkeypatch):
-    broken = []
-    monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: broken.append(name))
-    loop = Loop()
-    loop.submit("m")
-    loop.engine.actions = [Probe("e")]
-    loop.loop.step()
-    assert broken == ["the engine returns only actions that a sender performs, not Probe"]
+def test_an_action_that_a_sender_does_not_perform_violates_an_invariant(monkeypatch):
+    violated = []
+    monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: violated.append(name))
+    harness = LoopHarness()
+    harness.submit("m")
+    harness.engine.actions = [Probe("e")]
+    harness.loop.step()
+    assert violated == ["the engine returns only actions that a sender performs, not Probe"]
 
 
 @pytest.mark.parametrize("answered", [False, True])
-def test_a_step_that_fails_rejects_what_was_submitted_and_leaves_what_had_its_answer(monkeypatch, answered):
+def test_a_failed_step_rejects_new_requests_and_does_not_change_answered_ones(monkeypatch, answered):
     monkeypatch.setattr(sender_loop, "assert_invariant", lambda condition, name: None)
-    loop = Loop()
-    (request,) = loop.submit("m")
+    harness = LoopHarness()
+    (request,) = harness.submit("m")
     if answered:
         request.decide(Accepted())
-    loop.engine.actions = None
-    loop.loop.step()
-    assert loop.parts.asked == ([] if answered else [("withdraw", "m")])
+    harness.engine.actions = None
+    harness.loop.step()
+    assert harness.components.calls == ([] if answered else [("withdraw", "m")])
     assert request.admission == (Accepted() if answered else Rejected(S, True))
 
 
-def test_without_events_the_engine_is_not_asked():
-    loop = Loop()
-    loop.engine.actions = None
-    loop.loop.step()
-    assert loop.parts.asked == []
+def test_a_step_without_events_does_not_call_the_engine():
+    harness = LoopHarness()
+    harness.engine.actions = None
+    harness.loop.step()
+    assert harness.components.calls == []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The timetable of a shutdown: what it waits for, and until when at most."""
+"""The schedule of a shutdown: what it waits for, and its time limits."""
 
 import pytest
 from helpers import settings
@@ -15,49 +15,49 @@
 )
 from scalefall.policy.events import ShuttingDown
 
-SLACK_US = 60 * MS  # pauses between looks, and the last bytes
+SLACK_US = 60 * MS  # the polling interval, and sending the last bytes
 
 
-class Parts:
-    """Stands for all parts that are shut down; `done` is what was asked of them, with the time."""
+class FakeComponents:
+    """Stands in for all components that are shut down, and records the calls on them with their time in `calls`."""
 
     def __init__(self, world):
-        self.world, self.done = world, []
+        self.world, self.calls = world, []
         self.in_flight, self.idle, self.answering = 0, True, False
 
     def __getattr__(self, name):
-        return lambda *arguments: self.done.append((name, self.world.now(), *arguments))
+        return lambda *arguments: self.calls.append((name, self.world.now(), *arguments))
 
 
-class Play:
+class ShutdownHarness:
     def __init__(self, **busy):
         self.world = World()
-        self.parts = Parts(self.world)
-        vars(self.parts).update(busy)
-        self.open, self.heard = {}, []
+        self.components = FakeComponents(self.world)
+        vars(self.components).update(busy)
+        self.open, self.engine_events = {}, []
         events = EventQueue(self.world, settings().tick_us)
-        events.connect(lambda: self.heard.extend(events.take_all()))
+        events.connect(lambda: self.engine_events.extend(events.take_all()))
         self.shutdown = Shutdown(
             self.world,
             open_requests=self.open,
             events=events,
-            admission=self.parts,
-            ingress=self.parts,
-            attempts=self.parts,
-            delivery_reports=self.parts,
-            rate_saver=self.parts,
-            admin_server=self.parts,
+            admission=self.components,
+            ingress=self.components,
+            attempts=self.components,
+            delivery_reports=self.components,
+            rate_saver=self.components,
+            admin_server=self.components,
         )
 
     def run(self, *later):
-        """Start it, call each function at its time, and return how long it took."""
-        began = self.world.now()
+        """Start the shutdown, call each function at its time, and return the duration of the shutdown."""
+        started_us = self.world.now()
         for at_us, function in later:
-            self.world.call_at(began + at_us, function)
+            self.world.call_at(started_us + at_us, function)
         self.shutdown.start()
         self.world.run()
         assert self.world.broken is None
-        return self.world.now() - began
+        return self.world.now() - started_us
 
 
 @pytest.mark.parametrize(
@@ -69,26 +69,26 @@
         ({"in_flight": 1}, 1, FORCED_END_US),
     ],
 )
-def test_it_ends_once_there_is_nothing_left_that_is_worth_waiting_for(busy, open_requests, ends_at_us):
-    play = Play(**busy)
-    play.open.update((f"m{number}", None) for number in range(open_requests))
-    assert ends_at_us <= play.run() < ends_at_us + SLACK_US
+def test_it_ends_once_nothing_remains_to_wait_for(busy, open_requests, ends_at_us):
+    harness = ShutdownHarness(**busy)
+    harness.open.update((f"m{number}", None) for number in range(open_requests))
+    assert ends_at_us <= harness.run() < ends_at_us + SLACK_US
 
 
-def test_clients_that_are_served_to_the_last_have_until_their_fixed_time():
-    assert LAST_ANSWERS_US <= Play(answering=True).run() < LAST_ANSWERS_US + SLACK_US
+def test_clients_that_are_still_served_delay_the_end_up_to_a_fixed_time():
+    assert LAST_ANSWERS_US <= ShutdownHarness(answering=True).run() < LAST_ANSWERS_US + SLACK_US
 
 
-def test_what_finishes_meanwhile_is_not_waited_for_any_longer():
-    play = Play(in_flight=1)
-    assert 2 * S <= play.run((2 * S, lambda: setattr(play.parts, "in_flight", 0))) < 2 * S + SLACK_US
+def test_it_ends_as_soon_as_the_last_attempt_finishes():
+    harness = ShutdownHarness(in_flight=1)
+    assert 2 * S <= harness.run((2 * S, lambda: setattr(harness.components, "in_flight", 0))) < 2 * S + SLACK_US
 
 
-def test_its_steps_come_in_an_order_in_which_nobody_loses_an_answer():
-    play = Play()
-    began = play.world.now()
-    play.run()
-    assert [name for name, *_ in play.parts.done] == [
+def test_components_are_shut_down_in_an_order_in_which_no_client_loses_an_answer():
+    harness = ShutdownHarness()
+    started_us = harness.world.now()
+    harness.run()
+    assert [name for name, *_ in harness.components.calls] == [
         "close_at",
         "stop",
         "close_idle",
@@ -97,11 +97,11 @@
         "end",
         "save_final",
     ]
-    assert play.parts.done[0] == ("close_at", began, began + ATTEMPTS_END_US)
-    assert play.heard == [ShuttingDown(began + ATTEMPTS_END_US)]
+    assert harness.components.calls[0] == ("close_at", started_us, started_us + ATTEMPTS_END_US)
+    assert harness.engine_events == [ShuttingDown(started_us + ATTEMPTS_END_US)]
 
 
-def test_a_second_start_does_not_move_the_end():
-    play = Play(in_flight=1)
-    assert play.run((S, play.shutdown.start)) < FORCED_END_US + SLACK_US
-    assert [name for name, *_ in play.parts.done].count("close_idle") == 1
+def test_a_second_start_does_not_delay_the_end():
+    harness = ShutdownHarness(in_flight=1)
+    assert harness.run((S, harness.shutdown.start)) < FORCED_END_US + SLACK_US
+    assert [name for name, *_ in harness.components.calls].count("close_idle") == 1
