--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -1,7 +1,7 @@
-"""Between the code's names and the neutral ones of the stored data: the one place that knows both.
+"""Maps the names in the code to the names in the stored data; no other module knows both.
 
-The stored files and the JSON beside them outlive any renaming in the code. When a class, a method or a field of the
-code gets another name, only this module changes; the JSON keys on its right-hand sides must not.
+The stored files and the JSON beside them do not follow renames in the code. When a class, a method or a field is
+renamed, only this module changes, and never its JSON keys.
 """
 
 import math
@@ -27,11 +27,11 @@
     "never": Idempotency.NOT_IDEMPOTENT,
 }
 ENDS = {"none": None, "failed": FinalAnswer.FAILED, "returned": FinalAnswer.RETURNED}
-LATEST = {"rates": learned_rates.MAX_AGE_US}  # us from which on what is stored is too old
+LATEST = {"rates": learned_rates.MAX_AGE_US}  # age in microseconds from which stored data is ignored
 OUTCOMES = {"not sent": Outcome.NOT_SENT, "cannot connect": Outcome.CONNECT_FAILED}
 
 
-def _named(table, value):
+def _name_of(table, value):
     (name,) = [name for name, own in table.items() if own == value]
     return name
 
@@ -43,19 +43,19 @@
     return journal.Journal(str(folder), DISK_BYTES)
 
 
-def perform(opened, operation):
-    """Do to a journal what one line of the stored operations says; True unless it was refused."""
+def perform(opened_journal, operation):
+    """Apply one of the stored operations to a journal; return whether it was written."""
     match operation:
         case ["accept", row]:
-            return opened.record_accepted(delivery(row))
+            return opened_journal.record_accepted(delivery(row))
         case ["start attempt", ids, wall_us, zone]:
-            return opened.record_attempt_started(ids, wall_us, zone)
+            return opened_journal.record_attempt_started(ids, wall_us, zone)
         case ["finish attempt", name, may_have_run]:
-            opened.record_attempt_finished(name, may_have_run)
+            opened_journal.record_attempt_finished(name, may_have_run)
         case ["finish", name]:
-            opened.record_finished(name)
+            opened_journal.record_finished(name)
         case ["owe notice", name, end, after_ms]:
-            opened.record_final_answer(name, ENDS[end], after_ms)
+            opened_journal.record_final_answer(name, ENDS[end], after_ms)
         case _:
             raise ValueError(operation)
     return True
@@ -75,8 +75,8 @@
     )
 
 
-def deliveries(opened):
-    """All that an open journal knows, in its order."""
+def deliveries(opened_journal):
+    """Return all pending deliveries of a journal, in its order."""
     return [
         {
             "id": row.id,
@@ -91,13 +91,13 @@
             "attempt_open": row.in_flight,
             "last_attempt_at_us": row.attempt_started_wall_us,
             "last_attempt_in": row.attempt_zone,
-            "owes": _named(ENDS, row.final_answer),
+            "owes": _name_of(ENDS, row.final_answer),
             "after_ms": row.retry_after_ms,
-            "repeat": _named(REPEAT, row.idempotency),
+            "repeat": _name_of(REPEAT, row.idempotency),
             "key holds in one zone": row.key_scope_zone,
             "key_lifetime_us": row.key_ttl_us,
         }
-        for row in opened.pending.values()
+        for row in opened_journal.pending.values()
     ]
 
 
@@ -144,7 +144,7 @@
 
 
 class StandIn:
-    """In place of a control service: notes what its predecessor's folder tells it, and has what it is to leave."""
+    """Stands in for a control service: records what it restores from its predecessor, and provides what is saved."""
 
     def __init__(self, state, assignment_text, now_us):
         self.ledger, self.allocator, self.module = _Ledger(), self, self
@@ -188,14 +188,14 @@
             return {
                 "endpoint": event.endpoint,
                 "sent_at_us": event.sent_us,
-                "outcome": _named(OUTCOMES, event.outcome),
+                "outcome": _name_of(OUTCOMES, event.outcome),
                 "wait_us": event.retry_after_us,
             }
 
 
 @dataclass
 class Leader:
-    """A control process, as far as its state folder goes."""
+    """The part of a control process that uses the state folder."""
 
     folder: str
     state: dict
@@ -209,7 +209,7 @@
         self._leader_state = LeaderState(self.service, StateDirectory(str(self.folder)), 1_000_000)
 
     def lead(self):
-        """Become the one that grants; what the service was told of its predecessor."""
+        """Acquire leadership; return what the service restored from its predecessor."""
         assert self._leader_state.acquire_leadership(self.now_us, self.wall_us)
         return self.service.seen
 
@@ -246,7 +246,7 @@
 
 
 def assignment_again(text, shards):
-    """What a coordinator that starts from this text leaves, and why the text was refused, if it was."""
+    """Return the snapshot of a coordinator that starts from this text, and the reason if it rejected the text."""
     settings = AssignmentSettings(shards=shards, lease_us=2_000_000, delay_us=500_000, restart_us=3_000_000)
-    assembly, refused = assemble(0, settings, text)
-    return assembly.snapshot(), refused
+    assembly, rejected = assemble(0, settings, text)
+    return assembly.snapshot(), rejected
--- a/tests/stored_data/test_stored_control.py
+++ b/tests/stored_data/test_stored_control.py
@@ -1,4 +1,4 @@
-"""Control's state folder as revision 1d28f5d wrote it: what its successor is told, and the same bytes written again."""
+"""Control's state folder as revision 1d28f5d wrote it: restored by a successor, and written again to the same bytes."""
 
 import json
 import pathlib
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("name", FOLDERS)
-def test_a_successor_is_told_what_a_stored_folder_holds(name, tmp_path):
+def test_a_successor_restores_what_a_stored_folder_holds(name, tmp_path):
     folder = copied(name, tmp_path)
     left = (folder / "figures").read_bytes()
     leader = mapping.Leader(folder, expected("left"), assignment_text(name), 9_000_000, WALL_US + 300_000)
@@ -65,7 +65,7 @@
         (600_000_000, set()),
     ],
 )
-def test_what_is_told_ends_with_its_age(later_us, kinds, tmp_path):
+def test_stored_events_are_restored_up_to_their_maximum_age(later_us, kinds, tmp_path):
     folder = copied("without_shards", tmp_path)
     leader = mapping.Leader(folder, expected("left"), None, 0, WALL_US + later_us)
     events = leader.lead()["events"]
@@ -73,10 +73,10 @@
     assert {event.get("outcome", "learned") for event in events} == kinds
 
 
-def test_the_stored_assignment_is_read_and_kept_by_a_coordinator():
+def test_a_coordinator_reads_the_stored_assignment_and_keeps_it():
     stored = (STORED / "with_shards" / "assignment").read_text()
     row = expected("assignment")
     assert mapping.assignment_row(stored, row["settings"]) == row
     assert mapping.assignment_again(stored, 64) == (stored, "")
-    _, refused = mapping.assignment_again(stored, 63)
-    assert refused == "snapshot: of other settings ('shards 64', not 'shards 63')"
+    _, rejected = mapping.assignment_again(stored, 63)
+    assert rejected == "snapshot: of other settings ('shards 64', not 'shards 63')"
--- a/tests/stored_data/test_stored_logs.py
+++ b/tests/stored_data/test_stored_logs.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", VERDICTS)
-def test_the_audit_of_stored_logs_is_as_it_was(name, tmp_path):
+def test_the_audit_of_stored_logs_is_unchanged(name, tmp_path):
     stored = VERDICTS[name]
     command = [sys.executable, "-m", "scalefall", "control", "audit", *stored["logs"]]
     for log in stored["logs"]:
@@ -24,12 +24,12 @@
     assert (done.returncode, done.stderr) == (stored["code"], "")
 
 
-def test_each_rule_is_seen_kept_and_broken_in_some_stored_log():
-    seen = {tuple(line.split()[:2]) for stored in VERDICTS.values() for line in stored["text"] if line[0] != " "}
-    assert {(rule, verdict) for rule in RULES for verdict in ("kept", "broken")} <= seen
+def test_the_stored_logs_keep_and_break_each_rule_at_least_once():
+    found = {tuple(line.split()[:2]) for stored in VERDICTS.values() for line in stored["text"] if line[0] != " "}
+    assert {(rule, verdict) for rule in RULES for verdict in ("kept", "broken")} <= found
     assert {stored["code"] for stored in VERDICTS.values()} == {0, 1}
 
 
-def test_the_stored_logs_have_both_kinds_of_time():
+def test_the_stored_logs_contain_both_time_fields():
     assert '"timestamp":' in (STORED / "processes.jsonl").read_text()
     assert '"at":' in (STORED / "world.jsonl").read_text()
--- a/tests/stored_data/test_stored_sender.py
+++ b/tests/stored_data/test_stored_sender.py
@@ -1,4 +1,4 @@
-"""The sender's state folder as revision 1d28f5d wrote it: read to what it held, and written again to the same bytes."""
+"""The sender's state folder as revision 1d28f5d wrote it: read to its contents, and written again to the same bytes."""
 
 import json
 import pathlib
@@ -29,7 +29,7 @@
         ("empty", "empty", "empty"),
     ],
 )
-def test_a_stored_journal_is_read_to_what_it_held_and_compacted_to_the_stored_bytes(name, read_as, becomes, tmp_path):
+def test_a_stored_journal_is_read_to_its_contents_and_compacted_to_the_stored_bytes(name, read_as, becomes, tmp_path):
     folder = copied(name, tmp_path)
     opened = mapping.open_journal(folder)
     assert mapping.deliveries(opened) == expected(read_as)
@@ -46,7 +46,7 @@
     assert (tmp_path / "journal").read_bytes() == (STORED / "appended" / "journal").read_bytes()
 
 
-def test_the_stored_journal_holds_each_state_that_a_delivery_can_be_in():
+def test_the_stored_journal_covers_each_state_of_a_delivery():
     rows = expected("appended")
     assert {row["owes"] for row in rows} == {"none", "failed", "returned"}
     assert {row["repeat"] for row in rows} == {"not recorded", "freely", "with key", "never"}
@@ -57,7 +57,7 @@
     assert lost == ["message-12"]
 
 
-def test_stored_learned_rates_are_read_while_they_are_fresh(tmp_path):
+def test_stored_learned_rates_are_read_until_they_expire(tmp_path):
     folder, stored = copied("appended", tmp_path), expected("rates")
     written, limit = stored["wall_us"], mapping.LATEST["rates"]
     assert limit == 60_000_000
--- a/tests/stored_data/write.py
+++ b/tests/stored_data/write.py
@@ -1,8 +1,8 @@
-"""Writes the stored data anew: `python tests/stored_data/write.py` from the root of a checkout.
+"""Writes the stored data: `python tests/stored_data/write.py` from the root of a checkout.
 
-What lies beside this file was written at revision 1d28f5d, so that later revisions are held to reading it. It is not to
-be written again by a later one, but for a format that changes on purpose. All clocks are given, all else is drawn from
-seeds; only audit_logs/processes.jsonl, which real processes wrote, differs from run to run.
+The data beside this file was written at revision 1d28f5d, and tests check that later revisions can read it. Do not
+write it again unless a format changes on purpose. Clocks are fixed and random values come from seeds; only
+audit_logs/processes.jsonl, which real processes wrote, differs from run to run.
 """
 
 import json
@@ -21,7 +21,7 @@
 from scalefall.lab.world import SECOND, Plan, World, returning  # noqa: E402
 
 WALL_US = 1_800_000_000_000_000
-LOGS = {  # name: the logs that an audit is given together
+LOGS = {  # name: the logs that one audit reads together
     "world_kept": ["world.jsonl"],
     "world_wait_kept": ["crowded.jsonl"],
     "world_cold_start_kept": ["cold_start.jsonl"],
@@ -114,7 +114,7 @@
 
 
 def reopened(folder):
-    """What a journal is read as, and the file that it has become."""
+    """Open a journal, which compacts its file, and return its deliveries."""
     opened = mapping.open_journal(folder)
     rows = mapping.deliveries(opened)
     opened.close()
@@ -127,9 +127,9 @@
     opened = mapping.open_journal(to / "appended")
     assert all(mapping.perform(opened, operation) for operation in OPERATIONS)
     opened.close()
-    whole = (to / "appended" / "journal").read_bytes()
-    (to / "torn" / "journal").write_bytes(whole[:-5])
-    (to / "torn_first" / "journal").write_bytes(whole[:50])  # the mark and a part of the first record
+    complete = (to / "appended" / "journal").read_bytes()
+    (to / "torn" / "journal").write_bytes(complete[:-5])
+    (to / "torn_first" / "journal").write_bytes(complete[:50])  # the header and a part of the first record
     (to / "empty" / "journal").write_bytes(b"")
     put(to / "empty.json", reopened(to / "empty"))
     put(to / "operations.json", OPERATIONS)
@@ -164,7 +164,7 @@
 
 
 def captured():
-    """The lines that real processes of control, a proxy and a partner log in a test of tests/transport."""
+    """Return the lines that processes of control, a proxy and a destination log in a test of tests/transport."""
     import pytest
 
     from scalefall.control import audit
@@ -206,7 +206,7 @@
 
 
 def altered(rows):
-    """As if half as much had been allowed, one message had no answer, and one effect came again."""
+    """Return rows with half the allowances, one message without an answer, and one effect twice."""
     ended = next(row for row in rows if row["event"] == "ended")
     again = next(row for row in rows if row["event"] == "effect" and row["repeat"] == "never")
     halved = [row | {"amount": row["amount"] // 2} if row["event"] == "allowance" else row for row in rows]
@@ -214,7 +214,7 @@
 
 
 def audited(paths):
-    """Exit code and text of the audit."""
+    """Return the exit code, the text and the errors of an audit."""
     command = [sys.executable, "-m", "scalefall", "control", "audit", *map(str, paths)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     return {"code": done.returncode, "text": done.stdout.splitlines(), "errors": done.stderr}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a user starts it, spoken to over sockets, with the toy server of example/ as the other side."""
+"""The program in a process of its own, over sockets, with example/toy_server.py as endpoints and platform."""
 
 import http.client
 import json
@@ -19,11 +19,11 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "example" / "config.json").read_text())
-LONG = 60  # seconds after which a test gives up; nothing is timed
+LONG = 60  # seconds; only a time-out, no test measures time
 
 
 class Process:
-    """A child whose lines are waited for."""
+    """A child process whose output lines can be awaited."""
 
     def __init__(self, *command, **environ):
         self.child = subprocess.Popen(
@@ -43,15 +43,15 @@
         self.lines.put(None)
 
     def line(self, part):
-        """The first line with part that has not been asked for before."""
+        """Return the first line that contains part and was not returned before."""
         for line in self.seen:
             if part in line:
                 self.seen.remove(line)
                 return line
-        until = time.monotonic() + LONG  # other lines may go on coming
+        until = time.monotonic() + LONG  # over all lines, as others may keep arriving
         while True:
             line = self.lines.get(timeout=max(0, until - time.monotonic()))
-            assert line is not None, f"ended without {part!r}: {self.seen}"
+            assert line is not None, f"process ended without {part!r}: {self.seen}"
             if part in line:
                 return line
             self.seen.append(line)
@@ -71,7 +71,7 @@
 
 @pytest.fixture
 def sender(toy, tmp_path):
-    """Starts the program, again and again on the same folder."""
+    """Return a function that starts the program, each time on the same state folder."""
     (tmp_path / "state").mkdir()
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE))
     started = []
@@ -120,7 +120,7 @@
     assert not [line for line in process.seen if "invariant" in line or "Traceback" in line]
 
 
-def test_what_it_took_on_outlasts_sigkill(sender, toy):
+def test_accepted_messages_survive_sigkill(sender, toy):
     process = sender("-O")
     assert ask(process, "nowhere", dest=9, deadline="8000m").status == 202  # longer than a restart beside load
     assert process.end() == -signal.SIGKILL
@@ -132,7 +132,7 @@
     assert not [line for line in again.seen if "restored" in line]
 
 
-def test_what_waits_at_sigterm_is_left_to_the_journal_and_delivered_after_the_start(sender, toy):
+def test_messages_pending_at_sigterm_stay_in_the_journal_and_are_delivered_after_the_restart(sender, toy):
     process = sender("-O")
     names = [f"m{n}" for n in range(12)]
     assert [ask(process, name, "/status-update").status for name in names] == [202] * 12
@@ -142,7 +142,7 @@
         toy.line(f"delivered {name} at")
 
 
-def test_bad_requests_harm_nobody(sender, toy):
+def test_bad_requests_do_not_affect_others(sender, toy):
     process = sender("-O")
     line = b"POST /fee-order HTTP/1.1\r\n"
     for data in (
@@ -161,21 +161,21 @@
     toy.line("delivered fine at")
 
 
-def test_sighup_moves_to_the_new_addresses_and_an_unusable_file_changes_nothing(sender, toy, tmp_path):
-    """SIGHUP had no handler: it ended the process, with all that it held."""
+def test_sighup_switches_to_the_new_addresses_and_an_invalid_file_changes_nothing(sender, toy, tmp_path):
+    """Guards against a missing handler: SIGHUP ended the process."""
     process = sender("-O")
     other = Process("example/toy_server.py", "--discovery", "0", "--endpoints", "0", "0")
     try:
         address = other.line("discovery at").split()[-1]
         path = tmp_path / "config.json"
-        for table, says in (
+        for table, expected in (
             ("broken", "the old settings stay"),
             (EXAMPLE | {"discovery": 7}, "the old settings stay"),
             (EXAMPLE | {"discovery": address}, f"discovery at {address}"),
         ):
             path.write_text(json.dumps(table))
             process.child.send_signal(signal.SIGHUP)
-            process.line(says)
+            process.line(expected)
         assert ask(process, "nowhere", dest=9, deadline="8000m").status == 202  # longer than a restart beside load
         assert json.loads(other.line("nowhere").removeprefix("notice "))["state"] == "returned"
         assert ask(process, "after").status == 202
@@ -206,8 +206,8 @@
 ]
 
 
-@pytest.mark.parametrize(("config", "says"), BAD)
-def test_a_bad_configuration_is_one_plain_line_and_a_failing_exit(tmp_path, config, says):
+@pytest.mark.parametrize(("config", "expected"), BAD)
+def test_an_invalid_configuration_is_reported_in_one_line_with_exit_code_2(tmp_path, config, expected):
     path = tmp_path / "config.json"
     if config is not None:
         path.write_text(config if isinstance(config, str) else json.dumps(config))
@@ -216,12 +216,12 @@
         [sys.executable, "-m", "scalefall"], cwd=ROOT, env=environ, text=True, capture_output=True, timeout=LONG
     )
     assert done.returncode == 2
-    assert says in done.stderr
+    assert expected in done.stderr
     assert len(done.stderr.splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    ("changes", "peers", "senders", "says"),
+    ("changes", "peers", "senders", "expected"),
     [
         ({}, ["127.0.0.1:1"] * 2, 2, "2 senders"),
         ({"siblings": 5}, ["127.0.0.1:1"] * 3, 5, "5 senders"),
@@ -233,18 +233,18 @@
         ({"siblings": 3}, [], 3, None),
     ],
 )
-def test_where_peers_and_the_number_of_senders_disagree_the_smaller_part_is_taken_and_said(
-    tmp_path, changes, peers, senders, says
+def test_if_peers_and_the_number_of_senders_disagree_the_larger_number_is_used_with_a_warning(
+    tmp_path, changes, peers, senders, expected
 ):
     table = EXAMPLE | {"peers": peers, "settings": EXAMPLE["settings"] | changes}
     (tmp_path / "config.json").write_text(json.dumps(table, indent=4))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert config.settings.replica_count == senders
-    assert says in config.doubts[0] if says else not config.doubts
+    assert expected in config.doubts[0] if expected else not config.doubts
 
 
-def test_an_endpoint_of_the_known_list_that_cannot_be_read_costs_itself(tmp_path):
-    """The sender did not start."""
+def test_an_unreadable_endpoint_of_the_known_list_is_skipped(tmp_path):
+    """Guards against one invalid entry: the sender did not start."""
     rows = [listed("fine", ("127.0.0.1", 1)), {"host": "torn"}, 7]
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"known": {"seq": 1, "whole": True, "hosts": rows}}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
@@ -253,8 +253,8 @@
 
 
 @pytest.mark.parametrize("limits", [{}, {"sockets": 512}, {"sockets": 512, "disk_mb": 3, "memory_mb": 64}])
-def test_a_limit_that_is_not_told_is_said(tmp_path, limits):
-    """The process may have less than what is taken for it."""
+def test_a_missing_limit_is_assumed_with_a_warning(tmp_path, limits):
+    """The process may have less than the assumed limit."""
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"limits": limits}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert [line.partition(" ")[0] for line in config.doubts] == [
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("variable", ["RELAY_CONFIG", "RELAY_STATE"])
-def test_a_missing_variable_is_named(tmp_path, variable):
+def test_a_missing_environment_variable_is_named(tmp_path, variable):
     environ = os.environ | {"RELAY_CONFIG": str(ROOT / "example" / "config.json"), "RELAY_STATE": str(tmp_path)}
     del environ[variable]
     done = subprocess.run(
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,5 +1,5 @@
-"""Nothing is repeated after its key's window, counted from when the endpoint may have begun, also where that is 1 s and
-the process was killed meanwhile."""
+"""No message is repeated after its key's lifetime, counted from the earliest start of its first attempt, even with a
+lifetime of 1 s and a killed process in between."""
 
 import contextlib
 
@@ -11,19 +11,19 @@
 from scalefall.net import http, streams
 from scalefall.policy.settings import Idempotency
 
-WINDOW = S
-TICK = 5 * MS  # the engine leaves so much of the window for the sender's next step
+KEY_LIFETIME = S
+TICK = 5 * MS  # the engine reserves one tick of the lifetime for the sender's next step
 
 
 @pytest.fixture
 def harness(tmp_path):
-    """A sender that was killed with its first attempt of a keyed message out; `began` is when that may have begun."""
-    classes = {"keyed": message_class("keyed", Idempotency.WITH_KEY, key_ttl_us=WINDOW)}
+    """A sender that was killed during the first attempt of a message with a key, which started at `began`."""
+    classes = {"keyed": message_class("keyed", Idempotency.WITH_KEY, key_ttl_us=KEY_LIFETIME)}
     harness = SenderHarness(tmp_path, classes=classes, tick_us=TICK, dial_timeout_us=S)
 
     def steps():
         harness.world.sleep(MS)
-        harness.handed_in = harness.world.now()
+        harness.submitted = harness.world.now()
         harness.submit_accepted("m", cls="keyed", key="k")
         harness.accept_call()
         harness.began = harness.sender.journal.pending["m"].attempt_started_wall_us - harness.sender.wall_offset_us
@@ -34,13 +34,13 @@
 
 
 def restart(harness, later):
-    """The next process starts so long after the first attempt may have begun."""
+    """Start the next process this long after the start of the first attempt."""
     harness.world.clock = harness.began + later
     harness.start()
 
 
 def slow_dial(harness, monkeypatch, span):
-    """Connections to the endpoint come up after the span."""
+    """Delay connections to the endpoint by the span."""
     dial = streams.dial
 
     def dial_slowly(scheduler, address, until):
@@ -51,45 +51,51 @@
     monkeypatch.setattr(streams, "dial", dial_slowly)
 
 
-def repeated(harness):
+def assert_repeated(harness):
     sock, request = harness.accept_call()
-    assert harness.world.now() <= harness.began + WINDOW
+    assert harness.world.now() <= harness.began + KEY_LIFETIME
     assert (request.fields["x-request-id"], request.fields["idempotency-key"]) == ("m", "k")
     sock.send(http.answer(200, []))
     harness.world.until(lambda: harness.pending_ids() == [])
     assert not harness.posts
 
 
-def ended(harness):
-    """It has its end, and no byte of it went out: a connection may have come up for it."""
-    assert [notice["id"] for notice in harness.receive_reports()] == ["m"]
+def assert_not_repeated(harness):
+    """Check that the message is reported and no byte of it was sent; a connection may have been opened."""
+    assert [report["id"] for report in harness.receive_reports()] == ["m"]
     with contextlib.suppress(BlockingIOError):
         sock, _ = harness.endpoint.listener.accept()
         sock.setblocking(False)
         assert sock.recv(1) == b""
 
 
-def test_an_attempt_counts_as_begun_from_its_record_which_is_before_its_first_byte(harness):
-    assert harness.handed_in <= harness.began <= harness.world.now()
+def test_an_attempt_counts_from_its_record_which_precedes_its_first_byte(harness):
+    assert harness.submitted <= harness.began <= harness.world.now()
 
 
-@pytest.mark.parametrize("later", [0, WINDOW // 2, WINDOW - TICK - MS])
-def test_within_the_window_it_is_repeated(harness, later):
+@pytest.mark.parametrize("later", [0, KEY_LIFETIME // 2, KEY_LIFETIME - TICK - MS])
+def test_it_is_repeated_within_the_lifetime(harness, later):
     restart(harness, later)
-    harness.world.play(lambda: repeated(harness))
+    harness.world.play(lambda: assert_repeated(harness))
 
 
-@pytest.mark.parametrize("later", [WINDOW - TICK + 1, WINDOW, WINDOW + 1, 3 * S])
-def test_after_it_or_where_no_look_is_left_within_it_it_is_not(harness, later):
+@pytest.mark.parametrize("later", [KEY_LIFETIME - TICK + 1, KEY_LIFETIME, KEY_LIFETIME + 1, 3 * S])
+def test_it_is_not_repeated_after_the_lifetime_or_in_its_last_tick(harness, later):
     restart(harness, later)
-    harness.world.play(lambda: ended(harness))
+    harness.world.play(lambda: assert_not_repeated(harness))
 
 
 @pytest.mark.parametrize(
-    ("dial", "ends"), [(490 * MS, repeated), (500 * MS, repeated), (501 * MS, ended), (990 * MS, ended)]
+    ("dial", "check"),
+    [
+        (490 * MS, assert_repeated),
+        (500 * MS, assert_repeated),
+        (501 * MS, assert_not_repeated),
+        (990 * MS, assert_not_repeated),
+    ],
 )
-def test_a_dial_that_takes_past_the_window_does_not_carry_a_repeat(harness, monkeypatch, dial, ends):
-    """To the microsecond: the first byte may go out at the window's end, and not after it."""
+def test_it_is_not_repeated_if_the_dial_outlasts_the_lifetime(harness, monkeypatch, dial, check):
+    """The first byte may be sent at the end of the lifetime, to the microsecond, and not after it."""
     slow_dial(harness, monkeypatch, dial)
-    restart(harness, WINDOW // 2)
-    harness.world.play(lambda: ends(harness))
+    restart(harness, KEY_LIFETIME // 2)
+    harness.world.play(lambda: check(harness))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""The sender with its engine on sockets; the test plays the clients, the endpoints and the platform."""
+"""The sender with its engine on real sockets; the test acts as the clients, the endpoints and the platform."""
 
 import json
 import socket
@@ -18,7 +18,7 @@
 
 
 class SenderHarness:
-    """One sender, one endpoint for destination 7, the platform, and a folder that outlives the sender."""
+    """One sender, one endpoint of destination 7, the platform, and a state folder that persists across restarts."""
 
     def __init__(self, folder, kind="one", disk=3_000_000, host="127.0.0.1", admin=None, **changes):
         self.world, self.folder, self.disk, self.changes = (
@@ -50,12 +50,12 @@
         self.sender.start()
 
     def accept_watch(self):
-        """The platform's side of the watch; what is posted meanwhile waits for receive_reports()."""
+        """Accept the sender's watch on the endpoint list; queue reports posted meanwhile for receive_reports()."""
         while not self.accept_platform():
             pass
 
     def accept_platform(self):
-        """The next one who comes there; whether it was a watch."""
+        """Accept the next request to the platform; return whether it was a watch."""
         sock = self.platform.accept()
         request = self.platform.read(sock)
         if request.method == "GET":
@@ -66,7 +66,7 @@
         return False
 
     def kill(self):
-        """SIGKILL: nothing of the process is left but the folder."""
+        """End the sender as SIGKILL does: only the state folder remains."""
         self.sender.journal.close()
         self.sender.ingress.stop_listening()
         if self.admin:
@@ -106,7 +106,7 @@
 
 
 def accepted_delivery(harness, name, cls):
-    """A record as of a message that was just taken on."""
+    """Return the journal record of a message that was just accepted."""
     return PendingDelivery(
         name, cls, 7, harness.world.wall() + 8 * S, "k" if cls in ("keyed", "zoned") else None, b"body"
     )
@@ -121,7 +121,7 @@
     harness.world.play(lambda: (harness.accept_watch(), function()))
 
 
-def test_a_message_is_in_the_journal_before_its_answer_and_out_of_it_once_delivered(harness):
+def test_a_message_is_journaled_before_its_answer_and_finished_once_delivered(harness):
     def steps():
         harness.submit_accepted("m")
         assert harness.pending_ids() == ["m"]
@@ -134,7 +134,7 @@
     play(harness, steps)
 
 
-def test_what_is_refused_in_its_turn_gets_429_and_is_not_journaled(harness):
+def test_a_message_shed_in_its_first_step_gets_429_and_is_not_journaled(harness):
     def steps():
         assert harness.read_answer(harness.submit("m", deadline="1u")).status == 429
         assert harness.pending_ids() == []
@@ -143,7 +143,7 @@
     play(harness, steps)
 
 
-def test_a_full_sender_turns_away_with_503_and_when_to_come_back(tmp_path):
+def test_a_full_sender_rejects_with_503_and_retry_after(tmp_path):
     harness = SenderHarness(tmp_path, disk=100_000)
 
     def steps():
@@ -155,7 +155,7 @@
     play(harness, steps)
 
 
-def test_a_client_that_goes_before_its_answer_leaves_nothing_behind(harness):
+def test_a_client_that_disconnects_before_its_answer_withdraws_its_message(harness):
     def steps():
         harness.submit("m").close()
         harness.world.sleep(S)
@@ -165,9 +165,9 @@
     play(harness, steps)
 
 
-def test_the_id_of_an_open_message_does_nothing_to_it_whoever_sends_it_again(harness):
-    """A bad client's body went out under the id of another's message, whose endpoint answered 400 six times over;
-    and its leaving took the message away."""
+def test_a_second_request_with_the_id_of_an_open_message_does_not_change_it(harness):
+    """Guards against a client that reuses an open id: its body was delivered in place of the other one, which the
+    endpoint answered six times with 400, and its disconnecting withdrew the message."""
 
     def steps():
         first = harness.submit("m")
@@ -191,8 +191,9 @@
     play(harness, steps)
 
 
-def test_an_id_that_is_over_is_not_used_for_another_message_and_is_forgotten_in_time(harness):
-    """A bad client's message was taken on under the id of one just delivered; its endpoints answered 400."""
+def test_a_finished_id_is_rejected_for_another_message_until_it_expires(harness):
+    """Guards against a client that reuses the id of a message just delivered: it was accepted, and endpoints answered
+    400."""
 
     def steps():
         harness.submit_accepted("m")
@@ -213,8 +214,9 @@
     play(harness, steps)
 
 
-def test_messages_of_a_call_that_could_not_be_read_go_one_by_one(tmp_path):
-    """One that an endpoint does not take was sent again and again together with all that waited: all were given up."""
+def test_messages_of_a_call_answered_400_are_sent_one_by_one(tmp_path):
+    """Guards against one unreadable message failing others: it was repeated in calls with all pending messages, and
+    all of them were given up."""
     harness = SenderHarness(tmp_path, kind="many")
 
     def steps():
@@ -227,7 +229,7 @@
     play(harness, steps)
 
 
-def test_a_message_for_a_destination_that_the_list_never_named_is_turned_away(harness):
+def test_a_message_for_an_unknown_destination_is_rejected(harness):
     def steps():
         answer = harness.read_answer(harness.submit("m", dest=8))
         assert (answer.status, answer.fields["retry-after"]) == (503, "1.000")
@@ -236,7 +238,7 @@
     play(harness, steps)
 
 
-def test_what_is_given_up_is_told_to_the_platform_until_it_hears(harness):
+def test_a_message_that_is_given_up_is_reported_to_the_platform(harness):
     def steps():
         harness.submit_accepted("f", cls="unsafe", deadline="2000m")
         harness.accept_call()[0].close()
@@ -250,8 +252,9 @@
     ("cls", "later", "end"),
     [("unsafe", 0, "failed"), ("safe", 0, None), ("keyed", 0, None), ("keyed", 6 * S, "returned")],
 )
-def test_after_a_death_with_a_pass_out_class_and_window_decide(harness, cls, later, end):
-    """It may have run: a fee must not take effect twice, and a key is dropped only so long."""
+def test_after_a_kill_with_an_attempt_in_flight_class_and_key_lifetime_decide(harness, cls, later, end):
+    """The attempt may have run: a message that is not idempotent must not be repeated, and one with a key only within
+    the key's lifetime."""
 
     def steps():
         harness.submit_accepted("m", cls=cls, key="k")
@@ -262,9 +265,9 @@
     play(harness, steps)
     harness.start()
 
-    def again():
+    def after_restart():
         if end:
-            assert [(n["id"], n["state"]) for n in harness.receive_reports()] == [("m", end)]
+            assert [(report["id"], report["state"]) for report in harness.receive_reports()] == [("m", end)]
             assert harness.endpoint.accepted == 1
         else:
             sock, request = harness.accept_call()
@@ -274,10 +277,10 @@
             sock.send(http.answer(200, []))
         harness.world.until(lambda: harness.pending_ids() == [])
 
-    play(harness, again)
+    play(harness, after_restart)
 
 
-def test_attempts_are_counted_across_a_death(tmp_path):
+def test_attempts_are_counted_across_restarts(tmp_path):
     harness = SenderHarness(tmp_path, max_attempts=2)
 
     def steps():
@@ -290,31 +293,32 @@
     play(harness, steps)
     harness.start()
 
-    def again():
+    def after_restart():
         sock, _ = harness.accept_call()
         sock.send(http.answer(500, []))
         assert harness.receive_reports() == [
             {"id": "m", "state": "returned", "after_ms": harness.sender.journal.pending["m"].retry_after_ms}
         ]
 
-    play(harness, again)
+    play(harness, after_restart)
 
 
 @pytest.mark.parametrize(
     ("cls", "ran"), [("safe", False), ("keyed", False), ("zoned", False), ("unsafe", False), ("zoned", True)]
 )
-@pytest.mark.parametrize("ask", [True, False])
-def test_all_that_a_restart_finds_and_may_be_sent_has_its_call(tmp_path, cls, ran, ask):
-    """Before a pushed list had come the module knew no route: it kept four a destination and refused the others, also
-    such as may have run in a zone, whose clients come again where nobody knows the repeat."""
-    harness = SenderHarness(tmp_path, polls_endpoint_list=ask, max_queued=24, call_slots=30)
+@pytest.mark.parametrize("polls", [True, False])
+def test_all_restored_messages_that_may_be_sent_are_sent(tmp_path, cls, ran, polls):
+    """Guards against restored messages being shed: before a pushed list arrived the engine knew no route, so it queued
+    four per destination and shed the others, even those that may have run in one zone and must not be submitted anew in
+    another one."""
+    harness = SenderHarness(tmp_path, polls_endpoint_list=polls, max_queued=24, call_slots=30)
     names = [f"m{number}" for number in range(24)]
 
-    def gone(health):
+    def push_health(health):
         harness.watch.send(chunk(list_update(2, listed("e", harness.endpoint.address, health=health))))
 
     def steps():
-        gone("terminating")  # so nothing goes out before the death
+        push_health("terminating")  # so that no attempt starts before the kill
         harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
         for name in names:
             harness.sender.journal.record_accepted(accepted_delivery(harness, name, cls))
@@ -325,9 +329,9 @@
     play(harness, steps)
     harness.start()
 
-    def again():
-        harness.world.sleep(S)  # a list that is pushed may take its time
-        gone("in_service")
+    def after_restart():
+        harness.world.sleep(S)  # a pushed list may arrive late
+        push_health("in_service")
         while harness.pending_ids():
             sock, request = harness.accept_call()
             names.remove(request.fields["x-request-id"])
@@ -336,10 +340,10 @@
         assert not names
         assert not harness.posts
 
-    play(harness, again)
+    play(harness, after_restart)
 
 
-def test_notices_that_were_not_delivered_go_out_after_a_death(harness):
+def test_unconfirmed_reports_are_posted_after_a_restart(harness):
     def steps():
         harness.submit_accepted("f", cls="unsafe", deadline="2000m")
         harness.accept_call()[0].close()
@@ -349,12 +353,12 @@
     play(harness, steps)
     harness.start()
     play(
-        harness, lambda: harness.receive_reports() == [{"id": "f", "state": "failed"}] or pytest.fail("not this notice")
+        harness, lambda: harness.receive_reports() == [{"id": "f", "state": "failed"}] or pytest.fail("another report")
     )
 
 
-def test_a_told_wait_and_a_drain_stop_what_has_not_begun(harness):
-    """A dial may last past either: both are looked at again before a call's first byte."""
+def test_retry_after_and_drain_prevent_attempts_that_have_not_begun(harness):
+    """Either may arrive during a dial, so both are checked again before the first byte of a call."""
     entry = harness.sender.endpoint_list.entries["e"]
 
     def steps():
@@ -363,7 +367,7 @@
         sock, _ = harness.accept_call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
         harness.world.until(lambda: not harness.sender.dispatcher.may_begin(entry))
-        harness.sender.dispatcher.forget_expired_waits()  # this one has not expired
+        harness.sender.dispatcher.forget_expired_waits()  # the wait has not expired
         assert not harness.sender.dispatcher.may_begin(entry)
         harness.world.sleep(600 * MS)
         assert harness.sender.dispatcher.may_begin(entry)
@@ -377,7 +381,7 @@
     play(harness, steps)
 
 
-def test_sends_of_a_turn_form_one_call_unless_its_body_would_be_too_long(tmp_path):
+def test_sends_of_one_step_share_a_call_unless_its_body_would_be_too_long(tmp_path):
     harness = SenderHarness(tmp_path, kind="many")
 
     def steps():
@@ -392,7 +396,7 @@
 
 
 @pytest.mark.parametrize("spans", [("3000m", "8000m", "5000m"), ("8000m", "5000m", "3000m")])
-def test_in_a_call_with_several_the_one_whose_time_ends_last_stands_first(tmp_path, spans):
+def test_a_call_with_several_messages_has_the_latest_deadline_first(tmp_path, spans):
     harness = SenderHarness(tmp_path, kind="many")
 
     def steps():
@@ -408,19 +412,19 @@
     play(harness, steps)
 
 
-def test_a_module_that_fails_in_a_turn_refuses_what_came_and_the_rest_carries_on(harness, monkeypatch):
+def test_a_failed_engine_step_rejects_its_new_messages_and_later_steps_run(harness, monkeypatch):
     counted, handle = [], harness.sender.engine.handle
     monkeypatch.setattr(
         sender_loop, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
     )
 
-    def fails(now, events):
+    def fail_once(now, events):
         if any(isinstance(event, Message) for event in events):
             monkeypatch.setattr(harness.sender.engine, "handle", handle)
             raise RuntimeError("seen in a test")
         return handle(now, events)
 
-    monkeypatch.setattr(harness.sender.engine, "handle", fails)
+    monkeypatch.setattr(harness.sender.engine, "handle", fail_once)
 
     def steps():
         assert harness.read_answer(harness.submit("m")).status == 503
@@ -432,8 +436,8 @@
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_what_the_module_never_ends_has_its_notice_all_the_same(harness, monkeypatch, restart):
-    """Its end hung on the module's own book alone: lost from it, a message taken on stayed open for good."""
+def test_a_message_that_the_engine_loses_is_failed_after_its_deadline(harness, monkeypatch, restart):
+    """Guards against a message that stays open forever once the engine has lost track of it."""
     counted = []
     monkeypatch.setattr(
         deadline_monitor, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
@@ -455,9 +459,10 @@
     play(harness, steps)
 
 
-@pytest.mark.parametrize("held_up", [False, True])
-def test_a_process_that_was_held_up_past_a_messages_time_ends_it_as_the_module_says(harness, held_up):
-    """The module's timer and the sender's own came due in one look, and the sender's failed what may come again."""
+@pytest.mark.parametrize("stalled", [False, True])
+def test_after_a_stall_beyond_the_deadline_the_engine_decides_the_final_answer(harness, stalled):
+    """Guards against the deadline monitor overtaking the engine: both timers expired in one round of the scheduler, and
+    the monitor failed a message that may be submitted again."""
 
     def steps():
         harness.watch.send(
@@ -465,27 +470,27 @@
         )
         harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
         harness.submit_accepted("m", deadline="4000m")
-        if held_up:
+        if stalled:
             harness.world.clock += 10 * S
-        assert [notice["state"] for notice in harness.receive_reports()] == ["returned"]
+        assert [report["state"] for report in harness.receive_reports()] == ["returned"]
 
     play(harness, steps)
 
 
-def test_a_send_to_an_endpoint_that_no_list_has_costs_that_attempt_and_not_the_turn(harness, monkeypatch):
+def test_a_send_to_an_unknown_endpoint_fails_that_attempt_only(harness, monkeypatch):
     counted, handle, outcomes = [], harness.sender.engine.handle, []
     monkeypatch.setattr(
         attempt_dispatcher, "assert_invariant", lambda condition, name: bool(condition) or counted.append(name)
     )
 
-    def strays(now, events):
+    def add_unknown_endpoint(now, events):
         outcomes.extend(event for event in events if isinstance(event, AttemptFinished))
         actions = handle(now, events)
         if any(isinstance(event, Message) for event in events):
             actions.insert(0, Send("m", "ghost", S))
         return actions
 
-    monkeypatch.setattr(harness.sender.engine, "handle", strays)
+    monkeypatch.setattr(harness.sender.engine, "handle", add_unknown_endpoint)
 
     def steps():
         harness.submit_accepted("m")
@@ -498,8 +503,8 @@
     play(harness, steps)
 
 
-def test_a_planned_end_answers_finishes_and_leaves_the_rest_to_the_next(harness):
-    """Begin nothing that may not finish: what arrives late is taken on, and delivered after the start."""
+def test_a_shutdown_finishes_attempts_and_leaves_late_messages_in_the_journal(harness):
+    """A message that arrives during the shutdown is accepted, and delivered after the restart."""
 
     def steps():
         harness.submit_accepted("out")
@@ -512,7 +517,7 @@
         sock.send(http.answer(200, []))
         harness.world.until(lambda: harness.pending_ids() == ["late"])
         harness.world.sleep(60 * S)
-        raise AssertionError(f"still running {harness.world.now() - began} later")
+        raise AssertionError(f"still running after {harness.world.now() - began} us")
 
     harness.world.spawn(lambda: (harness.accept_watch(), steps()))
     began = harness.world.now()
@@ -523,12 +528,12 @@
     assert harness.pending_ids() == ["late"]
 
 
-def test_what_is_handed_in_as_the_listener_closes_is_sent_and_its_answer_waited_for(harness, monkeypatch):
-    """With nothing open at SIGTERM the process ends early; it left with the call of the last message out, which may
-    have run by then."""
+def test_a_message_submitted_as_the_listener_closes_is_sent_and_its_answer_awaited(harness, monkeypatch):
+    """Guards against a lost answer: with nothing pending at SIGTERM the process ends early, and it ended while the
+    attempt of a last message, from the listener's backlog, was in flight."""
 
     def steps():
-        for name in "abcde":  # how long a call takes is known
+        for name in "abcde":  # so that the engine has learned the latency
             harness.submit_accepted(name)
             sock, _ = harness.accept_call()
             sock.send(http.answer(200, []))
@@ -537,7 +542,7 @@
         close, last = harness.sender.ingress.stop_listening, []
 
         def stop_listening():
-            last.append(harness.submit("last"))  # waits in the listener's queue
+            last.append(harness.submit("last"))  # waits in the listener's backlog
             close()
 
         monkeypatch.setattr(harness.sender.ingress, "stop_listening", stop_listening)
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -1,4 +1,4 @@
-"""The end and the next start of a process, crossed by what may come in that moment; on real sockets, both orders."""
+"""Races of shutdown and restart with concurrent events, on real sockets and in both orders."""
 
 import contextlib
 import json
@@ -23,17 +23,17 @@
 
 
 class Killed(BaseException):
-    """SIGKILL: no code that handles errors sees it."""
+    """Stands for SIGKILL: derived from BaseException, so that no error handling catches it."""
 
 
-class Others:
-    """Clients, the endpoint and the platform go on while the sender dies and comes back."""
+class Environment:
+    """The client, the endpoint and the platform, which keep running while the sender is killed and restarted."""
 
     def __init__(self, harness, answers):
         self.harness, self.answers = harness, list(answers)
-        self.calls, self.delivered, self.notices, self.taken = [], set(), set(), False
+        self.calls, self.delivered, self.reported, self.accepted = [], set(), set(), False
 
-    def stay(self):
+    def start(self):
         for task in (self.endpoint, self.platform):
             self.harness.world.spawn(task)
 
@@ -55,24 +55,24 @@
             if request.method == "GET":
                 sock.send(STREAM + chunk(None))
                 continue
-            self.notices |= {json.loads(line)["id"] for line in request.body.splitlines()}
+            self.reported |= {json.loads(line)["id"] for line in request.body.splitlines()}
             sock.send(http.answer(204, [], keep=False))
 
     def client(self, cls):
-        with contextlib.suppress(AssertionError, OSError):  # no answer: nothing is owed
-            self.taken = self.harness.read_answer(self.harness.submit("m", cls=cls, key="k")).status == 202
+        with contextlib.suppress(AssertionError, OSError):  # without an answer the message need not end
+            self.accepted = self.harness.read_answer(self.harness.submit("m", cls=cls, key="k")).status == 202
 
 
-def dies_at(journal, number, before):
-    """The process is killed just before, or just after, it has written the record of this number."""
+def kill_at_record(journal, number, before):
+    """Kill the process just before or just after it writes the journal record with this number."""
     real, written = journal._append, 0
 
-    def append(record, grows=0):
+    def append(record, more_copy_bytes=0):
         nonlocal written
         written += 1
         if written > number or (written == number and before):
             raise Killed
-        done = real(record, grows)
+        done = real(record, more_copy_bytes)
         if written == number:
             raise Killed
         return done
@@ -83,73 +83,76 @@
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("answers", [[200], [500, 200], [None, 200], [503, 503, 200], [500] * 9])
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
-def test_killed_at_any_record_what_was_taken_on_has_its_end_and_what_may_have_run_is_not_repeated(
+def test_after_a_kill_at_any_record_accepted_messages_end_and_those_that_may_have_run_are_not_repeated(
     tmp_path, cls, answers, before
 ):
-    """Each record against the byte that it stands for: the 202, a call's first byte, an outcome, a notice, its 204."""
+    """Guards the order of each record and the byte that depends on it: the 202, the first byte of a call, an outcome, a
+    delivery report, its 204."""
     for number in count(1):
         (tmp_path / str(number)).mkdir()
         harness = SenderHarness(tmp_path / str(number))
-        others, over, killed = Others(harness, answers), [], False
-        dies_at(harness.sender.journal, number, before)
+        environment, finished, killed = Environment(harness, answers), [], False
+        kill_at_record(harness.sender.journal, number, before)
 
-        def life(*clients, harness=harness, others=others, over=over):
-            others.stay()
+        def run_process(*clients, harness=harness, environment=environment, finished=finished):
+            environment.start()
             for cls in clients:
-                others.client(cls)
+                environment.client(cls)
             harness.world.sleep(20 * S)
-            over.append(True)
+            finished.append(True)
             harness.world.stop()
 
-        harness.world.spawn(life, cls)
+        harness.world.spawn(run_process, cls)
         try:
             harness.world.run()
         except Killed:
             killed = True
             harness.kill()
             harness.start()
-            harness.world.spawn(life)
+            harness.world.spawn(run_process)
             harness.world.run()
-        assert over
+        assert finished
         assert harness.world.broken is None
-        assert not others.taken or "m" in others.delivered | others.notices, f"record {number}: no end"
-        assert cls != "unsafe" or len(others.calls) <= 1 + answers.count(503), f"record {number}: sent again"
+        assert not environment.accepted or "m" in environment.delivered | environment.reported, (
+            f"record {number}: neither delivered nor reported"
+        )
+        assert cls != "unsafe" or len(environment.calls) <= 1 + answers.count(503), f"record {number}: repeated"
         assert harness.pending_ids() == []
         harness.kill()
-        if not killed:  # it has no more records than that
+        if not killed:  # all records have been covered
             break
     assert number > 3
 
 
-def ends(harness, steps):
-    """Whether the process ends by itself, in time after it was first told to, however long the steps would go on."""
-    close, told = harness.sender.close, []
+def ends_in_time(harness, steps):
+    """Return whether the process ends within the time limit of a shutdown, however long the steps take."""
+    close, closed_at = harness.sender.close, []
 
-    def closed():
-        told.append(harness.world.now())
+    def record_and_close():
+        closed_at.append(harness.world.now())
         close()
 
-    def whole():
+    def run_steps():
         harness.accept_watch()
         steps()
         harness.world.sleep(60 * S)
 
-    harness.sender.close = closed
-    harness.world.spawn(whole)
+    harness.sender.close = record_and_close
+    harness.world.spawn(run_steps)
     harness.world.run()
     assert harness.world.broken is None
-    return harness.world.now() - told[0] < 3300 * MS
+    return harness.world.now() - closed_at[0] < 3300 * MS
 
 
 @pytest.mark.parametrize("more", ["SIGTERM", "SIGHUP", "SIGHUP to a broken file"])
 @pytest.mark.parametrize("later", [0, 1200 * MS])
-def test_what_comes_again_while_the_process_ends_does_not_hold_it_up(harness, more, later):
+def test_further_signals_do_not_delay_a_shutdown(harness, more, later):
     def broken():
         raise ConfigError("seen in a test")
 
     def steps():
         harness.submit_accepted("m")
-        calls.append(harness.accept_call())  # hangs
+        calls.append(harness.accept_call())  # never answered
         harness.sender.close()
         harness.world.sleep(later)
         if more == "SIGTERM":
@@ -158,24 +161,24 @@
             harness.sender.reload(broken if "broken" in more else lambda: harness.sender.config)
 
     calls = []
-    assert ends(harness, steps)
+    assert ends_in_time(harness, steps)
     assert harness.pending_ids() == ["m"]
 
 
-@pytest.mark.parametrize("asked", ["before", "after"])
-def test_sigterm_before_the_first_look_answers_who_has_come(harness, asked):
-    """The signal came while the process started: it is heeded in the first look, beside the first client."""
+@pytest.mark.parametrize("submitted", ["before", "after"])
+def test_sigterm_before_the_first_poll_still_serves_a_client_that_has_connected(harness, submitted):
+    """The signal arrives during the start, so the first poll finds it together with the first client."""
     world, socks = harness.world, []
     before = signal.getsignal(signal.SIGUSR1)
 
     def sigterm():
-        if asked == "after":
+        if submitted == "after":
             socks.append(harness.submit("m"))
         harness.sender.close()
 
     try:
         world.on_signal(signal.SIGUSR1, sigterm)
-        if asked == "before":
+        if submitted == "before":
             socks.append(harness.submit("m"))
         signal.raise_signal(signal.SIGUSR1)
 
@@ -195,9 +198,9 @@
     assert world.now() - harness.sender.shutdown.started_at_us < 3300 * MS
 
 
-@pytest.mark.parametrize("heard", [False, True])
-def test_a_notice_whose_answer_is_lost_as_the_process_ends_goes_out_again(harness, heard):
-    """The platform may have heard it; twice told does no harm."""
+@pytest.mark.parametrize("received", [False, True])
+def test_a_report_whose_answer_is_lost_in_a_shutdown_is_posted_again(harness, received):
+    """The platform may have received the report; a duplicate is harmless."""
 
     def steps():
         harness.submit_accepted("m", dest=7, cls="unsafe")
@@ -205,19 +208,19 @@
         harness.sender.close()
         while not harness.posts:
             harness.accept_platform()
-        if heard:
-            harness.posts[0][0].close()  # with its 204 on the way
+        if received:
+            harness.posts[0][0].close()  # its 204 is lost
 
-    assert ends(harness, steps)
+    assert ends_in_time(harness, steps)
     assert harness.pending_ids() == ["m"]
     harness.posts.clear()
     harness.kill()
     harness.start()
-    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
+    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not reported"))
 
 
-def test_calls_that_hang_as_the_process_ends_are_out_to_the_next_one(harness):
-    """Out at 3.2 s with no answer: what may be repeated goes out again, what must not fails."""
+def test_attempts_still_in_flight_at_the_end_are_handled_by_the_next_process(harness):
+    """Without an answer within 3.2 s, an idempotent message is repeated after the restart, and another one fails."""
     calls = []
 
     def steps():
@@ -226,22 +229,22 @@
         calls.extend((harness.accept_call(), harness.accept_call()))
         harness.sender.close()
 
-    assert ends(harness, steps)
+    assert ends_in_time(harness, steps)
     assert harness.pending_ids() == ["a", "b"]
     harness.kill()
     harness.start()
 
-    def again():
+    def after_restart():
         sock, request = harness.accept_call()
         assert request.fields["x-request-id"] == "a"
         sock.send(http.answer(200, []))
         assert harness.receive_reports() == [{"id": "b", "state": "failed"}]
         harness.world.until(lambda: harness.pending_ids() == [])
 
-    play(harness, again)
+    play(harness, after_restart)
 
 
-def test_what_is_owed_of_a_class_that_the_next_settings_have_no_more_is_failed_at_once(harness):
+def test_a_pending_message_of_a_class_that_was_removed_fails_at_the_restart(harness):
     def steps():
         harness.sender.journal.record_accepted(accepted_delivery(harness, "m", "keyed"))
         harness.kill()
@@ -249,12 +252,12 @@
     play(harness, steps)
     harness.changes["classes"] = {"other": message_class("other", Idempotency.NOT_IDEMPOTENT)}
     harness.start()
-    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
+    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not reported"))
 
 
 @pytest.mark.parametrize("cls", ["safe", "keyed", "zoned", "unsafe"])
-def test_what_a_restart_finds_in_a_full_folder_is_sent(tmp_path, cls):
-    """The journal keeps room for each call's record beside what it has taken on."""
+def test_messages_in_a_full_folder_are_sent_after_a_restart(tmp_path, cls):
+    """The journal reserves capacity for the records of attempts beside those of accepted messages."""
     harness = SenderHarness(tmp_path, disk=150_000, max_queued=5000, call_slots=50)
 
     def steps():
@@ -265,7 +268,7 @@
     play(harness, steps)
     harness.start()
 
-    def again():
+    def after_restart():
         names = set(harness.pending_ids())
         assert len(names) > 100
         assert harness.read_answer(harness.submit("more", cls="safe")).status == 503
@@ -277,29 +280,29 @@
             harness.world.sleep(MS)
         assert not harness.posts
 
-    play(harness, again)
+    play(harness, after_restart)
 
 
-@pytest.mark.parametrize("first", ["the list", "the death of its watch"])
-def test_a_change_in_the_moment_in_which_its_watch_breaks_is_told(harness, first):
-    """Where the word came first it holds; where the break came first the next watch brings it."""
+@pytest.mark.parametrize("first", ["the list", "the end of its watch"])
+def test_a_list_update_at_the_moment_when_its_watch_breaks_is_applied(harness, first):
+    """An update before the break is applied at once; one after it arrives with the next watch."""
 
     def steps():
-        word = chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating")))
+        update = chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating")))
         woken(harness.world)
         if first == "the list":
-            harness.watch.send(word)
+            harness.watch.send(update)
         harness.watch.close()
         if first != "the list":
             harness.accept_watch()
-            harness.watch.send(word)
+            harness.watch.send(update)
         harness.world.until(lambda: "e" in harness.sender.endpoint_list.left_at)
 
     play(harness, steps)
 
 
-def test_a_client_that_hands_in_and_leaves_in_one_moment_leaves_nothing_that_is_sent(harness):
-    """Its request and its end lie there together as they are read."""
+def test_a_message_of_a_client_that_disconnects_at_once_is_not_sent(harness):
+    """The request and the end of the connection are read together."""
 
     def steps():
         woken(harness.world)
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP with other settings: classes come and go, attempts become fewer, and what is open keeps its rules."""
+"""SIGHUP with changed settings: classes and the attempt limit change, and pending messages keep their rules."""
 
 from dataclasses import replace
 
@@ -18,39 +18,41 @@
     return SenderHarness(tmp_path)
 
 
-def retune(harness, *classes, **changes):
+def reload_settings(harness, *classes, **changes):
     new = settings(classes={cls.name: cls for cls in classes}, **changes)
     harness.sender.reload(lambda: replace(harness.sender.config, settings=new))
 
 
-def test_new_classes_hold_at_once_and_dropped_ones_only_for_what_is_open(harness):
+def test_new_classes_apply_at_once_and_removed_ones_only_to_pending_messages(harness):
     def steps():
         harness.submit_accepted("old")
         sock, _ = harness.accept_call()
-        retune(harness, message_class("fresh", Idempotency.NOT_IDEMPOTENT), message_class("unsafe"), max_attempts=1)
+        reload_settings(
+            harness, message_class("fresh", Idempotency.NOT_IDEMPOTENT), message_class("unsafe"), max_attempts=1
+        )
         assert harness.read_answer(harness.submit("no")).status == 404
-        for _ in range(5):  # attempts as they were when it was taken on
+        for _ in range(5):  # the attempt limit as of its acceptance
             sock.send(http.answer(504, [], keep=False))
             sock, request = harness.accept_call()
             assert request.fields["x-request-id"] == "old"
         sock.send(http.answer(200, [], keep=False))
         harness.submit_accepted("new", cls="fresh")
         sock, request = harness.accept_call()
-        reset(sock)  # it may have run: under its class's rules it is over
+        reset(sock)  # it may have run, and its class is not idempotent
         assert request.fields["x-request-id"] == "new"
         assert harness.receive_reports() == [{"id": "new", "state": "failed"}]
-        harness.submit_accepted("other", cls="unsafe")  # one attempt from now on
+        harness.submit_accepted("other", cls="unsafe")  # the attempt limit is 1 now
         harness.accept_call()[0].send(http.answer(504, [], keep=False))
-        assert [notice["state"] for notice in harness.receive_reports()] == ["returned"]
+        assert [report["state"] for report in harness.receive_reports()] == ["returned"]
 
     play(harness, steps)
 
 
-def test_a_class_that_may_not_be_repeated_stays_so_for_what_is_open(harness):
+def test_a_pending_message_that_is_not_idempotent_stays_so_after_a_reload(harness):
     def steps():
         harness.submit_accepted("old", cls="unsafe")
         sock, _ = harness.accept_call()
-        retune(harness, message_class("unsafe", Idempotency.IDEMPOTENT))
+        reload_settings(harness, message_class("unsafe", Idempotency.IDEMPOTENT))
         reset(sock)
         assert harness.receive_reports() == [{"id": "old", "state": "failed"}]
         assert harness.endpoint.accepted == 1
@@ -58,7 +60,7 @@
     play(harness, steps)
 
 
-def test_a_configuration_read_again_that_is_the_same_or_broken_changes_nothing(harness, caplog):
+def test_a_reload_of_an_unchanged_or_invalid_configuration_changes_nothing(harness, caplog):
     def broken():
         raise ConfigError("settings: grades[0].deadline must be a number")
 
@@ -73,19 +75,19 @@
 
 
 KEYED = {"effect": Idempotency.WITH_KEY}
-CHANGED = {  # what a class was as its message was taken on, what it is at the next start, and that message's end
-    "not to be repeated, now it may be": ({"effect": Idempotency.NOT_IDEMPOTENT}, {}, "failed"),
-    "its window was shorter": (KEYED | {"key_ttl_us": S}, KEYED | {"key_ttl_us": 7 * S}, "returned"),
-    "repeats were dropped in their zone alone": (KEYED | {"key_scope_zone": True}, KEYED, "failed"),
-    "it could be repeated, now it may not": ({}, {"effect": Idempotency.NOT_IDEMPOTENT}, None),
+CHANGED = {  # the class at acceptance, the class at the next start, the message's final answer
+    "was not idempotent, now is": ({"effect": Idempotency.NOT_IDEMPOTENT}, {}, "failed"),
+    "had a shorter key lifetime": (KEYED | {"key_ttl_us": S}, KEYED | {"key_ttl_us": 7 * S}, "returned"),
+    "had keys valid in one zone only": (KEYED | {"key_scope_zone": True}, KEYED, "failed"),
+    "was idempotent, now is not": ({}, {"effect": Idempotency.NOT_IDEMPOTENT}, None),
 }
 
 
 @pytest.mark.parametrize("restarts", [1, 2])
 @pytest.mark.parametrize("change", CHANGED)
-def test_what_may_have_run_is_repeated_as_its_class_was_when_it_was_taken_on(tmp_path, change, restarts):
-    """A restart on changed settings took those of now for what the process before had left: a message that must not run
-    twice was sent again, or one past its window, or in a zone that does not know the repeat."""
+def test_a_message_that_may_have_run_is_repeated_by_the_rules_of_its_acceptance(tmp_path, change, restarts):
+    """Guards against a restart that applies changed settings to restored messages: it repeated one that was not
+    idempotent, one after its key's lifetime, or one in a zone that does not know the key."""
     before, after, end = CHANGED[change]
     harness = SenderHarness(tmp_path, classes={"c": message_class("c", **before)})
 
@@ -99,22 +101,22 @@
     harness.changes["classes"] = {"c": message_class("c", **after)}
     harness.known = read_list(
         list_update(2, listed("e", harness.endpoint.address) | {"site": "b"})
-    )  # another zone than before
-    for _ in range(restarts - 1):  # what was read is written anew
+    )  # the endpoint is in another zone now
+    for _ in range(restarts - 1):  # the journal is compacted in between
         harness.start()
         harness.sender.journal.compact()
         harness.kill()
     harness.start()
 
-    def again():
+    def after_restart():
         if end:
-            assert [(n["id"], n["state"]) for n in harness.receive_reports()] == [("m", end)]
+            assert [(report["id"], report["state"]) for report in harness.receive_reports()] == [("m", end)]
             with pytest.raises(BlockingIOError):
-                harness.endpoint.listener.accept()  # nobody dialled since
+                harness.endpoint.listener.accept()  # no attempt since
         else:
             sock, request = harness.accept_call()
             assert request.fields["x-request-id"] == "m"
             sock.send(http.answer(200, []))
         harness.world.until(lambda: harness.pending_ids() == [])
 
-    play(harness, again)
+    play(harness, after_restart)
