--- a/tests/test_notified_in_time.py
+++ b/tests/test_notified_in_time.py
@@ -7,7 +7,7 @@
 import pytest
 from greenlet import getcurrent
 from nethelp import MS, STREAM, S, chunk, list_update, listed
-from test_sender import Firm
+from test_sender import SenderHarness
 
 from scalefall.net import http, list_watch
 
@@ -23,11 +23,11 @@
     """Discovery's side of a sender's watch, and the times at which the sender's watches ended."""
 
     def __init__(self, folder, pushed):
-        self.firm = Firm(folder, polls_endpoint_list=not pushed, replica_count=30)
-        self.world, self.list = self.firm.world, self.firm.sender.endpoint_list
-        self.peer, self.ended, self._watch_once = self.firm.platform, [], self.list._watch._watch_once
+        self.harness = SenderHarness(folder, polls_endpoint_list=not pushed, replica_count=30)
+        self.world, self.list = self.harness.world, self.harness.sender.endpoint_list
+        self.peer, self.ended, self._watch_once = self.harness.platform, [], self.list._watch._watch_once
         self.list._watch._watch_once, self.waiting, self.sockets = self._watch_and_record_end, None, []
-        for source in (self.list._watch._random, self.firm.sender.engine.state.random):
+        for source in (self.list._watch._random, self.harness.sender.engine.state.random):
             source.random = lambda: MAX_RANDOM
 
     def _watch_and_record_end(self, address):
@@ -62,7 +62,7 @@
         return accepted_at
 
     def send_change(self):
-        change = list_update(2, listed("f", self.firm.endpoint.address), whole=False)
+        change = list_update(2, listed("f", self.harness.endpoint.address), whole=False)
         self.call(STREAM + chunk(change))
         self.world.until(lambda: "f" in self.list.entries)
 
@@ -97,11 +97,11 @@
     world = discovery.world
 
     def play():
-        discovery.firm.watched()
+        discovery.harness.accept_watch()
         world.until(lambda: discovery.list._watch._last_active_at_us > 0)
         ended_at = world.now()
         if end == "closed":
-            discovery.firm.watch.close()
+            discovery.harness.watch.close()
         discovery.until_ended()
         dial(discovery)
         discovery.call(http.answer(503, []), REJECTION_US)
@@ -118,9 +118,9 @@
     world = discovery.world
 
     def play():
-        discovery.firm.watched()
+        discovery.harness.accept_watch()
         discovery.refuse()
-        discovery.firm.watch.close()
+        discovery.harness.watch.close()
         discovery.until_ended()
         world.sleep(DOWNTIME_US)
         watches = len(discovery.ended)
@@ -141,10 +141,10 @@
     world = discovery.world
 
     def play():
-        discovery.firm.watched()
-        hosts = (listed(f"x{number}", discovery.firm.endpoint.address) for number in range(2000))
+        discovery.harness.accept_watch()
+        hosts = (listed(f"x{number}", discovery.harness.endpoint.address) for number in range(2000))
         data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_IDLE_TIMEOUT]
-        discovery.firm.send(discovery.firm.watch, data)
+        discovery.harness.send(discovery.harness.watch, data)
         world.sleep(MS)
         stopped_at = world.now()
         discovery.send_change()
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -1,4 +1,4 @@
-"""The end and the next start of a process, crossed by what may come in that moment; on real sockets, both orders."""
+"""Races of shutdown and restart with concurrent events, on real sockets and in both orders."""
 
 import contextlib
 import json
@@ -10,7 +10,7 @@
 from helpers import message_class
 from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
 from test_journal import used_bytes
-from test_sender import Firm, owed, play
+from test_sender import SenderHarness, accepted_delivery, play
 
 from scalefall.net import http
 from scalefall.net.config import ConfigError
@@ -18,28 +18,28 @@
 
 
 @pytest.fixture
-def firm(tmp_path):
-    return Firm(tmp_path)
+def harness(tmp_path):
+    return SenderHarness(tmp_path)
 
 
 class Killed(BaseException):
-    """SIGKILL: no code that handles errors sees it."""
+    """Stands for SIGKILL: derived from BaseException, so that no error handling catches it."""
 
 
-class Others:
-    """Clients, the endpoint and the platform go on while the sender dies and comes back."""
+class Environment:
+    """The client, the endpoint and the platform, which keep running while the sender is killed and restarted."""
 
-    def __init__(self, firm, answers):
-        self.firm, self.answers = firm, list(answers)
-        self.calls, self.delivered, self.notices, self.taken = [], set(), set(), False
+    def __init__(self, harness, answers):
+        self.harness, self.answers = harness, list(answers)
+        self.calls, self.delivered, self.reported, self.accepted = [], set(), set(), False
 
-    def stay(self):
+    def start(self):
         for task in (self.endpoint, self.platform):
-            self.firm.world.spawn(task)
+            self.harness.world.spawn(task)
 
     def endpoint(self):
         while True:
-            sock, request = self.firm.call()
+            sock, request = self.harness.accept_call()
             self.calls.append(request.fields["x-request-id"])
             status = self.answers.pop(0) if self.answers else 200
             if status:
@@ -50,29 +50,29 @@
 
     def platform(self):
         while True:
-            sock = self.firm.platform.accept()
-            request = self.firm.platform.read(sock)
+            sock = self.harness.platform.accept()
+            request = self.harness.platform.read(sock)
             if request.method == "GET":
                 sock.send(STREAM + chunk(None))
                 continue
-            self.notices |= {json.loads(line)["id"] for line in request.body.splitlines()}
+            self.reported |= {json.loads(line)["id"] for line in request.body.splitlines()}
             sock.send(http.answer(204, [], keep=False))
 
     def client(self, cls):
-        with contextlib.suppress(AssertionError, OSError):  # no answer: nothing is owed
-            self.taken = self.firm.answer(self.firm.hand_in("m", cls=cls, key="k")).status == 202
+        with contextlib.suppress(AssertionError, OSError):  # without an answer the message need not end
+            self.accepted = self.harness.read_answer(self.harness.submit("m", cls=cls, key="k")).status == 202
 
 
-def dies_at(journal, number, before):
-    """The process is killed just before, or just after, it has written the record of this number."""
+def kill_at_record(journal, number, before):
+    """Kill the process just before or just after it writes the journal record with this number."""
     real, written = journal._append, 0
 
-    def append(record, grows=0):
+    def append(record, more_copy_bytes=0):
         nonlocal written
         written += 1
         if written > number or (written == number and before):
             raise Killed
-        done = real(record, grows)
+        done = real(record, more_copy_bytes)
         if written == number:
             raise Killed
         return done
@@ -83,106 +83,109 @@
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("answers", [[200], [500, 200], [None, 200], [503, 503, 200], [500] * 9])
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
-def test_killed_at_any_record_what_was_taken_on_has_its_end_and_what_may_have_run_is_not_repeated(
+def test_after_a_kill_at_any_record_accepted_messages_end_and_those_that_may_have_run_are_not_repeated(
     tmp_path, cls, answers, before
 ):
-    """Each record against the byte that it stands for: the 202, a call's first byte, an outcome, a notice, its 204."""
+    """Guards the order of each record and the byte that depends on it: the 202, the first byte of a call, an outcome, a
+    delivery report, its 204."""
     for number in count(1):
         (tmp_path / str(number)).mkdir()
-        firm = Firm(tmp_path / str(number))
-        others, over, killed = Others(firm, answers), [], False
-        dies_at(firm.sender.journal, number, before)
+        harness = SenderHarness(tmp_path / str(number))
+        environment, finished, killed = Environment(harness, answers), [], False
+        kill_at_record(harness.sender.journal, number, before)
 
-        def life(*clients, firm=firm, others=others, over=over):
-            others.stay()
+        def run_process(*clients, harness=harness, environment=environment, finished=finished):
+            environment.start()
             for cls in clients:
-                others.client(cls)
-            firm.world.sleep(20 * S)
-            over.append(True)
-            firm.world.stop()
+                environment.client(cls)
+            harness.world.sleep(20 * S)
+            finished.append(True)
+            harness.world.stop()
 
-        firm.world.spawn(life, cls)
+        harness.world.spawn(run_process, cls)
         try:
-            firm.world.run()
+            harness.world.run()
         except Killed:
             killed = True
-            firm.die()
-            firm.start()
-            firm.world.spawn(life)
-            firm.world.run()
-        assert over
-        assert firm.world.broken is None
-        assert not others.taken or "m" in others.delivered | others.notices, f"record {number}: no end"
-        assert cls != "unsafe" or len(others.calls) <= 1 + answers.count(503), f"record {number}: sent again"
-        assert firm.owed() == []
-        firm.die()
-        if not killed:  # it has no more records than that
+            harness.kill()
+            harness.start()
+            harness.world.spawn(run_process)
+            harness.world.run()
+        assert finished
+        assert harness.world.broken is None
+        assert not environment.accepted or "m" in environment.delivered | environment.reported, (
+            f"record {number}: neither delivered nor reported"
+        )
+        assert cls != "unsafe" or len(environment.calls) <= 1 + answers.count(503), f"record {number}: repeated"
+        assert harness.pending_ids() == []
+        harness.kill()
+        if not killed:  # all records have been covered
             break
     assert number > 3
 
 
-def ends(firm, steps):
-    """Whether the process ends by itself, in time after it was first told to, however long the steps would go on."""
-    close, told = firm.sender.close, []
+def ends_in_time(harness, steps):
+    """Return whether the process ends within the time limit of a shutdown, however long the steps take."""
+    close, closed_at = harness.sender.close, []
 
-    def closed():
-        told.append(firm.world.now())
+    def record_and_close():
+        closed_at.append(harness.world.now())
         close()
 
-    def whole():
-        firm.watched()
+    def run_steps():
+        harness.accept_watch()
         steps()
-        firm.world.sleep(60 * S)
+        harness.world.sleep(60 * S)
 
-    firm.sender.close = closed
-    firm.world.spawn(whole)
-    firm.world.run()
-    assert firm.world.broken is None
-    return firm.world.now() - told[0] < 3300 * MS
+    harness.sender.close = record_and_close
+    harness.world.spawn(run_steps)
+    harness.world.run()
+    assert harness.world.broken is None
+    return harness.world.now() - closed_at[0] < 3300 * MS
 
 
 @pytest.mark.parametrize("more", ["SIGTERM", "SIGHUP", "SIGHUP to a broken file"])
 @pytest.mark.parametrize("later", [0, 1200 * MS])
-def test_what_comes_again_while_the_process_ends_does_not_hold_it_up(firm, more, later):
+def test_further_signals_do_not_delay_a_shutdown(harness, more, later):
     def broken():
         raise ConfigError("seen in a test")
 
     def steps():
-        firm.taken("m")
-        calls.append(firm.call())  # hangs
-        firm.sender.close()
-        firm.world.sleep(later)
+        harness.submit_accepted("m")
+        calls.append(harness.accept_call())  # never answered
+        harness.sender.close()
+        harness.world.sleep(later)
         if more == "SIGTERM":
-            firm.sender.close()
+            harness.sender.close()
         else:
-            firm.sender.reload(broken if "broken" in more else lambda: firm.sender.config)
+            harness.sender.reload(broken if "broken" in more else lambda: harness.sender.config)
 
     calls = []
-    assert ends(firm, steps)
-    assert firm.owed() == ["m"]
+    assert ends_in_time(harness, steps)
+    assert harness.pending_ids() == ["m"]
 
 
-@pytest.mark.parametrize("asked", ["before", "after"])
-def test_sigterm_before_the_first_look_answers_who_has_come(firm, asked):
-    """The signal came while the process started: it is heeded in the first look, beside the first client."""
-    world, socks = firm.world, []
+@pytest.mark.parametrize("submitted", ["before", "after"])
+def test_sigterm_before_the_first_poll_still_serves_a_client_that_has_connected(harness, submitted):
+    """The signal arrives during the start, so the first poll finds it together with the first client."""
+    world, socks = harness.world, []
     before = signal.getsignal(signal.SIGUSR1)
 
     def sigterm():
-        if asked == "after":
-            socks.append(firm.hand_in("m"))
-        firm.sender.close()
+        if submitted == "after":
+            socks.append(harness.submit("m"))
+        harness.sender.close()
 
     try:
         world.on_signal(signal.SIGUSR1, sigterm)
-        if asked == "before":
-            socks.append(firm.hand_in("m"))
+        if submitted == "before":
+            socks.append(harness.submit("m"))
         signal.raise_signal(signal.SIGUSR1)
 
         def steps():
-            firm.watched()
-            assert firm.answer(socks[0]).status == 202
-            firm.call()[0].send(http.answer(200, []))
+            harness.accept_watch()
+            assert harness.read_answer(socks[0]).status == 202
+            harness.accept_call()[0].send(http.answer(200, []))
             world.sleep(60 * S)
 
         world.spawn(steps)
@@ -191,125 +194,125 @@
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
     assert world.broken is None
-    assert firm.owed() == []
-    assert world.now() - firm.sender.shutdown.started_at_us < 3300 * MS
+    assert harness.pending_ids() == []
+    assert world.now() - harness.sender.shutdown.started_at_us < 3300 * MS
 
 
-@pytest.mark.parametrize("heard", [False, True])
-def test_a_notice_whose_answer_is_lost_as_the_process_ends_goes_out_again(firm, heard):
-    """The platform may have heard it; twice told does no harm."""
+@pytest.mark.parametrize("received", [False, True])
+def test_a_report_whose_answer_is_lost_in_a_shutdown_is_posted_again(harness, received):
+    """The platform may have received the report; a duplicate is harmless."""
 
     def steps():
-        firm.taken("m", dest=7, cls="unsafe")
-        reset(firm.call()[0])  # it may have run: failed
-        firm.sender.close()
-        while not firm.posts:
-            firm.platform_met()
-        if heard:
-            firm.posts[0][0].close()  # with its 204 on the way
-
-    assert ends(firm, steps)
-    assert firm.owed() == ["m"]
-    firm.posts.clear()
-    firm.die()
-    firm.start()
-    play(firm, lambda: firm.notices() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
-
-
-def test_calls_that_hang_as_the_process_ends_are_out_to_the_next_one(firm):
-    """Out at 3.2 s with no answer: what may be repeated goes out again, what must not fails."""
+        harness.submit_accepted("m", dest=7, cls="unsafe")
+        reset(harness.accept_call()[0])  # it may have run: failed
+        harness.sender.close()
+        while not harness.posts:
+            harness.accept_platform()
+        if received:
+            harness.posts[0][0].close()  # its 204 is lost
+
+    assert ends_in_time(harness, steps)
+    assert harness.pending_ids() == ["m"]
+    harness.posts.clear()
+    harness.kill()
+    harness.start()
+    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not reported"))
+
+
+def test_attempts_still_in_flight_at_the_end_are_handled_by_the_next_process(harness):
+    """Without an answer within 3.2 s, an idempotent message is repeated after the restart, and another one fails."""
     calls = []
 
     def steps():
-        firm.taken("a", cls="safe")
-        firm.taken("b", cls="unsafe")
-        calls.extend((firm.call(), firm.call()))
-        firm.sender.close()
-
-    assert ends(firm, steps)
-    assert firm.owed() == ["a", "b"]
-    firm.die()
-    firm.start()
-
-    def again():
-        sock, request = firm.call()
+        harness.submit_accepted("a", cls="safe")
+        harness.submit_accepted("b", cls="unsafe")
+        calls.extend((harness.accept_call(), harness.accept_call()))
+        harness.sender.close()
+
+    assert ends_in_time(harness, steps)
+    assert harness.pending_ids() == ["a", "b"]
+    harness.kill()
+    harness.start()
+
+    def after_restart():
+        sock, request = harness.accept_call()
         assert request.fields["x-request-id"] == "a"
         sock.send(http.answer(200, []))
-        assert firm.notices() == [{"id": "b", "state": "failed"}]
-        firm.world.until(lambda: firm.owed() == [])
+        assert harness.receive_reports() == [{"id": "b", "state": "failed"}]
+        harness.world.until(lambda: harness.pending_ids() == [])
 
-    play(firm, again)
+    play(harness, after_restart)
 
 
-def test_what_is_owed_of_a_class_that_the_next_settings_have_no_more_is_failed_at_once(firm):
+def test_a_pending_message_of_a_class_that_was_removed_fails_at_the_restart(harness):
     def steps():
-        firm.sender.journal.record_accepted(owed(firm, "m", "keyed"))
-        firm.die()
+        harness.sender.journal.record_accepted(accepted_delivery(harness, "m", "keyed"))
+        harness.kill()
 
-    play(firm, steps)
-    firm.changes["classes"] = {"other": message_class("other", Idempotency.NOT_IDEMPOTENT)}
-    firm.start()
-    play(firm, lambda: firm.notices() == [{"id": "m", "state": "failed"}] or pytest.fail("not told"))
+    play(harness, steps)
+    harness.changes["classes"] = {"other": message_class("other", Idempotency.NOT_IDEMPOTENT)}
+    harness.start()
+    play(harness, lambda: harness.receive_reports() == [{"id": "m", "state": "failed"}] or pytest.fail("not reported"))
 
 
 @pytest.mark.parametrize("cls", ["safe", "keyed", "zoned", "unsafe"])
-def test_what_a_restart_finds_in_a_full_folder_is_sent(tmp_path, cls):
-    """The journal keeps room for each call's record beside what it has taken on."""
-    firm = Firm(tmp_path, disk=150_000, max_queued=5000, call_slots=50)
+def test_messages_in_a_full_folder_are_sent_after_a_restart(tmp_path, cls):
+    """The journal reserves capacity for the records of attempts beside those of accepted messages."""
+    harness = SenderHarness(tmp_path, disk=150_000, max_queued=5000, call_slots=50)
 
     def steps():
-        while firm.sender.journal.record_accepted(owed(firm, f"m{len(firm.owed())}", cls)):
+        while harness.sender.journal.record_accepted(accepted_delivery(harness, f"m{len(harness.pending_ids())}", cls)):
             pass
-        firm.die()
+        harness.kill()
 
-    play(firm, steps)
-    firm.start()
+    play(harness, steps)
+    harness.start()
 
-    def again():
-        names = set(firm.owed())
+    def after_restart():
+        names = set(harness.pending_ids())
         assert len(names) > 100
-        assert firm.answer(firm.hand_in("more", cls="safe")).status == 503
+        assert harness.read_answer(harness.submit("more", cls="safe")).status == 503
         while names:
-            sock, request = firm.call()
+            sock, request = harness.accept_call()
             names.discard(request.fields["x-request-id"])
             sock.send(http.answer(200, [], keep=False))
             assert used_bytes(tmp_path) <= 150_000
-            firm.world.sleep(MS)
-        assert not firm.posts
+            harness.world.sleep(MS)
+        assert not harness.posts
 
-    play(firm, again)
+    play(harness, after_restart)
 
 
-@pytest.mark.parametrize("first", ["the list", "the death of its watch"])
-def test_a_change_in_the_moment_in_which_its_watch_breaks_is_told(firm, first):
-    """Where the word came first it holds; where the break came first the next watch brings it."""
+@pytest.mark.parametrize("first", ["the list", "the end of its watch"])
+def test_a_list_update_at_the_moment_when_its_watch_breaks_is_applied(harness, first):
+    """An update before the break is applied at once; one after it arrives with the next watch."""
 
     def steps():
-        word = chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating")))
-        woken(firm.world)
+        update = chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating")))
+        woken(harness.world)
         if first == "the list":
-            firm.watch.send(word)
-        firm.watch.close()
+            harness.watch.send(update)
+        harness.watch.close()
         if first != "the list":
-            firm.watched()
-            firm.watch.send(word)
-        firm.world.until(lambda: "e" in firm.sender.endpoint_list.left_at)
+            harness.accept_watch()
+            harness.watch.send(update)
+        harness.world.until(lambda: "e" in harness.sender.endpoint_list.left_at)
 
-    play(firm, steps)
+    play(harness, steps)
 
 
-def test_a_client_that_hands_in_and_leaves_in_one_moment_leaves_nothing_that_is_sent(firm):
-    """Its request and its end lie there together as they are read."""
+def test_a_message_of_a_client_that_disconnects_at_once_is_not_sent(harness):
+    """The request and the end of the connection are read together."""
 
     def steps():
-        woken(firm.world)
-        sock = firm.hand_in("gone")
+        woken(harness.world)
+        sock = harness.submit("gone")
         sock.shutdown(socket.SHUT_WR)
         sock.close()
-        firm.world.sleep(S)
-        assert firm.owed() == []
-        assert firm.endpoint.accepted == 0
-        firm.taken("stays")
-        assert firm.call()[1].fields["x-request-id"] == "stays"
+        harness.world.sleep(S)
+        assert harness.pending_ids() == []
+        assert harness.endpoint.accepted == 0
+        harness.submit_accepted("stays")
+        assert harness.accept_call()[1].fields["x-request-id"] == "stays"
 
-    play(firm, steps)
+    play(harness, steps)
