--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -5,7 +5,7 @@
 from scalefall.net.admin_state import AdminAction, AdminState
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.maintenance_store import MaintenanceStore
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointReport, Outcome
@@ -30,7 +30,7 @@
         store: MaintenanceStore,
         events: EventQueue,
         endpoint_list: EndpointList,
-        ingress: Front,
+        ingress: IngressServer,
     ) -> None:
         """Carry out calls on these parts.
 
--- a/scalefall/net/front.py
+++ b/scalefall/net/ingress_server.py
@@ -109,7 +109,7 @@
     return http.answer(503 if verdict.unavailable else 429, fields, keep=keep)
 
 
-class Front:
+class IngressServer:
     def __init__(
         self,
         scheduler: Scheduler,
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -19,7 +19,7 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.journal import Journal
 from scalefall.net.logs import log
 from scalefall.net.maintenance_store import MaintenanceStore
@@ -176,7 +176,9 @@
     def _connect_lifecycle(self, max_clients: int) -> None:
         """Connect the ingress, and what starts, serves operators and ends."""
         scheduler, settings = self._scheduler, self._settings
-        self.ingress = Front(scheduler, settings.classes, max_clients, self.admission.submit, self.admission.withdraw)
+        self.ingress = IngressServer(
+            scheduler, settings.classes, max_clients, self.admission.submit, self.admission.withdraw
+        )
         self.recovery = Recovery(
             settings.classes,
             self.events,
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -10,7 +10,7 @@
 from scalefall.net.attempts import Attempts
 from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.logs import log
 from scalefall.net.rate_keeper import RateKeeper
 from scalefall.net.scheduler import Scheduler
@@ -41,7 +41,7 @@
         open_requests: Sized,
         events: EventQueue,
         admission: Admission,
-        ingress: Front,
+        ingress: IngressServer,
         attempts: Attempts,
         delivery_reports: DeliveryReporter,
         rate_keeper: RateKeeper,
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -42,7 +42,7 @@
 from scalefall.net.delivery_reports import DeliveryReports
 from scalefall.net.delivery_request import Accepted, Conflict, GivenUp, NotServed, Rejected
 from scalefall.net.discovery_list import DiscoveryList
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.list_stream import Entry, read_list
 from scalefall.policy.actions import (
     CancelAttempt,
@@ -174,7 +174,7 @@
 
     def __init__(self):
         self.world, self.offered = World(), []
-        self.front = Front(self.world, settings().classes, 10, self.offered.append, lambda transaction: None)
+        self.front = IngressServer(self.world, settings().classes, 10, self.offered.append, lambda transaction: None)
         self.address = self.front.listen(LOCAL)
 
     def say(self, data, sock=None):
--- a/tests/test_front_crossings.py
+++ b/tests/test_ingress_races.py
@@ -4,11 +4,11 @@
 
 import pytest
 from nethelp import MS, S, closed, read, woken
-from test_front import HEAD, Desk
+from test_ingress_server import HEAD, Desk
 
 from scalefall.net import http
-from scalefall.net.front import IDLE_US, MOST_LINGER, YOUNG_US
 from scalefall.net.delivery_request import Accepted
+from scalefall.net.ingress_server import IDLE_US, MOST_LINGER, YOUNG_US
 
 ENDS = {
     "the process ends": lambda desk: desk.front.close_idle(),
--- a/tests/test_front.py
+++ b/tests/test_ingress_server.py
@@ -7,8 +7,8 @@
 from nethelp import MS, S, World, closed, read, reset
 
 from scalefall.net import http
-from scalefall.net.front import Front
-from scalefall.net.delivery_request import GivenUp, Accepted, Rejected
+from scalefall.net.delivery_request import Accepted, GivenUp, Rejected
+from scalefall.net.ingress_server import IngressServer
 
 HEAD = {"X-Request-Id": "id1", "X-Deadline": "480m", "X-Route-To": "dest=7"}
 
@@ -18,7 +18,7 @@
 
     def __init__(self, most=10, verdict=None, **changes):
         self.world, self.offered, self.withdrawn, self.verdict = World(), [], [], verdict
-        self.front = Front(self.world, settings(**changes).classes, most, self.offer, self.withdrawn.append)
+        self.front = IngressServer(self.world, settings(**changes).classes, most, self.offer, self.withdrawn.append)
         self.address = self.front.listen(("127.0.0.1", 0))
 
     def offer(self, transaction):
--- a/tests/test_readable_shape.py
+++ b/tests/test_readable_shape.py
@@ -15,7 +15,7 @@
     "scalefall/net",
     "scalefall/policy",
 )
-LEFT = {"config.py", "front.py", "settings_reader.py"}  # of these, not taken over yet
+LEFT = {"config.py", "ingress_server.py", "settings_reader.py"}  # of these, not taken over yet
 MOST_LINES = {"file": 400, "class": 250, "function": 40}
 
 
