--- a/scalefall/__main__.py
+++ b/scalefall/__main__.py
@@ -10,7 +10,7 @@
 
     logs.log_to_standard_error(os.environ.get("SCALEFALL_LOG") == "debug")
     try:
-        sender.run(config.read_config(os.environ), lambda: config.read_config(os.environ, again=True))
+        sender.run(config.read_config(os.environ), lambda: config.read_config(os.environ, reloading=True))
     except (config.ConfigError, OSError) as error:
         print(f"scalefall: {error}", file=sys.stderr)
         return 2
--- a/scalefall/cli/reader.py
+++ b/scalefall/cli/reader.py
@@ -117,7 +117,9 @@
         return
     config = replace(sender.config(loaded.site, request.state, request.seed), **request.flags)
     left = sender.cannot_change(request.fixed, loaded.site) if request.fixed else []
-    bare = replace(config, known=ListUpdate(1, True, []), fleet=Fleet([], config.fleet.routes), left=tuple(left))
+    bare = replace(
+        config, known=ListUpdate(1, True, []), fleet=Fleet([], config.fleet.routes), needs_restart=tuple(left)
+    )
     put(Read(bare, sender.fixed(loaded.site), sender.notes(config, loaded.site)))
     for at in range(0, len(config.fleet.entries), PIECE):
         put(config.fleet.entries[at : at + PIECE])
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -83,6 +83,6 @@
         except (ConfigError, InconsistentResourcesError) as error:
             log.error("configuration not taken, the one in force stays: %s", error)
             continue
-        for line in config.left:
+        for line in config.needs_restart:
             log.warning("not taken until a restart: %s", line)
         log.info("configuration read again: in %.0f ms", 1000 * (time.monotonic() - began))
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -231,7 +231,7 @@
                 raise ConnectionResetError
             answer.feed(data)
         return answer.status, answer.fields
-    except http.Malformed as error:
+    except http.MalformedMessage as error:
         raise ValueError(str(error)) from None
     finally:
         writer.close()
--- a/scalefall/net/admin.py
+++ b/scalefall/net/admin.py
@@ -106,9 +106,9 @@
                 if not data:
                     return b""
                 reader.feed(data)
-        except http.Malformed as error:
+        except http.MalformedMessage as error:
             return http.answer(error.status, [], f"{error}\n".encode(), keep=False)
-        except streams.TimeUp:
+        except streams.TimedOut:
             return http.answer(REQUEST_TIMEOUT, [], b"the call took too long\n", keep=False)
         del self._callers[sock]
         status = self._handle_call(reader.method, reader.target)
--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -57,7 +57,7 @@
 
     def handle(self, method: str, target: str) -> int:
         """Carry out a call, and return its HTTP status: success only once it is done and kept."""
-        ready = not self._ingress.closing
+        ready = not self._ingress.shutting_down
         status, command = self.state.decide(method, target, ready, self._endpoint_list.has_endpoint)
         if command is None:
             return status
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -117,8 +117,8 @@
         try:
             self._perform(attempt, reader)
         except Exception as error:  # noqa: BLE001 - a fault of ours must leave none of the messages without an outcome
-            if not isinstance(error, (OSError, http.Malformed)):
-                self._scheduler.failed("attempt", self._perform)
+            if not isinstance(error, (OSError, http.MalformedMessage)):
+                self._scheduler.log_failure("attempt", self._perform)
             if not attempt.over:
                 self._end_broken(attempt, reader, error)
         finally:
@@ -136,7 +136,7 @@
 
         Raises:
             OSError: The connection could not be had or broke, or the time was up.
-            http.Malformed: What came is no answer.
+            http.MalformedMessage: What came is no answer.
         """
         until_us = max(message.ends_at_us for message in attempt.messages)
         pool = self._pool
@@ -185,7 +185,7 @@
 
         Raises:
             OSError: The connection broke, or the time was up.
-            http.Malformed: What came is no answer.
+            http.MalformedMessage: What came is no answer.
         """
         started_at_us = 0
         while not reader.complete:
@@ -194,7 +194,7 @@
             if attempt.over:
                 return False
             if not data:
-                reader.ended()
+                reader.end_stream()
                 if reader.complete:
                     break
                 raise ConnectionResetError("the endpoint closed the connection")
@@ -217,7 +217,7 @@
                 self._pool.retention.connection_accepted(connection.key)
         if results is None:
             results = MessageResult(Outcome.ERROR, read_retry_after(reader.fields))
-        elif reader.keep and not reader.rest:
+        elif reader.keep and not reader.unparsed:
             self._pool.release(connection, attempt.entry)
             attempt.connection = None
         self._end(attempt, results, reader)
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -26,7 +26,7 @@
 
     classes: frozenset[str]  # what it carries
     attempts: int
-    most_wait_us: int  # the longest time after which a client is told to come back
+    max_retry_after_us: int  # the longest time after which a client is told to come back
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,9 +51,9 @@
     known: ListUpdate
     reports: Address | None = None  # where notices go if there is no discovery; None: to the log
     fleet: Fleet | None = None
-    left: tuple[str, ...] = ()  # read again: what differs from the running sender and takes a restart
+    needs_restart: tuple[str, ...] = ()  # read again: what differs from the running sender and takes a restart
     admin: Address | None = None  # where the operators call; None: nowhere
-    doubts: tuple[str, ...] = ()  # what can be used though its parts disagree, and how it is taken
+    warnings: tuple[str, ...] = ()  # what can be used though its parts disagree, and how it is taken
 
 
 def read_address(value: Any, name: str) -> Address:
@@ -63,7 +63,7 @@
     return host, int(port)
 
 
-def read_config(environ: Mapping[str, str], again: bool = False) -> Config:
+def read_config(environ: Mapping[str, str], reloading: bool = False) -> Config:
     """The configuration that the environment points to. At the start a variable of its own goes before the file's
     value; read again, the file goes first: a running process's variables cannot change."""
     path = environ.get("RELAY_CONFIG", "")
@@ -83,13 +83,13 @@
     if not os.path.isdir(state):
         raise ConfigError(f"RELAY_STATE must name a folder, not {state!r}")
     try:
-        settings, doubts = _settled(read_settings(table.get("settings")), table.get("peers"))
+        settings, warnings = _settled(read_settings(table.get("settings")), table.get("peers"))
         known = read_list(table.get("known") or {"seq": 0, "whole": True, "hosts": []}, strict=False)
         if known.unread:
-            doubts += (
+            warnings += (
                 f"known: {len(known.unread)} endpoints cannot be read and are left out, the first {known.unread[0]!r}",
             )
-        doubts += tuple(
+        warnings += tuple(
             f"limits.{key} is missing: {default} it is" for key, (default, _) in LIMITS.items() if key not in limits
         )
         return Config(
@@ -98,7 +98,7 @@
             listen=read_address(environ.get("RELAY_LISTEN") or table.get("listen"), "listen"),
             discovery=read_address(
                 table.get("discovery")
-                if again and "discovery" in table
+                if reloading and "discovery" in table
                 else environ.get("RELAY_DISCOVERY") or table.get("discovery"),
                 "discovery",
             ),
@@ -107,7 +107,7 @@
             disk_bytes=int(_limit(limits, "disk_mb") * 1_000_000),
             memory_bytes=int(_limit(limits, "memory_mb") * 1_000_000),
             settings=settings,
-            doubts=doubts,
+            warnings=warnings,
             admin=_admin(environ.get("RELAY_ADMIN") or table.get("admin")),
             known=known,
         )
@@ -124,20 +124,20 @@
     one, the larger is taken, as a part that is too small harms nobody."""
     if not settings.classes:
         raise ValueError("settings: grades names no class")
-    doubts, number = [], settings.replica_count
+    warnings, number = [], settings.replica_count
     if peers is not None and not (isinstance(peers, list) and all(isinstance(peer, str) for peer in peers)):
-        doubts.append("peers is no list of addresses and is left aside")
+        warnings.append("peers is no list of addresses and is left aside")
     elif peers and len(peers) != number:
         number = max(number, len(peers))
-        doubts.append(
+        warnings.append(
             f"settings.siblings is {settings.replica_count}, but peers names {len(peers)}: {number} senders it is"
         )
     if settings.replica_index >= settings.replica_count:
         number = max(number, settings.replica_index + 1)
-        doubts.append(
+        warnings.append(
             f"settings.index is {settings.replica_index}, of {settings.replica_count} senders: {number} senders it is"
         )
-    return replace(settings, replica_count=number), tuple(doubts)
+    return replace(settings, replica_count=number), tuple(warnings)
 
 
 def _limit(limits: dict[str, Any], key: str) -> float:
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -14,7 +14,7 @@
 from scalefall.net import streams
 from scalefall.net.connection_retention import ConnectionRetention
 from scalefall.net.list_stream import Entry
-from scalefall.net.scheduler import READ, TIME_UP, Scheduler, Task
+from scalefall.net.scheduler import READ, TIMED_OUT, Scheduler, Task
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
@@ -109,7 +109,7 @@
 
         Raises:
             SocketLimitError: No further socket may be opened.
-            streams.TimeUp: The dial took too long.
+            streams.TimedOut: The dial took too long.
             OSError: The endpoint cannot be reached, or the attempt was called off while it waited.
         """
         now_us = self._scheduler.now()
@@ -185,7 +185,7 @@
         span_us = min(max(idle.idle_close_us // 2, idle.idle_close_us - IDLE_CLOSE_MARGIN_US), retention_us)
         if idle in self._idle:
             reason = self._scheduler.pause(self._scheduler.now() + span_us, idle.sock, READ)
-            if reason is TIME_UP or idle in self._idle:
+            if reason is TIMED_OUT or idle in self._idle:
                 self._discard(idle)
 
     def _remove(self, idle: IdleConnection) -> None:
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -251,8 +251,8 @@
             sock, self._idle_socket = self._idle_socket, None
             try:
                 return self._exchange(sock, body)
-            except (OSError, http.Malformed) as error:
-                if sock is not None and not isinstance(error, streams.TimeUp):
+            except (OSError, http.MalformedMessage) as error:
+                if sock is not None and not isinstance(error, streams.TimedOut):
                     continue
                 self._log_failure(error)
                 return NO_STATUS
@@ -268,7 +268,7 @@
 
         Raises:
             OSError: The connection was not made, or broke.
-            http.Malformed: The answer is no HTTP.
+            http.MalformedMessage: The answer is no HTTP.
         """
         until = self._scheduler.now() + POST_US
         peer = self._idle_socket_peer
@@ -278,7 +278,7 @@
                 sock = streams.dial(self._scheduler, peer, until)
             streams.send(self._scheduler, sock, http.request("POST", "/reports", "discovery", [], body), until)
             reader = self._read_answer(sock, until)
-            if reader.keep and not reader.rest and self._idle_socket is None and peer == self._platform:
+            if reader.keep and not reader.unparsed and self._idle_socket is None and peer == self._platform:
                 self._idle_socket, self._idle_socket_peer = sock, peer
                 sock = None
             return reader.status
@@ -293,7 +293,7 @@
             if data:
                 reader.feed(data)
                 continue
-            reader.ended()
+            reader.end_stream()
             if not reader.complete:
                 raise OSError("the platform closed the connection")
         return reader
--- a/scalefall/net/http.py
+++ b/scalefall/net/http.py
@@ -6,12 +6,12 @@
 
 from scalefall.net.invariants import assert_invariant
 
-MOST_HEAD = 16 * 1024
-MOST_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 MOST_FIELDS = 100
 MOST_INTERIM = 20
 BEGIN = b"HTTP/1."
-MOST_FRAMING = 2 * MOST_BODY  # head, chunk lines and trailer together: a body may not hide behind them
+MOST_FRAMING = 2 * MAX_BODY_BYTES  # head, chunk lines and trailer together: a body may not hide behind them
 TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 REASONS = {
     200: "OK",
@@ -34,7 +34,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedMessage(Exception):
     """What came in is not HTTP/1.1 within the limits; status is the answer that it deserves."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -46,15 +46,15 @@
     """What both sides share: a head, then a body of known length, in chunks, or up to the end.
 
     feed() takes bytes as they come; head_done and complete tell how far the message has got. Bytes past its end
-    stay for the next message, which begins with again().
+    stay for the next message, which begins with begin_next().
     """
 
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        self.most_body, self.rest = most_body, bytearray()
-        self.again()
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.max_body_bytes, self.unparsed = max_body_bytes, bytearray()
+        self.begin_next()
 
-    def again(self) -> None:
-        self.first = ""
+    def begin_next(self) -> None:
+        self.start_line = ""
         self.fields: dict[str, str] = {}
         self.body = bytearray()
         self.head_done = self.complete = False
@@ -64,22 +64,22 @@
     @property
     def begun(self) -> bool:
         """Whether any byte of the message has come."""
-        return bool(self.first or self.rest or self.head_done)
+        return bool(self.start_line or self.unparsed or self.head_done)
 
     def feed(self, data: bytes) -> None:
-        self.rest += data
+        self.unparsed += data
         self.advance()
 
     def advance(self) -> None:
         while not self.complete and self._state():
             pass
 
-    def ended(self) -> None:
+    def end_stream(self) -> None:
         """The stream has ended; a body that runs up to the end is complete with it."""
         if self._state == self._read_all:
             self.complete = True
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """The body as far as it has come, handed over: for one that is read as it streams in."""
         data, self._taken = bytes(self.body), 0
         self.body.clear()
@@ -95,27 +95,27 @@
 
     def _line(self, most: int) -> str | None:
         """The next line without its end, or None while it has not all come."""
-        end = self.rest.find(b"\n", self._scanned)
+        end = self.unparsed.find(b"\n", self._scanned)
         if end < 0:
-            self._scanned = len(self.rest)
-            if len(self.rest) > most:
-                raise Malformed(431, "head too long")
+            self._scanned = len(self.unparsed)
+            if len(self.unparsed) > most:
+                raise MalformedMessage(431, "head too long")
             return None
         if end > most:
-            raise Malformed(431, "head too long")
-        line = self.rest[:end].decode("latin-1")
-        del self.rest[: end + 1]
+            raise MalformedMessage(431, "head too long")
+        line = self.unparsed[:end].decode("latin-1")
+        del self.unparsed[: end + 1]
         self._scanned = 0
         return line[:-1] if line.endswith("\r") else line
 
     def _read_head(self) -> bool:
-        line = self._line(MOST_HEAD - self._taken)
+        line = self._line(MAX_HEAD_BYTES - self._taken)
         if line is None:
             return False
         self._taken += len(line) + 2
-        if not self.first:
+        if not self.start_line:
             if line:
-                self.first = line
+                self.start_line = line
                 self._first_line(line)
             return True  # empty lines before a message are passed over
         if line:
@@ -128,16 +128,16 @@
     def _field(self, line: str) -> None:
         name, colon, value = line.partition(":")
         if not colon or not TOKEN.match(name):
-            raise Malformed(400, "malformed header field")
+            raise MalformedMessage(400, "malformed header field")
         name, value = name.lower(), value.strip(" \t")
         if "\r" in value or "\0" in value:
-            raise Malformed(400, "malformed header value")
+            raise MalformedMessage(400, "malformed header value")
         if name in self.fields:
             if name == "content-length" and self.fields[name] != value:
-                raise Malformed(400, "two lengths")
+                raise MalformedMessage(400, "two lengths")
             value = value if name == "content-length" else f"{self.fields[name]}, {value}"
         elif len(self.fields) >= MOST_FIELDS:
-            raise Malformed(431, "too many header fields")
+            raise MalformedMessage(431, "too many header fields")
         self.fields[name] = value
 
     def _frame(self) -> None:
@@ -146,15 +146,15 @@
             self.complete = True
         elif coding is not None:
             if length is not None:
-                raise Malformed(400, "both a length and a transfer coding")
+                raise MalformedMessage(400, "both a length and a transfer coding")
             if self.version == "HTTP/1.0":
-                raise Malformed(400, "a transfer coding in HTTP/1.0")
+                raise MalformedMessage(400, "a transfer coding in HTTP/1.0")
             if coding.lower() != "chunked":
-                raise Malformed(501, "unknown transfer coding")
+                raise MalformedMessage(501, "unknown transfer coding")
             self._state = self._read_chunk_size
         elif length is not None:
             if not (length.isascii() and length.isdigit() and len(length) < 16):
-                raise Malformed(400, "malformed length")
+                raise MalformedMessage(400, "malformed length")
             self._left = int(length)
             self._room(self._left)
             self._state = self._read_length
@@ -163,13 +163,13 @@
             self._unframed()
 
     def _room(self, more: int) -> None:
-        if len(self.body) + more > self.most_body:
-            raise Malformed(413, "body too long")
+        if len(self.body) + more > self.max_body_bytes:
+            raise MalformedMessage(413, "body too long")
 
     def _move(self) -> bool:
         """Move what has come of the piece being read into the body; True once it is whole."""
-        piece = self.rest[: self._left]
-        del self.rest[: len(piece)]
+        piece = self.unparsed[: self._left]
+        del self.unparsed[: len(piece)]
         self.body += piece
         self._left -= len(piece)
         assert_invariant(self._left >= 0, "a piece is no longer than told")
@@ -180,9 +180,9 @@
         return False
 
     def _read_all(self) -> bool:
-        self._room(len(self.rest))
-        self.body += self.rest
-        self.rest.clear()
+        self._room(len(self.unparsed))
+        self.body += self.unparsed
+        self.unparsed.clear()
         return False
 
     def _read_chunk_size(self) -> bool:
@@ -191,10 +191,10 @@
             return False
         self._taken += len(line) + 2
         if self._taken > MOST_FRAMING:
-            raise Malformed(413, "too many chunks")
+            raise MalformedMessage(413, "too many chunks")
         size = line.partition(";")[0].strip()
         if not re.fullmatch(r"[0-9A-Fa-f]{1,8}", size):
-            raise Malformed(400, "malformed chunk")
+            raise MalformedMessage(400, "malformed chunk")
         self._left = int(size, 16)
         self._room(self._left)
         self._state = self._read_chunk if self._left else self._read_trailer
@@ -207,18 +207,18 @@
         return True
 
     def _read_chunk_end(self) -> bool:
-        if self.rest and not self.rest.startswith((b"\r\n", b"\n")) and self.rest != b"\r":
-            raise Malformed(400, "malformed chunk")
+        if self.unparsed and not self.unparsed.startswith((b"\r\n", b"\n")) and self.unparsed != b"\r":
+            raise MalformedMessage(400, "malformed chunk")
         line = self._line(2)
         self._state = self._read_chunk_size if line is not None else self._state
         return line is not None
 
     def _read_trailer(self) -> bool:
-        line = self._line(MOST_HEAD)
+        line = self._line(MAX_HEAD_BYTES)
         if line is not None:
             self._taken += len(line) + 2
         if self._taken > MOST_FRAMING:
-            raise Malformed(431, "trailer too long")
+            raise MalformedMessage(431, "trailer too long")
         self.complete = line == ""
         return bool(line)
 
@@ -240,10 +240,10 @@
     def _first_line(self, line: str) -> None:
         parts = line.split(" ")
         if len(parts) != 3 or not TOKEN.match(parts[0]) or not parts[1].startswith(("/", "*", "http://")):
-            raise Malformed(400, "malformed request line")
+            raise MalformedMessage(400, "malformed request line")
         self.method, self.target, self.version = parts
         if self.version not in ("HTTP/1.1", "HTTP/1.0"):
-            raise Malformed(505 if re.fullmatch(r"HTTP/\d\.\d", self.version) else 400, "unknown version")
+            raise MalformedMessage(505 if re.fullmatch(r"HTTP/\d\.\d", self.version) else 400, "unknown version")
 
     def _bodiless(self) -> bool:
         return False
@@ -255,27 +255,27 @@
 class AnswerReader(Reader):
     """The endpoint's side: answers as they come back. status is known once the first line has come."""
 
-    status = interim = 0
+    status = interim_count = 0
 
-    def again(self) -> None:
-        super().again()
+    def begin_next(self) -> None:
+        super().begin_next()
         self.status = 0
 
     def _read_head(self) -> bool:
         """What cannot become a status line is no answer, however long one waits for the line's end."""
         if (
-            not self.first
-            and self.rest
-            and not self.rest.startswith((b"\r", b"\n", BEGIN))
-            and not BEGIN.startswith(self.rest)
+            not self.start_line
+            and self.unparsed
+            and not self.unparsed.startswith((b"\r", b"\n", BEGIN))
+            and not BEGIN.startswith(self.unparsed)
         ):
-            raise Malformed(400, "no status line")
+            raise MalformedMessage(400, "no status line")
         return super()._read_head()
 
     def _first_line(self, line: str) -> None:
         found = re.match(r"(HTTP/1\.[01]) ([1-5]\d\d)(?: |\Z)", line)
         if not found:
-            raise Malformed(400, "malformed status line")
+            raise MalformedMessage(400, "malformed status line")
         self.version, self.status = found[1], int(found[2])
 
     def _bodiless(self) -> bool:
@@ -283,12 +283,12 @@
 
     def _frame(self) -> None:
         if self.status == 101:
-            raise Malformed(400, "another protocol, unasked")
+            raise MalformedMessage(400, "another protocol, unasked")
         if self.status < 200:  # an interim answer: the real one follows
-            self.interim += 1
-            if self.interim > MOST_INTERIM:
-                raise Malformed(431, "too many interim answers")
-            self.again()
+            self.interim_count += 1
+            if self.interim_count > MOST_INTERIM:
+                raise MalformedMessage(431, "too many interim answers")
+            self.begin_next()
         else:
             super()._frame()
 
--- a/scalefall/net/ingress_server.py
+++ b/scalefall/net/ingress_server.py
@@ -24,7 +24,7 @@
 YOUNG_US = SECOND // 20  # and one whose request is not all there yet is not closed for room before this
 WAIT_US = SECOND // 200  # until room is looked for again
 LINGER_US = SECOND // 2  # after the last answer, what still comes is read and dropped for so long
-MOST_LINGER = 256 * 1024  # and so much of it
+MAX_LINGER_BYTES = 256 * 1024  # and so much of it
 BACKLOG, ACCEPTS = 512, 32  # in the listener's queue; accepted in a row before others have their turn
 LINES, LINES_US = 10, 10 * SECOND  # rejected requests that are logged one by one, in each such span
 UNREAD_US = 400_000  # a request may lie unread for as long as its client waits for an answer; its time runs,
@@ -60,42 +60,42 @@
     task: Task | None = None
     state: State = State.YOUNG  # until its task has had a look
     served: int = 0  # messages handed in
-    quiet_at: int = 0  # what is read next had not come before this
+    earliest_arrival_us: int = 0  # what is read next had not come before this
 
     def turn(self, state: State, now: int) -> None:
         self.state, self.since = state, now
 
 
-def read_transaction(
+def parse_delivery_request(
     reader: http.RequestReader, classes: dict[str, MessageClass], began: int, unread: int = 0, lag: int = 0
 ) -> DeliveryRequest:
-    """The request as a transaction; Malformed says what it lacks, and with which status. Its first byte was read at
-    began and may have come so much earlier as unread says, and turns are late by lag, in microseconds."""
+    """The request as a transaction; MalformedMessage says what it lacks, and with which status. Its first byte was
+    read at began and may have come so much earlier as unread says, and turns are late by lag, in microseconds."""
     path = re.sub(r"\Ahttp://[^/?]*", "", reader.target).partition("?")[0]
     name = unquote(path).split("/")[1] if path.startswith("/") else ""
     cls = classes.get(name)
     if cls is None:
-        raise http.Malformed(404, "no such path or class")
+        raise http.MalformedMessage(404, "no such path or class")
     if reader.method != "POST":
-        raise http.Malformed(405, "only POST")
+        raise http.MalformedMessage(405, "only POST")
     fields = reader.fields
     ident, key = fields.get("x-request-id", ""), fields.get("idempotency-key")
     if not WORD.match(ident):
-        raise http.Malformed(400, "X-Request-Id is missing or not a word")
+        raise http.MalformedMessage(400, "X-Request-Id is missing or not a word")
     if not WORD.match("-" if key is None and cls.idempotency is not Idempotency.WITH_KEY else key or ""):
-        raise http.Malformed(400, "Idempotency-Key is missing or not a word")
+        raise http.MalformedMessage(400, "Idempotency-Key is missing or not a word")
     deadline, route = DEADLINE.match(fields.get("x-deadline", "")), ROUTE.findall(fields.get("x-route-to", ""))
     if deadline is None:
-        raise http.Malformed(400, "X-Deadline is missing or not a time")
+        raise http.MalformedMessage(400, "X-Deadline is missing or not a time")
     if len(route) != 1:
-        raise http.Malformed(400, "X-Route-To does not name one dest")
+        raise http.MalformedMessage(400, "X-Route-To does not name one dest")
     left = min(int(float(f"{deadline[1]}.{deadline[2] or 0}") * UNITS[deadline[3]]), cls.deadline_us)
     unread = min(UNREAD_US, left // UNREAD_MOST, max(unread, cls.deadline_us // UNREAD_PART))
     left -= unread + min(left // LAG_PART, LAG_STEPS * lag)
     return DeliveryRequest(ident, name, int(route[0]), began + left, key, bytes(reader.body))
 
 
-def write_verdict(verdict: AdmissionResult, keep: bool) -> bytes:
+def encode_admission_result(verdict: AdmissionResult, keep: bool) -> bytes:
     if isinstance(verdict, Accepted):
         return http.answer(202, [], keep=keep)
     if isinstance(verdict, GivenUp):
@@ -122,7 +122,7 @@
         self._offer, self._withdraw = offer, withdraw
         self._clients: dict[Client, None] = {}
         self._listener: socket.socket | None = None
-        self.closing = self.draining = False
+        self.shutting_down = self.draining = False
         self._lines, self._unsaid, self._lines_until = 0, 0, 0
         self._quiet_at = 0  # what waits in the listener's queue had not come before this
 
@@ -133,7 +133,7 @@
 
     def close_idle(self) -> None:
         """The process ends soon: answer on, but each connection no further than its present request."""
-        self.closing = True
+        self.shutting_down = True
         self._drop_idle()
 
     def drain(self, on: bool) -> None:
@@ -159,20 +159,20 @@
                 pass
             listener.close()
 
-    def end(self) -> None:
+    def shut_down_connections(self) -> None:
         """The process is over in a moment, and a socket that ends with bytes unread takes its last answer along."""
         for client in self._clients:
             try:
                 client.sock.shutdown(socket.SHUT_WR)
             except OSError:
                 continue
-            left = MOST_LINGER  # who floods must not hold up the end
+            left = MAX_LINGER_BYTES  # who floods must not hold up the end
             while left > 0 and (data := _receive_now(client.sock)):
                 left -= len(data)
 
     @property
-    def leaving(self) -> bool:
-        return self.closing or self.draining
+    def unavailable(self) -> bool:
+        return self.shutting_down or self.draining
 
     @property
     def answering(self) -> bool:
@@ -183,7 +183,7 @@
         while self._listener is not None:
             if self._scheduler.pause(None, self._listener, READ) is not READY or self._listener is None:
                 continue
-            self._quiet_at = self._quiet_at if behind else self._scheduler.quiet_at
+            self._quiet_at = self._quiet_at if behind else self._scheduler.earliest_arrival_us
             behind = True
             try:
                 for _ in range(ACCEPTS):
@@ -204,7 +204,7 @@
     def _welcome(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Client(sock, http.RequestReader(), self._scheduler.now(), quiet_at=self._quiet_at)
+        client = Client(sock, http.RequestReader(), self._scheduler.now(), earliest_arrival_us=self._quiet_at)
         self._clients[client] = None
         client.task = self._scheduler.spawn(self._serve, client)
 
@@ -251,9 +251,9 @@
     def _serve(self, client: Client) -> None:
         try:
             while client in self._clients and self._one_request(client):
-                client.reader.again()
+                client.reader.begin_next()
             self._leave(client)
-        except http.Malformed as error:
+        except http.MalformedMessage as error:
             if client in self._clients:
                 self._reject(client, error)
         except OSError:
@@ -269,31 +269,33 @@
             return False
         client.turn(State.ASKING, self._scheduler.now())
         self._alone(reader)
-        keep = reader.keep and not self.leaving and not self._crowded
+        keep = reader.keep and not self.unavailable and not self._crowded
         if reader.target.partition("?")[0] == "/healthz":
-            ready = 503 if self.leaving else 200
+            ready = 503 if self.unavailable else 200
             self._answer(client, http.answer(ready if reader.method in ("GET", "HEAD") else 405, [], keep=keep))
         else:
-            transaction = read_transaction(reader, self._classes, began, began - client.quiet_at, self._scheduler.lag)
+            transaction = parse_delivery_request(
+                reader, self._classes, began, began - client.earliest_arrival_us, self._scheduler.lag_us
+            )
             client.served += 1
             self._hand_in(client, transaction)
-            keep = reader.keep and not self.leaving and not self._crowded
+            keep = reader.keep and not self.unavailable and not self._crowded
             try:
-                self._answer(client, write_verdict(transaction.admission, keep))
+                self._answer(client, encode_admission_result(transaction.admission, keep))
             except OSError:
                 self._withdraw(transaction)
                 raise
         client.turn(State.IDLE, self._scheduler.now())
-        client.quiet_at = client.since
+        client.earliest_arrival_us = client.since
         return keep
 
     @staticmethod
     def _alone(reader: http.RequestReader) -> None:
         """Requests come one at a time: what comes behind one that has no answer yet shows a length that is wrong,
         or hides another request, so neither is passed on. Line ends behind a body are passed over."""
-        if reader.rest.strip(b"\r\n"):
-            raise http.Malformed(400, "more than one request at a time")
-        reader.rest.clear()
+        if reader.unparsed.strip(b"\r\n"):
+            raise http.MalformedMessage(400, "more than one request at a time")
+        reader.unparsed.clear()
 
     def _read(self, client: Client) -> int:
         """Read one request; when its first byte came. Not complete if the connection ended before it did."""
@@ -303,12 +305,12 @@
             client.turn(State.SILENT, began)
             until = began + REQUEST_US
         while not reader.complete:
-            looks, asked_at = self._scheduler.looks, self._scheduler.now()
+            poll_count, asked_at = self._scheduler.poll_count, self._scheduler.now()
             try:
                 data = streams.receive(self._scheduler, client.sock, until)
-            except streams.TimeUp:
+            except streams.TimedOut:
                 if reader.begun:
-                    raise http.Malformed(408, "the request took too long") from None
+                    raise http.MalformedMessage(408, "the request took too long") from None
                 data = _receive_now(client.sock)  # it may have come in this very moment
             except streams.Interrupted:
                 data = _receive_now(client.sock) if client in self._clients and not reader.begun else b""
@@ -316,15 +318,15 @@
                 return began
             if not reader.begun:
                 began = self._scheduler.now()
-                if looks != self._scheduler.looks:  # nothing was there at first
-                    client.quiet_at = max(asked_at, self._scheduler.quiet_at)
+                if poll_count != self._scheduler.poll_count:  # nothing was there at first
+                    client.earliest_arrival_us = max(asked_at, self._scheduler.earliest_arrival_us)
                 until = min(until, began + REQUEST_US) if client.state is State.SILENT else began + REQUEST_US
                 client.turn(State.READING, began)
             reader.feed(data)
             if reader.head_done and not reader.complete and not asked and "expect" in reader.fields:
                 asked = True
                 if reader.fields["expect"].lower() != "100-continue":
-                    raise http.Malformed(417, "unknown expectation")
+                    raise http.MalformedMessage(417, "unknown expectation")
                 self._answer(client, b"HTTP/1.1 100 Continue\r\n\r\n")
         return began
 
@@ -339,17 +341,17 @@
                 if data == b"":
                     self._withdraw(transaction)
                     raise ConnectionResetError("the client is gone")
-                client.reader.rest += data or b""
+                client.reader.unparsed += data or b""
                 try:
                     self._alone(client.reader)
-                except http.Malformed:
+                except http.MalformedMessage:
                     self._withdraw(transaction)
                     raise
 
     def _answer(self, client: Client, data: bytes) -> None:
         streams.send(self._scheduler, client.sock, data, self._scheduler.now() + WRITE_US)
 
-    def _reject(self, client: Client, error: http.Malformed) -> None:
+    def _reject(self, client: Client, error: http.MalformedMessage) -> None:
         self._log(error)
         client.turn(State.LEAVING, self._scheduler.now())
         fields = [("Allow", "POST")] if error.status == 405 else []
@@ -364,7 +366,7 @@
         connection, and an answer that its client has not read yet is lost with it. Nothing that is read from here on
         is taken on: its client has been told, or sees with no answer that it has to come again."""
         client.turn(State.LEAVING, self._scheduler.now())
-        until, left = self._scheduler.now() + LINGER_US, MOST_LINGER
+        until, left = self._scheduler.now() + LINGER_US, MAX_LINGER_BYTES
         try:
             client.sock.shutdown(socket.SHUT_WR)
             while left > 0 and self._scheduler.now() < until:
@@ -376,7 +378,7 @@
         except OSError:
             pass
 
-    def _log(self, error: http.Malformed) -> None:
+    def _log(self, error: http.MalformedMessage) -> None:
         """The first ones line by line, then their number: a client that floods must not fill the log as well."""
         now = self._scheduler.now()
         if now >= self._lines_until:
@@ -401,7 +403,7 @@
 def _receive_now(sock: socket.socket) -> bytes | None:
     """What has come; none at the end of the stream; None if nothing has come after all."""
     try:
-        return sock.recv(streams.PIECE)
+        return sock.recv(streams.MAX_READ_BYTES)
     except BlockingIOError:
         return None
     except OSError:
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -173,7 +173,7 @@
         try:
             sock = streams.dial(self._scheduler, discovery, self._scheduler.now() + DIAL_TIMEOUT_US)
             self._follow(sock, discovery)
-        except (OSError, http.Malformed, ValueError, RecursionError) as error:
+        except (OSError, http.MalformedMessage, ValueError, RecursionError) as error:
             return str(error) or type(error).__name__
         finally:
             if sock is not None:
@@ -185,7 +185,7 @@
 
         Raises:
             OSError: The connection broke or fell silent, or discovery refused or has moved.
-            http.Malformed: What came is no answer.
+            http.MalformedMessage: What came is no answer.
             ValueError: What came is no list.
             RecursionError: It nests too deep.
         """
@@ -207,13 +207,13 @@
                 continue
             if reader.status != 200:
                 raise OSError(f"discovery answered {reader.status}")
-            self._process(connection, reader.take(), discovery)
+            self._process(connection, reader.take_body(), discovery)
 
     def _receive(self, sock: socket.socket, connection: _Connection) -> bytes:
-        """Return the next bytes of a watch; a TimeUp means that it fell silent if its answer had begun."""
+        """Return the next bytes of a watch; a TimedOut means that it fell silent if its answer had begun."""
         try:
             return streams.receive(self._scheduler, sock, connection.deadline_us())
-        except streams.TimeUp:
+        except streams.TimedOut:
             self._fell_silent = connection.reader.head_done  # what it would have told counts as told soon
             raise
 
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -145,7 +145,7 @@
 
     def _apply(self, config: Config) -> None:
         """Take the routes and endpoints of a configuration that was read again."""
-        for line in config.left:
+        for line in config.needs_restart:
             log.warning("left as it was until a restart: %s", line)
         fleet = config.fleet
         assert fleet is not None, "a sender on a file has its fleet from there"
--- a/scalefall/net/route_table.py
+++ b/scalefall/net/route_table.py
@@ -32,4 +32,4 @@
     def cap_retry_after(self, destination: int, retry_after_us: int) -> int:
         """Return a wait in microseconds, shortened to what the route's rules allow a client to be told."""
         rules = self.rules.get(destination)
-        return retry_after_us if rules is None else min(retry_after_us, rules.most_wait_us)
+        return retry_after_us if rules is None else min(retry_after_us, rules.max_retry_after_us)
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -24,7 +24,7 @@
 LAG_FALLS = 10  # what was late falls by a tenth of the time that passes
 LOOK_US = 1000  # a look that took less found what it found at once: it had come since the look before
 MOST_IDLE_TIMERS = 256  # that were called off and still have a place in the order
-READY, TIME_UP = "ready", "time up"  # why a pause ended, where nobody woke it with a value
+READY, TIMED_OUT = "ready", "time up"  # why a pause ended, where nobody woke it with a value
 
 
 class Timer:
@@ -54,17 +54,19 @@
 
 class Scheduler:
     def __init__(self) -> None:
-        self._poll, self._waits = select.poll(), {}
+        self._poll, self._tasks_by_fd = select.poll(), {}
         self._ready: deque[tuple[Task, Any]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
         self._order, self._running, self._idle_timers = count(), False, 0
         self._late, self._late_at = 0, 0
-        self.looks = 0  # how often the sockets have been looked at
-        self.quiet_at = self._polled_at = 0  # what is found ready now had not come before this; the last look
-        self._woken, self._waker = socket.socketpair()
-        self._woken.setblocking(False)
-        self._waker.setblocking(False)
-        self._poll.register(self._woken, READ)
+        self.poll_count = 0  # how often the sockets have been looked at
+        self.earliest_arrival_us = self._polled_at = (
+            0  # what is found ready now had not come before this; the last look
+        )
+        self._wakeup_receiver, self._wakeup_sender = socket.socketpair()
+        self._wakeup_receiver.setblocking(False)
+        self._wakeup_sender.setblocking(False)
+        self._poll.register(self._wakeup_receiver, READ)
         self._signals: dict[int, Callable[[], object]] = {}
         self._in_threads: list[tuple[Task, list[Any]]] = []
 
@@ -77,7 +79,7 @@
         return time.time_ns() // 1000
 
     @property
-    def lag(self) -> int:
+    def lag_us(self) -> int:
         """By how much what was to happen has been late of late, in microseconds: turns that took long, or a processor
         that others have."""
         return max(0, self._late - (self.now() - self._late_at) // LAG_FALLS)
@@ -93,9 +95,9 @@
         try:
             function(*args)
         except Exception:
-            self.failed("task", function)
+            self.log_failure("task", function)
 
-    def failed(self, what: str, function: Callable[..., object]) -> None:
+    def log_failure(self, what: str, function: Callable[..., object]) -> None:
         """Called while the exception is handled."""
         log.exception("%s %s failed", what, getattr(function, "__qualname__", function))
 
@@ -120,11 +122,11 @@
         task.paused = True
         if sock is not None:
             task.fd = sock.fileno()
-            assert_invariant(task.fd not in self._waits, "one task waits for a socket")
-            self._waits[task.fd] = task
+            assert_invariant(task.fd not in self._tasks_by_fd, "one task waits for a socket")
+            self._tasks_by_fd[task.fd] = task
             self._poll.register(task.fd, mask)
         if until is not None:
-            task.timer = self.call_at(until, self.wake, task, TIME_UP)
+            task.timer = self.call_at(until, self.wake, task, TIMED_OUT)
         return self._loop.switch()
 
     def wake(self, task: Task, value: Any = None) -> bool:
@@ -134,7 +136,7 @@
         task.paused = False
         if task.fd >= 0:
             self._poll.unregister(task.fd)
-            del self._waits[task.fd]
+            del self._tasks_by_fd[task.fd]
             task.fd = -1
         if task.timer is not None:
             task.timer.cancel()
@@ -148,7 +150,7 @@
     def on_signal(self, number: int, function: Callable[[], object]) -> None:
         """Call function from the loop, never in the middle of other code, when the signal comes."""
         self._signals[number] = function
-        signal.set_wakeup_fd(self._waker.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(self._wakeup_sender.fileno(), warn_on_full_buffer=False)
         signal.signal(number, lambda *_: None)
 
     def in_thread(self, function: Callable[..., Any], *args: Any) -> Any:
@@ -161,7 +163,7 @@
                 done.append((function(*args), None))
             except BaseException as error:
                 done.append((None, error))
-            self._waker.send(bytes([THREAD_DONE]))
+            self._wakeup_sender.send(bytes([THREAD_DONE]))
 
         self._in_threads.append((task, done))
         threading.Thread(target=work, daemon=True).start()
@@ -202,23 +204,23 @@
         while self._timers and self._timers[0][2].function is None:
             heapq.heappop(self._timers)
             self._idle_timers -= 1
-        asked, self.looks = self.now(), self.looks + 1
-        found = self._polled(self._timers[0][0] if self._timers else None)
+        asked, self.poll_count = self.now(), self.poll_count + 1
+        found = self._poll_sockets(self._timers[0][0] if self._timers else None)
         last, self._polled_at = self._polled_at, self.now()
-        self.quiet_at = last if self._polled_at - asked < LOOK_US else self._polled_at
+        self.earliest_arrival_us = last if self._polled_at - asked < LOOK_US else self._polled_at
         signalled = False
         for fd, _ in found:
-            if fd == self._woken.fileno():
+            if fd == self._wakeup_receiver.fileno():
                 signalled = True
-            elif assert_invariant(fd in self._waits, "a polled socket has its task"):
-                self.wake(self._waits[fd], READY)
+            elif assert_invariant(fd in self._tasks_by_fd, "a polled socket has its task"):
+                self.wake(self._tasks_by_fd[fd], READY)
         if signalled:  # last: what a signal wakes may be among what was found
             self._take_signals()
         self._run_ready()
         now = self.now()
         if self._timers and now - self._timers[0][0] > LAG_LEAST_US and self._timers[0][2].function is not None:
             late = now - self._timers[0][0]
-            if late > self.lag:
+            if late > self.lag_us:
                 self._late, self._late_at = late, now
         while self._timers and self._timers[0][0] <= now and self._running:
             timer = heapq.heappop(self._timers)[2]
@@ -229,14 +231,14 @@
                 try:
                     function(*timer.args)
                 except Exception:
-                    self.failed("timer", function)
+                    self.log_failure("timer", function)
 
-    def _polled(self, until: int | None) -> list[tuple[int, int]]:
+    def _poll_sockets(self, until: int | None) -> list[tuple[int, int]]:
         return self._poll.poll(None if until is None else max(0, -(-(until - self.now()) // 1000)))
 
     def _take_signals(self) -> None:
         try:
-            numbers = self._woken.recv(64)
+            numbers = self._wakeup_receiver.recv(64)
         except BlockingIOError:
             return
         self._threads_done()
@@ -245,4 +247,4 @@
                 try:
                     self._signals[number]()
                 except Exception:
-                    self.failed("signal", self._signals[number])
+                    self.log_failure("signal", self._signals[number])
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -92,7 +92,7 @@
         self.wall_offset_us = scheduler.wall() - scheduler.now()
         self._open_state_folder()
         self._connect_delivery(max_sockets)
-        bytes_per_client = http.MOST_HEAD + http.MOST_BODY
+        bytes_per_client = http.MAX_HEAD_BYTES + http.MAX_BODY_BYTES
         self._connect_lifecycle(min(max_sockets, config.memory_bytes // INGRESS_MEMORY_DIVISOR // bytes_per_client))
 
     def _open_state_folder(self) -> None:
@@ -219,7 +219,7 @@
         Raises:
             OSError: An address cannot be listened on.
         """
-        for doubt in self.config.doubts:
+        for doubt in self.config.warnings:
             log.warning("configuration: %s", doubt)
         self.recovery.hold_learned_rates(self.rate_keeper.load())
         if self.admin_actions is not None:
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -95,7 +95,7 @@
         # Whoever was in the listener's queue is served, and what they submitted is waited for.
         while self._elapsed_us() < LAST_ANSWERS_US and (self._ingress.answering or not self._may_end()):
             self._scheduler.sleep(LAST_POLL_US)
-        self._ingress.end()
+        self._ingress.shut_down_connections()
         self._scheduler.sleep(LAST_POLL_US)
         log.info("ended: %d left to the journal, %d attempts out", len(self._open), self._attempts.in_flight)
         invariants.log_violations()
--- a/scalefall/net/streams.py
+++ b/scalefall/net/streams.py
@@ -1,4 +1,4 @@
-"""Dial, send and receive on plain TCP, as pauses of a task. A time that is up raises TimeUp, which is an OSError."""
+"""Dial, send and receive on plain TCP, as pauses of a task. A time that is up raises TimedOut, which is an OSError."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import os
 import socket
 
-from scalefall.net.scheduler import READ, TIME_UP, WRITE, Scheduler
+from scalefall.net.scheduler import READ, TIMED_OUT, WRITE, Scheduler
 
-PIECE = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 
 
-class TimeUp(OSError):
+class TimedOut(OSError):
     """The time given for a step on a socket has passed."""
 
 
@@ -21,10 +21,10 @@
 
 def _wait(scheduler: Scheduler, sock: socket.socket, mask: int, until: int) -> None:
     if scheduler.now() >= until:
-        raise TimeUp("time is up")
+        raise TimedOut("time is up")
     why = scheduler.pause(until, sock, mask)
-    if why is TIME_UP:
-        raise TimeUp("time is up")
+    if why is TIMED_OUT:
+        raise TimedOut("time is up")
     if isinstance(why, Interrupted):
         raise why
 
@@ -73,6 +73,6 @@
     """The next bytes; none at the end of the stream."""
     while True:
         try:
-            return sock.recv(PIECE)
+            return sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             _wait(scheduler, sock, READ, until)
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -125,7 +125,7 @@
     "turned-away-for-500ms": Rejected(500 * MS, True),
 }
 CHUNKED = head("Transfer-Encoding: chunked")
-LIMITED = http.MOST_BODY
+LIMITED = http.MAX_BODY_BYTES
 BAD = {
     "unknown-class": request(target="/nothing"),
     "no-path": request(target="*"),
--- a/tests/lang/test_meaning.py
+++ b/tests/lang/test_meaning.py
@@ -161,7 +161,7 @@
     assert config.settings.attempts == {}
     assert config.fleet.routes[7].attempts == 5
     assert config.fleet.routes[9].classes == {"event-notice"}
-    assert config.fleet.routes[9].most_wait_us == 3_000_000
+    assert config.fleet.routes[9].max_retry_after_us == 3_000_000
     assert not config.settings.polls_endpoint_list
     assert config.settings.weights == "told"
     first = config.fleet.entries[0]
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -47,17 +47,19 @@
                 task.parent = self._loop
                 with contextlib.suppress(BaseException):
                     task.throw()
-        for kept in (self.tasks, self._ready, self._waits, self._timers):
+        for kept in (self.tasks, self._ready, self._tasks_by_fd, self._timers):
             kept.clear()
-        for sock in (self._woken, self._waker) if not self.threads else ():  # a thread may still say that it is done
+        for sock in (
+            (self._wakeup_receiver, self._wakeup_sender) if not self.threads else ()
+        ):  # a thread may still say that it is done
             sock.close()
 
     def kill(self):
         """Forget all that was to go on, as at the death of a process: tasks, timers, and who waits for a socket."""
         self._ready.clear()
-        for task in list(self._waits.values()):
+        for task in list(self._tasks_by_fd.values()):
             self._poll.unregister(task.fd)
-        self._waits.clear()
+        self._tasks_by_fd.clear()
         self._timers.clear()
 
     def now(self):
@@ -66,14 +68,14 @@
     def wall(self):
         return 10**15 + self.clock
 
-    def _polled(self, until):
+    def _poll_sockets(self, until):
         found = self._poll.poll(1 if until is not None else 10_000)
         if not found:
             assert until is not None, "nothing is left that could go on"
             self.clock = max(self.clock, until)
         return found
 
-    def failed(self, what, function):
+    def log_failure(self, what, function):
         self.broken = self.broken or sys.exc_info()[1]
         self.stop()
 
@@ -130,7 +132,7 @@
     while not reader.complete:
         data = streams.receive(world, sock, world.now() + 20 * S)
         if not data:
-            reader.ended()
+            reader.end_stream()
             assert reader.complete, "closed in the middle of a message"
         reader.feed(data)
     return reader
@@ -140,7 +142,7 @@
     """Whether the other side ends the connection within 20 s, having sent nothing more."""
     try:
         return streams.receive(world, sock, world.now() + 20 * S) == b""
-    except streams.TimeUp:
+    except streams.TimedOut:
         return False
     except OSError:
         return True
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -27,8 +27,8 @@
     for piece in pieces:
         reader.feed(piece)
         while reader.complete:
-            found.append((reader.first, dict(reader.fields), bytes(reader.body)))
-            reader.again()
+            found.append((reader.start_line, dict(reader.fields), bytes(reader.body)))
+            reader.begin_next()
             reader.advance()
     return found
 
@@ -62,7 +62,7 @@
     reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
     assert not reader.complete
     assert reader.status == 200
-    reader.ended()
+    reader.end_stream()
     assert reader.complete
     assert reader.body == b"abc"
     assert not reader.keep
@@ -115,7 +115,7 @@
     ],
 )
 def test_what_is_malformed_or_too_large_deserves_its_status(data, status):
-    with pytest.raises(http.Malformed) as caught:
+    with pytest.raises(http.MalformedMessage) as caught:
         http.RequestReader().feed(data)
     assert caught.value.status == status
 
@@ -144,5 +144,5 @@
     for reader in (http.RequestReader(), http.AnswerReader()):
         try:
             messages(reader, pieces)
-        except http.Malformed as error:
+        except http.MalformedMessage as error:
             assert 400 <= error.status < 600  # noqa: PT017 - it may be raised, and need not
--- a/tests/test_ingress_races.py
+++ b/tests/test_ingress_races.py
@@ -8,7 +8,7 @@
 
 from scalefall.net import http
 from scalefall.net.delivery_request import Accepted
-from scalefall.net.ingress_server import IDLE_US, MOST_LINGER, YOUNG_US
+from scalefall.net.ingress_server import IDLE_US, MAX_LINGER_BYTES, YOUNG_US
 
 ENDS = {
     "the process ends": lambda desk: desk.front.close_idle(),
@@ -141,7 +141,7 @@
         reader = read(desk.world, sock, http.AnswerReader())
         woken(desk.world)
         sock.send(b"half a request")
-        desk.front.end()
+        desk.front.shut_down_connections()
         for client in list(desk.front._clients):  # as the end of the process does
             desk.front._drop(client)
         assert reader.status == 202
@@ -185,15 +185,15 @@
 
         def recv(self, size, *flags):
             self.read += size
-            assert self.read < 100 * MOST_LINGER, "read for good"
+            assert self.read < 100 * MAX_LINGER_BYTES, "read for good"
             return b"x" * size
 
     def play():
         resting(desk)
         (client,) = desk.front._clients
         client.sock = Endless(client.sock)
-        desk.front.end()
-        assert client.sock.read >= MOST_LINGER
+        desk.front.shut_down_connections()
+        assert client.sock.read >= MAX_LINGER_BYTES
         client.sock = client.sock.sock
 
     desk.world.play(play)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -240,7 +240,7 @@
     (tmp_path / "config.json").write_text(json.dumps(table, indent=4))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert config.settings.replica_count == senders
-    assert says in config.doubts[0] if says else not config.doubts
+    assert says in config.warnings[0] if says else not config.warnings
 
 
 def test_an_endpoint_of_the_known_list_that_cannot_be_read_costs_itself(tmp_path):
@@ -249,7 +249,7 @@
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"known": {"seq": 1, "whole": True, "hosts": rows}}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert [entry.endpoint.id for entry in config.known.entries] == ["fine"]
-    assert config.doubts == ("known: 2 endpoints cannot be read and are left out, the first 'torn'",)
+    assert config.warnings == ("known: 2 endpoints cannot be read and are left out, the first 'torn'",)
 
 
 @pytest.mark.parametrize("limits", [{}, {"sockets": 512}, {"sockets": 512, "disk_mb": 3, "memory_mb": 64}])
@@ -257,7 +257,7 @@
     """The process may have less than what is taken for it."""
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"limits": limits}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
-    assert [line.partition(" ")[0] for line in config.doubts] == [
+    assert [line.partition(" ")[0] for line in config.warnings] == [
         f"limits.{name}" for name in ("sockets", "disk_mb", "memory_mb") if name not in limits
     ]
     assert (config.sockets, config.memory_bytes) == (limits.get("sockets", 1024), limits.get("memory_mb", 192) * 10**6)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -8,7 +8,7 @@
 from nethelp import MS, S, World
 
 from scalefall.net import invariants
-from scalefall.net.scheduler import READ, READY, TIME_UP, Scheduler
+from scalefall.net.scheduler import READ, READY, TIMED_OUT, Scheduler
 
 
 def test_a_pause_ends_by_the_socket_the_time_or_a_word_and_by_one_alone():
@@ -16,7 +16,7 @@
 
     def play():
         near, far = socket.socketpair()
-        assert world.pause(world.now() + 5 * MS, near, READ) is TIME_UP
+        assert world.pause(world.now() + 5 * MS, near, READ) is TIMED_OUT
         far.send(b"x")
         assert world.pause(world.now() + 5 * MS, near, READ) is READY
         woken = []
@@ -27,7 +27,7 @@
         world.sleep(100 * MS)
         assert woken == ["word"]
         assert not world.wake(task)
-        assert world._waits == {}
+        assert world._tasks_by_fd == {}
 
     world.play(play)
 
@@ -83,7 +83,7 @@
         os.kill(os.getpid(), signal.SIGUSR1)
         world.sleep(MS)
         assert woken == [False, READY]
-        assert not world._waits
+        assert not world._tasks_by_fd
 
     before = signal.getsignal(signal.SIGUSR1)
     try:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -87,7 +87,7 @@
         "close_idle",
         "stop_listening",
         "close",
-        "end",
+        "shut_down_connections",
         "save_last",
     ]
     assert play.parts.done[0] == ("close_at", began, began + NO_ATTEMPTS_US)
