--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,14 +3,14 @@
 import gc
 
 import pytest
-from nethelp import World
+from nethelp import VirtualTimeScheduler
 
 
 @pytest.fixture(autouse=True)
 def clear_worlds():
     yield
-    if World.made:
-        for world in World.made:
-            world.clear()
-        World.made.clear()
+    if VirtualTimeScheduler.instances:
+        for world in VirtualTimeScheduler.instances:
+            world.end_tasks()
+        VirtualTimeScheduler.instances.clear()
         gc.collect(1)
--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -1,7 +1,8 @@
 """Drives the program to say each thing that it can say on a wire, and gives back the bytes.
 
 Every name of the program that the goldens touch stands in this module. Each function of AREAS returns the bytes by the
-golden's name. HTTP is played in virtual time (nethelp.World); nothing depends on a port, a folder or the wall clock.
+golden's name. HTTP is played in virtual time (nethelp.VirtualTimeScheduler); nothing depends on a port, a folder or the
+wall clock.
 """
 
 from __future__ import annotations
@@ -21,7 +22,18 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2
 from helpers import message_class, settings
-from nethelp import MS, STREAM, Calls, Peer, S, World, chunk, closed, list_update, listed
+from nethelp import (
+    MS,
+    STREAM_HEAD,
+    AttemptsHarness,
+    StubServer,
+    S,
+    VirtualTimeScheduler,
+    chunk,
+    closed,
+    list_update,
+    host_row,
+)
 from test_adapter import CONFIG
 from test_sender import Firm
 
@@ -107,7 +119,7 @@
     try:
         return world.play(function, *args)
     finally:
-        world.clear()
+        world.end_tasks()
 
 
 # -- HTTP to clients
@@ -173,7 +185,7 @@
     """A front whose offers are decided by the test."""
 
     def __init__(self):
-        self.world, self.offered = World(), []
+        self.world, self.offered = VirtualTimeScheduler(), []
         self.front = IngressServer(self.world, settings().classes, 10, self.offered.append, lambda transaction: None)
         self.address = self.front.listen(LOCAL)
 
@@ -186,7 +198,7 @@
     def decided(self, verdict, data=None, closing=None):
         before = len(self.offered)
         sock = self.say(data or request())
-        self.world.until(lambda: len(self.offered) > before)
+        self.world.wait_until(lambda: len(self.offered) > before)
         if closing:
             closing()
         self.offered[-1].decide(verdict)
@@ -213,14 +225,14 @@
     sock = desk.say(head("Expect: 100-continue", "Content-Length: 4"))
     data = streams.receive(desk.world, sock, desk.world.now() + S)
     desk.say(b"body", sock)
-    desk.world.until(lambda: desk.offered)
+    desk.world.wait_until(lambda: desk.offered)
     desk.offered[0].decide(Accepted())
     return {"continue-then-accepted": data + answer(desk.world, sock)}
 
 
 def front_second_while_asked(desk):
     sock = desk.say(request())
-    desk.world.until(lambda: desk.offered)
+    desk.world.wait_until(lambda: desk.offered)
     desk.say(request(), sock)
     return {"bad-second-while-first-is-open": answer(desk.world, sock)}
 
@@ -291,8 +303,8 @@
 
 
 def call(world, loads, host="", kind="many"):
-    peer = Peer(world)
-    calls = Calls(world, settings(), peer.address)
+    peer = StubServer(world)
+    calls = AttemptsHarness(world, settings(), peer.address)
     calls.entry = Entry(Endpoint("e", "a", kind, 1, EndpointStatus.READY, 1.0), peer.address, host)
     calls.attempts.begin(calls.entry, loads)
     return listen(world, peer.accept(), http.RequestReader())
@@ -329,12 +341,12 @@
         data = listen(firm.world, sock, http.RequestReader())
         found[f"host-{name}"] = re.sub(rb"X-Deadline: \d+m\r", b"X-Deadline: <left>m\r", data)
         sock.send(http.answer(200, [], keep=False))
-        firm.world.until(lambda: not firm.owed())
+        firm.world.wait_until(lambda: not firm.owed())
     return found
 
 
 def endpoints() -> Bytes:
-    world = World()
+    world = VirtualTimeScheduler()
     return play(world, endpoint_calls, world) | firm_played(host_calls)
 
 
@@ -342,17 +354,17 @@
 
 
 def notices() -> Bytes:
-    world = World()
+    world = VirtualTimeScheduler()
 
     def steps():
-        peer, delivered = Peer(world), []
+        peer, delivered = StubServer(world), []
         told = DeliveryReports(world, peer.address, delivered.append)
 
         def post(name):
             sock = peer.accept()
             found[name] = listen(world, sock, http.RequestReader())
             sock.send(http.answer(204, [], keep=False))
-            world.until(lambda: told.idle)
+            world.wait_until(lambda: told.idle)
 
         found = {}
         told.report_failed("m1")
@@ -372,7 +384,7 @@
 
 
 def discovery() -> Bytes:
-    world = World()
+    world = VirtualTimeScheduler()
 
     def watch(peer, name):
         sock = peer.accept()
@@ -380,15 +392,15 @@
         return sock
 
     def steps():
-        peer, other, here = Peer(world), Peer(world), ("127.0.0.1", 1)
+        peer, other, here = StubServer(world), StubServer(world), ("127.0.0.1", 1)
         DiscoveryList(world, peer.address, read_list(list_update(0)), lambda event: None).start()
         watch(peer, "list")
-        known = read_list(list_update(41, listed("e", here)))
+        known = read_list(list_update(41, host_row("e", here)))
         endpoint_list = DiscoveryList(world, peer.address, known, lambda event: None, True)
         endpoint_list.start()
         sock = watch(peer, "watch-after-41")
-        sock.send(STREAM + chunk(list_update(50, listed("f", here), whole=False)))
-        world.until(lambda: endpoint_list.seq == 50)
+        sock.send(STREAM_HEAD + chunk(list_update(50, host_row("f", here), whole=False)))
+        world.wait_until(lambda: endpoint_list.seq == 50)
         sock.close()
         watch(peer, "watch-again-after-50")
         endpoint_list.move(other.address)
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -20,15 +20,15 @@
 MS, S = 1000, 1_000_000
 
 
-class World(Scheduler):
+class VirtualTimeScheduler(Scheduler):
     """Time stands still while anything happens on the sockets, and then jumps to the next timer."""
 
-    made: ClassVar[list[World]] = []  # since they were cleared last
+    instances: ClassVar[list[VirtualTimeScheduler]] = []  # since they were cleared last
 
     def __init__(self):
         super().__init__()
-        self.clock, self.broken, self.tasks, self.threads = 1000 * S, None, [], 0
-        World.made.append(self)
+        self.clock, self.failure, self.tasks, self.threads = 1000 * S, None, [], 0
+        VirtualTimeScheduler.instances.append(self)
 
     def spawn(self, function, *args):
         self.tasks.append(super().spawn(function, *args))
@@ -38,7 +38,7 @@
         self.threads += 1
         return super().in_thread(function, *args)
 
-    def clear(self):
+    def end_tasks(self):
         """End the tasks that still pause. The collector does not see what these hold, so a test's sockets would stay
         open until the end of all tests."""
         self._loop = getcurrent()
@@ -76,7 +76,7 @@
         return found
 
     def log_failure(self, what, function):
-        self.broken = self.broken or sys.exc_info()[1]
+        self.failure = self.failure or sys.exc_info()[1]
         self.stop()
 
     def play(self, function, *args):
@@ -89,11 +89,11 @@
 
         self.spawn(main)
         self.run()
-        if self.broken:
-            raise self.broken
+        if self.failure:
+            raise self.failure
         return done[0]
 
-    def until(self, condition, most=100 * S):
+    def wait_until(self, condition, most=100 * S):
         """Pause the running task until the condition holds."""
         end, span = self.now() + most, MS
         while not condition():
@@ -102,7 +102,7 @@
             span = min(2 * span, S)
 
 
-class Peer:
+class StubServer:
     """A listening socket of the other side."""
 
     def __init__(self, world, host="127.0.0.1"):
@@ -154,7 +154,7 @@
     sock.close()
 
 
-def woken(world):
+def resume_within_poll(world):
     """Go on in the very look at the sockets that is on: what is done next comes after it, and before the timers that
     have come due."""
     one, other = socket.socketpair()
@@ -163,7 +163,7 @@
         assert world.pause(None, other, READ) is READY
 
 
-def listed(name, address, block=7, health="in_service", kind="one"):
+def host_row(name, address, block=7, health="in_service", kind="one"):
     return {
         "host": name,
         "dial": "{}:{}".format(*address),
@@ -185,17 +185,17 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-STREAM = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Calls:
+class AttemptsHarness:
     """Attempts to one endpoint, and the outcomes that they told."""
 
     def __init__(self, world, settings, address, most=100):
-        self.world, self.told, self.may = world, [], True
+        self.world, self.outcomes, self.may_begin = world, [], True
         self.entry = Entry(Endpoint("e", "a", "many", 1, EndpointStatus.READY, 1.0), address)
         self.attempts = Attempts(
-            world, settings, most, lambda event, _: self.told.append(event), lambda entry: self.may
+            world, settings, most, lambda event, _: self.outcomes.append(event), lambda entry: self.may_begin
         )
 
     def message(self, name, attempt=0, span=2 * S, **more):
@@ -208,8 +208,8 @@
         """Waits for it; told exactly once."""
 
         def found():
-            return [e for e in self.told if (e.id, e.attempt) == (name, attempt)]
+            return [e for e in self.outcomes if (e.id, e.attempt) == (name, attempt)]
 
-        self.world.until(found)
+        self.world.wait_until(found)
         assert len(found()) == 1
         return found()[0]
--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from itertools import cycle
 
-from nethelp import listed
+from nethelp import host_row
 
 from scalefall.net import learned_rates
 from scalefall.net.journal import Journal
@@ -37,7 +37,7 @@
 
 def write_config(folder, **settings):
     """A known list of LIST endpoints at an address that answers nobody, and a discovery that is down."""
-    hosts = [listed(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(LIST)]
+    hosts = [host_row(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(LIST)]
     table = EXAMPLE | {
         "discovery": "127.0.0.1:9",
         "known": {"seq": 1, "whole": True, "hosts": hosts},
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from nethelp import MS, Peer, S, chunk, closed, list_update, listed, read
+from nethelp import MS, S, StubServer, chunk, closed, host_row, list_update, read
 from test_sender import Firm
 
 from scalefall.net import http
@@ -41,8 +41,8 @@
 def test_an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says_and_across_a_restart(firm):
     def steps():
         assert call(firm, "PUT", "/endpoints/e/maint") == call(firm, "PUT", "/endpoints/e/maint") == 200
-        firm.send(firm.watch, chunk(list_update(2, listed("e", firm.endpoint.address))))
-        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
+        firm.send(firm.watch, chunk(list_update(2, host_row("e", firm.endpoint.address))))
+        firm.world.wait_until(lambda: firm.sender.endpoint_list.seq == 2)
         firm.taken("a")
         firm.die()
         firm.start()
@@ -61,7 +61,7 @@
         firm.start()
         firm.watched()
         assert not firm.sender.admin_actions.state.in_maintenance
-        firm.world.until(lambda: "e" not in firm.sender.endpoint_list.left_at)
+        firm.world.wait_until(lambda: "e" not in firm.sender.endpoint_list.left_at)
 
     play(firm, steps)
 
@@ -70,7 +70,7 @@
 def test_what_comes_back_is_cold_and_gets_a_few_calls_first(tmp_path, neighbour):
     """It has been restarted while it was out; without this it met all that had waited for it at once."""
     firm = Firm(tmp_path, admin=("127.0.0.1", 0))
-    other = Peer(firm.world) if neighbour else None
+    other = StubServer(firm.world) if neighbour else None
 
     def serve(peer):
         sock = peer.accept()
@@ -79,8 +79,10 @@
 
     def steps():
         if neighbour:
-            firm.send(firm.watch, chunk(list_update(2, listed("e", firm.endpoint.address), listed("f", other.address))))
-            firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
+            firm.send(
+                firm.watch, chunk(list_update(2, host_row("e", firm.endpoint.address), host_row("f", other.address)))
+            )
+            firm.world.wait_until(lambda: firm.sender.endpoint_list.seq == 2)
         assert call(firm, "PUT", "/endpoints/e/maint") == 200
         if neighbour:
             firm.taken("n")
@@ -123,8 +125,8 @@
 def test_what_has_gone_while_it_was_out_does_not_come_back(firm):
     def steps():
         assert call(firm, "PUT", "/endpoints/e/maint") == 200
-        firm.send(firm.watch, chunk(list_update(2, listed("f", firm.endpoint.address))))
-        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
+        firm.send(firm.watch, chunk(list_update(2, host_row("f", firm.endpoint.address))))
+        firm.world.wait_until(lambda: firm.sender.endpoint_list.seq == 2)
         assert call(firm, "PUT", "/endpoints/e/ready") == 200
         assert "e" in firm.sender.endpoint_list.left_at
         assert not firm.sender.endpoint_list.has_endpoint("e")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from nethelp import MS, Calls, Peer, S, World, closed, reset, woken
+from nethelp import MS, AttemptsHarness, S, StubServer, VirtualTimeScheduler, closed, reset, resume_within_poll
 
 from scalefall.net import http, streams
 from scalefall.net.list_stream import Entry
@@ -20,18 +20,18 @@
 
 @pytest.fixture
 def world():
-    return World()
+    return VirtualTimeScheduler()
 
 
 @pytest.fixture
 def calls(world):
-    return Calls(world, settings(), None)
+    return AttemptsHarness(world, settings(), None)
 
 
 def begun(world, *names, told=None, **more):
     """A call that is out at an endpoint that has read it; told: what differs in the settings."""
-    peer = Peer(world)
-    calls = Calls(world, settings(**(told or {})), peer.address)
+    peer = StubServer(world)
+    calls = AttemptsHarness(world, settings(**(told or {})), peer.address)
     calls.begin(*names, **more)
     sock = peer.accept()
     return calls, peer, sock, peer.read(sock)
@@ -241,8 +241,8 @@
 
 def test_a_refused_dial_and_one_that_never_comes_up_could_not_connect(world):
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(dial_timeout_us=S), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(dial_timeout_us=S), peer.address)
         full = [socket.socket() for _ in range(80)]  # the listener's queue is full: the dial goes unanswered
         for sock in full:
             sock.setblocking(False)
@@ -264,8 +264,8 @@
     """Connect failure against reset turns on the last byte: an endpoint that stops reading has not got it."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         for name, end in (("broken", reset), ("slow", None), ("cancelled", None)):
             message = calls.message(name)
             message.body = b"x" * (8 << 20)
@@ -286,8 +286,8 @@
     """The endpoint takes its last byte late: by then a repeat would run again, or a message has its final answer."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         early = {"start_by_us": world.now() + S} if ends == "a repeat's time" else {"span": S}
         messages = [calls.message("long", span=5 * S), calls.message("early", **{"span": 5 * S} | early)]
         messages[0].body = b"x" * (8 << 20)
@@ -336,14 +336,14 @@
 def test_a_call_that_is_answered_and_cancelled_in_one_moment_has_one_outcome(world, first):
     def play():
         calls, peer, sock, _ = begun(world, "m")
-        woken(world)
+        resume_within_poll(world)
         sock.send(http.answer(200, []))
         if first == "its answer":
             calls.outcome("m")
         calls.attempts.cancel("m", 0)
         assert calls.outcome("m").outcome is (O.OK if first == "its answer" else O.CANCELLED)
         world.sleep(S)
-        assert len(calls.told) == 1
+        assert len(calls.outcomes) == 1
         calls.begin("n")  # and no connection on which the answer of another lies
         sock = peer.accept() if first == "the cancel" else sock
         assert peer.read(sock).fields["x-request-id"] == "n"
@@ -355,14 +355,14 @@
     """On an open connection a message counts as out: told as ended before, it could be sent a second time."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts.begin(calls.entry, [calls.message("short", span=S), calls.message("long", span=3 * S)])
         sock = peer.accept()
         peer.read(sock)
         world.sleep(2 * S)
         calls.attempts.cancel("short", 0)
-        assert calls.told == []
+        assert calls.outcomes == []
         assert calls.outcome("long").outcome is calls.outcome("short").outcome is O.TIMEOUT
         assert closed(world, sock)
 
@@ -373,13 +373,13 @@
     """A dial may end after the endpoint was told to drain, or this sender to wait."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
-        calls.may = False
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
+        calls.may_begin = False
         calls.begin("m")
         sock = peer.accept()
         assert calls.outcome("m").outcome is O.NOT_SENT
-        calls.may = True
+        calls.may_begin = True
         world.sleep(20 * MS)
         calls.begin("n")
         assert peer.read(sock).fields["x-request-id"] == "n"
@@ -392,8 +392,8 @@
     """A call whose dial took past the end of a key's window went out all the same: sent again outside its window."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts.begin(
             calls.entry,
             [calls.message("late", start_by_us=world.now() - 1), calls.message("fine", start_by_us=world.now() + S)],
@@ -414,8 +414,8 @@
     had its final answer, was sent with the others. Seen on a day on which connections come up late."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts._is_wanted = lambda name: name != "withdrawn"
         calls.attempts.begin(
             calls.entry, [calls.message("over", span=10 * MS), calls.message("withdrawn"), calls.message("fine")]
@@ -477,8 +477,8 @@
 
 def test_room_is_made_by_closing_the_connection_that_has_been_idle_longest(world):
     def play():
-        peers = [Peer(world) for _ in range(3)]
-        calls, socks = Calls(world, settings(), None, most=2), []
+        peers = [StubServer(world) for _ in range(3)]
+        calls, socks = AttemptsHarness(world, settings(), None, most=2), []
         for n, peer in enumerate(peers):
             calls.entry = Entry(calls.entry.endpoint, peer.address)
             calls.begin(str(n))
@@ -521,8 +521,8 @@
     """A fifth of the connections kept for 0.1 s were reset at the next request; a fee on one of them had failed."""
 
     def play():
-        peer = Peer(world)
-        calls, number = Calls(world, settings(idle_close_us=60 * S), peer.address), 0
+        peer = StubServer(world)
+        calls, number = AttemptsHarness(world, settings(idle_close_us=60 * S), peer.address), 0
 
         def call(sock=None, end=None, **more):
             nonlocal number
@@ -561,9 +561,9 @@
 
     @initialize()
     def start(self):
-        self.world, self.number = World(), 0
-        self.peer = Peer(self.world)
-        self.calls = Calls(self.world, settings(idle_close_us=5 * S, replica_count=1), self.peer.address)
+        self.world, self.number = VirtualTimeScheduler(), 0
+        self.peer = StubServer(self.world)
+        self.calls = AttemptsHarness(self.world, settings(idle_close_us=5 * S, replica_count=1), self.peer.address)
         self.idle, self.out, self.known = [], {}, 0
 
     def step(self, function):
@@ -665,7 +665,7 @@
             assert self.peer.accepted == self.known
             assert self.calls.attempts.in_flight == len(self.out)
             assert len(self.calls.attempts._pool._idle) == len(self.idle)
-            told = [(e.id, e.attempt) for e in self.calls.told]
+            told = [(e.id, e.attempt) for e in self.calls.outcomes]
             assert len(told) == len(set(told))
 
     def teardown(self):
--- a/tests/test_delivery_reports.py
+++ b/tests/test_delivery_reports.py
@@ -3,17 +3,17 @@
 import itertools
 import json
 
-from nethelp import MS, Peer, S, World, closed, reset
+from nethelp import MS, S, StubServer, VirtualTimeScheduler, closed, reset
 
 from scalefall.net import http
 from scalefall.net.delivery_reports import DeliveryReports
 
 
 def test_notices_go_out_again_until_204():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         notices = DeliveryReports(world, peer.address, done.append)
         notices.report_failed("a")
         notices.report_returned("b", 250)
@@ -35,7 +35,7 @@
         sock = peer.accept()
         peer.read(sock)
         sock.send(http.answer(204, []))
-        world.until(lambda: done == ["a", "b"])
+        world.wait_until(lambda: done == ["a", "b"])
         notices.report_failed("c")  # over the connection that is kept
         assert b'"c"' in peer.read(sock).body
         assert notices.idle is False
@@ -47,10 +47,10 @@
 
 
 def test_one_notice_that_cannot_be_read_does_not_hold_back_the_others():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         notices = DeliveryReports(world, peer.address, done.append)
         for name in "abc":
             notices.report_failed(name)
@@ -66,10 +66,10 @@
 
 
 def test_a_silent_platform_is_given_up_and_asked_again():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         DeliveryReports(world, peer.address, done.append).report_failed("a")
         sock = peer.accept()
         peer.read(sock)
@@ -77,7 +77,7 @@
         sock = peer.accept()
         peer.read(sock)
         sock.send(http.answer(204, []))
-        world.until(lambda: done)
+        world.wait_until(lambda: done)
 
     world.play(play)
 
@@ -85,24 +85,24 @@
 def test_a_kept_connection_that_has_died_unseen_and_a_cut_cost_a_notice_no_more_than_a_step():
     """One POST at a time had a second each, with pauses up to a second between: a message whose time was up during a
     cut, or whose notice met a connection that had died, was told up to two seconds late. Seen at its end."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def told(peer, sock):
         peer.read(sock)
         sock.send(http.answer(204, []))
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         notices = DeliveryReports(world, peer.address, done.append)
         notices.report_failed("a")
         kept = peer.accept()
         told(peer, kept)
-        world.until(lambda: done == ["a"])
+        world.wait_until(lambda: done == ["a"])
         began = world.now()
         notices.report_failed("b")
         peer.read(kept)  # and no answer
         told(peer, peer.accept())
-        world.until(lambda: done == ["a", "b"])
+        world.wait_until(lambda: done == ["a", "b"])
         assert world.now() - began < 200 * MS
         reset(kept)
         notices.report_failed("c")
@@ -110,10 +110,10 @@
         while world.now() < end:
             silent.append(peer.accept())
         told(peer, peer.accept())
-        world.until(lambda: "c" in done)
+        world.wait_until(lambda: "c" in done)
         assert world.now() - end < 400 * MS
         assert len(silent) < 60
-        world.until(lambda: not notices.posts_in_flight)  # those that were silent end, and nothing goes on
+        world.wait_until(lambda: not notices.posts_in_flight)  # those that were silent end, and nothing goes on
         world.sleep(S)
         accepted = peer.accepted
         world.sleep(5 * S)
@@ -124,10 +124,10 @@
 
 
 def test_of_many_notices_the_most_urgent_go_first_and_those_that_are_late_already_last():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         notices = DeliveryReports(world, peer.address, done.append)
         now = world.now()
         for n in range(300):
@@ -153,10 +153,10 @@
 
 
 def test_a_resting_notice_goes_to_the_new_address_at_once():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, new, done = Peer(world), Peer(world), []
+        peer, new, done = StubServer(world), StubServer(world), []
         notices = DeliveryReports(world, peer.address, done.append)
         peer.listener.close()
         notices.report_failed("a")
@@ -166,7 +166,7 @@
         sock = new.accept()
         new.read(sock)
         sock.send(http.answer(204, []))
-        world.until(lambda: done)
+        world.wait_until(lambda: done)
         assert world.now() - began < 100 * MS
 
     world.play(play)
--- a/tests/test_delivery_tracker.py
+++ b/tests/test_delivery_tracker.py
@@ -1,9 +1,9 @@
 """What is in flight, and for how long the id of what has ended is remembered."""
 
-from nethelp import S, World
+from nethelp import S, VirtualTimeScheduler
 
-from scalefall.net.delivery_tracker import BYTES_PER_REMEMBERED_ID, REMEMBER_ID_US, DeliveryTracker
 from scalefall.net.delivery_request import Accepted, DeliveryRequest
+from scalefall.net.delivery_tracker import BYTES_PER_REMEMBERED_ID, REMEMBER_ID_US, DeliveryTracker
 
 
 def request(message_id, accepted=True):
@@ -20,7 +20,7 @@
 
 
 def test_a_request_is_open_until_it_is_finished_and_finished_once():
-    deliveries = tracker(World())
+    deliveries = tracker(VirtualTimeScheduler())
     deliveries.add(first := request("m"))
     assert deliveries.open == {"m": first}
     assert deliveries.finish("m") is first
@@ -29,7 +29,7 @@
 
 
 def test_only_the_ids_of_accepted_messages_are_remembered():
-    deliveries = tracker(World())
+    deliveries = tracker(VirtualTimeScheduler())
     finish(deliveries, "accepted")
     finish(deliveries, "not yet", accepted=False)
     deliveries.add(request("withdrawn"))
@@ -39,7 +39,7 @@
 
 
 def test_ids_are_forgotten_in_time_the_oldest_first():
-    world = World()
+    world = VirtualTimeScheduler()
     deliveries = tracker(world)
     finish(deliveries, "old")
     world.clock += REMEMBER_ID_US
@@ -51,7 +51,7 @@
 
 
 def test_no_more_ids_are_remembered_than_the_memory_allows():
-    deliveries = tracker(World(), max_finished=2)
+    deliveries = tracker(VirtualTimeScheduler(), max_finished=2)
     for message_id in "abc":
         finish(deliveries, message_id)
     assert list(deliveries.finished) == ["b", "c"]
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -1,14 +1,14 @@
 """Events between two steps: their order, and when the step runs that takes them."""
 
 import pytest
-from nethelp import MS, World
+from nethelp import MS, VirtualTimeScheduler
 
 from scalefall.net.event_queue import EventQueue
 from scalefall.policy.events import MessageWithdrawn
 
 
 def test_a_step_runs_once_at_the_end_of_the_tick_and_takes_events_in_their_order():
-    world = World()
+    world = VirtualTimeScheduler()
     queue = EventQueue(world, 5 * MS)
     taken = []
     queue.connect(lambda: taken.append((world.now(), queue.take_all())))
@@ -27,7 +27,7 @@
 
 
 def test_an_event_gathered_during_a_step_has_a_step_of_its_own():
-    world = World()
+    world = VirtualTimeScheduler()
     queue = EventQueue(world, MS)
     taken = []
 
@@ -48,6 +48,6 @@
 
 
 def test_events_without_a_step_are_an_error():
-    queue = EventQueue(World(), MS)
+    queue = EventQueue(VirtualTimeScheduler(), MS)
     with pytest.raises(RuntimeError):
         queue.step_now()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,11 +1,12 @@
 """The parsers: the same message however its bytes are cut, the limits, and what is malformed."""
 
+import itertools
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from scalefall.net import http
-import itertools
 
 REQUEST = (
     b"POST /fee-order?x=1 HTTP/1.1\r\nHost: s\r\nX-A:  one \r\nx-a: two\r\nContent-Length: 5\r\n\r\nbo\r\ny"
--- a/tests/test_ingress_races.py
+++ b/tests/test_ingress_races.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from nethelp import MS, S, closed, read, woken
+from nethelp import MS, S, closed, read, resume_within_poll
 from test_ingress_server import HEAD, Desk
 
 from scalefall.net import http
@@ -41,7 +41,7 @@
 
     def play():
         sock = resting(desk)
-        woken(desk.world)
+        resume_within_poll(desk.world)
         desk.ask(sock, X_Request_Id="second")  # not read yet
         ENDS[why](desk)
         assert desk.answer(sock).status == 202
@@ -58,7 +58,7 @@
 
     def play():
         sock = resting(desk)
-        woken(desk.world)
+        resume_within_poll(desk.world)
         ENDS[why](desk)
         desk.world.sleep(2 * MS)
         for _ in range(3):  # more than one read takes
@@ -81,9 +81,9 @@
     def play():
         sock = desk.dial()
         desk.ask(sock)
-        desk.world.until(lambda: desk.offered)
+        desk.world.wait_until(lambda: desk.offered)
         desk.front.close_idle()
-        woken(desk.world)
+        resume_within_poll(desk.world)
         desk.offered[0].decide(Accepted())  # the client's task is woken, and goes on in this very turn
         sock.send(behind)
         desk.world.sleep(10 * MS)
@@ -115,7 +115,7 @@
     desk = Desk(verdict=Accepted())
 
     def play():
-        woken(desk.world)  # nobody accepts before the listener closes
+        resume_within_poll(desk.world)  # nobody accepts before the listener closes
         sock = desk.dial()
         if not rest:
             desk.ask(sock)
@@ -139,7 +139,7 @@
         sock = desk.dial()
         desk.ask(sock)
         reader = read(desk.world, sock, http.AnswerReader())
-        woken(desk.world)
+        resume_within_poll(desk.world)
         sock.send(b"half a request")
         desk.front.shut_down_connections()
         for client in list(desk.front._clients):  # as the end of the process does
@@ -159,7 +159,7 @@
     def play():
         socks.extend(resting(desk) for _ in range(3))
         desk.front._most = 3
-        woken(desk.world)
+        resume_within_poll(desk.world)
         if asks:
             desk.ask(socks[0], X_Request_Id="second")
         assert desk.front._make_room()
@@ -209,7 +209,7 @@
         sock = desk.dial()
         sock.send(begun)
         desk.world.sleep(2 * YOUNG_US)
-        woken(desk.world)
+        resume_within_poll(desk.world)
         whole = http.request("POST", "/safe", "s", list(HEAD.items()), b"body")
         sock.send(whole[len(begun) :])
         assert not desk.front._make_room()
@@ -226,8 +226,8 @@
     def play():
         sock = desk.dial()
         desk.ask(sock)
-        desk.world.until(lambda: desk.offered)
-        woken(desk.world)
+        desk.world.wait_until(lambda: desk.offered)
+        resume_within_poll(desk.world)
         if leaves == "before its verdict":
             sock.close()
             desk.world.sleep(MS)
--- a/tests/test_ingress_server.py
+++ b/tests/test_ingress_server.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import message_class, settings
-from nethelp import MS, S, World, closed, read, reset
+from nethelp import MS, S, VirtualTimeScheduler, closed, read, reset
 
 from scalefall.net import http
 from scalefall.net.delivery_request import Accepted, GivenUp, Rejected
@@ -17,7 +17,7 @@
     """A front, what it offered and what was withdrawn."""
 
     def __init__(self, most=10, verdict=None, **changes):
-        self.world, self.offered, self.withdrawn, self.verdict = World(), [], [], verdict
+        self.world, self.offered, self.withdrawn, self.verdict = VirtualTimeScheduler(), [], [], verdict
         self.front = IngressServer(self.world, settings(**changes).classes, most, self.offer, self.withdrawn.append)
         self.address = self.front.listen(("127.0.0.1", 0))
 
@@ -202,14 +202,14 @@
     def play():
         sock = desk.dial()
         desk.ask(sock)
-        desk.world.until(lambda: desk.offered)
+        desk.world.wait_until(lambda: desk.offered)
         end(sock)
-        desk.world.until(lambda: desk.withdrawn)
+        desk.world.wait_until(lambda: desk.withdrawn)
         assert desk.withdrawn == desk.offered
         half = desk.dial()
         half.send(b"POST /safe HTTP/1.1\r\n")
         end(half)
-        desk.world.until(lambda: not desk.front._clients)
+        desk.world.wait_until(lambda: not desk.front._clients)
         assert len(desk.offered) == 1
 
     desk.world.play(play)
@@ -225,7 +225,7 @@
         data = http.request("POST", "/safe", "s", list(HEAD.items()), b"body")
         sock.send(data if apart else data + data)
         if apart:
-            desk.world.until(lambda: desk.offered)
+            desk.world.wait_until(lambda: desk.offered)
             sock.send(data)
         assert desk.answer(sock).status == 400
         assert desk.withdrawn == desk.offered
@@ -427,7 +427,7 @@
             assert len(desk.front._clients) <= 8
             busy.append(desk.dial())
             desk.ask(busy[n])
-            desk.world.until(lambda n=n: len(desk.offered) == 4 + n)
+            desk.world.wait_until(lambda n=n: len(desk.offered) == 4 + n)
         assert [closed(desk.world, sock) for sock in idle] == [True] * 3
         late = desk.dial()  # none that is being answered goes: this one waits
         desk.ask(late)
@@ -435,7 +435,7 @@
         assert len(desk.offered) == 11
         assert len(desk.front._clients) == 8
         desk.offered[5].decide(Accepted())
-        desk.world.until(lambda: len(desk.offered) == 12)
+        desk.world.wait_until(lambda: len(desk.offered) == 12)
 
     desk.world.play(play)
 
--- a/tests/test_list_stream.py
+++ b/tests/test_list_stream.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from nethelp import list_update, listed
+from nethelp import host_row, list_update
 
 from scalefall.net.list_stream import MAX_DEPTH, EndpointListError, ObjectStream, read_list
 
@@ -53,16 +53,16 @@
         {"host": "x"},
         7,
         None,
-        {**listed("y", HERE), "dial": 3},
-        {**listed("z", HERE), "block": "many"},
-        {**listed("w", HERE), "health": "well"},
-        {**listed("v", HERE), "share": 10**400},
+        {**host_row("y", HERE), "dial": 3},
+        {**host_row("z", HERE), "block": "many"},
+        {**host_row("w", HERE), "health": "well"},
+        {**host_row("v", HERE), "share": 10**400},
     ]
-    found = read_list(list_update(3, listed("a", HERE), *wrong, listed("b", HERE)), strict=False)
+    found = read_list(list_update(3, host_row("a", HERE), *wrong, host_row("b", HERE)), strict=False)
     assert [entry.endpoint.id for entry in found.entries] == ["a", "b"]
     assert found.unread == ("x", "", "", "y", "z", "w", "v")
     for row in wrong:
         with pytest.raises((ValueError, OverflowError)):
-            read_list(list_update(3, listed("a", HERE), row))
+            read_list(list_update(3, host_row("a", HERE), row))
         with pytest.raises(EndpointListError):
             read_list(list_update(3, row), strict=False)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,7 +13,7 @@
 import time
 
 import pytest
-from nethelp import listed
+from nethelp import host_row
 
 from scalefall.net.config import read_config
 
@@ -245,7 +245,7 @@
 
 def test_an_endpoint_of_the_known_list_that_cannot_be_read_costs_itself(tmp_path):
     """The sender did not start."""
-    rows = [listed("fine", ("127.0.0.1", 1)), {"host": "torn"}, 7]
+    rows = [host_row("fine", ("127.0.0.1", 1)), {"host": "torn"}, 7]
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"known": {"seq": 1, "whole": True, "hosts": rows}}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert [entry.endpoint.id for entry in config.known.entries] == ["fine"]
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -56,7 +56,7 @@
     assert firm.world.now() <= firm.began + WINDOW
     assert (request.fields["x-request-id"], request.fields["idempotency-key"]) == ("m", "k")
     sock.send(http.answer(200, []))
-    firm.world.until(lambda: firm.owed() == [])
+    firm.world.wait_until(lambda: firm.owed() == [])
     assert not firm.posts
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import message_class, settings
-from nethelp import S, list_update, listed, reset
+from nethelp import S, host_row, list_update, reset
 from test_sender import Firm, play
 
 from scalefall.net import http
@@ -98,7 +98,7 @@
     play(firm, steps)
     firm.changes["classes"] = {"c": message_class("c", **after)}
     firm.known = read_list(
-        list_update(2, listed("e", firm.endpoint.address) | {"site": "b"})
+        list_update(2, host_row("e", firm.endpoint.address) | {"site": "b"})
     )  # another zone than before
     for _ in range(restarts - 1):  # what was read is written anew
         firm.start()
@@ -115,6 +115,6 @@
             sock, request = firm.call()
             assert request.fields["x-request-id"] == "m"
             sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, again)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,14 +5,14 @@
 import socket
 
 import pytest
-from nethelp import MS, S, World
+from nethelp import MS, S, VirtualTimeScheduler
 
 from scalefall.net import invariants
 from scalefall.net.scheduler import READ, READY, TIMED_OUT, Scheduler
 
 
 def test_a_pause_ends_by_the_socket_the_time_or_a_word_and_by_one_alone():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         near, far = socket.socketpair()
@@ -33,7 +33,7 @@
 
 
 def test_timers_run_in_order_of_time_and_then_of_their_making_and_can_be_called_off():
-    world, ran = World(), []
+    world, ran = VirtualTimeScheduler(), []
 
     def play():
         at = world.now()
@@ -72,7 +72,7 @@
 def test_a_signal_in_the_very_look_in_which_a_socket_is_ready_wakes_its_task_once():
     """It broke an invariant: the signal was heeded first, and the task that it woke was found once more by its socket.
     As SIGTERM in the moment in which a request comes to a resting connection."""
-    world, woken = World(), []
+    world, woken = VirtualTimeScheduler(), []
 
     def play():
         near, far = socket.socketpair()
@@ -104,7 +104,7 @@
 
 def test_timers_that_are_called_off_do_not_pile_up_and_hold_on_to_nothing():
     """Each pause with a time left its timer, and with it its task, until that time had come."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         kept = []
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, STREAM, Peer, S, World, chunk, list_update, listed, read
+from nethelp import MS, STREAM_HEAD, S, StubServer, VirtualTimeScheduler, chunk, host_row, list_update, read
 
 from scalefall.net import attempt_dispatcher, deadline_watch, http, sender_loop, streams
 from scalefall.net.config import Config
@@ -22,13 +22,13 @@
 
     def __init__(self, folder, kind="one", disk=3_000_000, host="127.0.0.1", admin=None, **changes):
         self.world, self.folder, self.disk, self.changes = (
-            World(),
+            VirtualTimeScheduler(),
             folder,
             disk,
             {"polls_endpoint_list": True} | changes,
         )
-        self.endpoint, self.platform = Peer(self.world, host), Peer(self.world)
-        self.known = read_list(list_update(1, listed("e", self.endpoint.address, kind=kind)))
+        self.endpoint, self.platform = StubServer(self.world, host), StubServer(self.world)
+        self.known = read_list(list_update(1, host_row("e", self.endpoint.address, kind=kind)))
         self.watch, self.posts, self.admin = None, [], admin
         self.start()
 
@@ -60,7 +60,7 @@
         request = self.platform.read(sock)
         if request.method == "GET":
             self.watch = sock
-            sock.send(STREAM + chunk(None))
+            sock.send(STREAM_HEAD + chunk(None))
             return True
         self.posts.append((sock, request))
         return False
@@ -127,7 +127,7 @@
         assert request.fields["x-request-id"] == "m"
         assert firm.sender.journal.pending["m"].in_flight
         sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, steps)
 
@@ -184,7 +184,7 @@
         sock.send(http.answer(500, []))
         assert firm.endpoint.read(sock).body == b"body"
         sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, steps)
 
@@ -196,7 +196,7 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
         assert firm.answer(firm.hand_in("m")).status == 202
         assert firm.owed() == []
         assert firm.answer(firm.hand_in("m", body=b"other")).status == 409
@@ -205,7 +205,7 @@
         firm.taken("n")
         sock, _ = firm.call()
         sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
         assert list(firm.sender.tracker.finished) == ["n"]
 
     play(firm, steps)
@@ -239,7 +239,7 @@
         firm.taken("f", cls="unsafe", deadline="2000m")
         firm.call()[0].close()
         assert firm.notices() == [{"id": "f", "state": "failed"}]
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, steps)
 
@@ -270,7 +270,7 @@
             assert request.fields["idempotency-key"] == "k"
             assert request.body == b"body"
             sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, again)
 
@@ -282,7 +282,7 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(500, []))
-        firm.world.until(lambda: not firm.sender.journal.pending["m"].in_flight)
+        firm.world.wait_until(lambda: not firm.sender.journal.pending["m"].in_flight)
         firm.die()
 
     play(firm, steps)
@@ -309,11 +309,11 @@
     names = [f"m{number}" for number in range(24)]
 
     def gone(health):
-        firm.watch.send(chunk(list_update(2, listed("e", firm.endpoint.address, health=health))))
+        firm.watch.send(chunk(list_update(2, host_row("e", firm.endpoint.address, health=health))))
 
     def steps():
         gone("terminating")  # so nothing goes out before the death
-        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
+        firm.world.wait_until(lambda: firm.sender.endpoint_list.seq == 2)
         for name in names:
             firm.sender.journal.record_accepted(owed(firm, name, cls))
             if ran:
@@ -358,13 +358,13 @@
         firm.taken("m")
         sock, _ = firm.call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
-        firm.world.until(lambda: not firm.sender.dispatcher.may_begin(entry))
+        firm.world.wait_until(lambda: not firm.sender.dispatcher.may_begin(entry))
         firm.sender.dispatcher.forget_expired_waits()  # this one has not expired
         assert not firm.sender.dispatcher.may_begin(entry)
         firm.world.sleep(600 * MS)
         assert firm.sender.dispatcher.may_begin(entry)
-        firm.watch.send(chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating"), whole=False)))
-        firm.world.until(lambda: "e" in firm.sender.endpoint_list.left_at)
+        firm.watch.send(chunk(list_update(2, host_row("e", firm.endpoint.address, health="terminating"), whole=False)))
+        firm.world.wait_until(lambda: "e" in firm.sender.endpoint_list.left_at)
         firm.world.sleep(900 * MS)
         assert not firm.sender.dispatcher.may_begin(entry)
 
@@ -397,7 +397,7 @@
         assert spans_sent == ["8000m", "5000m", "3000m"]
         rows = [{"id": row["id"], "state": "accepted"} for row in json.loads(request.body)]
         sock.send(http.answer(200, [], json.dumps(rows).encode()))
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, steps)
 
@@ -454,8 +454,8 @@
     """The module's timer and the sender's own came due in one look, and the sender's failed what may come again."""
 
     def steps():
-        firm.watch.send(chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating"), whole=False)))
-        firm.world.until(lambda: firm.sender.endpoint_list.seq == 2)
+        firm.watch.send(chunk(list_update(2, host_row("e", firm.endpoint.address, health="terminating"), whole=False)))
+        firm.world.wait_until(lambda: firm.sender.endpoint_list.seq == 2)
         firm.taken("m", deadline="4000m")
         if held_up:
             firm.world.clock += 10 * S
@@ -483,7 +483,7 @@
         firm.taken("m")
         _, call = firm.call()
         assert call.fields["x-request-id"] == "m"
-        firm.world.until(lambda: outcomes)
+        firm.world.wait_until(lambda: outcomes)
         assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", Outcome.NOT_SENT)
         assert counted == ["the module sends to endpoints that the list has"]
 
@@ -502,14 +502,14 @@
         late = firm.hand_in("late")
         assert firm.answer(late).status == 202
         sock.send(http.answer(200, []))
-        firm.world.until(lambda: firm.owed() == ["late"])
+        firm.world.wait_until(lambda: firm.owed() == ["late"])
         firm.world.sleep(60 * S)
         raise AssertionError(f"still running {firm.world.now() - began} later")
 
     firm.world.spawn(lambda: (firm.watched(), steps()))
     began = firm.world.now()
     firm.world.run()
-    assert firm.world.broken is None
+    assert firm.world.failure is None
     assert firm.world.now() - began < 4 * S
     assert firm.endpoint.accepted == 1
     assert firm.owed() == ["late"]
@@ -524,7 +524,7 @@
             firm.taken(name)
             sock, _ = firm.call()
             sock.send(http.answer(200, []))
-            firm.world.until(lambda: not firm.owed())
+            firm.world.wait_until(lambda: not firm.owed())
             sock.close()
         close, last = firm.sender.ingress.stop_listening, []
 
@@ -544,5 +544,5 @@
 
     firm.world.spawn(lambda: (firm.watched(), steps()))
     firm.world.run()
-    assert firm.world.broken is None
+    assert firm.world.failure is None
     assert firm.owed() == []
--- a/tests/test_sender_loop.py
+++ b/tests/test_sender_loop.py
@@ -2,7 +2,7 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, S, World
+from nethelp import MS, S, VirtualTimeScheduler
 
 from scalefall.net import sender_loop
 from scalefall.net.delivery_request import Accepted, DeliveryRequest, Rejected
@@ -72,7 +72,7 @@
 
 class Loop:
     def __init__(self):
-        self.world, self.engine = World(), Engine()
+        self.world, self.engine = VirtualTimeScheduler(), Engine()
         self.events = EventQueue(self.world, settings().tick_us)
         self.tracker = DeliveryTracker(self.world, 1 << 20)
         self.parts = Parts(self.tracker)
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import message_class
-from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
+from nethelp import MS, STREAM_HEAD, S, chunk, host_row, list_update, reset, resume_within_poll
 from test_journal import used_bytes
 from test_sender import Firm, owed, play
 
@@ -53,7 +53,7 @@
             sock = self.firm.platform.accept()
             request = self.firm.platform.read(sock)
             if request.method == "GET":
-                sock.send(STREAM + chunk(None))
+                sock.send(STREAM_HEAD + chunk(None))
                 continue
             self.notices |= {json.loads(line)["id"] for line in request.body.splitlines()}
             sock.send(http.answer(204, [], keep=False))
@@ -111,7 +111,7 @@
             firm.world.spawn(life)
             firm.world.run()
         assert over
-        assert firm.world.broken is None
+        assert firm.world.failure is None
         assert not others.taken or "m" in others.delivered | others.notices, f"record {number}: no end"
         assert cls != "unsafe" or len(others.calls) <= 1 + answers.count(503), f"record {number}: sent again"
         assert firm.owed() == []
@@ -137,7 +137,7 @@
     firm.sender.close = closed
     firm.world.spawn(whole)
     firm.world.run()
-    assert firm.world.broken is None
+    assert firm.world.failure is None
     return firm.world.now() - told[0] < 3300 * MS
 
 
@@ -190,7 +190,7 @@
     finally:
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
-    assert world.broken is None
+    assert world.failure is None
     assert firm.owed() == []
     assert world.now() - firm.sender.shutdown.started_at_us < 3300 * MS
 
@@ -236,7 +236,7 @@
         assert request.fields["x-request-id"] == "a"
         sock.send(http.answer(200, []))
         assert firm.notices() == [{"id": "b", "state": "failed"}]
-        firm.world.until(lambda: firm.owed() == [])
+        firm.world.wait_until(lambda: firm.owed() == [])
 
     play(firm, again)
 
@@ -285,15 +285,15 @@
     """Where the word came first it holds; where the break came first the next watch brings it."""
 
     def steps():
-        word = chunk(list_update(2, listed("e", firm.endpoint.address, health="terminating")))
-        woken(firm.world)
+        word = chunk(list_update(2, host_row("e", firm.endpoint.address, health="terminating")))
+        resume_within_poll(firm.world)
         if first == "the list":
             firm.watch.send(word)
         firm.watch.close()
         if first != "the list":
             firm.watched()
             firm.watch.send(word)
-        firm.world.until(lambda: "e" in firm.sender.endpoint_list.left_at)
+        firm.world.wait_until(lambda: "e" in firm.sender.endpoint_list.left_at)
 
     play(firm, steps)
 
@@ -302,7 +302,7 @@
     """Its request and its end lie there together as they are read."""
 
     def steps():
-        woken(firm.world)
+        resume_within_poll(firm.world)
         sock = firm.hand_in("gone")
         sock.shutdown(socket.SHUT_WR)
         sock.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -2,7 +2,7 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, S, World
+from nethelp import MS, S, VirtualTimeScheduler
 
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.shutdown import END_US, IDLE_END_US, LAST_ANSWERS_US, LINGER_US, NO_ATTEMPTS_US, Shutdown
@@ -24,7 +24,7 @@
 
 class Play:
     def __init__(self, **busy):
-        self.world = World()
+        self.world = VirtualTimeScheduler()
         self.parts = Parts(self.world)
         vars(self.parts).update(busy)
         self.open, self.heard = {}, []
@@ -49,7 +49,7 @@
             self.world.call_at(began + at_us, function)
         self.shutdown.start()
         self.world.run()
-        assert self.world.broken is None
+        assert self.world.failure is None
         return self.world.now() - began
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from nethelp import S, list_update, listed
+from nethelp import S, host_row, list_update
 from test_sender import Firm
 
 from scalefall.net import learned_rates
@@ -18,7 +18,7 @@
 
 
 def entry(firm, n, **more):
-    return listed(f"s-{n:08x}", address(firm, n), block=n, **more)
+    return host_row(f"s-{n:08x}", address(firm, n), block=n, **more)
 
 
 @pytest.mark.parametrize("indent", [None, 4])
@@ -35,7 +35,7 @@
         firm.watched()
         tell(list_update(2, *(entry(firm, n) for n in range(SIZE))))
         endpoint_list = firm.sender.endpoint_list
-        firm.world.until(lambda: endpoint_list.seq == 2)
+        firm.world.wait_until(lambda: endpoint_list.seq == 2)
         assert sum(e.endpoint.id.startswith("s-") for e in endpoint_list.entries.values()) == SIZE
         assert endpoint_list.unread == 0
         for n in (0, 511, SIZE - 1):
@@ -44,7 +44,7 @@
             assert (sock.getsockname(), call.fields["x-request-id"]) == (address(firm, n), f"m{n}")
             sock.close()
         tell(list_update(3, *(entry(firm, n, health="terminating") for n in range(SIZE) if n % 2), whole=False))
-        firm.world.until(lambda: endpoint_list.seq == 3)
+        firm.world.wait_until(lambda: endpoint_list.seq == 3)
         assert len(endpoint_list.left_at) == SIZE // 2 + 1  # and the one that the whole list no longer names
         firm.taken("odd", "even", dest=7)
         firm.taken("free", dest=8)
@@ -53,7 +53,7 @@
         for n in range(0, SIZE, 2):
             assert endpoint_list.serves(n)
         tell(list_update(4, *(entry(firm, n) for n in range(3))))
-        firm.world.until(lambda: endpoint_list.seq == 4)
+        firm.world.wait_until(lambda: endpoint_list.seq == 4)
         assert len(endpoint_list.left_at) == SIZE - 2
 
     firm.world.play(play)
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, Calls, Peer, S, World, closed
+from nethelp import MS, AttemptsHarness, S, StubServer, VirtualTimeScheduler, closed
 
 from scalefall.net.config import ConfigError
 from scalefall.net.delivery_request import Accepted, DeliveryRequest, NotServed, Rejected
@@ -38,7 +38,7 @@
 
 
 def test_what_goes_drains_at_once_and_is_gone_after_the_grace():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         endpoint_list, told = static_list(world, "a", "b")
@@ -55,7 +55,7 @@
 
 
 def test_what_comes_back_within_the_grace_stays():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         endpoint_list, told = static_list(world, "a", "b")
@@ -73,7 +73,7 @@
 
 
 def test_only_what_changed_is_told_and_a_new_limit_is_not_undone_by_what_went():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         endpoint_list, told = static_list(world, "a", "b")
@@ -105,7 +105,7 @@
 def hand_in(world, sender, name, cls="fee", dest=7, span=5 * S):
     transaction = DeliveryRequest(name, cls, dest, world.now() + span, None, b"body")
     sender.admission.submit(transaction)
-    world.until(lambda: transaction.admission is not None)
+    world.wait_until(lambda: transaction.admission is not None)
     return transaction.admission
 
 
@@ -117,7 +117,7 @@
 
 def reload(world, sender, read_again):
     sender.reload(read_again)
-    world.until(lambda: not sender.reloader.reloading)
+    world.wait_until(lambda: not sender.reloader.reloading)
 
 
 def started(world, tmp_path, *words):
@@ -127,10 +127,10 @@
 
 
 def test_a_sender_on_a_file_delivers_and_its_routes_carry_what_they_say(tmp_path):
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer = Peer(world)
+        peer = StubServer(world)
         sender = started(world, tmp_path, at(peer), 4, b"3s", b"classes fee")
         assert hand_in(world, sender, "m1") == Accepted()
         assert serve(world, peer, peer.accept()).fields["host"] == "{}:{}".format(*peer.address)
@@ -143,10 +143,10 @@
 
 
 def test_an_endpoint_that_the_file_no_longer_has_gets_nothing_fresh(tmp_path):
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        old, new = Peer(world), Peer(world)
+        old, new = StubServer(world), StubServer(world)
         sender = started(world, tmp_path, at(old), 4, b"3s", b"")
         hand_in(world, sender, "m1")
         out = old.accept()
@@ -166,10 +166,10 @@
 
 @pytest.mark.parametrize("error", ["site.scale:1:1: one\nsite.scale:2:1: two", "short"])
 def test_a_file_that_cannot_be_used_changes_nothing_and_every_error_is_logged(tmp_path, caplog, error):
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer = Peer(world)
+        peer = StubServer(world)
         sender = started(world, tmp_path, at(peer), 4, b"3s", b"")
         before = dict(sender.endpoint_list.entries), sender.routes.rules, sender.endpoint_list.seq
 
@@ -187,10 +187,10 @@
 
 
 def test_the_file_is_read_beside_the_sending_and_a_second_signal_meanwhile_reads_once_more(tmp_path):
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer = Peer(world)
+        peer = StubServer(world)
         sender = started(world, tmp_path, at(peer), 4, b"3s", b"")
         held, reads = threading.Event(), []
 
@@ -206,7 +206,7 @@
         assert sender.routes.rules[7].attempts == 4
         sender.reload(slow)
         held.set()
-        world.until(lambda: not sender.reloader.reloading)
+        world.wait_until(lambda: not sender.reloader.reloading)
         assert reads == [False, False]
         assert sender.routes.rules[7].attempts == 2
 
@@ -214,7 +214,7 @@
 
 
 def test_a_wait_is_never_told_longer_than_the_policy_says(tmp_path):
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         sender = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"100ms", b"")
@@ -225,12 +225,12 @@
 
 
 def test_without_a_reports_address_a_given_up_message_is_over_with_a_line_in_the_log(tmp_path, caplog):
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         sender = started(world, tmp_path, b"endpoint a { at 127.0.0.1:1 }", 4, b"3s", b"")
         assert hand_in(world, sender, "m1", span=2 * S) == Accepted()
-        world.until(lambda: not sender.tracker.open)
+        world.wait_until(lambda: not sender.tracker.open)
         assert not sender.journal.pending
 
     world.play(play)
@@ -240,7 +240,7 @@
 
 
 def test_a_thread_that_ends_early_wakes_nobody_by_mistake():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         for n in range(20):
@@ -258,11 +258,11 @@
 
 
 def test_a_pools_idle_close_goes_before_the_senders():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(idle_close_us=60 * S), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(idle_close_us=60 * S), peer.address)
         calls.entry = dataclasses.replace(calls.entry, idle_us=2 * S)
         calls.begin("m")
         sock, began = peer.accept(), world.now()
@@ -274,11 +274,11 @@
 
 
 def test_a_routes_dial_within_goes_before_the_default():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(dial_timeout_us=60 * S), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(dial_timeout_us=60 * S), peer.address)
         calls.entry = dataclasses.replace(calls.entry, dial_us=S // 2)
         full = [socket.socket() for _ in range(80)]  # the listener's queue is full: the dial goes unanswered
         for sock in full:
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -6,7 +6,7 @@
 
 import pytest
 from greenlet import getcurrent
-from nethelp import MS, STREAM, S, chunk, list_update, listed
+from nethelp import MS, STREAM_HEAD, S, chunk, host_row, list_update
 from test_sender import Firm
 
 from scalefall.net import http, list_watch
@@ -62,9 +62,9 @@
         return came
 
     def tell_change(self):
-        change = list_update(2, listed("f", self.firm.endpoint.address), whole=False)
-        self.call(STREAM + chunk(change))
-        self.world.until(lambda: "f" in self.list.entries)
+        change = list_update(2, host_row("f", self.firm.endpoint.address), whole=False)
+        self.call(STREAM_HEAD + chunk(change))
+        self.world.wait_until(lambda: "f" in self.list.entries)
 
 
 def unanswered(discovery):
@@ -98,7 +98,7 @@
 
     def play():
         discovery.firm.watched()
-        world.until(lambda: discovery.list._watch._heard_at_us > 0)
+        world.wait_until(lambda: discovery.list._watch._heard_at_us > 0)
         fell = world.now()
         if end == "closed":
             discovery.firm.watch.close()
@@ -142,7 +142,7 @@
 
     def play():
         discovery.firm.watched()
-        hosts = (listed(f"x{number}", discovery.firm.endpoint.address) for number in range(2000))
+        hosts = (host_row(f"x{number}", discovery.firm.endpoint.address) for number in range(2000))
         data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_WAIT]
         discovery.firm.send(discovery.firm.watch, data)
         world.sleep(MS)
