--- a/scalefall/net/admin.py
+++ b/scalefall/net/admin.py
@@ -1,7 +1,7 @@
-"""The operators' listener: an address of its own, HTTP/1.1, one call a connection, answered whatever the load.
+"""The admin server: serves operators' calls over HTTP/1.1 on an address of its own, one call per connection.
 
-A caller has a moment for its call. One that sends nothing, or half a call, is closed, and gives way to others when many
-are there. What a call means is decided in admin_state.py.
+It answers under any load of messages. A connection whose call is incomplete is closed after a time-out, and earlier if
+there are many of them. What a call means is decided in admin_state.py.
 """
 
 from __future__ import annotations
@@ -15,55 +15,55 @@
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
 
 SECOND = 1_000_000  # microseconds
-READ_US = 2 * SECOND  # from the start of a connection to the last byte of its call
-WRITE_US = SECOND  # until an answer that is not read is given up
-ACCEPT_RETRY_US = SECOND // 10  # after a failed accept, such as one for want of descriptors
-BACKLOG = 64  # connections in the listener's queue
-MAX_CALLERS = 16  # that have not sent a whole call, so that they take few of the sender's descriptors
-MAX_BODY_BYTES = 4096  # calls need no body
-REQUEST_TIMEOUT = 408
+READ_TIMEOUT_US = 2 * SECOND  # from the start of a connection to the last byte of its call
+WRITE_TIMEOUT_US = SECOND  # the time that a caller has to read its answer
+ACCEPT_RETRY_US = SECOND // 10  # wait after a failed accept, such as one for want of descriptors
+LISTEN_BACKLOG = 64  # connections in the listener's queue
+MAX_WAITING_CALLERS = 16  # connections with an incomplete call; bounds the descriptors that they take
+MAX_BODY_BYTES = 4096  # calls have no body that is used
+REQUEST_TIMEOUT_STATUS = 408
 
 
 class AdminServer:
-    """Listens for operators, reads each call and answers it."""
+    """Accepts operators' connections, reads each call and answers it."""
 
     def __init__(self, scheduler: Scheduler, handle_call: Callable[[str, str], int]) -> None:
-        """Set up without listening yet.
+        """Create the server; it does not listen yet.
 
         Args:
             scheduler: Runs the tasks.
-            handle_call: Carries out a call, given its method and target, and returns the status of its answer.
+            handle_call: Carries out a call, given its method and target, and returns the HTTP status of its answer.
         """
         self._scheduler = scheduler
         self._handle_call = handle_call
-        self._callers: dict[socket.socket, Task] = {}  # that have not sent a whole call yet, the first one in front
+        self._waiting: dict[socket.socket, Task] = {}  # connections with an incomplete call, oldest first
         self._listener: socket.socket | None = None
         self._accepting: Task | None = None
 
     @property
     def waiting_callers(self) -> int:
-        """How many callers have not sent a whole call yet."""
-        return len(self._callers)
+        """How many connections have sent no complete call yet."""
+        return len(self._waiting)
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Start to accept callers.
+        """Start to accept connections.
 
         Args:
-            address: Where; port 0 takes any that is free.
+            address: Where to listen; port 0 takes any free port.
 
         Returns:
-            The address that was taken.
+            The address, with the actual port.
 
         Raises:
-            OSError: The address cannot be taken.
+            OSError: The address cannot be listened on.
         """
-        self._listener = streams.listen(address, BACKLOG)
+        self._listener = streams.listen(address, LISTEN_BACKLOG)
         self._accepting = self._scheduler.spawn(self._accept)
         host, port = self._listener.getsockname()
         return host, port
 
     def close(self) -> None:
-        """Accept no more callers; those that are there may still end."""
+        """Stop accepting connections; open ones may still finish."""
         if self._listener is not None and self._accepting is not None:
             listener, self._listener = self._listener, None
             self._scheduler.wake(self._accepting, None)
@@ -78,39 +78,41 @@
             except BlockingIOError:
                 continue
             except OSError as error:
-                log.warning("cannot accept: %s", error)
+                log.warning("accepting an operator connection failed: %s; retrying in 100 ms", error)
                 self._scheduler.sleep(ACCEPT_RETRY_US)
                 continue
             sock.setblocking(False)
-            if len(self._callers) >= MAX_CALLERS:
-                self._scheduler.wake(next(iter(self._callers.values())), streams.Interrupted("others call"))
-            self._callers[sock] = self._scheduler.spawn(self._serve, sock)
+            if len(self._waiting) >= MAX_WAITING_CALLERS:
+                self._scheduler.wake(
+                    next(iter(self._waiting.values())), streams.Interrupted("evicted for a new connection")
+                )
+            self._waiting[sock] = self._scheduler.spawn(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
         try:
-            with contextlib.suppress(OSError):  # the caller has gone, or gave way to others
+            with contextlib.suppress(OSError):  # the caller disconnected, or was evicted
                 answer = self._answer(sock)
                 if answer:
-                    streams.send(self._scheduler, sock, answer, self._scheduler.now() + WRITE_US)
+                    streams.send(self._scheduler, sock, answer, self._scheduler.now() + WRITE_TIMEOUT_US)
         finally:
-            self._callers.pop(sock, None)
+            self._waiting.pop(sock, None)
             sock.close()
 
     def _answer(self, sock: socket.socket) -> bytes:
-        """Read a call and carry it out; the answer to it, none if the caller left before its call was complete."""
+        """Read a call, carry it out and return its answer; b"" if the caller disconnected before it was complete."""
         reader = http.RequestReader(MAX_BODY_BYTES)
-        until = self._scheduler.now() + READ_US
+        deadline_us = self._scheduler.now() + READ_TIMEOUT_US
         try:
             while not reader.complete:
-                data = streams.receive(self._scheduler, sock, until)
+                data = streams.receive(self._scheduler, sock, deadline_us)
                 if not data:
                     return b""
                 reader.feed(data)
         except http.MalformedMessage as error:
             return http.answer(error.status, [], f"{error}\n".encode(), keep=False)
         except streams.TimedOut:
-            return http.answer(REQUEST_TIMEOUT, [], b"the call took too long\n", keep=False)
-        del self._callers[sock]
+            return http.answer(REQUEST_TIMEOUT_STATUS, [], b"the call took too long\n", keep=False)
+        del self._waiting[sock]
         status = self._handle_call(reader.method, reader.target)
-        log.info("operators: %s %.200s: %d", reader.method, reader.target, status)
+        log.info("admin call: %s %.200s, answered %d", reader.method, reader.target, status)
         return http.answer(status, [], keep=False)
--- a/scalefall/net/ingress_server.py
+++ b/scalefall/net/ingress_server.py
@@ -1,4 +1,4 @@
-"""The platform's front: clients hand in messages over HTTP, one request each, and GET /healthz."""
+"""The ingress server: clients submit messages over HTTP/1.1, one in each request, and check GET /healthz."""
 
 from __future__ import annotations
 
@@ -15,393 +15,474 @@
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
 from scalefall.policy.settings import Idempotency, MessageClass
 
-SECOND = 1_000_000
-REQUEST_US = 2 * SECOND  # from a request's first byte to its last, and to a connection's first byte
-WRITE_US = 2 * SECOND  # an answer that is not read for so long is given up
-IDLE_US = 2050_000  # a connection with no request is closed after this
-SPARE_US = 2 * SECOND  # or after this, if room is wanted
-SILENT_US = SECOND // 4  # a silent one is closed after this if half of the room is taken
-YOUNG_US = SECOND // 20  # and one whose request is not all there yet is not closed for room before this
-WAIT_US = SECOND // 200  # until room is looked for again
-LINGER_US = SECOND // 2  # after the last answer, what still comes is read and dropped for so long
-MAX_LINGER_BYTES = 256 * 1024  # and so much of it
-BACKLOG, ACCEPTS = 512, 32  # in the listener's queue; accepted in a row before others have their turn
-LINES, LINES_US = 10, 10 * SECOND  # rejected requests that are logged one by one, in each such span
-UNREAD_US = 400_000  # a request may lie unread for as long as its client waits for an answer; its time runs,
-# and a start shows nothing of it on this process's clock: so much is kept back,
-UNREAD_PART, UNREAD_MOST = 20, 2  # or this part of its class's deadline; and this part of what is left at most
-LAG_STEPS, LAG_PART = 3, 10  # an end takes a turn, a notice and its answer: each may be late by as much as turns are
-UNITS = {"m": 1000, "u": 1}
+SECOND = 1_000_000  # microseconds
+REQUEST_TIMEOUT_US = 2 * SECOND  # from a request's first byte to its last; also for a new connection's first byte
+WRITE_TIMEOUT_US = 2 * SECOND  # the time that a client has to read an answer
+IDLE_TIMEOUT_US = 2050_000  # a connection that has been idle between requests for this long is closed
+LONG_IDLE_US = 2 * SECOND  # an idle connection is among the first to be evicted from this age on
+CROWDED_FIRST_BYTE_US = SECOND // 4  # with half of the places taken, one without a first byte is closed after this
+EVICTION_GRACE_US = SECOND // 20  # a connection whose request is incomplete is not evicted before this age
+EVICTION_RETRY_US = SECOND // 200  # wait before the next attempt to evict a connection, when none can be
+LINGER_US = SECOND // 2  # after the last answer, incoming bytes are read and dropped for at most this long
+MAX_LINGER_BYTES = 256 * 1024  # most bytes that are read and dropped after the last answer
+LISTEN_BACKLOG = 512  # connections in the listener's queue
+MAX_ACCEPTS_PER_STEP = 32  # connections accepted in a row before other tasks run
+MAX_LOGGED_REJECTIONS = 10  # rejected requests logged one by one in each window; the others are counted
+REJECTION_LOG_WINDOW_US = 10 * SECOND
+
+# The client's deadline runs while its request waits unread in the socket buffer. That wait is estimated and taken off
+# the time left. While the process starts, its clock shows nothing of the wait, so a minimum is always taken off.
+MAX_UNREAD_US = 400_000  # most time that is taken off for the wait
+MIN_UNREAD_DIVISOR = 20  # the minimum is the class's deadline divided by this
+MAX_UNREAD_DIVISOR = 2  # at most the time left divided by this is taken off
+
+# The end of a message takes an engine step, a delivery report and its answer; each may be as late as timers are.
+LAG_STEPS = 3
+MAX_LAG_DIVISOR = 10  # at most the time left divided by this is taken off for the lag
+
+MICROSECONDS_BY_UNIT = {"m": 1000, "u": 1}  # suffixes of X-Deadline
 DEADLINE = re.compile(r"(\d{1,12})(?:\.(\d{1,6})\d*)?([mu])\Z")
 ROUTE = re.compile(r"(?:^|[,;\s])dest=(\d{1,9})(?:[,;\s]|\Z)")
 WORD = re.compile(r"[!-~]{1,200}\Z")
 
 
-class State(IntEnum):
-    """Of a client's connection; the first of these are closed first when room is wanted."""
+class ConnectionState(IntEnum):
+    """State of a client's connection; also its eviction rank, lowest first."""
 
-    LEAVING = 0  # nothing more is said to it, and what still comes is dropped
-    SPARE = 1  # idle for so long that it may be closed (only as a rank)
-    SILENT = 2  # nothing has come yet
+    LINGERING = 0  # its last answer has been sent; incoming bytes are dropped
+    LONG_IDLE = 1  # idle for at least LONG_IDLE_US (only a rank)
+    AWAITING_FIRST_BYTE = 2  # no byte of its first request has come
     READING = 3  # part of a request has come
-    ONCE = 4  # idle, and has handed in one message at most (only as a rank)
-    YOUNG = 5  # new, or silent or reading for so short a time that it is given some more
+    IDLE_SINGLE_USE = 4  # idle, and has submitted at most one message (only a rank)
+    NEW = 5  # not served yet, or waiting or reading for less than EVICTION_GRACE_US; never evicted
     IDLE = 6  # a request has been answered, and nothing has come since
-    ASKING = 7  # a request is being answered
+    ANSWERING = 7  # a request is being answered; never evicted
 
 
 @dataclass(slots=True, eq=False)
-class Client:
-    """One connection of the client's side."""
+class ClientConnection:
+    """A connection from a client."""
 
     sock: socket.socket
     reader: http.RequestReader
-    since: int
+    since_us: int  # when it entered its state
     task: Task | None = None
-    state: State = State.YOUNG  # until its task has had a look
-    served: int = 0  # messages handed in
-    earliest_arrival_us: int = 0  # what is read next had not come before this
+    state: ConnectionState = ConnectionState.NEW  # until its task first runs
+    submitted_count: int = 0  # messages
+    earliest_arrival_us: int = 0  # the next bytes to be read cannot have arrived before this time
 
-    def turn(self, state: State, now: int) -> None:
-        self.state, self.since = state, now
+    def set_state(self, state: ConnectionState, now_us: int) -> None:
+        self.state, self.since_us = state, now_us
 
 
 def parse_delivery_request(
-    reader: http.RequestReader, classes: dict[str, MessageClass], began: int, unread: int = 0, lag: int = 0
+    reader: http.RequestReader, classes: dict[str, MessageClass], read_at_us: int, unread_us: int = 0, lag_us: int = 0
 ) -> DeliveryRequest:
-    """The request as a transaction; MalformedMessage says what it lacks, and with which status. Its first byte was
-    read at began and may have come so much earlier as unread says, and turns are late by lag, in microseconds."""
+    """Return the delivery request that an HTTP request carries, with its deadline on the scheduler's clock.
+
+    Args:
+        reader: Holds the complete HTTP request.
+        classes: The message classes by name.
+        read_at_us: When its first byte was read.
+        unread_us: How long that byte may have waited unread.
+        lag_us: How late the scheduler runs its timers.
+
+    Raises:
+        http.MalformedMessage: A header field is missing or invalid, or the path or method is unknown.
+    """
     path = re.sub(r"\Ahttp://[^/?]*", "", reader.target).partition("?")[0]
-    name = unquote(path).split("/")[1] if path.startswith("/") else ""
-    cls = classes.get(name)
-    if cls is None:
+    class_name = unquote(path).split("/")[1] if path.startswith("/") else ""
+    message_class = classes.get(class_name)
+    if message_class is None:
         raise http.MalformedMessage(404, "no such path or class")
     if reader.method != "POST":
         raise http.MalformedMessage(405, "only POST")
     fields = reader.fields
-    ident, key = fields.get("x-request-id", ""), fields.get("idempotency-key")
-    if not WORD.match(ident):
+    message_id, key = fields.get("x-request-id", ""), fields.get("idempotency-key")
+    if not WORD.match(message_id):
         raise http.MalformedMessage(400, "X-Request-Id is missing or not a word")
-    if not WORD.match("-" if key is None and cls.idempotency is not Idempotency.WITH_KEY else key or ""):
+    if not WORD.match("-" if key is None and message_class.idempotency is not Idempotency.WITH_KEY else key or ""):
         raise http.MalformedMessage(400, "Idempotency-Key is missing or not a word")
     deadline, route = DEADLINE.match(fields.get("x-deadline", "")), ROUTE.findall(fields.get("x-route-to", ""))
     if deadline is None:
         raise http.MalformedMessage(400, "X-Deadline is missing or not a time")
     if len(route) != 1:
         raise http.MalformedMessage(400, "X-Route-To does not name one dest")
-    left = min(int(float(f"{deadline[1]}.{deadline[2] or 0}") * UNITS[deadline[3]]), cls.deadline_us)
-    unread = min(UNREAD_US, left // UNREAD_MOST, max(unread, cls.deadline_us // UNREAD_PART))
-    left -= unread + min(left // LAG_PART, LAG_STEPS * lag)
-    return DeliveryRequest(ident, name, int(route[0]), began + left, key, bytes(reader.body))
-
-
-def encode_admission_result(verdict: AdmissionResult, keep: bool) -> bytes:
-    if isinstance(verdict, Accepted):
+    time_left_us = min(
+        int(float(f"{deadline[1]}.{deadline[2] or 0}") * MICROSECONDS_BY_UNIT[deadline[3]]), message_class.deadline_us
+    )
+    unread_us = min(
+        MAX_UNREAD_US,
+        time_left_us // MAX_UNREAD_DIVISOR,
+        max(unread_us, message_class.deadline_us // MIN_UNREAD_DIVISOR),
+    )
+    time_left_us -= unread_us + min(time_left_us // MAX_LAG_DIVISOR, LAG_STEPS * lag_us)
+    return DeliveryRequest(message_id, class_name, int(route[0]), read_at_us + time_left_us, key, bytes(reader.body))
+
+
+def encode_admission_result(result: AdmissionResult, keep: bool) -> bytes:
+    """Return the HTTP answer for an admission result; keep tells whether the connection stays open."""
+    if isinstance(result, Accepted):
         return http.answer(202, [], keep=keep)
-    if isinstance(verdict, GivenUp):
+    if isinstance(result, GivenUp):
         return http.answer(500, [], b"given up\n", keep)
-    if isinstance(verdict, Conflict):
+    if isinstance(result, Conflict):
         return http.answer(409, [], b"the id of another message that is open\n", keep)
-    if isinstance(verdict, NotServed):
+    if isinstance(result, NotServed):
         return http.answer(404, [], b"the route carries no messages of this class\n", keep)
-    seconds = f"{-(-verdict.retry_after_us // 1000) / 1000:.3f}"
-    fields = [("Retry-After", seconds)] if verdict.retry_after_us > 0 else []
-    return http.answer(503 if verdict.unavailable else 429, fields, keep=keep)
+    seconds = f"{-(-result.retry_after_us // 1000) / 1000:.3f}"
+    fields = [("Retry-After", seconds)] if result.retry_after_us > 0 else []
+    return http.answer(503 if result.unavailable else 429, fields, keep=keep)
 
 
 class IngressServer:
+    """Accepts clients' connections, reads requests one at a time and answers each with its admission result.
+
+    Attributes:
+        shutting_down: Whether the process is about to end.
+        draining: Whether operators are draining the sender.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
         classes: dict[str, MessageClass],
-        most: int,
-        offer: Callable[[DeliveryRequest], object],
+        max_clients: int,
+        submit: Callable[[DeliveryRequest], object],
         withdraw: Callable[[DeliveryRequest], object],
     ) -> None:
-        self._scheduler, self._classes, self._most = scheduler, classes, most
-        self._offer, self._withdraw = offer, withdraw
-        self._clients: dict[Client, None] = {}
+        self._scheduler, self._classes, self._max_clients = scheduler, classes, max_clients
+        self._submit, self._withdraw = submit, withdraw
+        self._clients: dict[ClientConnection, None] = {}
         self._listener: socket.socket | None = None
         self.shutting_down = self.draining = False
-        self._lines, self._unsaid, self._lines_until = 0, 0, 0
-        self._quiet_at = 0  # what waits in the listener's queue had not come before this
+        self._logged_rejections, self._unlogged_rejections, self._rejection_window_ends_us = 0, 0, 0
+        self._backlog_earliest_arrival_us = 0  # connections in the listener's queue cannot have arrived before this
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        self._listener = streams.listen(address, BACKLOG)
+        self._listener = streams.listen(address, LISTEN_BACKLOG)
         self._accepting = self._scheduler.spawn(self._accept)
         return self._listener.getsockname()
 
     def close_idle(self) -> None:
-        """The process ends soon: answer on, but each connection no further than its present request."""
+        """Prepare for the end of the process: close idle connections, and each other one after its current request."""
         self.shutting_down = True
-        self._drop_idle()
+        self._close_idle_connections()
 
     def drain(self, on: bool) -> None:
-        """The same while the operators empty the sender, until they say that it may be used again."""
+        """Start or stop draining: as close_idle() does, but operators can end it."""
         self.draining = on
         if on:
-            self._drop_idle()
+            self._close_idle_connections()
 
-    def _drop_idle(self) -> None:
-        """A request that has come to one in this very moment is still answered."""
-        for client in [client for client in self._clients if client.state is State.IDLE]:
-            self._scheduler.wake(client.task, streams.Interrupted("no longer wanted"))
+    def _close_idle_connections(self) -> None:
+        """Close idle connections; a request that has already arrived on one is still answered."""
+        for client in [client for client in self._clients if client.state is ConnectionState.IDLE]:
+            self._scheduler.wake(client.task, streams.Interrupted("idle connection closed"))
 
     def stop_listening(self) -> None:
-        """Whoever waits in the listener's queue is taken in first: closing it would reset them."""
+        """Close the listener, after accepting what is in its queue: closing it would reset these connections."""
         if self._listener is not None:
             listener, self._listener = self._listener, None
             self._scheduler.wake(self._accepting, None)
             try:
-                while len(self._clients) < self._most:
-                    self._welcome(listener.accept()[0])
+                while len(self._clients) < self._max_clients:
+                    self._add_client(listener.accept()[0])
             except OSError:
                 pass
             listener.close()
 
     def shut_down_connections(self) -> None:
-        """The process is over in a moment, and a socket that ends with bytes unread takes its last answer along."""
+        """End all connections before the process does.
+
+        A socket that is closed with bytes unread is reset, and an answer that its client has not read yet is lost.
+        """
         for client in self._clients:
             try:
                 client.sock.shutdown(socket.SHUT_WR)
             except OSError:
                 continue
-            left = MAX_LINGER_BYTES  # who floods must not hold up the end
-            while left > 0 and (data := _receive_now(client.sock)):
-                left -= len(data)
+            bytes_left = MAX_LINGER_BYTES  # a client that floods must not delay the end
+            while bytes_left > 0 and (data := _receive_available(client.sock)):
+                bytes_left -= len(data)
 
     @property
     def unavailable(self) -> bool:
+        """Whether the process is shutting down or draining."""
         return self.shutting_down or self.draining
 
     @property
     def answering(self) -> bool:
-        return any(client.state in (State.YOUNG, State.READING, State.ASKING) for client in self._clients)
+        """Whether any connection is new or has a request that is being read or answered."""
+        return any(
+            client.state in (ConnectionState.NEW, ConnectionState.READING, ConnectionState.ANSWERING)
+            for client in self._clients
+        )
 
     def _accept(self) -> None:
-        behind = False
+        backlogged = False  # the listener's queue has not been emptied
         while self._listener is not None:
             if self._scheduler.pause(None, self._listener, READ) is not READY or self._listener is None:
                 continue
-            self._quiet_at = self._quiet_at if behind else self._scheduler.earliest_arrival_us
-            behind = True
+            self._backlog_earliest_arrival_us = (
+                self._backlog_earliest_arrival_us if backlogged else self._scheduler.earliest_arrival_us
+            )
+            backlogged = True
             try:
-                for _ in range(ACCEPTS):
-                    if len(self._clients) >= self._most and not self._make_room():
-                        self._scheduler.sleep(WAIT_US)  # the others wait in the listener's queue
+                for _ in range(MAX_ACCEPTS_PER_STEP):
+                    if len(self._clients) >= self._max_clients and not self._evict_client():
+                        self._scheduler.sleep(EVICTION_RETRY_US)  # the others wait in the listener's queue
                         break
-                    self._welcome(self._listener.accept()[0])
-                    if self._crowded:
-                        self._make_room(State.SILENT)
-                    if len(self._clients) >= self._most:
-                        self._make_room()  # one place is free for whoever comes next
+                    self._add_client(self._listener.accept()[0])
+                    if self._is_half_full:
+                        self._evict_client(ConnectionState.AWAITING_FIRST_BYTE)
+                    if len(self._clients) >= self._max_clients:
+                        self._evict_client()  # leaves a place for the next connection
             except BlockingIOError:
-                behind = False
+                backlogged = False
             except OSError as error:
-                log.warning("cannot accept: %s", error)
+                log.warning("accepting a client connection failed: %s; retrying in 100 ms", error)
                 self._scheduler.sleep(SECOND // 10)
 
-    def _welcome(self, sock: socket.socket) -> None:
+    def _add_client(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Client(sock, http.RequestReader(), self._scheduler.now(), earliest_arrival_us=self._quiet_at)
+        client = ClientConnection(
+            sock,
+            http.RequestReader(),
+            self._scheduler.now(),
+            earliest_arrival_us=self._backlog_earliest_arrival_us,
+        )
         self._clients[client] = None
         client.task = self._scheduler.spawn(self._serve, client)
 
     @property
-    def _crowded(self) -> bool:
-        """Half of the places are taken. What stays open with no request takes room at the other side too, which may
-        have less: from here on connections end with their answer, and silent ones soon."""
-        return len(self._clients) >= self._most // 2
-
-    def _make_room(self, most: State = State.IDLE) -> bool:
-        """Close the connection that is missed least: those that keep asking go last, and none being answered."""
-        now = self._scheduler.now()
+    def _is_half_full(self) -> bool:
+        """Whether half of the places are taken.
+
+        An open connection without a request also takes a descriptor of its client, which may have fewer than the
+        sender. From here on connections end with their answer, and those without a first byte are closed early.
+        """
+        return len(self._clients) >= self._max_clients // 2
+
+    def _evict_client(self, max_rank: ConnectionState = ConnectionState.IDLE) -> bool:
+        """Close the connection with the lowest rank up to max_rank, and return whether there was one."""
+        now_us = self._scheduler.now()
         while True:
-            found = min(self._clients, key=lambda client: (self._rank(client, now), client.since), default=None)
-            rank = State.ASKING if found is None else self._rank(found, now)
+            client = min(
+                self._clients,
+                key=lambda candidate: (self._eviction_rank(candidate, now_us), candidate.since_us),
+                default=None,
+            )
+            rank = ConnectionState.ANSWERING if client is None else self._eviction_rank(client, now_us)
             if (
-                rank is State.YOUNG
-                or rank > most
-                or (most is State.SILENT and rank is most and now - found.since < SILENT_US)
+                rank is ConnectionState.NEW
+                or rank > max_rank
+                or (
+                    max_rank is ConnectionState.AWAITING_FIRST_BYTE
+                    and rank is max_rank
+                    and now_us - client.since_us < CROWDED_FIRST_BYTE_US
+                )
             ):
                 return False
-            if found.state is State.LEAVING or not _pending(found.sock):
-                self._drop(found)
+            if client.state is ConnectionState.LINGERING or not _has_unread_bytes(client.sock):
+                self._close(client)
                 return True
-            found.turn(State.READING, now)  # a request, or more of one, has come to it in this very moment
+            client.set_state(ConnectionState.READING, now_us)  # bytes of a request have arrived since its last read
 
     @staticmethod
-    def _rank(client: Client, now: int) -> State:
-        age = now - client.since
-        if client.state in (State.SILENT, State.READING) and age < YOUNG_US:
-            return State.YOUNG
-        if client.state is not State.IDLE:
+    def _eviction_rank(client: ClientConnection, now_us: int) -> ConnectionState:
+        age_us = now_us - client.since_us
+        if (
+            client.state in (ConnectionState.AWAITING_FIRST_BYTE, ConnectionState.READING)
+            and age_us < EVICTION_GRACE_US
+        ):
+            return ConnectionState.NEW
+        if client.state is not ConnectionState.IDLE:
             return client.state
-        return State.SPARE if age >= SPARE_US else State.IDLE if client.served > 1 else State.ONCE
-
-    def _drop(self, client: Client) -> None:
+        return (
+            ConnectionState.LONG_IDLE
+            if age_us >= LONG_IDLE_US
+            else ConnectionState.IDLE
+            if client.submitted_count > 1
+            else ConnectionState.IDLE_SINGLE_USE
+        )
+
+    def _close(self, client: ClientConnection) -> None:
         if client in self._clients:
             del self._clients[client]
-            self._scheduler.wake(client.task, streams.Interrupted("closed"))
+            self._scheduler.wake(client.task, streams.Interrupted("connection closed"))
             client.sock.close()
 
     # -- one client
 
-    def _serve(self, client: Client) -> None:
+    def _serve(self, client: ClientConnection) -> None:
         try:
-            while client in self._clients and self._one_request(client):
+            while client in self._clients and self._serve_request(client):
                 client.reader.begin_next()
-            self._leave(client)
+            self._linger(client)
         except http.MalformedMessage as error:
             if client in self._clients:
                 self._reject(client, error)
         except OSError:
-            pass  # gone; what it had not been told of has been withdrawn
+            pass  # the client has disconnected; a message without an answer has been withdrawn
         finally:
-            self._drop(client)
+            self._close(client)
 
-    def _one_request(self, client: Client) -> bool:
-        """Read and answer one request; whether the connection carries on."""
+    def _serve_request(self, client: ClientConnection) -> bool:
+        """Read and answer one request, and return whether the connection stays open."""
         reader = client.reader
-        began = self._read(client)
+        read_at_us = self._read_request(client)
         if not reader.complete:
             return False
-        client.turn(State.ASKING, self._scheduler.now())
-        self._alone(reader)
-        keep = reader.keep and not self.unavailable and not self._crowded
+        client.set_state(ConnectionState.ANSWERING, self._scheduler.now())
+        self._reject_pipelining(reader)
+        keep = reader.keep and not self.unavailable and not self._is_half_full
         if reader.target.partition("?")[0] == "/healthz":
-            ready = 503 if self.unavailable else 200
-            self._answer(client, http.answer(ready if reader.method in ("GET", "HEAD") else 405, [], keep=keep))
+            health = 503 if self.unavailable else 200
+            self._answer(client, http.answer(health if reader.method in ("GET", "HEAD") else 405, [], keep=keep))
         else:
-            transaction = parse_delivery_request(
-                reader, self._classes, began, began - client.earliest_arrival_us, self._scheduler.lag_us
+            request = parse_delivery_request(
+                reader, self._classes, read_at_us, read_at_us - client.earliest_arrival_us, self._scheduler.lag_us
             )
-            client.served += 1
-            self._hand_in(client, transaction)
-            keep = reader.keep and not self.unavailable and not self._crowded
+            client.submitted_count += 1
+            self._submit_request(client, request)
+            keep = reader.keep and not self.unavailable and not self._is_half_full
             try:
-                self._answer(client, encode_admission_result(transaction.admission, keep))
+                self._answer(client, encode_admission_result(request.admission, keep))
             except OSError:
-                self._withdraw(transaction)
+                self._withdraw(request)
                 raise
-        client.turn(State.IDLE, self._scheduler.now())
-        client.earliest_arrival_us = client.since
+        client.set_state(ConnectionState.IDLE, self._scheduler.now())
+        client.earliest_arrival_us = client.since_us
         return keep
 
     @staticmethod
-    def _alone(reader: http.RequestReader) -> None:
-        """Requests come one at a time: what comes behind one that has no answer yet shows a length that is wrong,
-        or hides another request, so neither is passed on. Line ends behind a body are passed over."""
+    def _reject_pipelining(reader: http.RequestReader) -> None:
+        """Raise MalformedMessage if bytes follow a request that has no answer yet.
+
+        They mean that its length is wrong, or hide a second request, so neither request is passed on. Line ends after
+        a body are ignored.
+        """
         if reader.unparsed.strip(b"\r\n"):
             raise http.MalformedMessage(400, "more than one request at a time")
         reader.unparsed.clear()
 
-    def _read(self, client: Client) -> int:
-        """Read one request; when its first byte came. Not complete if the connection ended before it did."""
-        reader, began = client.reader, self._scheduler.now()
-        asked, until = False, began + IDLE_US
-        if client.state is not State.IDLE:
-            client.turn(State.SILENT, began)
-            until = began + REQUEST_US
+    def _read_request(self, client: ClientConnection) -> int:
+        """Read one request, and return when its first byte was read.
+
+        The reader is not complete if the connection ended first.
+        """
+        reader, read_at_us = client.reader, self._scheduler.now()
+        answered_expect, deadline_us = False, read_at_us + IDLE_TIMEOUT_US
+        if client.state is not ConnectionState.IDLE:
+            client.set_state(ConnectionState.AWAITING_FIRST_BYTE, read_at_us)
+            deadline_us = read_at_us + REQUEST_TIMEOUT_US
         while not reader.complete:
-            poll_count, asked_at = self._scheduler.poll_count, self._scheduler.now()
+            poll_count, receive_began_us = self._scheduler.poll_count, self._scheduler.now()
             try:
-                data = streams.receive(self._scheduler, client.sock, until)
+                data = streams.receive(self._scheduler, client.sock, deadline_us)
             except streams.TimedOut:
                 if reader.begun:
                     raise http.MalformedMessage(408, "the request took too long") from None
-                data = _receive_now(client.sock)  # it may have come in this very moment
+                data = _receive_available(client.sock)  # bytes may have arrived since the last poll
             except streams.Interrupted:
-                data = _receive_now(client.sock) if client in self._clients and not reader.begun else b""
+                data = _receive_available(client.sock) if client in self._clients and not reader.begun else b""
             if not data:
-                return began
+                return read_at_us
             if not reader.begun:
-                began = self._scheduler.now()
-                if poll_count != self._scheduler.poll_count:  # nothing was there at first
-                    client.earliest_arrival_us = max(asked_at, self._scheduler.earliest_arrival_us)
-                until = min(until, began + REQUEST_US) if client.state is State.SILENT else began + REQUEST_US
-                client.turn(State.READING, began)
+                read_at_us = self._scheduler.now()
+                if poll_count != self._scheduler.poll_count:  # the socket was empty when the wait began
+                    client.earliest_arrival_us = max(receive_began_us, self._scheduler.earliest_arrival_us)
+                deadline_us = (
+                    min(deadline_us, read_at_us + REQUEST_TIMEOUT_US)
+                    if client.state is ConnectionState.AWAITING_FIRST_BYTE
+                    else read_at_us + REQUEST_TIMEOUT_US
+                )
+                client.set_state(ConnectionState.READING, read_at_us)
             reader.feed(data)
-            if reader.head_done and not reader.complete and not asked and "expect" in reader.fields:
-                asked = True
+            if reader.head_done and not reader.complete and not answered_expect and "expect" in reader.fields:
+                answered_expect = True
                 if reader.fields["expect"].lower() != "100-continue":
                     raise http.MalformedMessage(417, "unknown expectation")
                 self._answer(client, b"HTTP/1.1 100 Continue\r\n\r\n")
-        return began
-
-    def _hand_in(self, client: Client, transaction: DeliveryRequest) -> None:
-        """Offer it to the module and wait for its verdict; a client that goes meanwhile withdraws it."""
-        transaction.on_decided = lambda: self._scheduler.wake(client.task, None)
-        self._offer(transaction)
-        while transaction.admission is None:
-            why = self._scheduler.pause(None, client.sock, READ)
-            if why is READY and transaction.admission is None:
-                data = _receive_now(client.sock)
+        return read_at_us
+
+    def _submit_request(self, client: ClientConnection, request: DeliveryRequest) -> None:
+        """Submit a request and wait for its admission result; withdraw it if the client disconnects meanwhile."""
+        request.on_decided = lambda: self._scheduler.wake(client.task, None)
+        self._submit(request)
+        while request.admission is None:
+            reason = self._scheduler.pause(None, client.sock, READ)
+            if reason is READY and request.admission is None:
+                data = _receive_available(client.sock)
                 if data == b"":
-                    self._withdraw(transaction)
-                    raise ConnectionResetError("the client is gone")
+                    self._withdraw(request)
+                    raise ConnectionResetError("client disconnected before its answer")
                 client.reader.unparsed += data or b""
                 try:
-                    self._alone(client.reader)
+                    self._reject_pipelining(client.reader)
                 except http.MalformedMessage:
-                    self._withdraw(transaction)
+                    self._withdraw(request)
                     raise
 
-    def _answer(self, client: Client, data: bytes) -> None:
-        streams.send(self._scheduler, client.sock, data, self._scheduler.now() + WRITE_US)
+    def _answer(self, client: ClientConnection, data: bytes) -> None:
+        streams.send(self._scheduler, client.sock, data, self._scheduler.now() + WRITE_TIMEOUT_US)
 
-    def _reject(self, client: Client, error: http.MalformedMessage) -> None:
-        self._log(error)
-        client.turn(State.LEAVING, self._scheduler.now())
+    def _reject(self, client: ClientConnection, error: http.MalformedMessage) -> None:
+        self._log_rejection(error)
+        client.set_state(ConnectionState.LINGERING, self._scheduler.now())
         fields = [("Allow", "POST")] if error.status == 405 else []
         try:
             self._answer(client, http.answer(error.status, fields, f"{error}\n".encode(), keep=False))
         except OSError:
             return
-        self._leave(client)
-
-    def _leave(self, client: Client) -> None:
-        """End our sending, read and drop what still comes, and only then close: closing with bytes unread resets the
-        connection, and an answer that its client has not read yet is lost with it. Nothing that is read from here on
-        is taken on: its client has been told, or sees with no answer that it has to come again."""
-        client.turn(State.LEAVING, self._scheduler.now())
-        until, left = self._scheduler.now() + LINGER_US, MAX_LINGER_BYTES
+        self._linger(client)
+
+    def _linger(self, client: ClientConnection) -> None:
+        """Shut down the sending side, then read and drop incoming bytes before the connection is closed.
+
+        Closing with bytes unread resets the connection, and an answer that the client has not read yet is lost. A
+        request that is dropped here is not processed: its client gets no answer, and has to submit it again.
+        """
+        client.set_state(ConnectionState.LINGERING, self._scheduler.now())
+        deadline_us, bytes_left = self._scheduler.now() + LINGER_US, MAX_LINGER_BYTES
         try:
             client.sock.shutdown(socket.SHUT_WR)
-            while left > 0 and self._scheduler.now() < until:
-                data = streams.receive(self._scheduler, client.sock, until)
+            while bytes_left > 0 and self._scheduler.now() < deadline_us:
+                data = streams.receive(self._scheduler, client.sock, deadline_us)
                 if not data:
                     break
-                left -= len(data)
-                self._scheduler.sleep(0)  # who floods must not keep the others from their turn
+                bytes_left -= len(data)
+                self._scheduler.sleep(0)  # a client that floods must not starve other tasks
         except OSError:
             pass
 
-    def _log(self, error: http.MalformedMessage) -> None:
-        """The first ones line by line, then their number: a client that floods must not fill the log as well."""
-        now = self._scheduler.now()
-        if now >= self._lines_until:
-            if self._unsaid:
-                log.info("requests rejected: %d more", self._unsaid)
-            self._lines, self._unsaid, self._lines_until = 0, 0, now + LINES_US
-        self._lines += 1
-        if self._lines > LINES:
-            self._unsaid += 1
+    def _log_rejection(self, error: http.MalformedMessage) -> None:
+        """Log the first rejections of each window, and count the others: a client that floods must not fill the log."""
+        now_us = self._scheduler.now()
+        if now_us >= self._rejection_window_ends_us:
+            if self._unlogged_rejections:
+                log.info("requests rejected: %d more", self._unlogged_rejections)
+            self._logged_rejections, self._unlogged_rejections = 0, 0
+            self._rejection_window_ends_us = now_us + REJECTION_LOG_WINDOW_US
+        self._logged_rejections += 1
+        if self._logged_rejections > MAX_LOGGED_REJECTIONS:
+            self._unlogged_rejections += 1
         else:
             log.info("request rejected: %d %s", error.status, error)
 
 
-def _pending(sock: socket.socket) -> bool:
-    """Whether bytes have come that nobody has read."""
+def _has_unread_bytes(sock: socket.socket) -> bool:
+    """Return whether the socket has bytes to read."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
         return False
 
 
-def _receive_now(sock: socket.socket) -> bytes | None:
-    """What has come; none at the end of the stream; None if nothing has come after all."""
+def _receive_available(sock: socket.socket) -> bytes | None:
+    """Return what can be read at once: b"" at the end of the stream, None if there is nothing yet."""
     try:
         return sock.recv(streams.MAX_READ_BYTES)
     except BlockingIOError:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,7 +8,7 @@
 from test_sender import Firm
 
 from scalefall.net import http
-from scalefall.net.admin import MAX_CALLERS
+from scalefall.net.admin import MAX_WAITING_CALLERS
 from scalefall.net.admin_state import AdminAction, AdminCommand, AdminDecision, AdminState
 from scalefall.net.maintenance_store import MaintenanceStore
 
@@ -220,10 +220,10 @@
 
 def test_callers_that_send_nothing_or_half_a_call_keep_nobody_out(firm):
     def steps():
-        idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_CALLERS)]
+        idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_WAITING_CALLERS)]
         firm.world.sleep(10 * MS)
         assert call(firm, "GET", "/healthcheck") == 200
-        assert firm.sender.admin_server.waiting_callers <= MAX_CALLERS
+        assert firm.sender.admin_server.waiting_callers <= MAX_WAITING_CALLERS
         firm.world.sleep(3 * S)
         assert firm.sender.admin_server.waiting_callers == 0
         for sock in idle:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,6 @@
-"""Idle clients may take all the descriptors that they can get: discovery, endpoints and /healthz still have theirs.
+"""Idle clients that take all descriptors they can get leave enough for discovery, endpoints and /healthz.
 
-The program runs under the system's own limit, at the least number of sockets that the settings may name.
+The program runs under the system's descriptor limit, at the smallest number of sockets that the settings allow.
 """
 
 import json
@@ -14,7 +14,7 @@
 from test_program import EXAMPLE, LONG, Process, ask
 
 SOCKETS = 64
-IDLE = 200  # connections that want to be open: more than there are descriptors
+IDLE_CONNECTIONS = 200  # more than there are descriptors
 LIMITED = (
     f"import resource, runpy; resource.setrlimit(resource.RLIMIT_NOFILE, ({SOCKETS}, {SOCKETS}));"
     "runpy.run_module('scalefall', run_name='__main__')"
@@ -23,12 +23,11 @@
 
 
 class IdleClients:
-    """Keeps connections open that say nothing, ask for health once, or begin a request, and opens them anew when the
-    other side closes them."""
+    """Keeps connections open that send nothing, one health check or part of a request, and reopens those that close."""
 
     def __init__(self, address):
-        self.address, self.opened, self.more = address, 0, threading.Condition()
-        self.over, self.thread = threading.Event(), threading.Thread(target=self._keep, daemon=True)
+        self.address, self.opened, self.opened_more = address, 0, threading.Condition()
+        self.stopped, self.thread = threading.Event(), threading.Thread(target=self._keep, daemon=True)
         self.poll, self.sockets = select.poll(), {}
         self.thread.start()
 
@@ -37,34 +36,34 @@
         sock.sendall(REQUESTS[number % len(REQUESTS)])
         self.sockets[sock.fileno()] = number, sock
         self.poll.register(sock, select.POLLIN)
-        with self.more:
+        with self.opened_more:
             self.opened += 1
-            self.more.notify_all()
+            self.opened_more.notify_all()
 
     def _keep(self):
-        for number in range(IDLE):
+        for number in range(IDLE_CONNECTIONS):
             self._open(number)
-        while not self.over.is_set():
+        while not self.stopped.is_set():
             for fd, _ in self.poll.poll(100):
                 number, sock = self.sockets[fd]
-                if not _received(sock):
+                if not _receive(sock):
                     self.poll.unregister(fd)
                     del self.sockets[fd]
                     sock.close()
                     self._open(number)
 
     def until_opened(self, number):
-        with self.more:
-            assert self.more.wait_for(lambda: self.opened >= number, LONG)
+        with self.opened_more:
+            assert self.opened_more.wait_for(lambda: self.opened >= number, LONG)
 
     def end(self):
-        self.over.set()
+        self.stopped.set()
         self.thread.join(LONG)
         for _, sock in self.sockets.values():
             sock.close()
 
 
-def _received(sock):
+def _receive(sock):
     try:
         return sock.recv(4096)
     except OSError:
@@ -73,7 +72,7 @@
 
 @pytest.fixture
 def port():
-    """A free one for discovery, which nobody serves yet."""
+    """A free port for discovery, which nothing listens on yet."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return listener.getsockname()[1]
 
@@ -107,7 +106,7 @@
 
 def test_idle_clients_leave_discovery_endpoints_and_health_their_descriptors(sender, port, clients):
     sender.line("watch on the endpoint list broken")
-    clients.until_opened(2 * IDLE)  # each place has been fought for
+    clients.until_opened(2 * IDLE_CONNECTIONS)  # connections compete for each place
     toy = Process("example/toy_server.py", "--discovery", str(port), "--endpoints", "0", "0")
     try:
         toy.line("discovery at")
@@ -120,6 +119,6 @@
         clients.end()
         assert sender.end(signal.SIGTERM) == 0
         sender.line("ended:")
-        assert not [line for line in sender.seen if "cannot accept" in line or "Too many open files" in line]
+        assert not [line for line in sender.seen if "accepting a" in line or "Too many open files" in line]
     finally:
         toy.end()
--- a/tests/test_ingress_races.py
+++ b/tests/test_ingress_races.py
@@ -1,32 +1,32 @@
-"""Bytes that come in the very moment in which a client's connection is ended, in both orders, on real sockets."""
+"""Races between bytes that arrive and the close of their connection, in both orders, on real sockets."""
 
 import socket
 
 import pytest
 from nethelp import MS, S, closed, read, resume_within_poll
-from test_ingress_server import HEAD, Desk
+from test_ingress_server import HEAD, IngressHarness
 
 from scalefall.net import http
 from scalefall.net.delivery_request import Accepted
-from scalefall.net.ingress_server import IDLE_US, MAX_LINGER_BYTES, YOUNG_US
+from scalefall.net.ingress_server import EVICTION_GRACE_US, IDLE_TIMEOUT_US, MAX_LINGER_BYTES
 
-ENDS = {
-    "the process ends": lambda desk: desk.front.close_idle(),
-    "the operators drain it": lambda desk: desk.front.drain(True),
-    "it has rested for long": lambda desk: setattr(desk.world, "clock", desk.world.clock + IDLE_US + S),
+CLOSE_REASONS = {
+    "shutdown": lambda harness: harness.ingress.close_idle(),
+    "drain": lambda harness: harness.ingress.drain(True),
+    "idle time-out": lambda harness: setattr(harness.world, "clock", harness.world.clock + IDLE_TIMEOUT_US + S),
 }
 
 
-def resting(desk):
-    sock = desk.dial()
-    desk.ask(sock, X_Request_Id="first")
-    assert desk.answer(sock).status == 202
-    desk.world.sleep(MS)
+def idle_connection(harness):
+    sock = harness.dial()
+    harness.ask(sock, X_Request_Id="first")
+    assert harness.answer(sock).status == 202
+    harness.world.sleep(MS)
     return sock
 
 
-def ended_whole(sock):
-    """Its stream ended as it should, with no reset; what came before that."""
+def read_to_end(sock):
+    """Return what arrives before the end of the stream; fails if the connection is reset."""
     sock.setblocking(True)
     sock.settimeout(10)
     data = b""
@@ -35,147 +35,147 @@
     return data
 
 
-@pytest.mark.parametrize("why", ENDS)
-def test_a_request_that_has_come_as_its_resting_connection_is_ended_is_answered(why):
-    desk = Desk(verdict=Accepted())
+@pytest.mark.parametrize("reason", CLOSE_REASONS)
+def test_a_request_that_arrived_before_its_idle_connection_is_closed_is_answered(reason):
+    harness = IngressHarness(result=Accepted())
 
     def play():
-        sock = resting(desk)
-        resume_within_poll(desk.world)
-        desk.ask(sock, X_Request_Id="second")  # not read yet
-        ENDS[why](desk)
-        assert desk.answer(sock).status == 202
-        assert [one.id for one in desk.offered] == ["first", "second"]
-        assert not desk.withdrawn
+        sock = idle_connection(harness)
+        resume_within_poll(harness.world)
+        harness.ask(sock, X_Request_Id="second")  # not read yet
+        CLOSE_REASONS[reason](harness)
+        assert harness.answer(sock).status == 202
+        assert [one.id for one in harness.submitted] == ["first", "second"]
+        assert not harness.withdrawn
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-@pytest.mark.parametrize("why", ENDS)
-def test_a_request_that_comes_after_its_resting_connection_was_ended_is_never_taken_on(why):
-    """Its client sees the end with no answer, as it may between requests, and sends it once more, elsewhere."""
-    desk = Desk(verdict=Accepted())
+@pytest.mark.parametrize("reason", CLOSE_REASONS)
+def test_a_request_that_arrives_after_its_idle_connection_was_closed_is_never_submitted(reason):
+    """Its client sees the connection close without an answer, as it may between requests, and sends it elsewhere."""
+    harness = IngressHarness(result=Accepted())
 
     def play():
-        sock = resting(desk)
-        resume_within_poll(desk.world)
-        ENDS[why](desk)
-        desk.world.sleep(2 * MS)
-        for _ in range(3):  # more than one read takes
-            desk.ask(sock, X_Request_Id="second", body=b"x" * 60_000)
-            desk.world.sleep(MS)
+        sock = idle_connection(harness)
+        resume_within_poll(harness.world)
+        CLOSE_REASONS[reason](harness)
+        harness.world.sleep(2 * MS)
+        for _ in range(3):  # more than one read returns
+            harness.ask(sock, X_Request_Id="second", body=b"x" * 60_000)
+            harness.world.sleep(MS)
         sock.shutdown(socket.SHUT_WR)
-        desk.world.sleep(5 * MS)
-        assert ended_whole(sock) == b""
-        assert [one.id for one in desk.offered] == ["first"]
-        assert not desk.front._clients
+        harness.world.sleep(5 * MS)
+        assert read_to_end(sock) == b""
+        assert [one.id for one in harness.submitted] == ["first"]
+        assert not harness.ingress._clients
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-@pytest.mark.parametrize("behind", [b"", b"P", b"POST /safe HTTP/1.1\r\nX-Request-Id: second\r\n", b"x" * 100_000])
-def test_what_comes_behind_a_request_does_not_take_its_last_answer_along(behind):
-    """A close with these bytes unread reset the connection, and an answer on its way was lost with it."""
-    desk = Desk()
+@pytest.mark.parametrize("trailing", [b"", b"P", b"POST /safe HTTP/1.1\r\nX-Request-Id: second\r\n", b"x" * 100_000])
+def test_bytes_after_a_request_do_not_lose_its_answer(trailing):
+    """Closing with these bytes unread reset the connection, and an answer on its way was lost with it."""
+    harness = IngressHarness()
 
     def play():
-        sock = desk.dial()
-        desk.ask(sock)
-        desk.world.wait_until(lambda: desk.offered)
-        desk.front.close_idle()
-        resume_within_poll(desk.world)
-        desk.offered[0].decide(Accepted())  # the client's task is woken, and goes on in this very turn
-        sock.send(behind)
-        desk.world.sleep(10 * MS)
+        sock = harness.dial()
+        harness.ask(sock)
+        harness.world.wait_until(lambda: harness.submitted)
+        harness.ingress.close_idle()
+        resume_within_poll(harness.world)
+        harness.submitted[0].decide(Accepted())  # the client's task resumes in this same step
+        sock.send(trailing)
+        harness.world.sleep(10 * MS)
         sock.shutdown(socket.SHUT_WR)
-        desk.world.sleep(10 * MS)
+        harness.world.sleep(10 * MS)
         reader = http.AnswerReader()
-        reader.feed(ended_whole(sock))
-        assert (reader.status, reader.keep, len(desk.offered)) == (202, False, 1)
-        assert not desk.withdrawn
+        reader.feed(read_to_end(sock))
+        assert (reader.status, reader.keep, len(harness.submitted)) == (202, False, 1)
+        assert not harness.withdrawn
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-def test_a_client_that_never_closes_is_closed_in_the_end():
-    desk = Desk(verdict=Accepted())
+def test_a_client_that_does_not_close_is_closed_after_the_linger_time():
+    harness = IngressHarness(result=Accepted())
 
     def play():
-        sock = resting(desk)
-        desk.front.close_idle()
-        assert closed(desk.world, sock)
-        desk.world.sleep(S)
-        assert not desk.front._clients
+        sock = idle_connection(harness)
+        harness.ingress.close_idle()
+        assert closed(harness.world, sock)
+        harness.world.sleep(S)
+        assert not harness.ingress._clients
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-@pytest.mark.parametrize("rest", [False, True])
-def test_who_waits_in_the_listeners_queue_as_it_closes_is_answered(rest):
-    desk = Desk(verdict=Accepted())
+@pytest.mark.parametrize("late", [False, True])
+def test_a_connection_in_the_listeners_queue_at_its_close_is_served(late):
+    harness = IngressHarness(result=Accepted())
 
     def play():
-        resume_within_poll(desk.world)  # nobody accepts before the listener closes
-        sock = desk.dial()
-        if not rest:
-            desk.ask(sock)
-        desk.front.close_idle()
-        desk.front.stop_listening()
-        if rest:  # its request comes after
-            desk.world.sleep(MS)
-            desk.ask(sock)
-        assert desk.answer(sock).status == 202
-        assert len(desk.offered) == 1
+        resume_within_poll(harness.world)  # the connection is not accepted before the listener closes
+        sock = harness.dial()
+        if not late:
+            harness.ask(sock)
+        harness.ingress.close_idle()
+        harness.ingress.stop_listening()
+        if late:  # its request arrives after the close
+            harness.world.sleep(MS)
+            harness.ask(sock)
+        assert harness.answer(sock).status == 202
+        assert len(harness.submitted) == 1
         with pytest.raises(ConnectionRefusedError):
-            socket.create_connection(desk.address)
+            socket.create_connection(harness.address)
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-def test_at_the_end_of_the_process_what_was_answered_arrives_whole():
-    desk = Desk(verdict=Accepted())
+def test_answers_arrive_in_full_when_the_process_ends():
+    harness = IngressHarness(result=Accepted())
 
     def play():
-        sock = desk.dial()
-        desk.ask(sock)
-        reader = read(desk.world, sock, http.AnswerReader())
-        resume_within_poll(desk.world)
+        sock = harness.dial()
+        harness.ask(sock)
+        reader = read(harness.world, sock, http.AnswerReader())
+        resume_within_poll(harness.world)
         sock.send(b"half a request")
-        desk.front.shut_down_connections()
-        for client in list(desk.front._clients):  # as the end of the process does
-            desk.front._drop(client)
+        harness.ingress.shut_down_connections()
+        for client in list(harness.ingress._clients):  # as the end of the process does
+            harness.ingress._close(client)
         assert reader.status == 202
-        assert ended_whole(sock) == b""
+        assert read_to_end(sock) == b""
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-@pytest.mark.parametrize("asks", [False, True])
-def test_room_is_not_made_by_ending_a_connection_to_which_a_request_has_come(asks):
-    desk = Desk(most=4, verdict=Accepted())
-    desk.front._most = 8  # not crowded while they come
+@pytest.mark.parametrize("has_request", [False, True])
+def test_an_idle_connection_with_an_unread_request_is_not_evicted(has_request):
+    harness = IngressHarness(max_clients=4, result=Accepted())
+    harness.ingress._max_clients = 8  # less than half full while they connect
     socks = []
 
     def play():
-        socks.extend(resting(desk) for _ in range(3))
-        desk.front._most = 3
-        resume_within_poll(desk.world)
-        if asks:
-            desk.ask(socks[0], X_Request_Id="second")
-        assert desk.front._make_room()
-        assert desk.answer(socks[0]).status == 202 if asks else closed(desk.world, socks[0])
-        assert len(desk.front._clients) == 2
+        socks.extend(idle_connection(harness) for _ in range(3))
+        harness.ingress._max_clients = 3
+        resume_within_poll(harness.world)
+        if has_request:
+            harness.ask(socks[0], X_Request_Id="second")
+        assert harness.ingress._evict_client()
+        assert harness.answer(socks[0]).status == 202 if has_request else closed(harness.world, socks[0])
+        assert len(harness.ingress._clients) == 2
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-def test_who_floods_does_not_hold_up_the_end_of_the_process():
-    desk = Desk(verdict=Accepted())
+def test_a_client_that_floods_does_not_delay_the_end_of_the_process():
+    harness = IngressHarness(result=Accepted())
 
-    class Endless:
-        """A client's side that is never read empty."""
+    class EndlessSocket:
+        """A socket that always has more bytes to read."""
 
-        read = 0
+        bytes_read = 0
 
         def __init__(self, sock):
             self.sock = sock
@@ -184,58 +184,58 @@
             return getattr(self.sock, name)
 
         def recv(self, size, *flags):
-            self.read += size
-            assert self.read < 100 * MAX_LINGER_BYTES, "read for good"
+            self.bytes_read += size
+            assert self.bytes_read < 100 * MAX_LINGER_BYTES, "reads without a limit"
             return b"x" * size
 
     def play():
-        resting(desk)
-        (client,) = desk.front._clients
-        client.sock = Endless(client.sock)
-        desk.front.shut_down_connections()
-        assert client.sock.read >= MAX_LINGER_BYTES
+        idle_connection(harness)
+        (client,) = harness.ingress._clients
+        client.sock = EndlessSocket(client.sock)
+        harness.ingress.shut_down_connections()
+        assert client.sock.bytes_read >= MAX_LINGER_BYTES
         client.sock = client.sock.sock
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
 @pytest.mark.parametrize("begun", [b"", b"POST /safe HTTP/1.1\r\n"])
-def test_room_is_not_made_by_ending_a_connection_whose_request_is_whole_but_not_read(begun):
-    """New, or with half a request read, for longer than the young are spared; the rest has come in this very moment.
-    A connection that is ended with no answer once its request has been written has lost it."""
-    desk = Desk(most=4, verdict=Accepted())
+def test_a_connection_whose_request_is_complete_but_unread_is_not_evicted(begun):
+    """The grace period has passed with no byte or half a request read, and then the rest arrives. A connection that is
+    closed without an answer once its request has been written loses that request."""
+    harness = IngressHarness(max_clients=4, result=Accepted())
 
     def play():
-        sock = desk.dial()
+        sock = harness.dial()
         sock.send(begun)
-        desk.world.sleep(2 * YOUNG_US)
-        resume_within_poll(desk.world)
-        whole = http.request("POST", "/safe", "s", list(HEAD.items()), b"body")
-        sock.send(whole[len(begun) :])
-        assert not desk.front._make_room()
-        assert desk.answer(sock).status == 202
+        harness.world.sleep(2 * EVICTION_GRACE_US)
+        resume_within_poll(harness.world)
+        complete = http.request("POST", "/safe", "s", list(HEAD.items()), b"body")
+        sock.send(complete[len(begun) :])
+        assert not harness.ingress._evict_client()
+        assert harness.answer(sock).status == 202
 
-    desk.world.play(play)
+    harness.world.play(play)
 
 
-@pytest.mark.parametrize("leaves", ["before its verdict", "with it", "after its answer"])
-def test_a_client_that_leaves_about_the_turn_of_its_verdict(leaves):
-    """Before its verdict it takes its message back; with an answer written or on its way it is owed."""
-    desk = Desk()
+@pytest.mark.parametrize("closes", ["before its result", "with it", "after its answer"])
+def test_a_message_is_withdrawn_only_if_its_client_disconnects_before_its_result(closes):
+    """Once an answer has been written or is on its way, the sender is responsible for the message."""
+    harness = IngressHarness()
 
     def play():
-        sock = desk.dial()
-        desk.ask(sock)
-        desk.world.wait_until(lambda: desk.offered)
-        resume_within_poll(desk.world)
-        if leaves == "before its verdict":
+        sock = harness.dial()
+        harness.ask(sock)
+        harness.world.wait_until(lambda: harness.submitted)
+        resume_within_poll(harness.world)
+        if closes == "before its result":
             sock.close()
-            desk.world.sleep(MS)
-        desk.offered[0].decide(Accepted())
-        if leaves == "after its answer":
-            desk.world.sleep(MS)
+            harness.world.sleep(MS)
+        harness.submitted[0].decide(Accepted())
+        if closes == "after its answer":
+            harness.world.sleep(MS)
         sock.close()
-        desk.world.sleep(MS)
-        assert desk.withdrawn == (desk.offered if leaves == "before its verdict" else [])
+        harness.world.sleep(MS)
+        assert harness.withdrawn == (harness.submitted if closes == "before its result" else [])
 
-    desk.world.play(play)
+    harness.world.play(play)
