--- a/scalefall/net/deadline_watch.py
+++ b/scalefall/net/deadline_watch.py
@@ -52,7 +52,7 @@
 
     def _set_timer(self, due_us: int) -> None:
         """Have the timer fire for this deadline, unless it fires for an earlier one."""
-        if self._timer is None or due_us + OVERDUE_US < self._timer.at:
+        if self._timer is None or due_us + OVERDUE_US < self._timer.at_us:
             if self._timer is not None:
                 self._timer.cancel()
             self._timer = self._scheduler.call_at(due_us + OVERDUE_US, self._fail_overdue)
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -1,4 +1,7 @@
-"""Greenlets over select.poll: tasks, pauses and timers. Times are whole microseconds of the monotonic clock."""
+"""Event loop of greenlets over select.poll: tasks, pauses, timers and signals.
+
+Times are integer microseconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -19,33 +22,34 @@
 from scalefall.net.logs import log
 
 READ, WRITE = select.POLLIN, select.POLLOUT
-THREAD_DONE = 255  # a byte to the waker that is no signal's number
-LAG_LEAST_US = 10_000  # what is late by less is not counted
-LAG_FALLS = 10  # what was late falls by a tenth of the time that passes
-LOOK_US = 1000  # a look that took less found what it found at once: it had come since the look before
-MOST_IDLE_TIMERS = 256  # that were called off and still have a place in the order
-READY, TIMED_OUT = "ready", "time up"  # why a pause ended, where nobody woke it with a value
+THREAD_DONE = 255  # written to the wake-up socket when a thread ends; no signal has this number
+MIN_LAG_US = 10_000  # a timer that runs late by no more than this does not count as lag
+LAG_DECAY_DIVISOR = 10  # the lag decays by the time that passes, divided by this
+IMMEDIATE_POLL_US = 1000  # a poll that returned within this had its results ready: they arrived after the previous poll
+MAX_CANCELLED_TIMERS = 256  # cancelled timers that may stay in the heap
+READY = "ready"  # result of a pause: its socket is ready
+TIMED_OUT = "time up"  # result of a pause: its time is up
 
 
 class Timer:
-    """A function called once at its time, unless it is called off; it runs in the loop and must not pause."""
+    """Calls a function once at a time unless it is cancelled; the function runs in the loop and must not pause."""
 
-    __slots__ = ("at", "function", "args", "off")
+    __slots__ = ("at_us", "function", "args", "on_cancel")
 
-    def __init__(self, at: int, function: Callable[..., object], args: tuple[Any, ...]) -> None:
-        self.at, self.function, self.args = at, function, args
-        self.off: Callable[[], object] | None = None
+    def __init__(self, at_us: int, function: Callable[..., object], args: tuple[Any, ...]) -> None:
+        self.at_us, self.function, self.args = at_us, function, args
+        self.on_cancel: Callable[[], object] | None = None
 
     def cancel(self) -> None:
-        """It holds on to nothing from now on; its place in the scheduler's order goes later."""
-        pending, off = self.function is not None, self.off
-        self.function, self.args, self.off = None, (), None
-        if pending and off is not None:
-            off()
+        """Release the function and its arguments at once; the scheduler removes the timer from its heap later."""
+        pending, on_cancel = self.function is not None, self.on_cancel
+        self.function, self.args, self.on_cancel = None, (), None
+        if pending and on_cancel is not None:
+            on_cancel()
 
 
 class Task(greenlet):
-    """One greenlet; while it pauses it may wait for a file descriptor, a time and a word from others."""
+    """A greenlet. While paused it may wait for a file descriptor, a time, and a value from another task."""
 
     fd = -1
     timer: Timer | None = None
@@ -57,18 +61,17 @@
         self._poll, self._tasks_by_fd = select.poll(), {}
         self._ready: deque[tuple[Task, Any]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._order, self._running, self._idle_timers = count(), False, 0
-        self._late, self._late_at = 0, 0
-        self.poll_count = 0  # how often the sockets have been looked at
-        self.earliest_arrival_us = self._polled_at = (
-            0  # what is found ready now had not come before this; the last look
-        )
+        self._timer_numbers, self._running, self._cancelled_timers = count(), False, 0
+        self._measured_lag_us, self._lag_measured_at_us = 0, 0
+        self.poll_count = 0  # polls of the sockets so far
+        # What the last poll found cannot have arrived before the first of these; the poll returned at the second.
+        self.earliest_arrival_us = self._polled_at_us = 0
         self._wakeup_receiver, self._wakeup_sender = socket.socketpair()
         self._wakeup_receiver.setblocking(False)
         self._wakeup_sender.setblocking(False)
         self._poll.register(self._wakeup_receiver, READ)
         self._signals: dict[int, Callable[[], object]] = {}
-        self._in_threads: list[tuple[Task, list[Any]]] = []
+        self._thread_calls: list[tuple[Task, list[Any]]] = []
 
     def now(self) -> int:
         return time.monotonic_ns() // 1000
@@ -80,57 +83,63 @@
 
     @property
     def lag_us(self) -> int:
-        """By how much what was to happen has been late of late, in microseconds: turns that took long, or a processor
-        that others have."""
-        return max(0, self._late - (self.now() - self._late_at) // LAG_FALLS)
+        """How late timers have recently run, in microseconds, because of long steps or a lack of processor time."""
+        return max(0, self._measured_lag_us - (self.now() - self._lag_measured_at_us) // LAG_DECAY_DIVISOR)
 
     def spawn(self, function: Callable[..., object], *args: Any) -> Task:
-        task = Task(self._guarded, self._loop)
+        task = Task(self._run_task, self._loop)
         self._ready.append((task, (function, args)))
         return task
 
-    def _guarded(self, start: tuple[Callable[..., object], tuple[Any, ...]]) -> None:
-        """A task that fails ends alone: nothing that comes in over a socket may end the program."""
+    def _run_task(self, start: tuple[Callable[..., object], tuple[Any, ...]]) -> None:
+        """Run a task's function; an exception ends this task alone, as no input may end the program."""
         function, args = start
         try:
             function(*args)
         except Exception:
             self.log_failure("task", function)
 
-    def log_failure(self, what: str, function: Callable[..., object]) -> None:
-        """Called while the exception is handled."""
-        log.exception("%s %s failed", what, getattr(function, "__qualname__", function))
+    def log_failure(self, kind: str, function: Callable[..., object]) -> None:
+        """Log an unhandled exception of a task, timer or signal handler; call it while the exception is handled."""
+        log.exception("unhandled exception in %s %s", kind, getattr(function, "__qualname__", function))
 
-    def call_at(self, at: int, function: Callable[..., object], *args: Any) -> Timer:
-        timer = Timer(at, function, args)
-        timer.off = self._called_off
-        heapq.heappush(self._timers, (at, next(self._order), timer))
+    def call_at(self, at_us: int, function: Callable[..., object], *args: Any) -> Timer:
+        timer = Timer(at_us, function, args)
+        timer.on_cancel = self._count_cancelled_timer
+        heapq.heappush(self._timers, (at_us, next(self._timer_numbers), timer))
         return timer
 
-    def _called_off(self) -> None:
-        """Most timers are called off long before their time: without this they would pile up until then."""
-        self._idle_timers += 1
-        if self._idle_timers > MOST_IDLE_TIMERS and 2 * self._idle_timers > len(self._timers):
+    def _count_cancelled_timer(self) -> None:
+        """Count a cancelled timer, and remove all of them once they are many.
+
+        Most timers are cancelled long before their time, and would stay in the heap until then.
+        """
+        self._cancelled_timers += 1
+        if self._cancelled_timers > MAX_CANCELLED_TIMERS and 2 * self._cancelled_timers > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].function is not None]
             heapq.heapify(self._timers)
-            self._idle_timers = 0
+            self._cancelled_timers = 0
 
-    def pause(self, until: int | None = None, sock: socket.socket | None = None, mask: int = 0) -> Any:
-        """Lay the running task aside until the socket is ready, the time is up or somebody wakes it."""
+    def pause(self, deadline_us: int | None = None, sock: socket.socket | None = None, mask: int = 0) -> Any:
+        """Pause the running task until the socket is ready, the deadline passes or wake() is called.
+
+        Returns:
+            READY, TIMED_OUT, or the value given to wake().
+        """
         task = getcurrent()
         assert_invariant(isinstance(task, Task) and not task.paused, "only a running task pauses")
         task.paused = True
         if sock is not None:
             task.fd = sock.fileno()
-            assert_invariant(task.fd not in self._tasks_by_fd, "one task waits for a socket")
+            assert_invariant(task.fd not in self._tasks_by_fd, "only one task waits for a socket")
             self._tasks_by_fd[task.fd] = task
             self._poll.register(task.fd, mask)
-        if until is not None:
-            task.timer = self.call_at(until, self.wake, task, TIMED_OUT)
+        if deadline_us is not None:
+            task.timer = self.call_at(deadline_us, self.wake, task, TIMED_OUT)
         return self._loop.switch()
 
     def wake(self, task: Task, value: Any = None) -> bool:
-        """End a task's pause with a value; False if it does not pause (or was woken before)."""
+        """Resume a paused task with a value, and return whether it was paused."""
         if not task.paused:
             return False
         task.paused = False
@@ -144,18 +153,20 @@
         self._ready.append((task, value))
         return True
 
-    def sleep(self, span: int) -> Any:
-        return self.pause(self.now() + span)
+    def sleep(self, duration_us: int) -> Any:
+        return self.pause(self.now() + duration_us)
 
     def on_signal(self, number: int, function: Callable[[], object]) -> None:
-        """Call function from the loop, never in the middle of other code, when the signal comes."""
+        """Have the loop call a function for each signal with this number, between two tasks."""
         self._signals[number] = function
         signal.set_wakeup_fd(self._wakeup_sender.fileno(), warn_on_full_buffer=False)
         signal.signal(number, lambda *_: None)
 
     def in_thread(self, function: Callable[..., Any], *args: Any) -> Any:
-        """Call a function that takes long beside the loop, while the calling task pauses; what it raises comes here.
-        The function must not touch anything that the loop's tasks use."""
+        """Run a blocking function in a thread while the calling task pauses; return its result or raise its exception.
+
+        The function must not use anything that the loop's tasks use.
+        """
         task, done = getcurrent(), []
 
         def work() -> None:
@@ -165,23 +176,23 @@
                 done.append((None, error))
             self._wakeup_sender.send(bytes([THREAD_DONE]))
 
-        self._in_threads.append((task, done))
+        self._thread_calls.append((task, done))
         threading.Thread(target=work, daemon=True).start()
         while not done:
             self.pause()
-        self._in_threads.remove((task, done))
+        self._thread_calls.remove((task, done))
         result, error = done[0]
         if error is not None:
             raise error
         return result
 
-    def _threads_done(self) -> None:
-        for task, done in self._in_threads:
+    def _wake_finished_thread_calls(self) -> None:
+        for task, done in self._thread_calls:
             if done:
                 self.wake(task, None)
 
     def run(self) -> None:
-        """Run until stop(). May be called again."""
+        """Run tasks and timers until stop() is called; may be called again after that."""
         self._loop, self._running = getcurrent(), True
         while self._running:
             self._run_ready()
@@ -203,45 +214,47 @@
     def _poll_once(self) -> None:
         while self._timers and self._timers[0][2].function is None:
             heapq.heappop(self._timers)
-            self._idle_timers -= 1
-        asked, self.poll_count = self.now(), self.poll_count + 1
-        found = self._poll_sockets(self._timers[0][0] if self._timers else None)
-        last, self._polled_at = self._polled_at, self.now()
-        self.earliest_arrival_us = last if self._polled_at - asked < LOOK_US else self._polled_at
+            self._cancelled_timers -= 1
+        poll_began_us, self.poll_count = self.now(), self.poll_count + 1
+        ready = self._poll_sockets(self._timers[0][0] if self._timers else None)
+        previous_poll_us, self._polled_at_us = self._polled_at_us, self.now()
+        self.earliest_arrival_us = (
+            previous_poll_us if self._polled_at_us - poll_began_us < IMMEDIATE_POLL_US else self._polled_at_us
+        )
         signalled = False
-        for fd, _ in found:
+        for fd, _ in ready:
             if fd == self._wakeup_receiver.fileno():
                 signalled = True
             elif assert_invariant(fd in self._tasks_by_fd, "a polled socket has its task"):
                 self.wake(self._tasks_by_fd[fd], READY)
-        if signalled:  # last: what a signal wakes may be among what was found
-            self._take_signals()
+        if signalled:  # after the sockets: a handler may wake a task whose socket is ready too
+            self._handle_wakeups()
         self._run_ready()
-        now = self.now()
-        if self._timers and now - self._timers[0][0] > LAG_LEAST_US and self._timers[0][2].function is not None:
-            late = now - self._timers[0][0]
-            if late > self.lag_us:
-                self._late, self._late_at = late, now
-        while self._timers and self._timers[0][0] <= now and self._running:
+        now_us = self.now()
+        if self._timers and now_us - self._timers[0][0] > MIN_LAG_US and self._timers[0][2].function is not None:
+            late_us = now_us - self._timers[0][0]
+            if late_us > self.lag_us:
+                self._measured_lag_us, self._lag_measured_at_us = late_us, now_us
+        while self._timers and self._timers[0][0] <= now_us and self._running:
             timer = heapq.heappop(self._timers)[2]
             function, timer.function = timer.function, None
             if function is None:
-                self._idle_timers -= 1
+                self._cancelled_timers -= 1
             else:
                 try:
                     function(*timer.args)
                 except Exception:
                     self.log_failure("timer", function)
 
-    def _poll_sockets(self, until: int | None) -> list[tuple[int, int]]:
-        return self._poll.poll(None if until is None else max(0, -(-(until - self.now()) // 1000)))
+    def _poll_sockets(self, deadline_us: int | None) -> list[tuple[int, int]]:
+        return self._poll.poll(None if deadline_us is None else max(0, -(-(deadline_us - self.now()) // 1000)))
 
-    def _take_signals(self) -> None:
+    def _handle_wakeups(self) -> None:
         try:
             numbers = self._wakeup_receiver.recv(64)
         except BlockingIOError:
             return
-        self._threads_done()
+        self._wake_finished_thread_calls()
         for number in numbers:
             if number in self._signals:
                 try:
--- a/scalefall/net/streams.py
+++ b/scalefall/net/streams.py
@@ -1,4 +1,4 @@
-"""Dial, send and receive on plain TCP, as pauses of a task. A time that is up raises TimedOut, which is an OSError."""
+"""TCP operations that pause the calling task: dial, send and receive, each with a deadline."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 from scalefall.net.scheduler import READ, TIMED_OUT, WRITE, Scheduler
 
-MAX_READ_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024  # of one read
 
 
 class TimedOut(OSError):
-    """The time given for a step on a socket has passed."""
+    """The deadline of a socket operation has passed."""
 
 
 class Interrupted(OSError):
-    """Somebody woke the task that was waiting for a socket: its work is called off."""
+    """Another task has ended the wait for a socket: the operation is cancelled."""
 
 
-def _wait(scheduler: Scheduler, sock: socket.socket, mask: int, until: int) -> None:
-    if scheduler.now() >= until:
-        raise TimedOut("time is up")
-    why = scheduler.pause(until, sock, mask)
-    if why is TIMED_OUT:
-        raise TimedOut("time is up")
-    if isinstance(why, Interrupted):
-        raise why
+def _wait(scheduler: Scheduler, sock: socket.socket, mask: int, deadline_us: int) -> None:
+    if scheduler.now() >= deadline_us:
+        raise TimedOut("timed out")
+    reason = scheduler.pause(deadline_us, sock, mask)
+    if reason is TIMED_OUT:
+        raise TimedOut("timed out")
+    if isinstance(reason, Interrupted):
+        raise reason
 
 
-def dial(scheduler: Scheduler, address: tuple[str, int], until: int) -> socket.socket:
+def dial(scheduler: Scheduler, address: tuple[str, int], deadline_us: int) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
-            _wait(scheduler, sock, WRITE, until)
+            _wait(scheduler, sock, WRITE, deadline_us)
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise OSError(code, os.strerror(code))
@@ -59,20 +59,20 @@
     return listener
 
 
-def send(scheduler: Scheduler, sock: socket.socket, data: bytes, until: int) -> None:
-    """Returns once the last byte has been written."""
-    rest = memoryview(data)
-    while rest:
+def send(scheduler: Scheduler, sock: socket.socket, data: bytes, deadline_us: int) -> None:
+    """Write all bytes to the socket's buffer, and return once the last one is there."""
+    unsent = memoryview(data)
+    while unsent:
         try:
-            rest = rest[sock.send(rest) :]
+            unsent = unsent[sock.send(unsent) :]
         except BlockingIOError:
-            _wait(scheduler, sock, WRITE, until)
+            _wait(scheduler, sock, WRITE, deadline_us)
 
 
-def receive(scheduler: Scheduler, sock: socket.socket, until: int) -> bytes:
-    """The next bytes; none at the end of the stream."""
+def receive(scheduler: Scheduler, sock: socket.socket, deadline_us: int) -> bytes:
+    """Return the next bytes, or b"" at the end of the stream."""
     while True:
         try:
             return sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
-            _wait(scheduler, sock, READ, until)
+            _wait(scheduler, sock, READ, deadline_us)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The parsers: the same message however its bytes are cut, the limits, and what is malformed."""
+"""The HTTP parsers: results do not depend on how the bytes are split; limits; malformed messages."""
 
 import itertools
 
@@ -18,9 +18,9 @@
 )
 
 
-def cut(data, places):
-    at = sorted({0, len(data), *(place % len(data) for place in places)})
-    return [data[a:b] for a, b in itertools.pairwise(at)]
+def split(data, positions):
+    bounds = sorted({0, len(data), *(position % len(data) for position in positions)})
+    return [data[start:end] for start, end in itertools.pairwise(bounds)]
 
 
 def messages(reader, pieces):
@@ -36,18 +36,18 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(0, 1000)))
-def test_any_cut_of_the_bytes_gives_the_same_messages(places):
-    assert messages(http.RequestReader(), cut(REQUEST, places)) == [
+def test_any_split_of_the_bytes_gives_the_same_messages(positions):
+    assert messages(http.RequestReader(), split(REQUEST, positions)) == [
         ("POST /fee-order?x=1 HTTP/1.1", {"host": "s", "x-a": "one, two", "content-length": "5"}, b"bo\r\ny"),
         ("GET /healthz HTTP/1.1", {"host": "s"}, b""),
     ]
-    assert [m[0::2] for m in messages(http.AnswerReader(), cut(CHUNKED, places))] == [
+    assert [message[0::2] for message in messages(http.AnswerReader(), split(CHUNKED, positions))] == [
         ("HTTP/1.1 200 OK", b"abc0123456789"),
         ("HTTP/1.1 204 No Content", b""),
     ]
 
 
-def test_written_messages_are_read_back():
+def test_encoded_messages_can_be_parsed():
     reader = http.RequestReader()
     reader.feed(http.request("POST", "/x", "h", [("A", "b")], b"\0\xff\r\n"))
     assert reader.complete
@@ -58,7 +58,7 @@
     assert (answer.status, answer.fields["retry-after"], answer.body, answer.keep) == (429, "0.5", b"x", False)
 
 
-def test_a_body_up_to_the_end_is_complete_with_it_and_its_connection_is_not_kept():
+def test_a_body_that_ends_with_the_stream_is_complete_then_and_its_connection_is_not_reused():
     reader = http.AnswerReader()
     reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
     assert not reader.complete
@@ -78,7 +78,7 @@
         ("HTTP/1.0\r\nConnection: keep-alive\r\n", True),
     ],
 )
-def test_which_connections_are_kept(head, keep):
+def test_which_connections_are_kept_alive(head, keep):
     reader = http.RequestReader()
     reader.feed(f"GET / {head}\r\n".encode())
     assert reader.complete
@@ -115,7 +115,7 @@
         (LINE + b"Transfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + b"x" * 0x8000 + b"\r\n8001\r\n", 413),
     ],
 )
-def test_what_is_malformed_or_too_large_deserves_its_status(data, status):
+def test_malformed_or_too_large_messages_get_their_status(data, status):
     with pytest.raises(http.MalformedMessage) as caught:
         http.RequestReader().feed(data)
     assert caught.value.status == status
@@ -141,9 +141,9 @@
         | st.binary(max_size=8)
     )
 )
-def test_arbitrary_bytes_are_read_or_malformed_and_nothing_else(pieces):
+def test_arbitrary_bytes_raise_nothing_but_malformed_message(pieces):
     for reader in (http.RequestReader(), http.AnswerReader()):
         try:
             messages(reader, pieces)
         except http.MalformedMessage as error:
-            assert 400 <= error.status < 600  # noqa: PT017 - it may be raised, and need not
+            assert 400 <= error.status < 600  # noqa: PT017 - raising is allowed, not required
