--- a/scalefall/net/http.py
+++ b/scalefall/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as bytes: an incremental reader for each side, with size limits, and the writers. Opens no socket."""
+"""HTTP/1.1 without sockets: incremental parsers of requests and answers, with size limits, and their encoders."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from scalefall.net.invariants import assert_invariant
 
-MAX_HEAD_BYTES = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # start line and header fields
 MAX_BODY_BYTES = 64 * 1024
-MOST_FIELDS = 100
-MOST_INTERIM = 20
-BEGIN = b"HTTP/1."
-MOST_FRAMING = 2 * MAX_BODY_BYTES  # head, chunk lines and trailer together: a body may not hide behind them
+MAX_FIELDS = 100
+MAX_INTERIM_ANSWERS = 20  # 1xx answers before the final one
+STATUS_LINE_PREFIX = b"HTTP/1."
+MAX_FRAMING_BYTES = 2 * MAX_BODY_BYTES  # head, chunk lines and trailer together, which the body limit does not bound
 TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 REASONS = {
     200: "OK",
@@ -35,18 +35,18 @@
 
 
 class MalformedMessage(Exception):
-    """What came in is not HTTP/1.1 within the limits; status is the answer that it deserves."""
+    """The bytes are not HTTP/1.1 or exceed a limit; status is the HTTP status for the answer."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Reader:
-    """What both sides share: a head, then a body of known length, in chunks, or up to the end.
+    """Parses one message after another: a head, then a body of known length, in chunks, or up to the end of the stream.
 
-    feed() takes bytes as they come; head_done and complete tell how far the message has got. Bytes past its end
-    stay for the next message, which begins with begin_next().
+    feed() takes bytes as they arrive; head_done and complete tell how much of the message has been parsed. Bytes after
+    its end stay in `unparsed` for the next message, which begin_next() starts.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -58,12 +58,12 @@
         self.fields: dict[str, str] = {}
         self.body = bytearray()
         self.head_done = self.complete = False
-        self._scanned = self._left = self._taken = 0
+        self._scanned = self._remaining_bytes = self._framing_bytes = 0
         self._state = self._read_head
 
     @property
     def begun(self) -> bool:
-        """Whether any byte of the message has come."""
+        """Whether any byte of the message has arrived."""
         return bool(self.start_line or self.unparsed or self.head_done)
 
     def feed(self, data: bytes) -> None:
@@ -75,33 +75,33 @@
             pass
 
     def end_stream(self) -> None:
-        """The stream has ended; a body that runs up to the end is complete with it."""
-        if self._state == self._read_all:
+        """Mark the end of the stream; it completes a body that runs up to there."""
+        if self._state == self._read_to_end:
             self.complete = True
 
     def take_body(self) -> bytes:
-        """The body as far as it has come, handed over: for one that is read as it streams in."""
-        data, self._taken = bytes(self.body), 0
+        """Remove and return the part of the body that has arrived, for a body that is processed as a stream."""
+        data, self._framing_bytes = bytes(self.body), 0
         self.body.clear()
         return data
 
     @property
     def keep(self) -> bool:
-        """Whether the connection may carry another message after this one."""
+        """Whether the connection stays open for another message after this one."""
         options = [option.strip().lower() for option in self.fields.get("connection", "").split(",")]
         return "close" not in options and (self.version != "HTTP/1.0" or "keep-alive" in options)
 
     version = "HTTP/1.1"
 
-    def _line(self, most: int) -> str | None:
-        """The next line without its end, or None while it has not all come."""
+    def _line(self, max_bytes: int) -> str | None:
+        """Return the next line without its line end, or None while it is incomplete."""
         end = self.unparsed.find(b"\n", self._scanned)
         if end < 0:
             self._scanned = len(self.unparsed)
-            if len(self.unparsed) > most:
+            if len(self.unparsed) > max_bytes:
                 raise MalformedMessage(431, "head too long")
             return None
-        if end > most:
+        if end > max_bytes:
             raise MalformedMessage(431, "head too long")
         line = self.unparsed[:end].decode("latin-1")
         del self.unparsed[: end + 1]
@@ -109,23 +109,23 @@
         return line[:-1] if line.endswith("\r") else line
 
     def _read_head(self) -> bool:
-        line = self._line(MAX_HEAD_BYTES - self._taken)
+        line = self._line(MAX_HEAD_BYTES - self._framing_bytes)
         if line is None:
             return False
-        self._taken += len(line) + 2
+        self._framing_bytes += len(line) + 2
         if not self.start_line:
             if line:
                 self.start_line = line
-                self._first_line(line)
-            return True  # empty lines before a message are passed over
+                self._parse_start_line(line)
+            return True  # empty lines before a message are ignored
         if line:
-            self._field(line)
+            self._parse_field(line)
             return True
         self.head_done = True
-        self._frame()
+        self._start_body()
         return True
 
-    def _field(self, line: str) -> None:
+    def _parse_field(self, line: str) -> None:
         name, colon, value = line.partition(":")
         if not colon or not TOKEN.match(name):
             raise MalformedMessage(400, "malformed header field")
@@ -136,13 +136,13 @@
             if name == "content-length" and self.fields[name] != value:
                 raise MalformedMessage(400, "two lengths")
             value = value if name == "content-length" else f"{self.fields[name]}, {value}"
-        elif len(self.fields) >= MOST_FIELDS:
+        elif len(self.fields) >= MAX_FIELDS:
             raise MalformedMessage(431, "too many header fields")
         self.fields[name] = value
 
-    def _frame(self) -> None:
+    def _start_body(self) -> None:
         coding, length = self.fields.get("transfer-encoding"), self.fields.get("content-length")
-        if self._bodiless():
+        if self._has_no_body():
             self.complete = True
         elif coding is not None:
             if length is not None:
@@ -155,32 +155,32 @@
         elif length is not None:
             if not (length.isascii() and length.isdigit() and len(length) < 16):
                 raise MalformedMessage(400, "malformed length")
-            self._left = int(length)
-            self._room(self._left)
+            self._remaining_bytes = int(length)
+            self._check_body_size(self._remaining_bytes)
             self._state = self._read_length
-            self.complete = self._left == 0
+            self.complete = self._remaining_bytes == 0
         else:
-            self._unframed()
+            self._start_unframed_body()
 
-    def _room(self, more: int) -> None:
-        if len(self.body) + more > self.max_body_bytes:
+    def _check_body_size(self, more_bytes: int) -> None:
+        if len(self.body) + more_bytes > self.max_body_bytes:
             raise MalformedMessage(413, "body too long")
 
-    def _move(self) -> bool:
-        """Move what has come of the piece being read into the body; True once it is whole."""
-        piece = self.unparsed[: self._left]
+    def _move_to_body(self) -> bool:
+        """Move bytes of the current body or chunk into the body, and return whether it is complete."""
+        piece = self.unparsed[: self._remaining_bytes]
         del self.unparsed[: len(piece)]
         self.body += piece
-        self._left -= len(piece)
-        assert_invariant(self._left >= 0, "a piece is no longer than told")
-        return self._left == 0
+        self._remaining_bytes -= len(piece)
+        assert_invariant(self._remaining_bytes >= 0, "no more bytes are moved than the declared length")
+        return self._remaining_bytes == 0
 
     def _read_length(self) -> bool:
-        self.complete = self._move()
+        self.complete = self._move_to_body()
         return False
 
-    def _read_all(self) -> bool:
-        self._room(len(self.unparsed))
+    def _read_to_end(self) -> bool:
+        self._check_body_size(len(self.unparsed))
         self.body += self.unparsed
         self.unparsed.clear()
         return False
@@ -189,19 +189,19 @@
         line = self._line(1024)
         if line is None:
             return False
-        self._taken += len(line) + 2
-        if self._taken > MOST_FRAMING:
+        self._framing_bytes += len(line) + 2
+        if self._framing_bytes > MAX_FRAMING_BYTES:
             raise MalformedMessage(413, "too many chunks")
         size = line.partition(";")[0].strip()
         if not re.fullmatch(r"[0-9A-Fa-f]{1,8}", size):
             raise MalformedMessage(400, "malformed chunk")
-        self._left = int(size, 16)
-        self._room(self._left)
-        self._state = self._read_chunk if self._left else self._read_trailer
+        self._remaining_bytes = int(size, 16)
+        self._check_body_size(self._remaining_bytes)
+        self._state = self._read_chunk if self._remaining_bytes else self._read_trailer
         return True
 
     def _read_chunk(self) -> bool:
-        if not self._move():
+        if not self._move_to_body():
             return False
         self._state = self._read_chunk_end
         return True
@@ -216,28 +216,28 @@
     def _read_trailer(self) -> bool:
         line = self._line(MAX_HEAD_BYTES)
         if line is not None:
-            self._taken += len(line) + 2
-        if self._taken > MOST_FRAMING:
+            self._framing_bytes += len(line) + 2
+        if self._framing_bytes > MAX_FRAMING_BYTES:
             raise MalformedMessage(431, "trailer too long")
         self.complete = line == ""
         return bool(line)
 
-    def _first_line(self, line: str) -> None:
+    def _parse_start_line(self, line: str) -> None:
         raise NotImplementedError
 
-    def _bodiless(self) -> bool:
+    def _has_no_body(self) -> bool:
         raise NotImplementedError
 
-    def _unframed(self) -> None:
+    def _start_unframed_body(self) -> None:
         raise NotImplementedError
 
 
 class RequestReader(Reader):
-    """The client's side: requests as they come in."""
+    """Parses requests."""
 
     method = target = ""
 
-    def _first_line(self, line: str) -> None:
+    def _parse_start_line(self, line: str) -> None:
         parts = line.split(" ")
         if len(parts) != 3 or not TOKEN.match(parts[0]) or not parts[1].startswith(("/", "*", "http://")):
             raise MalformedMessage(400, "malformed request line")
@@ -245,15 +245,15 @@
         if self.version not in ("HTTP/1.1", "HTTP/1.0"):
             raise MalformedMessage(505 if re.fullmatch(r"HTTP/\d\.\d", self.version) else 400, "unknown version")
 
-    def _bodiless(self) -> bool:
+    def _has_no_body(self) -> bool:
         return False
 
-    def _unframed(self) -> None:
+    def _start_unframed_body(self) -> None:
         self.complete = True
 
 
 class AnswerReader(Reader):
-    """The endpoint's side: answers as they come back. status is known once the first line has come."""
+    """Parses answers; status is 0 until the status line has arrived."""
 
     status = interim_count = 0
 
@@ -262,42 +262,42 @@
         self.status = 0
 
     def _read_head(self) -> bool:
-        """What cannot become a status line is no answer, however long one waits for the line's end."""
+        """Reject bytes that cannot begin a status line at once, without waiting for the end of the line."""
         if (
             not self.start_line
             and self.unparsed
-            and not self.unparsed.startswith((b"\r", b"\n", BEGIN))
-            and not BEGIN.startswith(self.unparsed)
+            and not self.unparsed.startswith((b"\r", b"\n", STATUS_LINE_PREFIX))
+            and not STATUS_LINE_PREFIX.startswith(self.unparsed)
         ):
             raise MalformedMessage(400, "no status line")
         return super()._read_head()
 
-    def _first_line(self, line: str) -> None:
-        found = re.match(r"(HTTP/1\.[01]) ([1-5]\d\d)(?: |\Z)", line)
-        if not found:
+    def _parse_start_line(self, line: str) -> None:
+        match = re.match(r"(HTTP/1\.[01]) ([1-5]\d\d)(?: |\Z)", line)
+        if not match:
             raise MalformedMessage(400, "malformed status line")
-        self.version, self.status = found[1], int(found[2])
+        self.version, self.status = match[1], int(match[2])
 
-    def _bodiless(self) -> bool:
+    def _has_no_body(self) -> bool:
         return self.status in (204, 304)
 
-    def _frame(self) -> None:
+    def _start_body(self) -> None:
         if self.status == 101:
             raise MalformedMessage(400, "another protocol, unasked")
-        if self.status < 200:  # an interim answer: the real one follows
+        if self.status < 200:  # an interim answer: the final one follows
             self.interim_count += 1
-            if self.interim_count > MOST_INTERIM:
+            if self.interim_count > MAX_INTERIM_ANSWERS:
                 raise MalformedMessage(431, "too many interim answers")
             self.begin_next()
         else:
-            super()._frame()
+            super()._start_body()
 
-    def _unframed(self) -> None:
-        self._state = self._read_all
+    def _start_unframed_body(self) -> None:
+        self._state = self._read_to_end
 
     @property
     def keep(self) -> bool:
-        return super().keep and self._state != self._read_all
+        return super().keep and self._state != self._read_to_end
 
 
 def request(method: str, target: str, host: str, fields: list[tuple[str, str]], body: bytes | None = None) -> bytes:
