--- a/scalefall/net/__init__.py
+++ b/scalefall/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sender on sockets: ingress, the loop around the engine, attempts, journal; greenlets over `select.poll`."""
+"""The sender's network code: ingress, the loop around the engine, attempts and journal, on a `select.poll` loop."""
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -1,4 +1,4 @@
-"""What a sender is told at its start: the configuration, read once into the values that the program uses."""
+"""The sender's configuration: reads the file and the environment, and checks the values."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from scalefall.settings_reader import read_settings
 
 Address = tuple[str, int]
-LIMITS = {"sockets": (1024, 64), "disk_mb": (3, 0.1), "memory_mb": (192, 16)}  # where it is missing; the least
+LIMITS = {"sockets": (1024, 64), "disk_mb": (3, 0.1), "memory_mb": (192, 16)}  # by key: the default, the minimum
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text is one plain line."""
+    """The configuration cannot be used; the message is a single line."""
 
 
 @dataclass(slots=True, frozen=True)
 class RouteRules:
-    """What holds on one route, where a file of the operator's own says so."""
+    """The rules of one route, from the operator's file."""
 
-    classes: frozenset[str]  # what it carries
+    classes: frozenset[str]  # message classes that it carries
     attempts: int
-    max_retry_after_us: int  # the longest time after which a client is told to come back
+    max_retry_after_us: int  # longest Retry-After that a client gets
 
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
-    """Endpoints and routes as a file of the operator's own has them, instead of discovery."""
+    """Endpoints and routes from the operator's file, which replaces discovery."""
 
     entries: list[Entry]
     routes: dict[int, RouteRules]
@@ -41,7 +41,7 @@
 class Config:
     name: str
     listen: Address
-    discovery: Address | None  # None: the fleet is the list, and nothing else is asked
+    discovery: Address | None  # None: the fleet is the endpoint list
     state: str
     seed: int
     sockets: int
@@ -49,11 +49,11 @@
     memory_bytes: int
     settings: Settings
     known: ListUpdate
-    reports: Address | None = None  # where notices go if there is no discovery; None: to the log
+    reports: Address | None = None  # where delivery reports go without discovery; None: to the log
     fleet: Fleet | None = None
-    needs_restart: tuple[str, ...] = ()  # read again: what differs from the running sender and takes a restart
-    admin: Address | None = None  # where the operators call; None: nowhere
-    warnings: tuple[str, ...] = ()  # what can be used though its parts disagree, and how it is taken
+    needs_restart: tuple[str, ...] = ()  # after a reload: changes that take a restart
+    admin: Address | None = None  # None: no admin server
+    warnings: tuple[str, ...] = ()  # inconsistent or missing values, and what is used instead
 
 
 def read_address(value: Any, name: str) -> Address:
@@ -64,8 +64,11 @@
 
 
 def read_config(environ: Mapping[str, str], reloading: bool = False) -> Config:
-    """The configuration that the environment points to. At the start a variable of its own goes before the file's
-    value; read again, the file goes first: a running process's variables cannot change."""
+    """Read the configuration file that the environment names.
+
+    At the start the environment overrides the file. In a reload the file's discovery address overrides the environment,
+    as the variables of a running process cannot change.
+    """
     path = environ.get("RELAY_CONFIG", "")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -83,14 +86,16 @@
     if not os.path.isdir(state):
         raise ConfigError(f"RELAY_STATE must name a folder, not {state!r}")
     try:
-        settings, warnings = _settled(read_settings(table.get("settings")), table.get("peers"))
+        settings, warnings = _reconcile_replica_count(read_settings(table.get("settings")), table.get("peers"))
         known = read_list(table.get("known") or {"seq": 0, "whole": True, "hosts": []}, strict=False)
         if known.unread:
             warnings += (
                 f"known: {len(known.unread)} endpoints cannot be read and are left out, the first {known.unread[0]!r}",
             )
         warnings += tuple(
-            f"limits.{key} is missing: {default} it is" for key, (default, _) in LIMITS.items() if key not in limits
+            f"limits.{key} is missing; using the default of {default}"
+            for key, (default, _) in LIMITS.items()
+            if key not in limits
         )
         return Config(
             name=environ.get("RELAY_NAME") or str(table.get("name", "")),
@@ -119,32 +124,37 @@
     return read_address(value, "admin") if value else None
 
 
-def _settled(settings: Settings, peers: Any) -> tuple[Settings, tuple[str, ...]]:
-    """The number of senders is what limits, connections and asks are shared by: where the list of peers says another
-    one, the larger is taken, as a part that is too small harms nobody."""
+def _reconcile_replica_count(settings: Settings, peers: Any) -> tuple[Settings, tuple[str, ...]]:
+    """Return the settings with a consistent number of replicas, and warnings about inconsistent values.
+
+    Limits, connections and polls of discovery are divided by this number. Of two different numbers the larger is used:
+    a fair share that is too small does no harm.
+    """
     if not settings.classes:
         raise ValueError("settings: grades names no class")
-    warnings, number = [], settings.replica_count
+    warnings, replica_count = [], settings.replica_count
     if peers is not None and not (isinstance(peers, list) and all(isinstance(peer, str) for peer in peers)):
-        warnings.append("peers is no list of addresses and is left aside")
-    elif peers and len(peers) != number:
-        number = max(number, len(peers))
+        warnings.append("peers is not a list of addresses; ignored")
+    elif peers and len(peers) != replica_count:
+        replica_count = max(replica_count, len(peers))
         warnings.append(
-            f"settings.siblings is {settings.replica_count}, but peers names {len(peers)}: {number} senders it is"
+            f"settings.siblings is {settings.replica_count}, but peers names {len(peers)}; "
+            f"using {replica_count} senders"
         )
     if settings.replica_index >= settings.replica_count:
-        number = max(number, settings.replica_index + 1)
+        replica_count = max(replica_count, settings.replica_index + 1)
         warnings.append(
-            f"settings.index is {settings.replica_index}, of {settings.replica_count} senders: {number} senders it is"
+            f"settings.index is {settings.replica_index}, of {settings.replica_count} senders; "
+            f"using {replica_count} senders"
         )
-    return replace(settings, replica_count=number), tuple(warnings)
+    return replace(settings, replica_count=replica_count), tuple(warnings)
 
 
 def _limit(limits: dict[str, Any], key: str) -> float:
-    default, least = LIMITS[key]
+    default, minimum = LIMITS[key]
     value = limits.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < float("inf"):
-        raise ConfigError(f"limits.{key} must be a number of at least {least}, not {value!r}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < float("inf"):
+        raise ConfigError(f"limits.{key} must be a number of at least {minimum}, not {value!r}")
     return value
 
 
--- a/scalefall/net/route_table.py
+++ b/scalefall/net/route_table.py
@@ -1,4 +1,4 @@
-"""The rules of routes, where a file of the operator's own has them."""
+"""The rules of routes from the operator's file."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class RouteTable:
-    """Answers what a route carries and how long its clients may be told to wait.
+    """Answers which classes a route carries, and bounds the Retry-After that its clients get.
 
-    It is empty, and nothing is limited, where endpoints come from discovery. The reloader replaces its content.
+    Without the operator's file it is empty, and nothing is restricted. The reloader replaces its content.
     """
 
     def __init__(self) -> None:
@@ -18,18 +18,18 @@
         self.rules: Mapping[int, RouteRules] = {}
 
     def replace(self, rules: Mapping[int, RouteRules]) -> None:
-        """Put these rules, by destination, into force."""
+        """Replace the rules, which are by destination."""
         self.rules = rules
 
     def carries(self, destination: int, class_name: str) -> bool:
         """Return whether the route to a destination carries messages of a class.
 
-        A destination without rules carries every class: without endpoints it is turned away for that reason.
+        A destination without rules carries every class; if it has no endpoints, its messages are rejected for that.
         """
         rules = self.rules.get(destination)
         return rules is None or class_name in rules.classes
 
     def cap_retry_after(self, destination: int, retry_after_us: int) -> int:
-        """Return a wait in microseconds, shortened to what the route's rules allow a client to be told."""
+        """Return a Retry-After in microseconds, bounded by the route's rules."""
         rules = self.rules.get(destination)
         return retry_after_us if rules is None else min(retry_after_us, rules.max_retry_after_us)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""For all tests: what one has left open does not stay for the others."""
+"""Closes after each test what it has left open, so that later tests do not inherit it."""
 
 import gc
 
@@ -7,7 +7,7 @@
 
 
 @pytest.fixture(autouse=True)
-def clear_worlds():
+def end_virtual_tasks():
     yield
     if VirtualTimeScheduler.instances:
         for world in VirtualTimeScheduler.instances:
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -1,4 +1,4 @@
-"""For the network code: a scheduler on a clock of its own, and the other sides, played step by step by the test."""
+"""Helpers for tests of the network code: a scheduler with a virtual clock, and stub servers that the test drives."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class VirtualTimeScheduler(Scheduler):
-    """Time stands still while anything happens on the sockets, and then jumps to the next timer."""
+    """Runs on a virtual clock, which stands still while sockets are active and then jumps to the next timer."""
 
-    instances: ClassVar[list[VirtualTimeScheduler]] = []  # since they were cleared last
+    instances: ClassVar[list[VirtualTimeScheduler]] = []  # created in the current test
 
     def __init__(self):
         super().__init__()
@@ -39,23 +39,26 @@
         return super().in_thread(function, *args)
 
     def end_tasks(self):
-        """End the tasks that still pause. The collector does not see what these hold, so a test's sockets would stay
-        open until the end of all tests."""
+        """End the tasks that are still paused.
+
+        The garbage collector does not see what they reference, so a test's sockets would stay open until the end of the
+        run.
+        """
         self._loop = getcurrent()
         for task in self.tasks:
-            if task:  # begun, and not at its end
+            if task:  # started and not finished
                 task.parent = self._loop
                 with contextlib.suppress(BaseException):
                     task.throw()
-        for kept in (self.tasks, self._ready, self._tasks_by_fd, self._timers):
-            kept.clear()
+        for container in (self.tasks, self._ready, self._tasks_by_fd, self._timers):
+            container.clear()
         for sock in (
             (self._wakeup_receiver, self._wakeup_sender) if not self.threads else ()
-        ):  # a thread may still say that it is done
+        ):  # a thread may still write to it
             sock.close()
 
     def kill(self):
-        """Forget all that was to go on, as at the death of a process: tasks, timers, and who waits for a socket."""
+        """Drop all tasks, timers and waits for sockets, as the death of the process does."""
         self._ready.clear()
         for task in list(self._tasks_by_fd.values()):
             self._poll.unregister(task.fd)
@@ -68,42 +71,42 @@
     def wall(self):
         return 10**15 + self.clock
 
-    def _poll_sockets(self, until):
-        found = self._poll.poll(1 if until is not None else 10_000)
-        if not found:
-            assert until is not None, "nothing is left that could go on"
-            self.clock = max(self.clock, until)
-        return found
+    def _poll_sockets(self, deadline_us):
+        ready = self._poll.poll(1 if deadline_us is not None else 10_000)
+        if not ready:
+            assert deadline_us is not None, "no socket became ready within 10 s, and there is no timer"
+            self.clock = max(self.clock, deadline_us)
+        return ready
 
-    def log_failure(self, what, function):
+    def log_failure(self, kind, function):
         self.failure = self.failure or sys.exc_info()[1]
         self.stop()
 
     def play(self, function, *args):
-        """Run function as a task to its end; what fails in any task or timer fails the test."""
-        done = []
+        """Run a function as a task to its end; an exception in any task or timer fails the test."""
+        results = []
 
         def main():
-            done.append(function(*args))
+            results.append(function(*args))
             self.stop()
 
         self.spawn(main)
         self.run()
         if self.failure:
             raise self.failure
-        return done[0]
+        return results[0]
 
-    def wait_until(self, condition, most=100 * S):
+    def wait_until(self, condition, timeout_us=100 * S):
         """Pause the running task until the condition holds."""
-        end, span = self.now() + most, MS
+        deadline_us, interval_us = self.now() + timeout_us, MS
         while not condition():
-            assert self.now() < end, "did not come about"
-            self.sleep(span)
-            span = min(2 * span, S)
+            assert self.now() < deadline_us, f"the condition did not hold within {timeout_us} us"
+            self.sleep(interval_us)
+            interval_us = min(2 * interval_us, S)
 
 
 class StubServer:
-    """A listening socket of the other side."""
+    """A listening socket that stands in for a server which the code under test connects to."""
 
     def __init__(self, world, host="127.0.0.1"):
         self.world, self.accepted = world, 0
@@ -116,15 +119,19 @@
             try:
                 sock, _ = self.listener.accept()
             except BlockingIOError:
-                assert self.world.pause(self.world.now() + 20 * S, self.listener, READ) is READY, "nobody dialled"
+                assert self.world.pause(self.world.now() + 20 * S, self.listener, READ) is READY, (
+                    "no connection within 20 s"
+                )
                 continue
             sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # or bytes arrive when time has jumped on
+            sock.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+            )  # else bytes may arrive after the clock has jumped
             self.accepted += 1
             return sock
 
     def read(self, sock):
-        """One whole request."""
+        """Read one complete request."""
         return read(self.world, sock, http.RequestReader(1 << 20))
 
 
@@ -133,13 +140,13 @@
         data = streams.receive(world, sock, world.now() + 20 * S)
         if not data:
             reader.end_stream()
-            assert reader.complete, "closed in the middle of a message"
+            assert reader.complete, "the stream ended inside a message"
         reader.feed(data)
     return reader
 
 
 def closed(world, sock):
-    """Whether the other side ends the connection within 20 s, having sent nothing more."""
+    """Return whether the other side closes the connection within 20 s without sending more bytes."""
     try:
         return streams.receive(world, sock, world.now() + 20 * S) == b""
     except streams.TimedOut:
@@ -149,18 +156,17 @@
 
 
 def reset(sock):
-    """End a connection as a dead process does."""
+    """Reset a connection, as the death of its process does."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     sock.close()
 
 
 def resume_within_poll(world):
-    """Go on in the very look at the sockets that is on: what is done next comes after it, and before the timers that
-    have come due."""
-    one, other = socket.socketpair()
-    with one, other:
-        one.send(b"x")
-        assert world.pause(None, other, READ) is READY
+    """Resume the calling task right after the next poll of the sockets, before timers that are due."""
+    sender, receiver = socket.socketpair()
+    with sender, receiver:
+        sender.send(b"x")
+        assert world.pause(None, receiver, READ) is READY
 
 
 def host_row(name, address, block=7, health="in_service", kind="one"):
@@ -189,7 +195,7 @@
 
 
 class AttemptsHarness:
-    """Attempts to one endpoint, and the outcomes that they told."""
+    """Attempts to one endpoint, and the outcomes that they reported."""
 
     def __init__(self, world, settings, address, most=100):
         self.world, self.outcomes, self.may_begin = world, [], True
@@ -205,11 +211,11 @@
         self.attempts.begin(self.entry, [self.message(name, **more) for name in names])
 
     def outcome(self, name, attempt=0):
-        """Waits for it; told exactly once."""
+        """Wait for an attempt's outcome for one message, and check that it is reported exactly once."""
 
-        def found():
-            return [e for e in self.outcomes if (e.id, e.attempt) == (name, attempt)]
+        def matching():
+            return [event for event in self.outcomes if (event.id, event.attempt) == (name, attempt)]
 
-        self.world.wait_until(found)
-        assert len(found()) == 1
-        return found()[0]
+        self.world.wait_until(matching)
+        assert len(matching()) == 1
+        return matching()[0]
