--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: maintenance of endpoints, the drain, and callers that keep it busy."""
+"""The admin server: maintenance of endpoints, draining, and callers that keep it busy."""
 
 import select
 import socket
@@ -26,7 +26,7 @@
 
 
 def call(firm, method, path):
-    """The status of one call; its connection is closed behind the answer, and it took no time."""
+    """Make one call and return its status; checks that its connection closes and that it takes less than 1 s."""
     sock, began = send(firm, http.request(method, path, "s", [])), firm.world.now()
     status = read(firm.world, sock, http.AnswerReader()).status
     assert closed(firm.world, sock)
@@ -38,7 +38,7 @@
     firm.world.play(lambda: (firm.watched(), function()))
 
 
-def test_an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says_and_across_a_restart(firm):
+def test_an_endpoint_in_maintenance_gets_no_messages_whatever_the_list_says_and_across_a_restart(firm):
     def steps():
         assert call(firm, "PUT", "/endpoints/e/maint") == call(firm, "PUT", "/endpoints/e/maint") == 200
         firm.send(firm.watch, chunk(list_update(2, host_row("e", firm.endpoint.address))))
@@ -51,7 +51,7 @@
         firm.taken("b")
         firm.world.sleep(2 * S)
         assert firm.endpoint.accepted == 0
-        assert call(firm, "PUT", "/endpoints/e/ready") == 200  # one call back undoes both
+        assert call(firm, "PUT", "/endpoints/e/ready") == 200  # one call ends the maintenance that two calls started
         names = set()
         while names != {"a", "b"}:
             sock, request = firm.call()
@@ -66,11 +66,11 @@
     play(firm, steps)
 
 
-@pytest.mark.parametrize("neighbour", [False, True])
-def test_what_comes_back_is_cold_and_gets_a_few_calls_first(tmp_path, neighbour):
-    """It has been restarted while it was out; without this it met all that had waited for it at once."""
+@pytest.mark.parametrize("has_sibling", [False, True])
+def test_an_endpoint_back_from_maintenance_is_cold_and_gets_a_few_calls_first(tmp_path, has_sibling):
+    """It may have been restarted meanwhile, and would get all waiting messages at once."""
     firm = Firm(tmp_path, admin=("127.0.0.1", 0))
-    other = StubServer(firm.world) if neighbour else None
+    other = StubServer(firm.world) if has_sibling else None
 
     def serve(peer):
         sock = peer.accept()
@@ -78,30 +78,30 @@
         sock.send(http.answer(200, [], keep=False))
 
     def steps():
-        if neighbour:
+        if has_sibling:
             firm.send(
                 firm.watch, chunk(list_update(2, host_row("e", firm.endpoint.address), host_row("f", other.address)))
             )
             firm.world.wait_until(lambda: firm.sender.endpoint_list.seq == 2)
         assert call(firm, "PUT", "/endpoints/e/maint") == 200
-        if neighbour:
+        if has_sibling:
             firm.taken("n")
             serve(other)
         else:
             firm.taken(*(f"m{n}" for n in range(8)))
         firm.world.sleep(3 * S)
-        if neighbour:
+        if has_sibling:
             firm.taken("o")
             serve(other)
         assert call(firm, "PUT", "/endpoints/e/ready") == 200
         began = firm.world.now()
-        if neighbour:  # it serves on, and takes nearly all
+        if has_sibling:  # the other endpoint stays in service, and gets nearly all messages
             firm.taken(*(f"m{n}" for n in range(8)))
             for _ in range(6):
                 serve(other)
             assert firm.world.now() - began < 3 * S
             assert accepted(firm.endpoint) <= 2
-        else:  # one first, and then more
+        else:  # one call first, then more
             firm.world.sleep(300 * MS)
             early = accepted(firm.endpoint)
             assert early <= 1
@@ -114,7 +114,7 @@
 
 
 def accepted(peer):
-    """How many connections wait there."""
+    """Accept and count the connections that wait at a stub server."""
     number = 0
     while select.select([peer.listener], [], [], 0)[0]:
         peer.waiting = [*getattr(peer, "waiting", []), peer.listener.accept()[0]]
@@ -122,7 +122,7 @@
     return number
 
 
-def test_what_has_gone_while_it_was_out_does_not_come_back(firm):
+def test_an_endpoint_that_left_the_list_during_maintenance_does_not_return(firm):
     def steps():
         assert call(firm, "PUT", "/endpoints/e/maint") == 200
         firm.send(firm.watch, chunk(list_update(2, host_row("f", firm.endpoint.address))))
@@ -135,7 +135,7 @@
     play(firm, steps)
 
 
-def test_a_call_that_takes_out_cannot_be_kept_is_no_yes(firm, monkeypatch):
+def test_a_maintenance_call_that_cannot_be_stored_fails(firm, monkeypatch):
     def steps():
         monkeypatch.setattr(MaintenanceStore, "save", lambda self, names: False)
         assert call(firm, "PUT", "/endpoints/e/maint") == 507
@@ -180,14 +180,14 @@
         (b"PUT / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", 413),
     ],
 )
-def test_what_cannot_be_read_is_an_error(firm, data, status):
+def test_a_malformed_call_gets_an_error_status(firm, data, status):
     def steps():
         assert read(firm.world, send(firm, data), http.AnswerReader()).status == status
 
     play(firm, steps)
 
 
-def test_the_drain_empties_the_sender_and_ends_when_told(firm):
+def test_a_drain_closes_connections_until_operators_end_it(firm):
     def steps():
         def health():
             sock = socket.create_connection(firm.sender.address)
@@ -203,7 +203,7 @@
         assert closed(firm.world, idle)
         assert health() == (503, False)
         assert call(firm, "GET", "/healthcheck") == 503
-        late = firm.hand_in("b")  # the front has not looked yet: it is served, and its connection ends
+        late = firm.hand_in("b")  # not accepted yet: it is served, and its connection closes after the answer
         answer = firm.answer(late)
         assert (answer.status, answer.keep) == (202, False)
         assert closed(firm.world, late)
@@ -218,7 +218,7 @@
     play(firm, steps)
 
 
-def test_callers_that_send_nothing_or_half_a_call_keep_nobody_out(firm):
+def test_callers_that_send_nothing_or_part_of_a_call_do_not_keep_out_others(firm):
     def steps():
         idle = [send(firm, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_WAITING_CALLERS)]
         firm.world.sleep(10 * MS)
@@ -232,19 +232,19 @@
     play(firm, steps)
 
 
-def test_the_names_of_what_is_out_have_room_for_1024_and_a_torn_file_stops_no_start(tmp_path):
+def test_the_maintenance_file_holds_1024_names_and_a_corrupt_file_does_not_prevent_a_start(tmp_path):
     file, names = MaintenanceStore(tmp_path, 3_000_000), {f"s-{n:08x}" for n in range(1024)}
     assert file.load() == set()
     assert file.save(names)
     assert file.load() == names
     assert not file.save({"x" * 255 + str(n) for n in range(1024)})
     assert file.load() == names
-    for torn in (b"", b"[", b"{}", b"[7]", b"\xff", b"[" * 5000):
-        (tmp_path / "maintenance").write_bytes(torn)
+    for corrupt in (b"", b"[", b"{}", b"[7]", b"\xff", b"[" * 5000):
+        (tmp_path / "maintenance").write_bytes(corrupt)
         assert file.load() == set()
 
 
-def test_the_state_changes_only_once_a_call_is_carried_out():
+def test_the_state_changes_only_once_a_command_is_applied():
     state = AdminState(set())
     start = AdminCommand(AdminAction.START_MAINTENANCE, "a b")
     assert state.decide("PUT", "/endpoints/a%20b/maint", True, lambda name: name == "a b") == AdminDecision(200, start)
@@ -252,7 +252,9 @@
     state.apply(start)
     assert state.in_maintenance == {"a b"}
     end = AdminCommand(AdminAction.END_MAINTENANCE, "a b")
-    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(200, end)  # gone
+    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(
+        200, end
+    )  # not in the list any more
     state.apply(end)
     assert state.in_maintenance == set()
     assert state.decide("GET", "/healthcheck", False, bool) == AdminDecision(503, None)
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""`scalefall run` as a user starts it: on a file, told to read it again, and asked for JSON lines."""
+"""`scalefall run` as a user starts it: with a file, with reloads of that file, and with JSON log lines."""
 
 import contextlib
 import http.client
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def site(toy, tmp_path):
-    """The example's site, with the toy's addresses."""
+    """The example site with the toy server's addresses."""
     shutil.copy(ROOT / "example" / "site.scale", tmp_path)
     shutil.copytree(ROOT / "example" / "partners", tmp_path / "partners")
     edit(tmp_path / "partners" / "pojistovna.scale", "127.0.0.1:9001", toy.endpoints[0])
@@ -71,7 +71,7 @@
     return process
 
 
-def test_a_file_is_all_it_needs_and_a_broken_one_later_disturbs_nothing(site, toy, run):
+def test_it_runs_from_a_file_and_a_reload_of_an_invalid_file_changes_nothing(site, toy, run):
     sender = ready(run())
     assert ask(sender, "m1").status == 202
     toy.line("delivered m1 at")
@@ -86,20 +86,22 @@
     assert sender.end(signal.SIGTERM) == 0
 
 
-def test_an_endpoint_taken_out_of_the_file_gets_nothing_more_and_what_cannot_change_is_named(site, toy, run):
+def test_an_endpoint_removed_from_the_file_gets_no_more_messages_and_changes_that_need_a_restart_are_logged(
+    site, toy, run
+):
     sender = ready(run())
-    gone, stays = toy.endpoints
-    edit(site / "partners" / "pojistovna.scale", f"endpoint a {{ at {gone}; zone praha }}", "")
+    removed, remaining = toy.endpoints
+    edit(site / "partners" / "pojistovna.scale", f"endpoint a {{ at {removed}; zone praha }}", "")
     edit(site / "site.scale", "slots 12", "slots 13")
     sender.child.send_signal(signal.SIGHUP)
     assert f"{site}/site.scale:8: slots of sender is 13 in the file, and stays 12" in sender.line("left as it was")
     assert "2 endpoints, 0 new, 1 gone, 0 changed; 2 routes" in sender.line("configuration read again")
-    for n in range(8):
-        assert ask(sender, f"m{n}").status == 202
-        assert toy.line(f"delivered m{n} at").split()[-1] == stays.rpartition(":")[2]
+    for number in range(8):
+        assert ask(sender, f"m{number}").status == 202
+        assert toy.line(f"delivered m{number} at").split()[-1] == remaining.rpartition(":")[2]
 
 
-def test_json_lines_have_the_same_events_and_a_messages_fields(toy, run):
+def test_json_log_lines_have_event_names_and_a_messages_fields(toy, run):
     sender = run("--log-format", "json", "--log-level", "debug")
     line = json.loads(sender.line('"ready"'))
     assert line["event"] == "ready"
@@ -108,8 +110,8 @@
     host, _, port = line["text"].split()[-1].rpartition(":")
     sender.at = (host, int(port))
     assert ask(sender, "m1", path="/status-update").status == 202
-    taken = json.loads(sender.line('"taken on"'))
-    assert (taken["id"], taken["class"], taken["dest"]) == ("m1", "status-update", 7)
+    accepted = json.loads(sender.line('"taken on"'))
+    assert (accepted["id"], accepted["class"], accepted["dest"]) == ("m1", "status-update", 7)
     outcome = json.loads(sender.line('"outcome"'))
     assert outcome["outcome"] == "ok"
     assert outcome["endpoint"].startswith("pojistovna/")
@@ -117,9 +119,9 @@
     assert json.loads(sender.line('"refused"'))["id"] == "m2"
 
 
-def test_an_address_that_is_taken_is_one_line_and_exit_code_2(run):
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        process = run("--listen", "{}:{}".format(*taken.getsockname()))
+def test_an_address_in_use_gives_one_error_line_and_exit_code_2(run):
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        process = run("--listen", "{}:{}".format(*listener.getsockname()))
         assert "in use" in process.line("scalefall: ")
         assert process.child.wait(60) == 2
         assert not any("Traceback" in line for line in process.seen)
