--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -5,7 +5,7 @@
 from scalefall.net.admin_state import AdminAction, AdminState
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.maintenance_store import MaintenanceStore
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointReport, Outcome
@@ -30,7 +30,7 @@
         store: MaintenanceStore,
         events: EventQueue,
         endpoint_list: EndpointList,
-        ingress: Front,
+        ingress: IngressServer,
     ) -> None:
         """Set up the calls on these components.
 
@@ -57,7 +57,7 @@
 
     def handle(self, method: str, target: str) -> int:
         """Carry out a call, and return its HTTP status: success only once it is done and stored."""
-        ready = not self._ingress.closing
+        ready = not self._ingress.shutting_down
         status, command = self.state.decide(method, target, ready, self._endpoint_list.has_endpoint)
         if command is None:
             return status
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -176,7 +176,7 @@
         try:
             sock = streams.dial(self._scheduler, discovery, self._scheduler.now() + DIAL_TIMEOUT_US)
             self._follow(sock, discovery)
-        except (OSError, http.Malformed, ValueError, RecursionError) as error:
+        except (OSError, http.MalformedMessage, ValueError, RecursionError) as error:
             return str(error) or type(error).__name__
         finally:
             if sock is not None:
@@ -188,7 +188,7 @@
 
         Raises:
             OSError: The connection broke or timed out, discovery answered with an error, or its address has changed.
-            http.Malformed: The answer is not valid HTTP.
+            http.MalformedMessage: The answer is not valid HTTP.
             ValueError: The body is not a valid list.
             RecursionError: The body nests too deep.
         """
@@ -210,13 +210,13 @@
                 continue
             if reader.status != 200:
                 raise OSError(f"discovery answered {reader.status}")
-            self._process(connection, reader.take(), discovery)
+            self._process(connection, reader.take_body(), discovery)
 
     def _receive(self, sock: socket.socket, connection: _WatchConnection) -> bytes:
-        """Return the next bytes of a watch; a TimeUp after the answer's head is an idle timeout."""
+        """Return the next bytes of a watch; a TimedOut after the answer's head is an idle timeout."""
         try:
             return streams.receive(self._scheduler, sock, connection.deadline_us())
-        except streams.TimeUp:
+        except streams.TimedOut:
             self._reconnect_soon = connection.reader.head_done  # the sender soon counts as notified of missed changes
             raise
 
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -145,7 +145,7 @@
 
     def _apply(self, config: Config) -> None:
         """Apply the routes and endpoints of a reloaded configuration."""
-        for line in config.left:
+        for line in config.needs_restart:
             log.warning("setting not applied, needs a restart: %s", line)
         fleet = config.fleet
         assert fleet is not None, "a sender without discovery has a fleet"
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -19,7 +19,7 @@
 from scalefall.net.endpoint_list import EndpointList
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.final_answers import FinalAnswers
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.journal import Journal
 from scalefall.net.logs import log
 from scalefall.net.maintenance_store import MaintenanceStore
@@ -91,7 +91,7 @@
         self.wall_offset_us = scheduler.wall() - scheduler.now()
         self._open_state_folder()
         self._connect_delivery(max_sockets)
-        bytes_per_client = http.MOST_HEAD + http.MOST_BODY
+        bytes_per_client = http.MAX_HEAD_BYTES + http.MAX_BODY_BYTES
         self._connect_lifecycle(min(max_sockets, config.memory_bytes // INGRESS_MEMORY_DIVISOR // bytes_per_client))
 
     def _open_state_folder(self) -> None:
@@ -175,7 +175,9 @@
     def _connect_lifecycle(self, max_clients: int) -> None:
         """Connect the ingress, recovery, the admin server and the shutdown."""
         scheduler, settings = self._scheduler, self._settings
-        self.ingress = Front(scheduler, settings.classes, max_clients, self.admission.submit, self.admission.withdraw)
+        self.ingress = IngressServer(
+            scheduler, settings.classes, max_clients, self.admission.submit, self.admission.withdraw
+        )
         self.recovery = Recovery(
             settings.classes,
             self.events,
@@ -216,7 +218,7 @@
         Raises:
             OSError: An address cannot be listened on.
         """
-        for doubt in self.config.doubts:
+        for doubt in self.config.warnings:
             log.warning("configuration: %s", doubt)
         self.recovery.defer_learned_rates(self.rate_saver.load())
         if self.admin_actions is not None:
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -10,7 +10,7 @@
 from scalefall.net.attempts import Attempts
 from scalefall.net.delivery_reports import DeliveryReporter
 from scalefall.net.event_queue import EventQueue
-from scalefall.net.front import Front
+from scalefall.net.ingress_server import IngressServer
 from scalefall.net.logs import log
 from scalefall.net.rate_saver import RateSaver
 from scalefall.net.scheduler import Scheduler
@@ -41,7 +41,7 @@
         open_requests: Sized,
         events: EventQueue,
         admission: Admission,
-        ingress: Front,
+        ingress: IngressServer,
         attempts: Attempts,
         delivery_reports: DeliveryReporter,
         rate_saver: RateSaver,
@@ -97,7 +97,7 @@
         # Clients that were in the listener's backlog are served, and the messages that they submitted are waited for.
         while self._elapsed_us() < LAST_ANSWERS_US and (self._ingress.answering or not self._may_end()):
             self._scheduler.sleep(LAST_POLL_US)
-        self._ingress.end()
+        self._ingress.shut_down_connections()
         self._scheduler.sleep(LAST_POLL_US)
         log.info(
             "shutdown finished: %d pending messages left in the journal, %d attempts abandoned",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,16 +1,16 @@
-"""For all tests: what one has left open does not stay for the others."""
+"""Closes after each test what it has left open, so that later tests do not inherit it."""
 
 import gc
 
 import pytest
-from nethelp import World
+from nethelp import VirtualTimeScheduler
 
 
 @pytest.fixture(autouse=True)
-def clear_worlds():
+def end_virtual_tasks():
     yield
-    if World.made:
-        for world in World.made:
-            world.clear()
-        World.made.clear()
+    if VirtualTimeScheduler.instances:
+        for world in VirtualTimeScheduler.instances:
+            world.end_tasks()
+        VirtualTimeScheduler.instances.clear()
         gc.collect(1)
--- a/tests/restarthelp.py
+++ b/tests/restarthelp.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from itertools import cycle
 
-from nethelp import listed
+from nethelp import host_row
 
 from scalefall.net import learned_rates
 from scalefall.net.journal import Journal
@@ -37,7 +37,9 @@
 
 def write_config(folder, **settings):
     """Write a configuration with ENDPOINT_COUNT known endpoints at an unreachable address, and with discovery down."""
-    hosts = [listed(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(ENDPOINT_COUNT)]
+    hosts = [
+        host_row(f"s-{number:08x}", ("127.0.0.1", 9), block=number, kind="toy") for number in range(ENDPOINT_COUNT)
+    ]
     table = EXAMPLE | {
         "discovery": "127.0.0.1:9",
         "known": {"seq": 1, "whole": True, "hosts": hosts},
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from nethelp import MS, Calls, Peer, S, World, closed, reset, woken
+from nethelp import MS, AttemptsHarness, S, StubServer, VirtualTimeScheduler, closed, reset, resume_within_poll
 
 from scalefall.net import http, streams
 from scalefall.net.list_stream import Entry
@@ -20,18 +20,18 @@
 
 @pytest.fixture
 def world():
-    return World()
+    return VirtualTimeScheduler()
 
 
 @pytest.fixture
 def calls(world):
-    return Calls(world, settings(), None)
+    return AttemptsHarness(world, settings(), None)
 
 
 def begun(world, *names, changed_settings=None, **more):
     """Start a call, and return once its endpoint has read it."""
-    peer = Peer(world)
-    calls = Calls(world, settings(**(changed_settings or {})), peer.address)
+    peer = StubServer(world)
+    calls = AttemptsHarness(world, settings(**(changed_settings or {})), peer.address)
     calls.begin(*names, **more)
     sock = peer.accept()
     return calls, peer, sock, peer.read(sock)
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize(("sent", "outcome"), MALFORMED)
 def test_a_malformed_answer_ends_its_call_soon_and_closes_its_connection(world, sent, outcome):
     """A status of 200 is final, but the message stayed in the journal forever. After any other malformed answer the
-    call may have run. Calls waited until their deadline for the rest of the answer, and used up a slot."""
+    call may have run. AttemptsHarness waited until their deadline for the rest of the answer, and used up a slot."""
 
     def play():
         calls, _, sock, _ = begun(world, "m", span=30 * S)
@@ -241,8 +241,8 @@
 
 def test_a_refused_dial_and_one_that_times_out_are_connect_failures(world):
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(dial_timeout_us=S), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(dial_timeout_us=S), peer.address)
         full = [socket.socket() for _ in range(80)]  # fill the listener's backlog: the dial gets no answer
         for sock in full:
             sock.setblocking(False)
@@ -264,8 +264,8 @@
     """The last byte decides between connect failure and reset: an endpoint that stops reading has not received it."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         for name, end in (("broken", reset), ("slow", None), ("cancelled", None)):
             message = calls.message(name)
             message.body = b"x" * (8 << 20)
@@ -286,8 +286,8 @@
     """The endpoint reads the last byte late: by then a repeat would run again, or a message has its final answer."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         early = {"start_by_us": world.now() + S} if ends == "start-by time" else {"span": S}
         messages = [calls.message("long", span=5 * S), calls.message("early", **{"span": 5 * S} | early)]
         messages[0].body = b"x" * (8 << 20)
@@ -336,14 +336,14 @@
 def test_a_call_that_is_answered_and_cancelled_at_the_same_time_has_one_outcome(world, first):
     def play():
         calls, peer, sock, _ = begun(world, "m")
-        woken(world)
+        resume_within_poll(world)
         sock.send(http.answer(200, []))
         if first == "answer":
             calls.outcome("m")
         calls.attempts.cancel("m", 0)
         assert calls.outcome("m").outcome is (O.OK if first == "answer" else O.CANCELLED)
         world.sleep(S)
-        assert len(calls.told) == 1
+        assert len(calls.outcomes) == 1
         calls.begin("n")  # not on a connection with an unread answer to another call
         sock = peer.accept() if first == "cancel" else sock
         assert peer.read(sock).fields["x-request-id"] == "n"
@@ -355,14 +355,14 @@
     """While the connection is open a message is in flight: reported as ended before, it could be sent a second time."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts.begin(calls.entry, [calls.message("short", span=S), calls.message("long", span=3 * S)])
         sock = peer.accept()
         peer.read(sock)
         world.sleep(2 * S)
         calls.attempts.cancel("short", 0)
-        assert calls.told == []
+        assert calls.outcomes == []
         assert calls.outcome("long").outcome is calls.outcome("short").outcome is O.TIMEOUT
         assert closed(world, sock)
 
@@ -373,13 +373,13 @@
     """A drain of the endpoint or a Retry-After may start during the dial."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
-        calls.may = False
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
+        calls.may_begin = False
         calls.begin("m")
         sock = peer.accept()
         assert calls.outcome("m").outcome is O.NOT_SENT
-        calls.may = True
+        calls.may_begin = True
         world.sleep(20 * MS)
         calls.begin("n")
         assert peer.read(sock).fields["x-request-id"] == "n"
@@ -392,8 +392,8 @@
     """A call was sent although its dial had outlasted the idempotency key: the endpoint ran the repeat again."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts.begin(
             calls.entry,
             [calls.message("late", start_by_us=world.now() - 1), calls.message("fine", start_by_us=world.now() + S)],
@@ -414,8 +414,8 @@
     deadline had passed, and which had its final answer, was sent with the others."""
 
     def play():
-        peer = Peer(world)
-        calls = Calls(world, settings(), peer.address)
+        peer = StubServer(world)
+        calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts._is_pending = lambda name: name != "withdrawn"
         calls.attempts.begin(
             calls.entry, [calls.message("over", span=10 * MS), calls.message("withdrawn"), calls.message("fine")]
@@ -479,8 +479,8 @@
 
 def test_at_the_socket_limit_the_longest_idle_connection_is_closed(world):
     def play():
-        peers = [Peer(world) for _ in range(3)]
-        calls, socks = Calls(world, settings(), None, most=2), []
+        peers = [StubServer(world) for _ in range(3)]
+        calls, socks = AttemptsHarness(world, settings(), None, most=2), []
         for n, peer in enumerate(peers):
             calls.entry = Entry(calls.entry.endpoint, peer.address)
             calls.begin(str(n))
@@ -524,8 +524,8 @@
     failed on one of them."""
 
     def play():
-        peer = Peer(world)
-        calls, number = Calls(world, settings(idle_close_us=60 * S), peer.address), 0
+        peer = StubServer(world)
+        calls, number = AttemptsHarness(world, settings(idle_close_us=60 * S), peer.address), 0
 
         def call(sock=None, end=None, **more):
             nonlocal number
@@ -564,9 +564,9 @@
 
     @initialize()
     def start(self):
-        self.world, self.number = World(), 0
-        self.peer = Peer(self.world)
-        self.calls = Calls(self.world, settings(idle_close_us=5 * S, replica_count=1), self.peer.address)
+        self.world, self.number = VirtualTimeScheduler(), 0
+        self.peer = StubServer(self.world)
+        self.calls = AttemptsHarness(self.world, settings(idle_close_us=5 * S, replica_count=1), self.peer.address)
         self.idle, self.out, self.known = [], {}, 0
 
     def step(self, function):
@@ -668,7 +668,7 @@
             assert self.peer.accepted == self.known
             assert self.calls.attempts.in_flight == len(self.out)
             assert len(self.calls.attempts._pool._idle) == len(self.idle)
-            reported = [(event.id, event.attempt) for event in self.calls.told]
+            reported = [(event.id, event.attempt) for event in self.calls.outcomes]
             assert len(reported) == len(set(reported))
 
     def teardown(self):
--- a/tests/test_delivery_reports.py
+++ b/tests/test_delivery_reports.py
@@ -3,17 +3,17 @@
 import itertools
 import json
 
-from nethelp import MS, Peer, S, World, closed, reset
+from nethelp import MS, S, StubServer, VirtualTimeScheduler, closed, reset
 
 from scalefall.net import http
 from scalefall.net.delivery_reports import DeliveryReports
 
 
 def test_reports_are_repeated_until_204():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         reports = DeliveryReports(world, peer.address, done.append)
         reports.report_failed("a")
         reports.report_returned("b", 250)
@@ -35,7 +35,7 @@
         sock = peer.accept()
         peer.read(sock)
         sock.send(http.answer(204, []))
-        world.until(lambda: done == ["a", "b"])
+        world.wait_until(lambda: done == ["a", "b"])
         reports.report_failed("c")  # over the idle connection
         assert b'"c"' in peer.read(sock).body
         assert reports.idle is False
@@ -47,10 +47,10 @@
 
 
 def test_a_report_that_the_platform_cannot_read_does_not_block_the_others():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         reports = DeliveryReports(world, peer.address, done.append)
         for name in "abc":
             reports.report_failed(name)
@@ -66,10 +66,10 @@
 
 
 def test_a_post_without_an_answer_times_out_and_is_repeated():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         DeliveryReports(world, peer.address, done.append).report_failed("a")
         sock = peer.accept()
         peer.read(sock)
@@ -77,7 +77,7 @@
         sock = peer.accept()
         peer.read(sock)
         sock.send(http.answer(204, []))
-        world.until(lambda: done)
+        world.wait_until(lambda: done)
 
     world.play(play)
 
@@ -85,24 +85,24 @@
 def test_a_stale_connection_or_a_network_cut_delays_a_report_by_at_most_one_hedging_delay():
     """Guards against late reports: with one POST at a time, a time-out of 1 s and a backoff of up to 1 s, a report was
     up to 2 s late if a network cut had just ended or its idle connection was stale."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def confirm(peer, sock):
         peer.read(sock)
         sock.send(http.answer(204, []))
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         reports = DeliveryReports(world, peer.address, done.append)
         reports.report_failed("a")
         idle = peer.accept()
         confirm(peer, idle)
-        world.until(lambda: done == ["a"])
+        world.wait_until(lambda: done == ["a"])
         began = world.now()
         reports.report_failed("b")
         peer.read(idle)  # and no answer
         confirm(peer, peer.accept())
-        world.until(lambda: done == ["a", "b"])
+        world.wait_until(lambda: done == ["a", "b"])
         assert world.now() - began < 200 * MS
         reset(idle)
         reports.report_failed("c")
@@ -110,10 +110,10 @@
         while world.now() < end:
             unanswered.append(peer.accept())
         confirm(peer, peer.accept())
-        world.until(lambda: "c" in done)
+        world.wait_until(lambda: "c" in done)
         assert world.now() - end < 400 * MS
         assert len(unanswered) < 60
-        world.until(lambda: not reports.posts_in_flight)  # the unanswered POSTs end, and no further one starts
+        world.wait_until(lambda: not reports.posts_in_flight)  # the unanswered POSTs end, and no further one starts
         world.sleep(S)
         accepted = peer.accepted
         world.sleep(5 * S)
@@ -124,10 +124,10 @@
 
 
 def test_reports_are_posted_by_deadline_and_those_already_too_late_last():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, done = Peer(world), []
+        peer, done = StubServer(world), []
         reports = DeliveryReports(world, peer.address, done.append)
         now = world.now()
         for number in range(300):
@@ -153,10 +153,10 @@
 
 
 def test_a_report_in_backoff_is_posted_to_a_new_address_at_once():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
-        peer, new, done = Peer(world), Peer(world), []
+        peer, new, done = StubServer(world), StubServer(world), []
         reports = DeliveryReports(world, peer.address, done.append)
         peer.listener.close()
         reports.report_failed("a")
@@ -166,7 +166,7 @@
         sock = new.accept()
         new.read(sock)
         sock.send(http.answer(204, []))
-        world.until(lambda: done)
+        world.wait_until(lambda: done)
         assert world.now() - began < 100 * MS
 
     world.play(play)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -4,7 +4,19 @@
 import socket
 
 import pytest
-from nethelp import MS, STREAM, Peer, S, World, chunk, closed, list_update, listed, reset, woken
+from nethelp import (
+    MS,
+    STREAM_HEAD,
+    S,
+    StubServer,
+    VirtualTimeScheduler,
+    chunk,
+    closed,
+    host_row,
+    list_update,
+    reset,
+    resume_within_poll,
+)
 
 from scalefall.net import http
 from scalefall.net.delivery_reports import DeliveryReports
@@ -18,9 +30,9 @@
 
 
 def watched(world, **more):
-    peer, events = Peer(world), []
+    peer, events = StubServer(world), []
     endpoint_list = DiscoveryList(
-        world, peer.address, read_list(list_update(41, listed("e", HERE))), events.append, **more
+        world, peer.address, read_list(list_update(41, host_row("e", HERE))), events.append, **more
     )
     return peer, endpoint_list, events
 
@@ -35,7 +47,7 @@
 
 
 def test_a_watch_starts_at_the_known_version_and_passes_changes_on():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world)
@@ -45,19 +57,19 @@
         endpoint_list.subscribe()  # one watch at a time
         sock = peer.accept()
         assert peer.read(sock).target == "/v1/servers?stream=1&index=41"
-        data = STREAM + chunk(
-            list_update(42, listed("f", HERE), whole=False), None, list_update(42, listed("f", HERE), whole=False)
+        data = STREAM_HEAD + chunk(
+            list_update(42, host_row("f", HERE), whole=False), None, list_update(42, host_row("f", HERE), whole=False)
         )
         for at in range(0, len(data), 7):
             sock.send(data[at : at + 7])
             world.sleep(MS)
         sock.send(
             chunk(
-                list_update(43, listed("e", HERE, health="terminating"), whole=False),
-                list_update(50, listed("f", HERE)),
+                list_update(43, host_row("e", HERE, health="terminating"), whole=False),
+                list_update(50, host_row("f", HERE)),
             )
         )
-        world.until(lambda: len(events) == 3)
+        world.wait_until(lambda: len(events) == 3)
         assert [(event.kind, [(e.id, e.status) for e in event.endpoints]) for event in events] == [
             (K.CHANGES, [("f", EndpointStatus.READY)]),
             (K.CHANGES, [("e", EndpointStatus.DRAINING)]),
@@ -70,7 +82,7 @@
     world.play(play)
 
 
-INCOMPLETE = [STREAM, STREAM + b"2\r\n{\n\r\n"]  # an answer without a whole object or blank line
+INCOMPLETE = [STREAM_HEAD, STREAM_HEAD + b"2\r\n{\n\r\n"]  # an answer without a whole object or blank line
 
 
 @pytest.mark.parametrize(
@@ -82,9 +94,9 @@
                 b"",
                 http.answer(503, []),
                 b"junk\r\n",
-                STREAM + chunk({"seq": 1}),
-                STREAM + chunk(list_update(42, {"host": "x"})),
-                STREAM + b"0\r\n\r\n",
+                STREAM_HEAD + chunk({"seq": 1}),
+                STREAM_HEAD + chunk(list_update(42, {"host": "x"})),
+                STREAM_HEAD + b"0\r\n\r\n",
             )
             for end in (reset, socket.socket.close, None)
         ),
@@ -93,7 +105,7 @@
 )
 def test_a_watch_that_breaks_is_one_failure_and_can_be_opened_again(answer, end):
     """A watch that receives nothing is broken too: discovery sends a line every 2 s, an unreachable host nothing."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world)
@@ -106,7 +118,7 @@
             started_at = world.now()
             if end:
                 end(sock)
-            world.until(lambda times=times: len(events) == times)
+            world.wait_until(lambda times=times: len(events) == times)
             assert [event.kind for event in events] == [K.FAILED] * times
             assert world.now() - started_at < 5 * S
             assert endpoint_list.seq == 41
@@ -121,7 +133,7 @@
 def test_a_watch_without_a_whole_object_or_blank_line_times_out_like_an_idle_one(answer, drip, pushed):
     """The engine reopened it only after up to 9 s, as after a failed call; and parts of an object, or white space
     within one, kept it open forever. The sender counts as notified after 6 s."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world, pushed=pushed)
@@ -134,7 +146,7 @@
 
         def send_drip():
             try:
-                sock.send(b"1\r\n{\r\n" if answer is STREAM and world.now() == started_at + MS else drip)
+                sock.send(b"1\r\n{\r\n" if answer is STREAM_HEAD and world.now() == started_at + MS else drip)
                 world.call_at(world.now() + S // 2, send_drip)
             except OSError:
                 pass  # the sender has closed the connection
@@ -150,15 +162,15 @@
 
 
 def test_a_long_list_that_keeps_arriving_does_not_time_out():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, _endpoint_list, events, sock = opened(world)
-        data = STREAM + chunk(list_update(42, *(listed(f"e{number}", HERE) for number in range(2000))))
+        data = STREAM_HEAD + chunk(list_update(42, *(host_row(f"e{number}", HERE) for number in range(2000))))
         for at in range(0, len(data), 48 * 1024):  # 6 s in all
             sock.send(data[at : at + 48 * 1024])
             world.sleep(S)
-        world.until(lambda: events)
+        world.wait_until(lambda: events)
         assert [(event.kind, len(event.endpoints)) for event in events] == [(K.WHOLE, 2000)]
         assert peer.accepted == 1
 
@@ -168,22 +180,22 @@
 @pytest.mark.parametrize("pushed", [False, True])
 def test_the_whole_list_is_requested_after_discovery_restarts_its_numbering(pushed):
     """The changes were taken for old ones, and the list was never updated again."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world, pushed=pushed)
         endpoint_list.subscribe()
         sock = peer.accept()
         assert peer.read(sock).target == "/v1/servers?stream=1&index=41"
-        sock.send(STREAM + chunk(list_update(3, listed("f", HERE), whole=False)))
+        sock.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE), whole=False)))
         started_at, again = world.now(), peer.accept()
         assert peer.read(again).target == "/v1/servers?stream=1&index=0"
         assert world.now() - started_at < 2500 * MS
-        again.send(STREAM + chunk(list_update(3, listed("f", HERE))))
+        again.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE))))
         again.send(
-            chunk(list_update(2, listed("g", HERE), whole=False), list_update(4, listed("h", HERE), whole=False))
+            chunk(list_update(2, host_row("g", HERE), whole=False), list_update(4, host_row("h", HERE), whole=False))
         )
-        world.until(lambda: "h" in endpoint_list.entries)
+        world.wait_until(lambda: "h" in endpoint_list.entries)
         assert endpoint_list.seq == 4
         assert "g" not in endpoint_list.entries
         assert K.FAILED not in [event.kind for event in events]
@@ -192,19 +204,19 @@
 
 
 def test_a_change_that_arrives_as_its_watch_times_out_is_received_by_the_next_watch():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, _told, sock = opened(world)
-        sock.send(STREAM + chunk(None))
+        sock.send(STREAM_HEAD + chunk(None))
         world.sleep(MS)
-        woken(world)
-        sock.send(chunk(list_update(42, listed("f", HERE), whole=False)))  # unread when the time is up
+        resume_within_poll(world)
+        sock.send(chunk(list_update(42, host_row("f", HERE), whole=False)))  # unread when the time is up
         world.clock += 4 * S
         again = peer.accept()
         assert peer.read(again).target == "/v1/servers?stream=1&index=41"
-        again.send(STREAM + chunk(list_update(42, listed("f", HERE), whole=False)))
-        world.until(lambda: endpoint_list.seq == 42)
+        again.send(STREAM_HEAD + chunk(list_update(42, host_row("f", HERE), whole=False)))
+        world.wait_until(lambda: endpoint_list.seq == 42)
         assert "f" in endpoint_list.entries
 
     world.play(play)
@@ -217,16 +229,18 @@
 
 def test_a_list_may_be_indented_and_an_unreadable_entry_is_skipped_alone(caplog):
     """Split at line ends, an indented list was not a valid object: the watch broke at it again and again."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events, sock = opened(world)
         for seq in (50, 51):
-            data = STREAM * (seq == 50) + indented(list_update(seq, listed("f", HERE), {"host": "e"})) + chunk(None)
+            data = (
+                STREAM_HEAD * (seq == 50) + indented(list_update(seq, host_row("f", HERE), {"host": "e"})) + chunk(None)
+            )
             for at in range(0, len(data), 50):
                 sock.send(data[at : at + 50])
                 world.sleep(MS)
-        world.until(lambda: endpoint_list.seq == 51)
+        world.wait_until(lambda: endpoint_list.seq == 51)
         assert [(event.kind, [e.id for e in event.endpoints]) for event in events] == [(K.WHOLE, ["f", "e"])] * 2
         assert set(endpoint_list.entries) == {"e", "f"}
         assert not endpoint_list.left_at
@@ -239,7 +253,7 @@
 
 def test_an_idle_watch_is_reopened_before_the_sender_counts_as_notified_of_missed_changes():
     """That is 6 s after the watch's last object or line; the engine's backoff after a failure may be 9 s."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world)
@@ -247,22 +261,22 @@
         for _ in range(5):
             sock = peer.accept()
             peer.read(sock)
-            sock.send(STREAM + chunk(None))
+            sock.send(STREAM_HEAD + chunk(None))
             active_at = world.now()
             again = peer.accept()
             assert world.now() - active_at < 5500 * MS
             assert K.FAILED not in [event.kind for event in events]
             events.clear()
             again.close()  # the engine repeats a failed request
-            world.until(lambda: events)
+            world.wait_until(lambda: events)
             assert [event.kind for event in events] == [K.FAILED]
             endpoint_list.subscribe()
             sock = peer.accept()
-            sock.send(STREAM + chunk(None))
-            world.until(lambda: len(events) == 2)
+            sock.send(STREAM_HEAD + chunk(None))
+            world.wait_until(lambda: len(events) == 2)
             assert (events[1].kind, events[1].endpoints) == (K.CHANGES, [])  # discovery has answered, without changes
             sock.close()
-            world.until(lambda: len(events) == 3)
+            world.wait_until(lambda: len(events) == 3)
             events.clear()
             endpoint_list.subscribe()
 
@@ -272,18 +286,18 @@
 def test_where_lists_are_pushed_a_watch_is_opened_at_the_start_and_reopened_whenever_it_breaks():
     """The sender counts as notified of discovery's list from its start: nothing is sent by the old list before
     discovery has answered. Without a watch that opens by itself, a sender used the list from its start forever."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world, pushed=True)
         endpoint_list.start()
         sock = peer.accept()
         assert peer.read(sock).target.endswith("index=41")
-        sock.send(STREAM)
+        sock.send(STREAM_HEAD)
         world.sleep(100 * MS)
         assert events == []
-        sock.send(chunk(list_update(42, listed("f", HERE), whole=False)))
-        world.until(lambda: len(events) == 2)
+        sock.send(chunk(list_update(42, host_row("f", HERE), whole=False)))
+        world.wait_until(lambda: len(events) == 2)
         assert [(event.kind, [e.id for e in event.endpoints]) for event in events] == [
             (K.CACHED, ["e"]),
             (K.CHANGES, ["f"]),
@@ -295,25 +309,25 @@
             sock = peer.accept()
             assert world.now() - started_at < (S if times % 2 else 4 * S)
             peer.read(sock)
-            sock.send(STREAM + chunk(None))
+            sock.send(STREAM_HEAD + chunk(None))
         assert len(events) == 2  # no failure, to which the engine would react with a backoff
 
     world.play(play)
 
 
 def test_where_lists_are_pushed_the_old_list_is_used_if_discovery_does_not_answer_in_time():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world, pushed=True)
         endpoint_list.start()
         started_at = world.now()
-        world.until(lambda: events)
+        world.wait_until(lambda: events)
         assert [event.kind for event in events] == [K.CACHED]
         assert world.now() - started_at < 3 * S
         sock = peer.accept()
         peer.read(sock)
-        sock.send(STREAM + chunk(None))
+        sock.send(STREAM_HEAD + chunk(None))
         world.sleep(S)
         assert len(events) == 1
 
@@ -321,13 +335,13 @@
 
 
 def test_blank_lines_keep_a_watch_open():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world)
         endpoint_list.subscribe()
         sock = peer.accept()
-        sock.send(STREAM)
+        sock.send(STREAM_HEAD)
         for _ in range(10):
             sock.send(chunk(None))
             world.sleep(2 * S)
@@ -339,16 +353,16 @@
 
 def test_when_discovery_moves_the_watch_and_the_delivery_reports_move_and_nothing_is_lost():
     """SIGHUP ended the process. The old address accepts no connection any more, and closes its own a moment later."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world)
-        new, done = Peer(world), []
+        new, done = StubServer(world), []
         reports = DeliveryReports(world, peer.address, done.append)
         endpoint_list.subscribe()
         old = peer.accept()
         peer.read(old)
-        old.send(STREAM + chunk(None))
+        old.send(STREAM_HEAD + chunk(None))
         reports.report_failed("a")
         post = peer.accept()
         peer.read(post)
@@ -358,8 +372,8 @@
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
         assert closed(world, old)
         # The new discovery may number its versions differently.
-        sock.send(STREAM + chunk(list_update(3, listed("f", HERE))))
-        world.until(lambda: events)
+        sock.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE))))
+        world.wait_until(lambda: events)
         assert events[0].kind is K.WHOLE
         assert endpoint_list.seq == 3
         assert set(endpoint_list.left_at) == {"e"}
@@ -367,10 +381,10 @@
         post = new.accept()
         assert b'"a"' in new.read(post).body
         post.send(http.answer(204, []))
-        world.until(lambda: done == ["a"])
+        world.wait_until(lambda: done == ["a"])
         endpoint_list.move(new.address)  # the same address: the watch stays
-        sock.send(chunk(list_update(4, listed("g", HERE), whole=False)))
-        world.until(lambda: len(events) == 2)
+        sock.send(chunk(list_update(4, host_row("g", HERE), whole=False)))
+        world.wait_until(lambda: len(events) == 2)
         assert (peer.accepted, new.accepted) == (2, 2)
 
     world.play(play)
@@ -379,9 +393,9 @@
 def about_to_move(world):
     """Return a list with an active watch on one discovery, and the peer to which discovery will move."""
     _peer, endpoint_list, events, old = opened(world)
-    old.send(STREAM + chunk(None))
+    old.send(STREAM_HEAD + chunk(None))
     world.sleep(MS)
-    return endpoint_list, events, old, Peer(world)
+    return endpoint_list, events, old, StubServer(world)
 
 
 @pytest.mark.parametrize("length", [1, 400])
@@ -389,19 +403,19 @@
 def test_an_update_from_the_old_address_during_a_move_does_not_set_the_requested_version(length, is_received_first):
     """The update was applied after the move, and its version was requested from the new address, which sent only later
     changes: the list stayed as the old discovery had it."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         endpoint_list, events, old, new = about_to_move(world)
-        woken(world)
-        old.send(chunk(list_update(99, *(listed(f"x{n}", HERE) for n in range(length)), whole=False)))
+        resume_within_poll(world)
+        old.send(chunk(list_update(99, *(host_row(f"x{n}", HERE) for n in range(length)), whole=False)))
         if is_received_first:  # these bytes resume the watch's task before the move
             world.wake(endpoint_list._watch._task, READY)
         endpoint_list.move(new.address)
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
-        sock.send(STREAM + chunk(list_update(3, listed("f", HERE))))
-        world.until(lambda: events)
+        sock.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE))))
+        world.wait_until(lambda: events)
         assert [event.kind for event in events] == [K.WHOLE]
         assert set(endpoint_list.left_at) == {"e"}
 
@@ -409,7 +423,7 @@
 
 
 def test_the_remaining_objects_of_the_old_discovery_are_dropped_after_a_move_between_two_of_them():
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         endpoint_list, events, old, new = about_to_move(world)
@@ -421,7 +435,7 @@
 
         endpoint_list.handle_update = handle_update_and_move
         old.send(
-            chunk(list_update(50, listed("f", HERE), whole=False), list_update(51, listed("g", HERE), whole=False))
+            chunk(list_update(50, host_row("f", HERE), whole=False), list_update(51, host_row("g", HERE), whole=False))
         )
         sock = new.accept()
         assert new.read(sock).target == "/v1/servers?stream=1&index=0"
@@ -435,7 +449,7 @@
 @pytest.mark.parametrize("watching", [True, False])
 def test_after_a_move_the_watch_is_retried_until_discovery_answers_without_waiting_for_the_engine(watching):
     """The sender counts as notified 4 s after SIGHUP; the engine's backoff after a failure may be 8 s."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, events = watched(world)
@@ -443,14 +457,14 @@
         sock = peer.accept()
         if not watching:
             sock.close()
-            world.until(lambda: events)
-        new, failures = Peer(world), len(events)
+            world.wait_until(lambda: events)
+        new, failures = StubServer(world), len(events)
         started_at = world.now()
         endpoint_list.move(new.address)
         new.accept().close()
         sock = new.accept()
-        sock.send(STREAM + chunk(list_update(1, listed("f", HERE))))
-        world.until(lambda: len(events) > failures)
+        sock.send(STREAM_HEAD + chunk(list_update(1, host_row("f", HERE))))
+        world.wait_until(lambda: len(events) > failures)
         assert events[-1].kind is K.WHOLE
         assert world.now() - started_at < S
 
@@ -459,19 +473,19 @@
 
 def test_removed_endpoints_are_dropped_after_a_time_and_an_address_belongs_to_its_newest_endpoint():
     """New ids and addresses appear all day, and every endpoint ever listed was kept."""
-    world = World()
+    world = VirtualTimeScheduler()
 
     def play():
         peer, endpoint_list, _told = watched(world)
         endpoint_list.subscribe()
         sock = peer.accept()
-        sock.send(STREAM)
+        sock.send(STREAM_HEAD)
         old = endpoint_list.entries["e"]
         for n in range(200):
             health = "terminated" if n % 2 else "in_service"
-            one = listed(f"f{n // 2}", ("127.0.0.1", 1000 + n // 2), health=health)
+            one = host_row(f"f{n // 2}", ("127.0.0.1", 1000 + n // 2), health=health)
             sock.send(chunk(None, list_update(42 + n, one, whole=False)))
-            world.until(lambda n=n: endpoint_list.seq == 42 + n)
+            world.wait_until(lambda n=n: endpoint_list.seq == 42 + n)
             world.sleep(S)
         assert len(endpoint_list.entries) < 35
         assert len(endpoint_list.left_at) == len(endpoint_list._removed_at) < 33
@@ -479,15 +493,15 @@
         assert endpoint_list.serves(7)
         assert not endpoint_list.serves(8)
         assert not endpoint_list.is_replaced(old)
-        sock.send(chunk(list_update(300, listed("g", HERE))))
-        world.until(lambda: endpoint_list.seq == 300)
+        sock.send(chunk(list_update(300, host_row("g", HERE))))
+        world.wait_until(lambda: endpoint_list.seq == 300)
         assert endpoint_list.is_replaced(old)
         assert not endpoint_list.is_replaced(endpoint_list.entries["g"])
         for _ in range(31):
             sock.send(chunk(None))
             world.sleep(2 * S)
-        sock.send(chunk(list_update(301, listed("g", HERE))))
-        world.until(lambda: endpoint_list.seq == 301)
+        sock.send(chunk(list_update(301, host_row("g", HERE))))
+        world.wait_until(lambda: endpoint_list.seq == 301)
         assert set(endpoint_list.entries) == {"g"}
         assert endpoint_list.left_at == endpoint_list._removed_at == {}
         assert endpoint_list._owners == {HERE: "g"}
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -1,14 +1,14 @@
 """The event queue: the order of events, and the time of the step that takes them."""
 
 import pytest
-from nethelp import MS, World
+from nethelp import MS, VirtualTimeScheduler
 
 from scalefall.net.event_queue import EventQueue
 from scalefall.policy.events import MessageWithdrawn
 
 
 def test_one_step_at_the_end_of_the_tick_takes_all_events_in_order():
-    world = World()
+    world = VirtualTimeScheduler()
     queue = EventQueue(world, 5 * MS)
     taken = []
     queue.connect(lambda: taken.append((world.now(), queue.take_all())))
@@ -27,7 +27,7 @@
 
 
 def test_an_event_gathered_during_a_step_is_taken_by_the_next_one():
-    world = World()
+    world = VirtualTimeScheduler()
     queue = EventQueue(world, MS)
     taken = []
 
@@ -48,6 +48,6 @@
 
 
 def test_running_a_step_before_one_is_connected_is_an_error():
-    queue = EventQueue(World(), MS)
+    queue = EventQueue(VirtualTimeScheduler(), MS)
     with pytest.raises(RuntimeError):
         queue.step_now()
--- a/tests/test_notified_in_time.py
+++ b/tests/test_notified_in_time.py
@@ -6,7 +6,7 @@
 
 import pytest
 from greenlet import getcurrent
-from nethelp import MS, STREAM, S, chunk, list_update, listed
+from nethelp import MS, STREAM_HEAD, S, chunk, list_update, host_row
 from test_sender import SenderHarness
 
 from scalefall.net import http, list_watch
@@ -62,9 +62,9 @@
         return accepted_at
 
     def send_change(self):
-        change = list_update(2, listed("f", self.harness.endpoint.address), whole=False)
-        self.call(STREAM + chunk(change))
-        self.world.until(lambda: "f" in self.list.entries)
+        change = list_update(2, host_row("f", self.harness.endpoint.address), whole=False)
+        self.call(STREAM_HEAD + chunk(change))
+        self.world.wait_until(lambda: "f" in self.list.entries)
 
 
 def unanswered(discovery):
@@ -98,7 +98,7 @@
 
     def play():
         discovery.harness.accept_watch()
-        world.until(lambda: discovery.list._watch._last_active_at_us > 0)
+        world.wait_until(lambda: discovery.list._watch._last_active_at_us > 0)
         ended_at = world.now()
         if end == "closed":
             discovery.harness.watch.close()
@@ -142,7 +142,7 @@
 
     def play():
         discovery.harness.accept_watch()
-        hosts = (listed(f"x{number}", discovery.harness.endpoint.address) for number in range(2000))
+        hosts = (host_row(f"x{number}", discovery.harness.endpoint.address) for number in range(2000))
         data = chunk(list_update(2, *hosts))[: 3 * list_watch.BYTES_PER_IDLE_TIMEOUT]
         discovery.harness.send(discovery.harness.watch, data)
         world.sleep(MS)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,7 +13,7 @@
 import time
 
 import pytest
-from nethelp import listed
+from nethelp import host_row
 
 from scalefall.net.config import read_config
 
@@ -227,8 +227,8 @@
         ({"siblings": 5}, ["127.0.0.1:1"] * 3, 5, "5 senders"),
         ({"siblings": 2}, ["127.0.0.1:1"] * 1024, 1024, "1024 senders"),
         ({"siblings": 2, "index": 6}, None, 7, "7 senders"),
-        ({"siblings": 3}, "all", 3, "left aside"),
-        ({"siblings": 3}, [1, 2], 3, "left aside"),
+        ({"siblings": 3}, "all", 3, "ignored"),
+        ({"siblings": 3}, [1, 2], 3, "ignored"),
         ({"siblings": 3}, ["127.0.0.1:1"] * 3, 3, None),
         ({"siblings": 3}, [], 3, None),
     ],
@@ -245,11 +245,11 @@
 
 def test_an_unreadable_endpoint_of_the_known_list_is_skipped(tmp_path):
     """Guards against one invalid entry: the sender did not start."""
-    rows = [listed("fine", ("127.0.0.1", 1)), {"host": "torn"}, 7]
+    rows = [host_row("fine", ("127.0.0.1", 1)), {"host": "torn"}, 7]
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"known": {"seq": 1, "whole": True, "hosts": rows}}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert [entry.endpoint.id for entry in config.known.entries] == ["fine"]
-    assert config.doubts == ("known: 2 endpoints cannot be read and are left out, the first 'torn'",)
+    assert config.warnings == ("known: 2 endpoints cannot be read and are left out, the first 'torn'",)
 
 
 @pytest.mark.parametrize("limits", [{}, {"sockets": 512}, {"sockets": 512, "disk_mb": 3, "memory_mb": 64}])
@@ -257,7 +257,7 @@
     """The process may have less than the assumed limit."""
     (tmp_path / "config.json").write_text(json.dumps(EXAMPLE | {"limits": limits}))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
-    assert [line.partition(" ")[0] for line in config.doubts] == [
+    assert [line.partition(" ")[0] for line in config.warnings] == [
         f"limits.{name}" for name in ("sockets", "disk_mb", "memory_mb") if name not in limits
     ]
     assert (config.sockets, config.memory_bytes) == (limits.get("sockets", 1024), limits.get("memory_mb", 192) * 10**6)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -56,7 +56,7 @@
     assert harness.world.now() <= harness.began + KEY_LIFETIME
     assert (request.fields["x-request-id"], request.fields["idempotency-key"]) == ("m", "k")
     sock.send(http.answer(200, []))
-    harness.world.until(lambda: harness.pending_ids() == [])
+    harness.world.wait_until(lambda: harness.pending_ids() == [])
     assert not harness.posts
 
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, STREAM, Peer, S, World, chunk, list_update, listed, read
+from nethelp import MS, STREAM_HEAD, S, StubServer, VirtualTimeScheduler, chunk, host_row, list_update, read
 
 from scalefall.net import attempt_dispatcher, deadline_monitor, http, sender_loop, streams
 from scalefall.net.config import Config
@@ -22,13 +22,13 @@
 
     def __init__(self, folder, kind="one", disk=3_000_000, host="127.0.0.1", admin=None, **changes):
         self.world, self.folder, self.disk, self.changes = (
-            World(),
+            VirtualTimeScheduler(),
             folder,
             disk,
             {"polls_endpoint_list": True} | changes,
         )
-        self.endpoint, self.platform = Peer(self.world, host), Peer(self.world)
-        self.known = read_list(list_update(1, listed("e", self.endpoint.address, kind=kind)))
+        self.endpoint, self.platform = StubServer(self.world, host), StubServer(self.world)
+        self.known = read_list(list_update(1, host_row("e", self.endpoint.address, kind=kind)))
         self.watch, self.posts, self.admin = None, [], admin
         self.start()
 
@@ -60,7 +60,7 @@
         request = self.platform.read(sock)
         if request.method == "GET":
             self.watch = sock
-            sock.send(STREAM + chunk(None))
+            sock.send(STREAM_HEAD + chunk(None))
             return True
         self.posts.append((sock, request))
         return False
@@ -129,7 +129,7 @@
         assert request.fields["x-request-id"] == "m"
         assert harness.sender.journal.pending["m"].in_flight
         sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, steps)
 
@@ -186,7 +186,7 @@
         sock.send(http.answer(500, []))
         assert harness.endpoint.read(sock).body == b"body"
         sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, steps)
 
@@ -199,7 +199,7 @@
         harness.submit_accepted("m")
         sock, _ = harness.accept_call()
         sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
         assert harness.read_answer(harness.submit("m")).status == 202
         assert harness.pending_ids() == []
         assert harness.read_answer(harness.submit("m", body=b"other")).status == 409
@@ -208,7 +208,7 @@
         harness.submit_accepted("n")
         sock, _ = harness.accept_call()
         sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
         assert list(harness.sender.tracker.finished) == ["n"]
 
     play(harness, steps)
@@ -243,7 +243,7 @@
         harness.submit_accepted("f", cls="unsafe", deadline="2000m")
         harness.accept_call()[0].close()
         assert harness.receive_reports() == [{"id": "f", "state": "failed"}]
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, steps)
 
@@ -275,7 +275,7 @@
             assert request.fields["idempotency-key"] == "k"
             assert request.body == b"body"
             sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, after_restart)
 
@@ -287,7 +287,7 @@
         harness.submit_accepted("m")
         sock, _ = harness.accept_call()
         sock.send(http.answer(500, []))
-        harness.world.until(lambda: not harness.sender.journal.pending["m"].in_flight)
+        harness.world.wait_until(lambda: not harness.sender.journal.pending["m"].in_flight)
         harness.kill()
 
     play(harness, steps)
@@ -315,11 +315,11 @@
     names = [f"m{number}" for number in range(24)]
 
     def push_health(health):
-        harness.watch.send(chunk(list_update(2, listed("e", harness.endpoint.address, health=health))))
+        harness.watch.send(chunk(list_update(2, host_row("e", harness.endpoint.address, health=health))))
 
     def steps():
         push_health("terminating")  # so that no attempt starts before the kill
-        harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
+        harness.world.wait_until(lambda: harness.sender.endpoint_list.seq == 2)
         for name in names:
             harness.sender.journal.record_accepted(accepted_delivery(harness, name, cls))
             if ran:
@@ -366,15 +366,15 @@
         harness.submit_accepted("m")
         sock, _ = harness.accept_call()
         sock.send(http.answer(429, [("Retry-After", "0.5")]))
-        harness.world.until(lambda: not harness.sender.dispatcher.may_begin(entry))
+        harness.world.wait_until(lambda: not harness.sender.dispatcher.may_begin(entry))
         harness.sender.dispatcher.drop_expired_waits()  # the wait has not expired
         assert not harness.sender.dispatcher.may_begin(entry)
         harness.world.sleep(600 * MS)
         assert harness.sender.dispatcher.may_begin(entry)
         harness.watch.send(
-            chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating"), whole=False))
+            chunk(list_update(2, host_row("e", harness.endpoint.address, health="terminating"), whole=False))
         )
-        harness.world.until(lambda: "e" in harness.sender.endpoint_list.left_at)
+        harness.world.wait_until(lambda: "e" in harness.sender.endpoint_list.left_at)
         harness.world.sleep(900 * MS)
         assert not harness.sender.dispatcher.may_begin(entry)
 
@@ -407,7 +407,7 @@
         assert spans_sent == ["8000m", "5000m", "3000m"]
         rows = [{"id": row["id"], "state": "accepted"} for row in json.loads(request.body)]
         sock.send(http.answer(200, [], json.dumps(rows).encode()))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, steps)
 
@@ -466,9 +466,9 @@
 
     def steps():
         harness.watch.send(
-            chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating"), whole=False))
+            chunk(list_update(2, host_row("e", harness.endpoint.address, health="terminating"), whole=False))
         )
-        harness.world.until(lambda: harness.sender.endpoint_list.seq == 2)
+        harness.world.wait_until(lambda: harness.sender.endpoint_list.seq == 2)
         harness.submit_accepted("m", deadline="4000m")
         if stalled:
             harness.world.clock += 10 * S
@@ -496,7 +496,7 @@
         harness.submit_accepted("m")
         _, call = harness.accept_call()
         assert call.fields["x-request-id"] == "m"
-        harness.world.until(lambda: outcomes)
+        harness.world.wait_until(lambda: outcomes)
         assert (outcomes[0].endpoint, outcomes[0].outcome) == ("ghost", Outcome.NOT_SENT)
         assert counted == ["the engine sends only to listed endpoints"]
 
@@ -515,14 +515,14 @@
         late = harness.submit("late")
         assert harness.read_answer(late).status == 202
         sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == ["late"])
+        harness.world.wait_until(lambda: harness.pending_ids() == ["late"])
         harness.world.sleep(60 * S)
         raise AssertionError(f"still running after {harness.world.now() - began} us")
 
     harness.world.spawn(lambda: (harness.accept_watch(), steps()))
     began = harness.world.now()
     harness.world.run()
-    assert harness.world.broken is None
+    assert harness.world.failure is None
     assert harness.world.now() - began < 4 * S
     assert harness.endpoint.accepted == 1
     assert harness.pending_ids() == ["late"]
@@ -537,7 +537,7 @@
             harness.submit_accepted(name)
             sock, _ = harness.accept_call()
             sock.send(http.answer(200, []))
-            harness.world.until(lambda: not harness.pending_ids())
+            harness.world.wait_until(lambda: not harness.pending_ids())
             sock.close()
         close, last = harness.sender.ingress.stop_listening, []
 
@@ -557,5 +557,5 @@
 
     harness.world.spawn(lambda: (harness.accept_watch(), steps()))
     harness.world.run()
-    assert harness.world.broken is None
+    assert harness.world.failure is None
     assert harness.pending_ids() == []
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import message_class
-from nethelp import MS, STREAM, S, chunk, list_update, listed, reset, woken
+from nethelp import MS, STREAM_HEAD, S, chunk, host_row, list_update, reset, resume_within_poll
 from test_journal import used_bytes
 from test_sender import SenderHarness, accepted_delivery, play
 
@@ -53,7 +53,7 @@
             sock = self.harness.platform.accept()
             request = self.harness.platform.read(sock)
             if request.method == "GET":
-                sock.send(STREAM + chunk(None))
+                sock.send(STREAM_HEAD + chunk(None))
                 continue
             self.reported |= {json.loads(line)["id"] for line in request.body.splitlines()}
             sock.send(http.answer(204, [], keep=False))
@@ -112,7 +112,7 @@
             harness.world.spawn(run_process)
             harness.world.run()
         assert finished
-        assert harness.world.broken is None
+        assert harness.world.failure is None
         assert not environment.accepted or "m" in environment.delivered | environment.reported, (
             f"record {number}: neither delivered nor reported"
         )
@@ -140,7 +140,7 @@
     harness.sender.close = record_and_close
     harness.world.spawn(run_steps)
     harness.world.run()
-    assert harness.world.broken is None
+    assert harness.world.failure is None
     return harness.world.now() - closed_at[0] < 3300 * MS
 
 
@@ -193,7 +193,7 @@
     finally:
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
-    assert world.broken is None
+    assert world.failure is None
     assert harness.pending_ids() == []
     assert world.now() - harness.sender.shutdown.started_at_us < 3300 * MS
 
@@ -239,7 +239,7 @@
         assert request.fields["x-request-id"] == "a"
         sock.send(http.answer(200, []))
         assert harness.receive_reports() == [{"id": "b", "state": "failed"}]
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, after_restart)
 
@@ -288,15 +288,15 @@
     """An update before the break is applied at once; one after it arrives with the next watch."""
 
     def steps():
-        update = chunk(list_update(2, listed("e", harness.endpoint.address, health="terminating")))
-        woken(harness.world)
+        update = chunk(list_update(2, host_row("e", harness.endpoint.address, health="terminating")))
+        resume_within_poll(harness.world)
         if first == "the list":
             harness.watch.send(update)
         harness.watch.close()
         if first != "the list":
             harness.accept_watch()
             harness.watch.send(update)
-        harness.world.until(lambda: "e" in harness.sender.endpoint_list.left_at)
+        harness.world.wait_until(lambda: "e" in harness.sender.endpoint_list.left_at)
 
     play(harness, steps)
 
@@ -305,7 +305,7 @@
     """The request and the end of the connection are read together."""
 
     def steps():
-        woken(harness.world)
+        resume_within_poll(harness.world)
         sock = harness.submit("gone")
         sock.shutdown(socket.SHUT_WR)
         sock.close()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import message_class, settings
-from nethelp import S, list_update, listed, reset
+from nethelp import S, list_update, host_row, reset
 from test_sender import SenderHarness, play
 
 from scalefall.net import http
@@ -100,7 +100,7 @@
     play(harness, steps)
     harness.changes["classes"] = {"c": message_class("c", **after)}
     harness.known = read_list(
-        list_update(2, listed("e", harness.endpoint.address) | {"site": "b"})
+        list_update(2, host_row("e", harness.endpoint.address) | {"site": "b"})
     )  # the endpoint is in another zone now
     for _ in range(restarts - 1):  # the journal is compacted in between
         harness.start()
@@ -117,6 +117,6 @@
             sock, request = harness.accept_call()
             assert request.fields["x-request-id"] == "m"
             sock.send(http.answer(200, []))
-        harness.world.until(lambda: harness.pending_ids() == [])
+        harness.world.wait_until(lambda: harness.pending_ids() == [])
 
     play(harness, after_restart)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -2,7 +2,7 @@
 
 import pytest
 from helpers import settings
-from nethelp import MS, S, World
+from nethelp import MS, S, VirtualTimeScheduler
 
 from scalefall.net.event_queue import EventQueue
 from scalefall.net.shutdown import (
@@ -31,7 +31,7 @@
 
 class ShutdownHarness:
     def __init__(self, **busy):
-        self.world = World()
+        self.world = VirtualTimeScheduler()
         self.components = FakeComponents(self.world)
         vars(self.components).update(busy)
         self.open, self.engine_events = {}, []
@@ -56,7 +56,7 @@
             self.world.call_at(started_us + at_us, function)
         self.shutdown.start()
         self.world.run()
-        assert self.world.broken is None
+        assert self.world.failure is None
         return self.world.now() - started_us
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,9 +1,9 @@
-"""Lists at size: 1,024 endpoints and as many senders are taken whole, as asked for, as pushed, and as indented."""
+"""Endpoint lists at full size: 1,024 endpoints and as many senders, polled and pushed, compact and indented."""
 
 import json
 
 import pytest
-from nethelp import S, list_update, listed
+from nethelp import S, host_row, list_update
 from test_sender import SenderHarness
 
 from scalefall.net import learned_rates
@@ -12,54 +12,57 @@
 SIZE = 1024
 
 
-def address(harness, n):
-    """All of these lead to the one endpoint that the test plays."""
-    return f"127.1.{n // 250}.{1 + n % 250}", harness.endpoint.address[1]
+def address(harness, number):
+    """Return one of the loopback addresses that all lead to the stub endpoint."""
+    return f"127.1.{number // 250}.{1 + number % 250}", harness.endpoint.address[1]
 
 
-def entry(harness, n, **more):
-    return listed(f"s-{n:08x}", address(harness, n), block=n, **more)
+def entry(harness, number, **more):
+    return host_row(f"s-{number:08x}", address(harness, number), block=number, **more)
 
 
 @pytest.mark.parametrize("indent", [None, 4])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_list_of_1024_is_taken_whole_and_every_message_goes_where_it_belongs(tmp_path, indent, pushed):
+def test_a_list_of_1024_endpoints_is_used_in_full_and_each_message_goes_to_its_destination(tmp_path, indent, pushed):
     harness = SenderHarness(tmp_path, replica_count=SIZE, host="0.0.0.0", polls_endpoint_list=not pushed)
 
-    def tell(table):
+    def send_update(table):
         data = json.dumps(table, indent=indent).encode() + b"\n"
-        for at in range(0, len(data), 50_000):
-            harness.send(harness.watch, b"%x\r\n%s\r\n" % (len(data[at : at + 50_000]), data[at : at + 50_000]))
+        for start in range(0, len(data), 50_000):
+            piece = data[start : start + 50_000]
+            harness.send(harness.watch, b"%x\r\n%s\r\n" % (len(piece), piece))
 
     def play():
         harness.accept_watch()
-        tell(list_update(2, *(entry(harness, n) for n in range(SIZE))))
+        send_update(list_update(2, *(entry(harness, n) for n in range(SIZE))))
         endpoint_list = harness.sender.endpoint_list
-        harness.world.until(lambda: endpoint_list.seq == 2)
+        harness.world.wait_until(lambda: endpoint_list.seq == 2)
         assert sum(e.endpoint.id.startswith("s-") for e in endpoint_list.entries.values()) == SIZE
         assert endpoint_list.unreadable_entries == 0
-        for n in (0, 511, SIZE - 1):
-            harness.submit_accepted(f"m{n}", dest=n)
+        for number in (0, 511, SIZE - 1):
+            harness.submit_accepted(f"m{number}", dest=number)
             sock, call = harness.accept_call()
-            assert (sock.getsockname(), call.fields["x-request-id"]) == (address(harness, n), f"m{n}")
+            assert (sock.getsockname(), call.fields["x-request-id"]) == (address(harness, number), f"m{number}")
             sock.close()
-        tell(list_update(3, *(entry(harness, n, health="terminating") for n in range(SIZE) if n % 2), whole=False))
-        harness.world.until(lambda: endpoint_list.seq == 3)
-        assert len(endpoint_list.left_at) == SIZE // 2 + 1  # and the one that the whole list no longer names
+        send_update(
+            list_update(3, *(entry(harness, n, health="terminating") for n in range(SIZE) if n % 2), whole=False)
+        )
+        harness.world.wait_until(lambda: endpoint_list.seq == 3)
+        assert len(endpoint_list.left_at) == SIZE // 2 + 1  # and the endpoint that the second list no longer has
         harness.submit_accepted("odd", "even", dest=7)
         harness.submit_accepted("free", dest=8)
         _, call = harness.accept_call()
         assert call.fields["x-request-id"] == "free"
-        for n in range(0, SIZE, 2):
-            assert endpoint_list.serves(n)
-        tell(list_update(4, *(entry(harness, n) for n in range(3))))
-        harness.world.until(lambda: endpoint_list.seq == 4)
+        for number in range(0, SIZE, 2):
+            assert endpoint_list.serves(number)
+        send_update(list_update(4, *(entry(harness, n) for n in range(3))))
+        harness.world.wait_until(lambda: endpoint_list.seq == 4)
         assert len(endpoint_list.left_at) == SIZE - 2
 
     harness.world.play(play)
 
 
-def test_what_is_known_of_1024_partners_outlasts_the_process(tmp_path):
+def test_learned_rates_of_1024_destinations_survive_a_restart(tmp_path):
     harness = SenderHarness(tmp_path, replica_count=SIZE, host="0.0.0.0")
     harness.known = read_list(list_update(2, *(entry(harness, n, kind="route") for n in range(SIZE))))
 
@@ -70,7 +73,7 @@
         harness.accept_watch()
         harness.world.sleep(3 * S)
         harness.kill()
-        kept = learned_rates.load(harness.folder, learned_rates.reserved_bytes(harness.disk), harness.world.wall())
-        assert {(row.destination, row.route) for row in kept} == {(n, f"s-{n:08x}") for n in range(SIZE)}
+        restored = learned_rates.load(harness.folder, learned_rates.reserved_bytes(harness.disk), harness.world.wall())
+        assert {(row.destination, row.route) for row in restored} == {(n, f"s-{n:08x}") for n in range(SIZE)}
 
     harness.world.play(play)
