--- a/scalefall/control/allocator.py
+++ b/scalefall/control/allocator.py
@@ -38,7 +38,7 @@
         """Connect an engine with the ledger that divides its allowances."""
         self._engine = engine
         self._ledger = ledger
-        self.allowed: list[RouteAllowance] = []  # the engine's rows of the last step
+        self.last_allowances: list[RouteAllowance] = []  # the engine's rows of the last step
         self.log_lines: list[str] = []  # the engine's lines of the last step
         self.changed_allowances: dict[int, int] = {}  # amounts that the last step changed, by destination
         self.unsettled: set[int] = set()  # destinations whose figures may change with time alone, now or a step ago
@@ -51,8 +51,8 @@
         self.apply(now, events)
         evaluated = self._touched | self.unsettled
         self._touched = set()
-        self.allowed = self.allowances(evaluated)
-        may_change = {row.destination for row in self.allowed if _may_change(row, now)}
+        self.last_allowances = self.allowances(evaluated)
+        may_change = {row.destination for row in self.last_allowances if _may_change(row, now)}
         self.unsettled = may_change | self._unsettled_before
         self._unsettled_before = may_change
         self.changed_allowances = self._set_allowances(evaluated, now)
@@ -61,7 +61,7 @@
     def _set_allowances(self, destinations: set[int], now: int) -> dict[int, int]:
         """Set the ledger's allowances of these destinations from the engine's rows; return the changed amounts."""
         amounts = dict.fromkeys(destinations, 0)
-        for row in self.allowed:
+        for row in self.last_allowances:
             amounts[row.destination] += self._amount(row, now)
         changed = {}
         for destination, total in amounts.items():
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -242,7 +242,7 @@
 
     def _unsettled_resources(self, now: int) -> list[Outgoing]:
         """Rebuild the endpoints of all routes whose figures may have changed; return messages for those that have."""
-        allowed = by_destination(self.allocator.allowed)
+        allowed = by_destination(self.allocator.last_allowances)
         entries = self._in_force.entries
         resources = [
             self._builder.endpoints(route, entries[route], allowed.get(route, []), now)
--- a/scalefall/control/service.py
+++ b/scalefall/control/service.py
@@ -49,8 +49,8 @@
         view: DestinationView | None = None,
     ) -> None:
         """Start without a fleet; for the arguments see BaseControlService."""
-        self._demands = Ledger(now, lease_us, delay_us)
-        super().__init__(now, settings, seed, builder, lease_us, delay_us, silence_us, self._demands, view)
+        self._demand_ledger = Ledger(now, lease_us, delay_us)
+        super().__init__(now, settings, seed, builder, lease_us, delay_us, silence_us, self._demand_ledger, view)
 
     def quota_stream_joined(
         self,
@@ -88,10 +88,10 @@
         if self.members.heartbeat_received(stream, now) is not None:
             self._holder_reachable(holder, now)
             self._emit("proxy heard again", holder=holder)
-        if acknowledged and self._demands.acknowledged(holder, route, acknowledged, now):
+        if acknowledged and self._demand_ledger.acknowledged(holder, route, acknowledged, now):
             self._emit("had", is_debug=True, clock=now, holder=holder, route=route, number=acknowledged)
         demand = _rounded_demand(calls * DEMAND_HEADROOM * UNITS_PER_CALL)
-        self._demands.set_demand(holder, route, max(MIN_GRANT, demand))
+        self._demand_ledger.set_demand(holder, route, max(MIN_GRANT, demand))
         self._schedule_step(now)
         return True
 
--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -206,7 +206,7 @@
         ready = [resource for resource in ready if resource.name not in watch.send_alone]
         if alone and not ready and not watch.unanswered:
             ready = alone[:1]
-        if not ready and (watch.was_answered or watch.pending or not watch.wildcard):
+        if not ready and (watch.has_responded or watch.pending or not watch.wildcard):
             return []  # only a wildcard's first response may be empty
         for resource in ready:
             watch.record_sent(resource, self._nonce + 1)
@@ -259,7 +259,7 @@
         nonce = f"{self._nonce}"
         if not self._incremental and watch.removable and not is_heartbeat:
             resources, removed = list(watch.sent.values()), ()
-        watch.was_answered = True
+        watch.has_responded = True
         by_name = {resource.name: resource for resource in resources}
         watch.unanswered.append(UnansweredResponse(nonce, by_name, is_heartbeat))
         watch.last_nonce = nonce
--- a/scalefall/control/watch.py
+++ b/scalefall/control/watch.py
@@ -41,7 +41,7 @@
     send_alone: set[str] = field(default_factory=set)  # names from a rejected response with several new resources
     send_anyway: set[str] = field(default_factory=set)  # newly subscribed names, to be sent even if unchanged
     absent: set[str] = field(default_factory=set)  # names reported to the client as absent
-    was_answered: bool = False  # whether the first response was sent
+    has_responded: bool = False  # whether the first response was sent
     last_nonce: str = ""
     last_heartbeat: float = -inf  # us
     ttl_us: int = 0  # the shortest time to live of the sent resources; 0: none has one
@@ -54,7 +54,7 @@
     @property
     def has_unsent(self) -> bool:
         """Return whether there may be something to send: changes or the first response."""
-        return bool(self.pending) or not self.was_answered
+        return bool(self.pending) or not self.has_responded
 
     @property
     def window_is_open(self) -> bool:
--- a/tests/control/test_allocator.py
+++ b/tests/control/test_allocator.py
@@ -62,7 +62,7 @@
     allocator.step(0, [listed("e")])
     grants = allocator.step(SECOND, reports(Outcome.OK, report={"x0": 0.0, "x1": 8.0}))
     assert sum(amounts(grants).values()) <= 8 * UNITS_PER_CALL
-    assert allocator.allowed[0].rate <= 8
+    assert allocator.last_allowances[0].rate <= 8
 
 
 def test_retry_after_stops_every_proxy_until_it_is_over():
@@ -71,8 +71,8 @@
     allocator.step(0, [listed("e")])
     grants = allocator.step(SECOND, reports(Outcome.OK, wait=3 * SECOND))  # a successful answer may have one too
     assert amounts(grants) == {"a": 0, "b": 0}
-    assert allocator.allowed[0].retry_after_until == 4 * SECOND
-    assert allocator.allowed[0].rate == inf
+    assert allocator.last_allowances[0].retry_after_until == 4 * SECOND
+    assert allocator.last_allowances[0].rate == inf
     assert not any(amounts(allocator.step(4 * SECOND - 1, [])).values())
     assert any(amounts(allocator.step(20 * SECOND, [])).values())
 
@@ -82,9 +82,9 @@
     allocator = started("a")
     allocator.step(0, [listed("e")])
     allocator.step(SECOND, reports(Outcome.CONNECT_FAILED, at=SECOND))
-    assert allocator.allowed[0].rate == 0
+    assert allocator.last_allowances[0].rate == 0
     allocator.step(60 * SECOND, [])
-    assert 0 < allocator.allowed[0].rate < 10
+    assert 0 < allocator.last_allowances[0].rate < 10
 
 
 def test_a_decreased_rate_grows_with_the_calls_that_are_reported():
@@ -95,7 +95,7 @@
     rates = []
     for tenth in range(11, 18):
         allocator.step(tenth * SECOND // 10, reports(Outcome.OK, at=tenth * SECOND // 10))
-        rates.append(allocator.allowed[0].rate)
+        rates.append(allocator.last_allowances[0].rate)
     assert rates == sorted(rates)
     assert 1.2 * rates[0] < rates[-1] < inf
 
@@ -105,7 +105,7 @@
     allocator = started("a")
     allocator.step(0, [listed("e", "f")])
     allocator.step(1, [listed("e", status=EndpointStatus.DRAINING)])
-    assert set(allocator.allowed[0].endpoints) == {"f"}
+    assert set(allocator.last_allowances[0].endpoints) == {"f"}
     assert amounts(allocator.step(2, [listed("f", status=EndpointStatus.DRAINING)])) == {"a": 0}
 
 
@@ -119,12 +119,12 @@
             reports(Outcome.OK, 5, second * SECOND, endpoint="f")
             + reports(Outcome.CONNECT_FAILED, 2, second * SECOND - 1, endpoint="e"),
         )
-    [row] = allocator.allowed
+    [row] = allocator.last_allowances
     assert row.endpoints["f"] == inf
     assert row.endpoints["e"] < 5
     assert row.rate == inf
     allocator.step(9 * SECOND, [listed("f", status=EndpointStatus.DRAINING)])  # only the budget of "e" remains
-    assert allocator.allowed[0].rate == inf
+    assert allocator.last_allowances[0].rate == inf
     assert allocator._ledger._accounts[1].allowance < 5 * UNITS_PER_CALL
 
 
--- a/tests/scaling/test_hollow.py
+++ b/tests/scaling/test_hollow.py
@@ -129,7 +129,7 @@
     traffic = [(QUIET_US + SECOND, 0), *[(SECOND // 4, 0)] * 20]
     one = fleet(traffic=lambda number, random_: iter(traffic), is_down=lambda destination: True)
     one.run_for(QUIET_US + 10 * SECOND)
-    allowed = one.control.service.allocator.allowed
+    allowed = one.control.service.allocator.last_allowances
     assert one.senders[0].outcomes.sent >= 2
     assert next(row.endpoints for row in allowed)[endpoint_id(0)] < float("inf")
 
