--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -51,7 +51,6 @@
 CANCEL_US = 3 * MILLISECOND  # time until a cancelled call has its outcome
 LIST_US = 40 * MILLISECOND  # time until discovery answers a poll
 
-Outcome, Status, ListKind = Outcome, EndpointStatus, ListUpdateKind
 FAST_FAULTS = {
     "error": Outcome.ERROR,
     "full": Outcome.OVERLOADED,
@@ -96,7 +95,9 @@
     streams: list[Stream]
     seconds: float = 24.0
     faults: list[Fault] = field(default_factory=list)
-    changes: list[tuple[float, ListKind, list[tuple[str, Status, float | None]]]] = field(default_factory=list)
+    changes: list[tuple[float, ListUpdateKind, list[tuple[str, EndpointStatus, float | None]]]] = field(
+        default_factory=list
+    )
     moves: list[tuple[float, str, int]] = field(default_factory=list)  # time, endpoint, its new destination
     limits: dict[int, float] = field(default_factory=dict)  # limit in calls a second, by destination
     new_limits: list[tuple[float, int, float]] = field(default_factory=list)
@@ -124,7 +125,8 @@
         self.queue: list[tuple[int, int, Any]] = []
         self.number = 0
         self.rows = {
-            row[0]: Endpoint(row[0], row[3], row[2], row[1], Status.READY, row[5], row[6]) for row in play.endpoints
+            row[0]: Endpoint(row[0], row[3], row[2], row[1], EndpointStatus.READY, row[5], row[6])
+            for row in play.endpoints
         }
         self.latency = {row[0]: row[4] * MILLISECOND for row in play.endpoints}
         self.limits = dict(play.limits)
@@ -149,7 +151,7 @@
 
     def plan(self) -> None:
         play = self.play
-        kind = ListKind.CACHED if play.settings.polls_endpoint_list or play.learned else ListKind.WHOLE
+        kind = ListUpdateKind.CACHED if play.settings.polls_endpoint_list or play.learned else ListUpdateKind.WHOLE
         self.push(0, EndpointListUpdate(kind, [copy.copy(row) for row in self.rows.values()]))
         for row in play.learned:
             self.push(0, LearnedRate(*row))
@@ -232,7 +234,7 @@
                     break
                 wait = int(fault.end * SECOND) - now if fault.sends_retry_after else 0
                 return FAST_FAULTS[fault.kind], self.random.randrange(2 * MILLISECOND, 30 * MILLISECOND), wait
-        if row.status is Status.GONE:
+        if row.status is EndpointStatus.GONE:
             return Outcome.CONNECT_FAILED, 2 * MILLISECOND, 0
         limit = self.limits.get(row.destination)
         if limit:
@@ -303,9 +305,9 @@
     def poll_list(self, now: int) -> None:
         if self.failed_polls_left > 0:
             self.failed_polls_left -= 1
-            self.push(now + LIST_US, EndpointListUpdate(ListKind.FAILED))
+            self.push(now + LIST_US, EndpointListUpdate(ListUpdateKind.FAILED))
         else:
-            self.push(now + LIST_US, (ListKind.WHOLE, []))
+            self.push(now + LIST_US, (ListUpdateKind.WHOLE, []))
 
     # -- one step
 
@@ -313,7 +315,7 @@
         """Return a planned entry as an event at its time; None if there is none."""
         if isinstance(entry, tuple) and isinstance(entry[1], str):
             self.rows[entry[1]].destination = entry[2]
-            return EndpointListUpdate(ListKind.CHANGES, [copy.copy(self.rows[entry[1]])])
+            return EndpointListUpdate(ListUpdateKind.CHANGES, [copy.copy(self.rows[entry[1]])])
         if isinstance(entry, tuple) and len(entry) == 3:
             return TimerFired(entry[0]) if self.timers.get(entry[0]) == entry[1] else None
         if isinstance(entry, tuple) and isinstance(entry[0], int):
@@ -326,8 +328,8 @@
                 row = self.rows[name]
                 row.status, row.weight = status, row.weight if weight is None else weight
                 changed.append(copy.copy(row))
-            whole = [copy.copy(row) for row in self.rows.values() if row.status is not Status.GONE]
-            return EndpointListUpdate(kind, whole if kind is ListKind.WHOLE else changed)
+            whole = [copy.copy(row) for row in self.rows.values() if row.status is not EndpointStatus.GONE]
+            return EndpointListUpdate(kind, whole if kind is ListUpdateKind.WHOLE else changed)
         if isinstance(entry, AttemptFinished):
             first = self.in_flight.pop((entry.id, entry.attempt), None) is not None
             if first and self.chance(self.play.repeated):
@@ -405,8 +407,8 @@
     Fault("full", 18, 19, "e1"),
     Fault("error", 0, 24, share=0.05),
 ]
-GONE, READY, DRAINING = Status.GONE, Status.READY, Status.DRAINING
-CHANGES, WHOLE = ListKind.CHANGES, ListKind.WHOLE
+GONE, READY, DRAINING = EndpointStatus.GONE, EndpointStatus.READY, EndpointStatus.DRAINING
+CHANGES, WHOLE = ListUpdateKind.CHANGES, ListUpdateKind.WHOLE
 DRAINS = [
     (4, CHANGES, [("e1", DRAINING, None)]),
     (6, CHANGES, [("e1", GONE, None)]),
