--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -297,7 +297,7 @@
 
 
 def _zone_bytes(zone: str) -> int:
-    """Return the most bytes that a copy needs for a zone's name, which may occur in two attempts of a delivery."""
+    """Return the bytes that a copy may need for a zone: of the first attempt that may have run, and of the last one."""
     return 2 * len(zone.encode())
 
 
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -19,7 +19,7 @@
 MILLISECOND_US = 1000  # microseconds in a millisecond
 # The schedule of a shutdown, counted from SIGTERM. The platform kills the process 3.7 s after SIGTERM.
 MIN_LISTEN_US = 1000 * MILLISECOND_US  # clients that do not know of the shutdown yet still connect until then
-PENDING_WAIT_US = 2600 * MILLISECOND_US  # pending messages without an attempt in flight are not waited for any longer
+PENDING_WAIT_US = 2600 * MILLISECOND_US  # pending messages and reports delay the end up to then
 ATTEMPTS_END_US = 3000 * MILLISECOND_US  # deadline of all attempts; new messages are rejected from then on
 FORCED_END_US = 3200 * MILLISECOND_US  # ends the wait even with attempts in flight
 LAST_ANSWERS_US = 3270 * MILLISECOND_US  # the last clients are answered by then
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -119,7 +119,7 @@
         assert len(os.listdir(f"/proc/{sender.child.pid}/fd")) <= SOCKETS
         clients.end()
         assert sender.end(signal.SIGTERM) == 0
-        sender.line("ended:")
+        sender.line("shutdown finished:")
         assert not [line for line in sender.seen if "cannot accept" in line or "Too many open files" in line]
     finally:
         toy.end()
--- a/tests/test_sender_races.py
+++ b/tests/test_sender_races.py
@@ -220,7 +220,7 @@
 
 
 def test_attempts_still_in_flight_at_the_end_are_handled_by_the_next_process(harness):
-    """Without an answer within 3.2 s, an idempotent message is repeated after the restart, and another one fails."""
+    """Without an answer within 3.2 s, a message is repeated after the restart if it is idempotent, and else fails."""
     calls = []
 
     def steps():
