--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -240,7 +240,7 @@
     (tmp_path / "config.json").write_text(json.dumps(table, indent=4))
     config = read_config({"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path)})
     assert config.settings.replica_count == senders
-    assert expected in config.doubts[0] if expected else not config.doubts
+    assert expected in config.warnings[0] if expected else not config.warnings
 
 
 def test_an_unreadable_endpoint_of_the_known_list_is_skipped(tmp_path):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -94,7 +94,7 @@
         "close_idle",
         "stop_listening",
         "close",
-        "end",
+        "shut_down_connections",
         "save_final",
     ]
     assert harness.components.calls[0] == ("close_at", started_us, started_us + ATTEMPTS_END_US)
