--- a/scalefall/policy/admission.py
+++ b/scalefall/policy/admission.py
@@ -10,7 +10,7 @@
 from scalefall.policy.settings import MessageClass
 from scalefall.policy.state import EngineState, QueuedMessage, RouteState
 
-DEADLINE_MARGIN_SHARE = 0.1  # fraction of the deadline by which the delay target is shorter
+DEADLINE_MARGIN_FRACTION = 0.1  # fraction of the deadline by which the delay target is shorter
 MIN_WAITING_MESSAGES = 4  # messages that may always wait for a destination
 
 
@@ -26,7 +26,7 @@
 
     def set_target(self, message_class: MessageClass) -> None:
         """Set a class's delay target from its current rules."""
-        self._targets[message_class.name] = int(message_class.deadline_us * (1 - DEADLINE_MARGIN_SHARE))
+        self._targets[message_class.name] = int(message_class.deadline_us * (1 - DEADLINE_MARGIN_FRACTION))
 
     def admit(self, message: QueuedMessage) -> bool:
         """Return whether the message is admitted, now or earlier; routes with the fewest calls are tried first."""
--- a/scalefall/policy/pacing.py
+++ b/scalefall/policy/pacing.py
@@ -13,12 +13,12 @@
 from scalefall.policy.units import SECOND
 
 GROWTH_PER_CALL = 0.1  # fraction by which a rate that was cut grows with each call that it allows
-INITIAL_CALLS_PER_S = 2.0  # rate that the first cut starts from, if the sender sends less
+MIN_CUT_BASE_CALLS_PER_S = 2.0  # rate that the first cut starts from, if the sender sends less
 ASSUMED_LIMIT_PER_S = 4.0  # lower bound assumed for the limit of a destination that reports none
 SEND_RATE_WINDOW_US = 2 * SECOND  # span over which the recent send rate is measured
 BURST_US = SECOND // 4  # the bucket holds at most the tokens of this time
-CHANCE_UNUSED_SHARE = 0.5  # fraction of a reported limit that may be unused by chance; only the rest is taken
-MAX_EXTRA_SHARE = 0.5  # fraction of the unused limit that a rate may have on top of its fair share
+CHANCE_UNUSED_FRACTION = 0.5  # fraction of a reported limit that may be unused by chance; only the rest is taken
+MAX_EXTRA_FRACTION = 0.5  # fraction of the unused limit that a rate may have on top of its fair share
 LIMIT_RISE_FACTOR = 1.25  # a reported limit above this multiple of the last one has risen and is not noise
 CHANCE_STANDARD_DEVIATIONS = 2  # a sum over N senders varies by 1 / sqrt(N); this multiple may be chance
 ROUGH_WEIGHT_FACTOR = 1.5  # factor by which a rough weight may be too high
@@ -71,7 +71,7 @@
         state = self._state
         self.refill(route)
         recent = count_since(route.sent_at, state.now - SEND_RATE_WINDOW_US) * SECOND / SEND_RATE_WINDOW_US
-        halved = min(max(INITIAL_CALLS_PER_S, recent), route.rate) / 2
+        halved = min(max(MIN_CUT_BASE_CALLS_PER_S, recent), route.rate) / 2
         route.rate = max(self.fair_share_per_s(route), halved)
         route.tokens = state.random.uniform(-0.5, 0.5)
         route.decreased_at = state.now
@@ -80,7 +80,7 @@
         """Apply a limit that an answer reports, and the fraction of it that is unused.
 
         The rate stays close to the fair share: calls that are rejected cost, and at many destinations count against the
-        limit. Of the unused fraction beyond CHANCE_UNUSED_SHARE a sender takes its fair share each second, less what
+        limit. Of the unused fraction beyond CHANCE_UNUSED_FRACTION a sender takes its fair share each second, less what
         may be chance; routes that batch put more messages into a call instead. If a lowered limit is reported to have
         risen, the rate is raised to the fair share at once, since growth takes calls.
 
@@ -95,14 +95,14 @@
         has_risen = limit > LIMIT_RISE_FACTOR * route.reported_limit > 0
         route.reported_limit = limit
         fair_share = self.fair_share_per_s(route)
-        spare = max(0.0, unused - CHANCE_UNUSED_SHARE) / (1 - CHANCE_UNUSED_SHARE)
+        spare = max(0.0, unused - CHANCE_UNUSED_FRACTION) / (1 - CHANCE_UNUSED_FRACTION)
         if has_risen:
             route.rate = max(route.rate, fair_share)
         if spare and not batches:
             beyond_chance = max(0.0, 1 - CHANCE_STANDARD_DEVIATIONS / sqrt(self._state.settings.replica_count))
             route.rate += beyond_chance * spare * fair_share * min(SECOND, now - route.increased_at) / SECOND
             route.increased_at = now
-        route.rate_ceiling = fair_share + MAX_EXTRA_SHARE * spare * (limit - fair_share)
+        route.rate_ceiling = fair_share + MAX_EXTRA_FRACTION * spare * (limit - fair_share)
         route.rate = min(route.rate, route.rate_ceiling)
 
     def configure_limit(self, route: RouteState, limit: float) -> None:
--- a/scalefall/policy/priority.py
+++ b/scalefall/policy/priority.py
@@ -7,7 +7,7 @@
 from scalefall.policy.settings import MessageClass
 from scalefall.policy.state import EngineState, QueuedMessage
 
-MIN_VALUE_SHARE = 0.5  # fraction of its value below which a message is sent last, so as not to delay the others
+MIN_VALUE_FRACTION = 0.5  # fraction of its value below which a message is sent last, so as not to delay the others
 
 
 class Priority:
@@ -32,12 +32,12 @@
         return (age >= self._keeps_value_for[message_class.name], -age * message_class.priority_weight)
 
     def _keeps_value_for_us(self, message_class: MessageClass) -> int:
-        """Return the time from submission for which a message of the class keeps MIN_VALUE_SHARE of its value."""
+        """Return the time from submission for which a message of the class keeps MIN_VALUE_FRACTION of its value."""
         objective, deadline = message_class.latency_objective_us, message_class.deadline_us
-        if message_class.late_priority_weight >= MIN_VALUE_SHARE:
+        if message_class.late_priority_weight >= MIN_VALUE_FRACTION:
             return deadline
         if self._state.settings.halves_after_objective:
-            return min(deadline, int(objective * (1 - log2(MIN_VALUE_SHARE))))
+            return min(deadline, int(objective * (1 - log2(MIN_VALUE_FRACTION))))
         return objective + int(
-            (deadline - objective) * (1 - MIN_VALUE_SHARE) / (1 - message_class.late_priority_weight)
+            (deadline - objective) * (1 - MIN_VALUE_FRACTION) / (1 - message_class.late_priority_weight)
         )
--- a/scalefall/policy/slow_start.py
+++ b/scalefall/policy/slow_start.py
@@ -17,9 +17,9 @@
 
 # Budgets during the warm-up, as a fraction of what a recovering route accepts from all senders. Up to two thirds of it,
 # senders that have seen the failure cannot break the overload rule.
-WARMING_BUDGET_SHARE = 2 / 3
+WARMING_BUDGET_FRACTION = 2 / 3
 # The fraction for budgets before the first success; OutlierDetection.record_failure has the derivation.
-FAILING_BUDGET_SHARE = (2 - TRIAL_CALLS) / 3
+FAILING_BUDGET_FRACTION = (2 - TRIAL_CALLS) / 3
 RETRY_AFTER_SPREAD_FACTOR = 4  # multiple of a Retry-After over which trial calls after it are spread
 # Time until most senders have seen a failure, in mean intervals between a sender's calls at its fair share of what a
 # cold destination accepts. A sender with r calls a second has seen no failure by time t with probability e^(-r * t), so
@@ -54,7 +54,7 @@
         """Record a failure or rejection, unless a call has succeeded since the failed one was sent.
 
         After its first failure a sender makes q trial calls (TRIAL_CALLS); then its budget applies. The budget before
-        the first success, FAILING_BUDGET_SHARE, follows from the overload rule, which is broken only if senders that
+        the first success, FAILING_BUDGET_FRACTION, follows from the overload rule, which is broken only if senders that
         have seen the failure make at least twice the calls of the rest. These are U, the first calls of senders that
         have not seen it; they lead to q * U trial calls. The budgets B of the others then break the rule only from
         B = (2 - q) * U on, where all calls, U + q * U + B, are at most 3 / (2 - q) * B. With B at (2 - q) / 3 of what
@@ -137,19 +137,19 @@
     def call_interval_us(self, slow_start: SlowStart) -> float:
         """Return the time between calls under the budget, which grows during the warm-up.
 
-        Before the first success it is longer (FAILING_BUDGET_SHARE), but only until most senders have seen the failure.
+        Before the first success it is longer (FAILING_BUDGET_FRACTION), until most senders have seen the failure.
         """
         now = self._state.now
         settings = self._state.settings
         is_warming = slow_start.warming_since >= 0
         warm_up_progress = (now - slow_start.warming_since) / max(1, settings.slow_start_us) if is_warming else 0.0
         accepted_fraction = settings.slow_start_from + (1 - settings.slow_start_from) * warm_up_progress
-        budget_fraction = WARMING_BUDGET_SHARE * settings.overload_multiple * accepted_fraction
+        budget_fraction = WARMING_BUDGET_FRACTION * settings.overload_multiple * accepted_fraction
         interval = SECOND / max(MIN_CALLS_PER_S, slow_start.own_rate * min(1.0, budget_fraction))
         if is_warming:
             return interval
         return min(
-            interval * WARMING_BUDGET_SHARE / FAILING_BUDGET_SHARE,
+            interval * WARMING_BUDGET_FRACTION / FAILING_BUDGET_FRACTION,
             max(0, slow_start.widely_detected_at - now) + interval,
         )
 
