--- a/scalefall/__main__.py
+++ b/scalefall/__main__.py
@@ -5,7 +5,7 @@
 
 
 def sender() -> int:
-    """Run the platform's sender until it is asked to stop; return the exit code, 2 if it cannot start."""
+    """Run the platform's sender until a signal stops it; return the exit code, 2 if it cannot start."""
     from scalefall.net import config, logs, sender
 
     logs.log_to_standard_error(os.environ.get("SCALEFALL_LOG") == "debug")
--- a/scalefall/policy/actions.py
+++ b/scalefall/policy/actions.py
@@ -63,7 +63,7 @@
 class PollEndpointList:
     """Poll the endpoint list."""
 
-    on: bool = True
+    on: bool = True  # False ends the subscription on the simulator's wire; the engine never requests it
 
 
 @dataclass(slots=True)
--- a/scalefall/policy/attempts.py
+++ b/scalefall/policy/attempts.py
@@ -128,9 +128,9 @@
         self._endpoint_list.drop_if_unused(endpoint)
 
     def cancel_overdue(self) -> None:
-        """Cancel overdue attempts, whose call hangs or lost its answer, if no call slot is free.
+        """Cancel overdue attempts if no call slot is free, at most one for each destination whose messages wait.
 
-        This may also cancel attempts that are only slow.
+        Their calls hang, lost their answers, or are only slow.
         """
         state = self._state
         if state.calls_in_flight < state.settings.call_slots or not state.settings.cancelling:
--- a/scalefall/policy/endpoint_list.py
+++ b/scalefall/policy/endpoint_list.py
@@ -13,7 +13,8 @@
 POLL_TIMER = 2  # token of the timer for the next poll
 # Polls are spread over this time for each sender: discovery serves them one by one, and fails those that wait too long.
 POLL_SPREAD_PER_SENDER_US = SECOND // 5
-# Latest poll as a multiple of poll_within_us; the second, after failed polls, since these allow four times as long.
+# Latest poll as a multiple of poll_within_us, with a margin; the second from the second failed poll in a row, since
+# four times poll_within_us are allowed after a failed poll.
 POLL_DEADLINE_FACTORS = (0.9, 3.6)
 MAX_POLL_DOUBLINGS = 4  # limit of the doublings of the poll spread, one for each failed poll
 DESTINATION_RETENTION_US = 60 * SECOND  # time after which a destination without endpoints is dropped with its rate
@@ -116,7 +117,7 @@
         return any(message.destination.number == number for message in self._state.messages.values())
 
     def restore_rate(self, event: LearnedRate) -> None:
-        """Apply a learned rate; without it, a destination that is down at a restart would recover to almost no rate."""
+        """Apply a learned rate; without it, a destination that is down at a restart would restart at almost no rate."""
         destination = self._state.destinations.get(event.destination)
         route = destination.routes.get(event.route) if destination else None
         if route is not None:
--- a/scalefall/policy/envelope.py
+++ b/scalefall/policy/envelope.py
@@ -18,7 +18,7 @@
 WINDOW_US = BIN_US * WINDOW_BINS  # T in microseconds
 QUANTILE_DEVIATIONS = 1.645  # standard deviations above the mean: the 95th percentile of a Gaussian
 MAX_CHAIN_CALLS = 8  # longest chain of overlapping calls that is sampled; longer ones are extrapolated
-MIN_COMPLETIONS = 5  # completions of a class on a route below which its figures are not used
+MIN_COMPLETIONS = 5  # with fewer completions of a class on a route, its figures mean little and are not used
 ROUNDING_TOLERANCE = 1e-9  # keeps rounding errors of an integral sum from raising its ceiling by one
 
 CallSpan = list[int]  # start and end of a call in microseconds; end is 0 while it is in flight
--- a/scalefall/policy/pacing.py
+++ b/scalefall/policy/pacing.py
@@ -13,7 +13,7 @@
 from scalefall.policy.units import SECOND
 
 GROWTH_PER_CALL = 0.1  # fraction by which a rate that was cut grows with each call that it allows
-MIN_CUT_BASE_CALLS_PER_S = 2.0  # rate that the first cut starts from, if the sender sends less
+MIN_CUT_BASE_CALLS_PER_S = 2.0  # a sender that sends less is cut from this rate, unless its rate limit is lower
 ASSUMED_LIMIT_PER_S = 4.0  # lower bound assumed for the limit of a destination that reports none
 SEND_RATE_WINDOW_US = 2 * SECOND  # span over which the recent send rate is measured
 BURST_US = SECOND // 4  # the bucket holds at most the tokens of this time
@@ -22,7 +22,7 @@
 LIMIT_RISE_FACTOR = 1.25  # a reported limit above this multiple of the last one has risen and is not noise
 CHANCE_STANDARD_DEVIATIONS = 2  # a sum over N senders varies by 1 / sqrt(N); this multiple may be chance
 ROUGH_WEIGHT_FACTOR = 1.5  # factor by which a rough weight may be too high
-PRIOR_WEIGHT_CALLS = 20  # served calls at which measured and prior rate have equal weight in the own rate
+PRIOR_WEIGHT_CALLS = 20  # served calls at which measured and prior rate have equal weight in own_rate
 LEARNED_RATE_VALID_US = 60 * SECOND  # time from the start for which the learned rate is used
 
 
@@ -106,7 +106,7 @@
         route.rate = min(route.rate, route.rate_ceiling)
 
     def configure_limit(self, route: RouteState, limit: float) -> None:
-        """Apply a limit that the operator sets; it needs no answer that reports one. 0 removes it."""
+        """Apply a limit that the operator sets, whether or not an answer reports one; 0 removes it."""
         if limit > 0:
             self.report_limit(route, limit, 0.0, True)
         elif route.reported_limit > 0:
--- a/scalefall/policy/priority.py
+++ b/scalefall/policy/priority.py
@@ -16,7 +16,7 @@
     def __init__(self, state: EngineState) -> None:
         """Start with no class."""
         self._state = state
-        self._keeps_value_for: dict[str, int] = {}  # microseconds by class, as of its last message
+        self._keeps_value_for: dict[str, int] = {}  # microseconds from submission by class, as of its last message
 
     def set_class(self, message_class: MessageClass) -> None:
         """Apply the current rules of a class."""
--- a/scalefall/policy/settings.py
+++ b/scalefall/policy/settings.py
@@ -65,7 +65,9 @@
     streams: int  # limit on concurrent requests on one connection
     polls_endpoint_list: bool  # the endpoint list is polled instead of pushed
     poll_within_us: int  # latest time for a poll, from the start
-    weights: str  # meaning of an endpoint's weight as its limit: "none", "nominal", "rough", "live" or "told"
+    # Meaning of an endpoint's weight as its limit: "nominal"; "rough", possibly too high; "told", set by the operator;
+    # "none" and "live": not used as a limit.
+    weights: str
     report_fields: list[str]  # names of the fields of a load report, in the order of the wire
     answer_slack_us: int  # time by which a final answer may exceed the deadline
     slow_start_from: float  # fraction of its limit that a cold endpoint accepts at first, 0 to 1
--- a/scalefall/policy/slow_start.py
+++ b/scalefall/policy/slow_start.py
@@ -1,9 +1,11 @@
 """Outlier detection and slow start: limits calls to a route or an endpoint from its failures until it is warm again.
 
-A recovering destination accepts only a fraction of its limit, which grows while it warms up. The overload rule: within
-an overload window, the calls of all senders must not exceed what it accepts, if two thirds or more of them come from
-senders that have seen the failure. Senders share no state, so each has a budget of its own once it has seen failures.
-A call is subject to two slow starts: its endpoint's and its route's.
+A recovering destination accepts only a fraction of its limit, which grows while it warms up. It is overloaded when the
+calls within an overload window exceed its overload threshold: overload_multiple times what it accepts in that time. The
+overload rule is broken at the first overload of a recovering destination of which over two thirds of the calls came
+from senders that had been notified of the failure (that have "seen" it, by the outcome of a call of their own). Senders
+share no state, so each has a budget of its own once it has seen failures. A call is subject to two slow starts: its
+endpoint's and its route's.
 """
 
 from __future__ import annotations
@@ -15,15 +17,15 @@
 from scalefall.policy.state import TRIAL_CALLS, Attempt, EndpointState, EngineState, RouteState, SlowStart
 from scalefall.policy.units import SECOND
 
-# Budgets during the warm-up, as a fraction of what a recovering route accepts from all senders. Up to two thirds of it,
-# senders that have seen the failure cannot break the overload rule.
+# Budgets of all senders during the warm-up, as a fraction of a recovering route's overload threshold. Up to two thirds
+# of it, senders that have seen the failure cannot break the overload rule.
 WARMING_BUDGET_FRACTION = 2 / 3
 # The fraction for budgets before the first success; OutlierDetection.record_failure has the derivation.
 FAILING_BUDGET_FRACTION = (2 - TRIAL_CALLS) / 3
 RETRY_AFTER_SPREAD_FACTOR = 4  # multiple of a Retry-After over which trial calls after it are spread
-# Time until most senders have seen a failure, in mean intervals between a sender's calls at its fair share of what a
-# cold destination accepts. A sender with r calls a second has seen no failure by time t with probability e^(-r * t), so
-# that on average senders that have not seen it make at most 1 / (e * t) calls a second each.
+# Time until most senders have seen a failure, in mean intervals between a sender's calls at its fair share of a cold
+# destination's overload threshold. A sender with r calls a second has seen no failure by time t with probability
+# e^(-r * t), so that on average senders that have not seen it make at most 1 / (e * t) calls a second each.
 DETECTION_CALL_INTERVALS = 3.0
 MIN_TRIAL_SPREAD_US = SECOND // 5  # shortest span over which trial calls are spread
 MIN_CALLS_PER_S = 1e-6  # keeps call intervals finite
@@ -55,10 +57,10 @@
 
         After its first failure a sender makes q trial calls (TRIAL_CALLS); then its budget applies. The budget before
         the first success, FAILING_BUDGET_FRACTION, follows from the overload rule, which is broken only if senders that
-        have seen the failure make at least twice the calls of the rest. These are U, the first calls of senders that
-        have not seen it; they lead to q * U trial calls. The budgets B of the others then break the rule only from
-        B = (2 - q) * U on, where all calls, U + q * U + B, are at most 3 / (2 - q) * B. With B at (2 - q) / 3 of what
-        a cold route accepts, all calls stay within that.
+        have seen the failure make more than twice the calls of the rest. These are U, the first calls of senders that
+        have not seen it; they lead to q * U trial calls. The budgets B of the others then break the rule only above
+        B = (2 - q) * U, where all calls, U + q * U + B, are less than 3 / (2 - q) * B. With B at (2 - q) / 3 of a
+        cold route's overload threshold, all calls stay within it.
 
         A sender that was served within the overload window continues with trial calls, at intervals that double, since
         rejections above a limit come in series. A Retry-After longer than that window means that the destination is
@@ -113,10 +115,10 @@
 
     def _begin(self, slow_start: SlowStart, endpoint: EndpointState) -> None:
         state = self._state
-        accepted_fraction = state.settings.overload_multiple * state.settings.slow_start_from
+        overload_fraction = state.settings.overload_multiple * state.settings.slow_start_from
         fair_share = self._pacing.cautious_fair_share_per_s(endpoint.route)
         slow_start.widely_detected_at = state.now + int(
-            DETECTION_CALL_INTERVALS * SECOND / (accepted_fraction * fair_share)
+            DETECTION_CALL_INTERVALS * SECOND / (overload_fraction * fair_share)
         )
         name = endpoint.endpoint.id
         state.actions.append(LogLine(f"slow start: endpoint {name}, rate when warm {slow_start.own_rate:.2f} calls/s"))
--- a/scalefall/policy/state.py
+++ b/scalefall/policy/state.py
@@ -58,7 +58,7 @@
     """Limits calls to a route, or to one endpoint of a healthy route, from a failure until it has warmed up."""
 
     consecutive_failures: int = 0  # 0: not in force; above TRIAL_CALLS the budget applies
-    own_rate: float = 0.0  # calls a second that this sender may send once the route is warm
+    own_rate: float = 0.0  # calls a second that this sender may send once the route is warm; set at the first failure
     last_failure_at: int = -1
     widely_detected_at: int = 0  # time by which most senders have seen the failure themselves
     last_success_at: int = -1
@@ -97,9 +97,9 @@
     served_at: deque[int] = field(default_factory=deque)  # times of recent successes
     slow_start: SlowStart = field(default_factory=SlowStart)
     rate_ceiling: float = inf  # bound on the rate where a limit is reported
-    increased_at: int = 0  # when the rate last grew by a reported unused share
+    increased_at: int = 0  # when the rate last grew because part of the limit was reported unused
     reported_limit: float = 0.0  # for all senders, as reported or configured; 0: unknown
-    learned_rate: float = 0.0  # own rate of the earlier process
+    learned_rate: float = 0.0  # own rate of the earlier process; 0: unknown
 
     def calls_in_flight(self) -> int:
         """Return the number of calls in flight to its endpoints."""
