--- a/tests/characterization/mapping.py
+++ b/tests/characterization/mapping.py
@@ -102,8 +102,8 @@
 
 
 _ATTEMPTS_BY_DESTINATION = (
-    lambda table: {str(number): most for number, most in table.items()},
-    lambda table: {int(number): most for number, most in table.items()},
+    lambda table: {str(number): limit for number, limit in table.items()},
+    lambda table: {int(number): limit for number, limit in table.items()},
 )
 
 MESSAGE_CLASS = Shape(
--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -69,7 +69,7 @@
     start: float
     end: float
     endpoint: str = ""
-    share: float = 1.0  # fraction of the calls that fail
+    fraction: float = 1.0  # of the calls that fail
     sends_retry_after: bool = False
 
 
@@ -100,18 +100,18 @@
     )
     moves: list[tuple[float, str, int]] = field(default_factory=list)  # time, endpoint, its new destination
     limits: dict[int, float] = field(default_factory=dict)  # limit in calls a second, by destination
-    new_limits: list[tuple[float, int, float]] = field(default_factory=list)
+    new_limits: list[tuple[float, int, float]] = field(default_factory=list)  # time, destination, limit
     used_by_others: float = 0.0  # fraction of the limit that other senders use
     reports_limit: bool = False
     sends_retry_after: bool = False  # for calls above the limit
     withdrawn: float = 0.01  # fraction of messages
-    finished: float = 0.02  # fraction of answers that are errors and final
+    finished: float = 0.02  # fraction of answers that are errors; five times this fraction of errors is final
     repeated: float = 0.0  # fraction of outcomes that are reported twice
     proxy_calls: float = 0.0  # calls a second of proxies
     probed: float = 0.0  # probe outcomes a second
     failed_polls: int = 0  # number of polls in a row that fail
-    restored: int = 0
-    learned: list[tuple[int, str, float, float]] = field(default_factory=list)
+    restored: int = 0  # number of messages that an earlier process accepted
+    learned: list[tuple[int, str, float, float]] = field(default_factory=list)  # the fields of LearnedRate
     shutdown: tuple[float, float] | None = None  # times of the event and of the exit, in seconds
 
 
@@ -144,8 +144,8 @@
         self.number += 1
         heapq.heappush(self.queue, (-(-int(at) // tick) * tick, self.number, event))
 
-    def chance(self, share: float) -> bool:
-        return share > 0 and self.random.random() < share
+    def chance(self, probability: float) -> bool:
+        return probability > 0 and self.random.random() < probability
 
     # -- events that do not depend on actions
 
@@ -165,7 +165,7 @@
             self.push(at * SECOND, (destination, limit))
         for stream in play.streams:
             self.plan_stream(stream)
-        for rate, make in ((play.proxy_calls, self.proxy_calls), (play.probed, self.probed)):
+        for rate, make in ((play.proxy_calls, self.proxy_call), (play.probed, self.probe_result)):
             at = self.random.expovariate(rate) if rate else play.seconds
             while at < play.seconds:
                 self.push(at * SECOND, make(int(at * SECOND)))
@@ -206,13 +206,13 @@
         destination = self.play.endpoints[number % len(self.play.endpoints)][1]
         return Message(name, destination, rules.name, due, None, key, used, ran, zone, True, override)
 
-    def proxy_calls(self, at: int) -> EndpointReport:
+    def proxy_call(self, at: int) -> EndpointReport:
         endpoint = self.random.choice([*self.rows, "unlisted"])
         outcome = self.random.choice([Outcome.OK] * 6 + [Outcome.OVERLOADED, Outcome.ERROR, Outcome.TIMEOUT])
         wait = self.random.choice((0, 0, 300 * MILLISECOND)) if outcome is Outcome.OVERLOADED else 0
         return EndpointReport(endpoint, max(0, at - self.random.randrange(2 * SECOND)), outcome, wait, {})
 
-    def probed(self, _at: int) -> ProbeFinished:
+    def probe_result(self, _at: int) -> ProbeFinished:
         return ProbeFinished(self.random.choice(list(self.rows)), self.random.choice(list(Outcome)), 30 * MILLISECOND)
 
     # -- endpoints
@@ -225,7 +225,7 @@
             if (
                 fault.start * SECOND <= now < fault.end * SECOND
                 and fault.endpoint in ("", endpoint)
-                and self.chance(fault.share)
+                and self.chance(fault.fraction)
             ):
                 if fault.kind == "hang":
                     return None, 0, 0
@@ -264,9 +264,9 @@
         calls: dict[str, tuple[int, tuple[Outcome | None, int, int]]] = {}
         for action in actions:
             if isinstance(action, Send):
-                max_calls = self.play.settings.messages_per_call.get(self.rows[action.endpoint].kind, 1)
-                carried, result = calls.get(action.endpoint, (max_calls, None))
-                if carried >= max_calls:
+                max_messages = self.play.settings.messages_per_call.get(self.rows[action.endpoint].kind, 1)
+                carried, result = calls.get(action.endpoint, (max_messages, None))
+                if carried >= max_messages:
                     carried, result = 0, self.called(now, action.endpoint)
                 calls[action.endpoint] = (carried + 1, result)
                 self.send(now, action, result)
@@ -374,7 +374,7 @@
 
 
 def example(**changes: Any) -> Settings:
-    """The settings of example/config.json, with changes."""
+    """Return the settings of example/config.json, with changes."""
     settings = read_settings(json.loads(EXAMPLE.read_text())["settings"])
     for name, value in changes.items():
         setattr(settings, name, value)
@@ -405,7 +405,7 @@
     Fault("not_sent", 15, 16),
     Fault("slow", 16, 18),
     Fault("full", 18, 19, "e1"),
-    Fault("error", 0, 24, share=0.05),
+    Fault("error", 0, 24, fraction=0.05),
 ]
 GONE, READY, DRAINING = EndpointStatus.GONE, EndpointStatus.READY, EndpointStatus.DRAINING
 CHANGES, WHOLE = ListUpdateKind.CHANGES, ListUpdateKind.WHOLE
@@ -599,7 +599,7 @@
             settings_with(call_slots=8),
             rows("e1", "e2", max_calls=2, latency_ms=300),
             [Stream(12)],
-            faults=[Fault("connect", 3, 22, "e1", share=0.3), Fault("crowded", 6, 10, share=0.3)],
+            faults=[Fault("connect", 3, 22, "e1", fraction=0.3), Fault("crowded", 6, 10, fraction=0.3)],
         ),
         Play(
             "restart",
@@ -644,7 +644,7 @@
             ],
             limits={1: 12},
             probed=1,
-            faults=[Fault("error", 3, 14, "f1", share=0.5)],
+            faults=[Fault("error", 3, 14, "f1", fraction=0.5)],
         ),
         Play(
             "forgotten",
@@ -698,7 +698,7 @@
             settings_with(classes={rules.name: rules for rules in ordered}, ordering_gap_us=1500 * MILLISECOND),
             rows("e1", "e2", latency_ms=400),
             [Stream(3, rules.name, keys=5) for rules in ordered],
-            faults=[Fault("error", 0, 24, share=0.15), Fault("reset", 8, 9), Fault("hang", 14, 15, "e1")],
+            faults=[Fault("error", 0, 24, fraction=0.15), Fault("reset", 8, 9), Fault("hang", 14, 15, "e1")],
             withdrawn=0.2,
         ),
         Play(
@@ -784,7 +784,7 @@
             used_by_others=0.1,
             reports_limit=True,
             seconds=12,
-            faults=[Fault("full", 0, 12, share=0.15)],
+            faults=[Fault("full", 0, 12, fraction=0.15)],
         ),
         Play(
             "cut-and-told-batches",
@@ -795,7 +795,7 @@
             used_by_others=0.1,
             reports_limit=True,
             seconds=12,
-            faults=[Fault("full", 0, 12, share=0.15)],
+            faults=[Fault("full", 0, 12, fraction=0.15)],
         ),
     ]
 
@@ -828,7 +828,7 @@
 
 def paths_of(value: Any, before: tuple = ()) -> list[tuple]:
     pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [found for key, part in pairs for found in ((*before, key), *paths_of(part, (*before, key)))]
+    return [found for key, child in pairs for found in ((*before, key), *paths_of(child, (*before, key)))]
 
 
 def changed(base: Any, path: tuple, value: Any) -> Any:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -407,7 +407,7 @@
 
 @pytest.mark.parametrize(("wait", "soon"), [(2 * SECOND, 25), (10 * SECOND, 3)])
 def test_senders_do_not_return_together_after_retry_after(wait, soon):
-    """A closed destination demands the same end of all senders, which would call it again at one time.
+    """A closed destination demands the same end of all senders, which would call it again at the same time.
 
     After a short Retry-After they return over four times its length, after one above the overload window by budget.
     """
@@ -640,11 +640,11 @@
 
 def test_the_rate_is_at_most_the_fair_share_and_half_of_the_unused_limit():
     """Rejected calls cost, and count against the limit too; where calls are batched, messages can wait for the next."""
-    for left, rate in ((0.2, 2.0), (0.5, 2.0), (1.0, 5.0)):
+    for unused, rate in ((0.2, 2.0), (0.5, 2.0), (1.0, 5.0)):
         driver = EngineDriver(replica_count=4)
         driver.update_list(("e", 1, "many"))
         driver.submit("m")
-        driver.finish("m", "e", load_report={"x0": left, "x1": 8.0})
+        driver.finish("m", "e", load_report={"x0": unused, "x1": 8.0})
         assert driver.engine.state.endpoints["e"].route.rate == pytest.approx(rate)
         for n in range(50):
             for name in driver.submit(f"m{n}", after=100 * MILLISECOND):
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -22,7 +22,10 @@
 
 
 def breaks_rule(calls, limit):
-    """Return whether a window after the outage exceeds its budget, with two thirds from senders that saw the outage."""
+    """Return whether a window after the outage exceeds its budget, with two thirds from senders that saw the outage.
+
+    The overload rule itself is broken only with over two thirds.
+    """
     for start in range(OUTAGE_END, OUTAGE_END + SLOW_START_US - OVERLOAD_WINDOW_US, 100 * MILLISECOND):
         window = [has_seen_failure for at, has_seen_failure in calls if start <= at < start + OVERLOAD_WINDOW_US]
         budget = cold_budget(start - OUTAGE_END, limit)
@@ -44,8 +47,8 @@
 def test_senders_that_saw_the_outage_seldom_overload_a_recovering_destination(rates, limit, outcome, sends_retry_after):
     """With many senders at low rates, those that saw no failure exceed the budget alone.
 
-    By chance their calls may be less than half of those of the others: over 24 seeds at most 6 times, with the other
-    rates at most once.
+    By chance their calls may be less than half of those of the others, which then break the rule: over 24 seeds at most
+    6 times, with the other rates at most once.
     """
     outage = Outage(limit, outcome, sends_retry_after)
     broken = sum(breaks_rule(Fleet(Engine, rates, outage, seed).run(), limit) for seed in range(8))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -99,7 +99,7 @@
     assert driver.now < 7 * SECOND  # at once, and not when it is due
 
 
-def calls_with_reports(senders, left, kind="one"):
+def calls_with_reports(senders, unused, kind="one"):
     """Return the number of calls in 20 s to a destination with a limit of one a second for each sender.
 
     Every answer reports the limit and the unused fraction of it.
@@ -116,7 +116,7 @@
         driver.step(
             *(
                 AttemptFinished(
-                    name, driver.attempts[name], "e", Outcome.OK, 1, True, 0, {"x0": left, "x1": float(senders)}
+                    name, driver.attempts[name], "e", Outcome.OK, 1, True, 0, {"x0": unused, "x1": float(senders)}
                 )
                 for name in unfinished
             ),
@@ -131,9 +131,9 @@
 
     Its rate grew by a tenth with each call, and it made few calls.
     """
-    grown, even = calls_with_reports(200, 0.9), calls_with_reports(200, 0.4)
-    assert even <= 22
-    assert grown >= 2 * even
+    grown, fair_share = calls_with_reports(200, 0.9), calls_with_reports(200, 0.4)
+    assert fair_share <= 22
+    assert grown >= 2 * fair_share
 
 
 def test_an_unused_limit_is_not_taken_by_few_senders_or_where_calls_are_batched():
--- a/tests/test_lmac.py
+++ b/tests/test_lmac.py
@@ -78,7 +78,7 @@
     envelope.sigma, envelope.total = (
         [0.0] * len(INTERVAL_LENGTHS_BINS),
         79,
-    )  # with one more 8/s: 2, 4, 10 and 20 messages
+    )  # with one more, 8/s: 2, 4, 10 and 20 messages
     assert envelope.meets_target(0, 1.0)  # 200 <= 250, 400 <= 500, 1000 <= 1250, 2000 <= 2500 ms
     envelope.total = 119  # 12/s: 3 in 250 ms take 300 ms
     assert not envelope.meets_target(0, 1.0)
