--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -126,7 +126,7 @@
                 self.state.ends_at = event.ends_at_us
 
     def _accept(self, event: Message) -> None:
-        """Queue a message, or answer it at once: no attempt is possible, as after a restart, or too many messages wait."""
+        """Queue a message; answer it at once if no attempt is possible (after a restart), or too many messages wait."""
         message_class = event.message_class or self.state.settings.classes.get(event.class_name)
         if message_class is None:
             self.state.actions.append(Fail(event.id))
