--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -16,7 +16,9 @@
 from scalefall.net.logs import log
 from scalefall.policy.events import Event
 
-RESERVE_AHEAD = NUMBERS_PER_BLOCK // 2  # unused numbers at which the next block is reserved: long before they run out
+MIN_RESERVED_NUMBERS = (
+    NUMBERS_PER_BLOCK // 2
+)  # unused numbers at which the next block is reserved: long before they run out
 
 
 class Role(Enum):
@@ -29,17 +31,17 @@
 class LeaderState:
     """This process's role, and the state that outlives it."""
 
-    def __init__(self, service: AnyControlService, directory: StateDirectory, quiet_us: int) -> None:
+    def __init__(self, service: AnyControlService, directory: StateDirectory, startup_wait_us: int) -> None:
         """Stand by.
 
         Args:
             service: What leads or stands by.
             directory: The state that the processes share.
-            quiet_us: How long nothing is granted after a start, as an earlier process may have granted everything.
+            startup_wait_us: How long after a start no grants are made, as an earlier process may have granted all.
         """
         self._service = service
         self._directory = directory
-        self._quiet_us = quiet_us
+        self._quiet_us = startup_wait_us
         self._saved: SnapshotDocument | None = None  # the snapshot that was written last, without its time
         self._saved_generation = 0  # of the assignment that was written last
         self._role = Role.STANDBY
@@ -134,7 +136,7 @@
     def reserve_numbers(self) -> None:
         """Reserve numbers for the next grants; where they cannot be had, this process grants no more."""
         used = self._service.ledger.number
-        if not self.is_leader or used <= self._directory.reserved - RESERVE_AHEAD:
+        if not self.is_leader or used <= self._directory.reserved_below - MIN_RESERVED_NUMBERS:
             return
         try:
             self._directory.reserve_numbers(used)
--- a/scalefall/control/transport/peers.py
+++ b/scalefall/control/transport/peers.py
@@ -21,9 +21,9 @@
 
 MAX_STREAMS = 5_000  # open at a time, over all clients: bounds the process's memory
 MAX_OUTGOING_MESSAGES = 2_000  # that wait for one client to read them
-MAX_NODE_LENGTH = 256  # characters of a node id
-OPENING_RATE = (50, 10)  # streams that one node may open: at once, and a second
-MAX_REMEMBERED_NODES = 10_000  # whose rate of opening streams is known: twice MAX_STREAMS
+MAX_NODE_ID_CHARACTERS = 256  # characters of a node id
+STREAM_OPENING_RATE = (50, 10)  # streams that one node may open: at once, and a second
+MAX_RATE_LIMITED_NODES = 10_000  # whose rate of opening streams is known: twice MAX_STREAMS
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,7 +109,7 @@
         self._certificates = certificates
         self._peers: dict[int, Peer] = {}
         self._numbers = itertools.count(1)
-        self._openings = ClientRateLimiter(*OPENING_RATE, MAX_REMEMBERED_NODES)
+        self._openings = ClientRateLimiter(*STREAM_OPENING_RATE, MAX_RATE_LIMITED_NODES)
 
     def __iter__(self) -> Iterator[Peer]:
         """Iterate over the streams that are open now; they may close meanwhile."""
@@ -156,7 +156,7 @@
                 streams too often.
         """
         if not _is_node_id(node):
-            reason = f"a node id is 1 to {MAX_NODE_LENGTH} printable characters without a slash"
+            reason = f"a node id is 1 to {MAX_NODE_ID_CHARACTERS} printable characters without a slash"
             raise StreamEndedError(grpc.StatusCode.INVALID_ARGUMENT, reason)
         if peer.node and node != peer.node:
             raise StreamEndedError(grpc.StatusCode.INVALID_ARGUMENT, "a stream is one node's")
@@ -184,4 +184,4 @@
 
 
 def _is_node_id(node: str) -> bool:
-    return 0 < len(node) <= MAX_NODE_LENGTH and node.isprintable() and "/" not in node
+    return 0 < len(node) <= MAX_NODE_ID_CHARACTERS and node.isprintable() and "/" not in node
--- a/scalefall/control/transport/quota_streams.py
+++ b/scalefall/control/transport/quota_streams.py
@@ -20,8 +20,8 @@
 from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.stream_reader import read_messages
 
-MAX_PLACE_LENGTH = 64  # characters of a region or zone; more is cut off, as it is only kept and compared
-MAX_INSTANCE_LENGTH = 64  # characters of an instance, likewise
+MAX_LOCALITY_CHARACTERS = 64  # characters of a region or zone; more is cut off, as it is only kept and compared
+MAX_INSTANCE_CHARACTERS = 64  # characters of an instance, likewise
 
 
 class QuotaStreams:
@@ -66,10 +66,10 @@
         joined = self._service.quota_stream_joined(
             peer.number,
             peer.node,
-            metadata.get("scalefall-instance", "")[:MAX_INSTANCE_LENGTH],
+            metadata.get("scalefall-instance", "")[:MAX_INSTANCE_CHARACTERS],
             now_us,
-            metadata.get("scalefall-region", "")[:MAX_PLACE_LENGTH],
-            metadata.get("scalefall-zone", "")[:MAX_PLACE_LENGTH],
+            metadata.get("scalefall-region", "")[:MAX_LOCALITY_CHARACTERS],
+            metadata.get("scalefall-zone", "")[:MAX_LOCALITY_CHARACTERS],
         )
         if isinstance(joined, JoinRejected):
             raise StreamEndedError(grpc.StatusCode.RESOURCE_EXHAUSTED, f"too many processes are node {peer.node}")
--- a/scalefall/control/transport/quota_wire.py
+++ b/scalefall/control/transport/quota_wire.py
@@ -26,7 +26,7 @@
 from scalefall.control.transport.protobuf import duration
 from scalefall.errors import RemoteProtocolError
 
-FILL_US = 10_000  # the shortest time between fills of a token bucket
+MIN_FILL_INTERVAL_US = 10_000  # the shortest time between fills of a token bucket
 US_PER_SECOND = 1_000_000
 MAX_NUMBER_DIGITS = 18  # fits 64 bits signed
 
@@ -41,7 +41,7 @@
 LAST_REPORT = "heard"
 SHARD = "shard"
 EPOCH = "epoch"
-SHARE = "share"
+QUOTA = "share"
 
 Usage: TypeAlias = rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage
 
@@ -69,14 +69,14 @@
     """Read a row of a report; what is malformed counts as left out."""
     keys = usage.bucket_id.bucket
     return ReportedRoute(
-        _number(keys.get(ROUTE)),
-        _number(keys.get(ACKNOWLEDGED_GRANT)) or 0,
-        _number(keys.get(REPORT_NUMBER)),
+        _parse_number(keys.get(ROUTE)),
+        _parse_number(keys.get(ACKNOWLEDGED_GRANT)) or 0,
+        _parse_number(keys.get(REPORT_NUMBER)),
         {key: value for key, value in keys.items() if key not in (ACKNOWLEDGED_GRANT, REPORT_NUMBER)},
     )
 
 
-def calls_of(usage: Usage) -> float:
+def demanded_calls_per_s(usage: Usage) -> float:
     """Return the calls a second that the client would have made."""
     calls: int = usage.num_requests_allowed + usage.num_requests_denied
     elapsed_s: float = usage.time_elapsed.ToMicroseconds() / US_PER_SECOND
@@ -142,7 +142,7 @@
     keys = usage.bucket_id.bucket
     if ROUTE in keys:
         return None
-    return SessionReport(_number(keys.get(ACKNOWLEDGED_GRANT)) or 0, _number(keys.get(REPORT_NUMBER)))
+    return SessionReport(_parse_number(keys.get(ACKNOWLEDGED_GRANT)) or 0, _parse_number(keys.get(REPORT_NUMBER)))
 
 
 def shard_grants(grants: Iterable[ShardGrant], last_report: int | None) -> rlqs_pb2.RateLimitQuotaResponse:
@@ -163,7 +163,7 @@
     if given.destination is not None:
         bucket[ROUTE] = f"{given.destination}"
     if 0 < given.quota < FULL_QUOTA:
-        bucket[SHARE] = f"{given.quota}"
+        bucket[QUOTA] = f"{given.quota}"
     return bucket
 
 
@@ -195,7 +195,7 @@
 
 
 def _read_grant(keys: Mapping[str, str], amount: int, lease_us: int, holder: str) -> ShardGrant:
-    quota = int(keys.get(SHARE, f"{FULL_QUOTA}")) if amount else 0
+    quota = int(keys.get(QUOTA, f"{FULL_QUOTA}")) if amount else 0
     destination = int(keys[ROUTE]) if ROUTE in keys else None
     return ShardGrant(holder, int(keys[SHARD]), int(keys[EPOCH]), int(keys[GRANT]), quota, lease_us, (), destination)
 
@@ -228,7 +228,7 @@
         return DENY_ALL
     if amount > MAX_LIMITED:
         return ALLOW_ALL
-    tokens = max(1, amount * FILL_US // (UNITS_PER_CALL * US_PER_SECOND))
+    tokens = max(1, amount * MIN_FILL_INTERVAL_US // (UNITS_PER_CALL * US_PER_SECOND))
     fill_interval_us = -(-tokens * UNITS_PER_CALL * US_PER_SECOND // amount)
     return RateLimitStrategy(
         token_bucket=token_bucket_pb2.TokenBucket(
@@ -249,7 +249,7 @@
     return UNLIMITED if strategy.blanket_rule == RateLimitStrategy.ALLOW_ALL else 0
 
 
-def _number(text: str | None) -> int | None:
+def _parse_number(text: str | None) -> int | None:
     """Return a number that is written in plain digits; None for anything else."""
     if text and text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS:
         return int(text)
--- a/scalefall/control/transport/quotas.py
+++ b/scalefall/control/transport/quotas.py
@@ -57,7 +57,7 @@
         """Take in a route's demand; a bucket of no route of ours is abandoned."""
         report = quota_wire.read_route_report(usage)
         if report.route is None or not self._service.demand_reported(
-            stream, report.route, quota_wire.calls_of(usage), report.acknowledged_grant, now_us
+            stream, report.route, quota_wire.demanded_calls_per_s(usage), report.acknowledged_grant, now_us
         ):
             return serialize(quota_wire.abandon(report.keys))
         session.buckets[report.route] = report
--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -36,7 +36,7 @@
 NAMED_METRICS = ("x0", "x1")
 MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that become an event each: bounds a step
 MAX_RETRY_AFTER_MS = 3_600_000  # an hour: a longer one is a client's mistake
-MAX_INTERVAL_US = 60_000_000  # a minute between reports, likewise
+MAX_REPORT_INTERVAL_US = 60_000_000  # a minute between reports, likewise
 
 Stats: TypeAlias = load_report_pb2.UpstreamEndpointStats | load_report_pb2.UpstreamLocalityStats
 
@@ -81,7 +81,7 @@
             route = resources.destination_of(cluster.cluster_name)
             if route is None:
                 continue
-            interval_us = max(0, min(MAX_INTERVAL_US, cluster.load_report_interval.ToMicroseconds()))
+            interval_us = max(0, min(MAX_REPORT_INTERVAL_US, cluster.load_report_interval.ToMicroseconds()))
             for locality in cluster.upstream_locality_stats:
                 for endpoints, row in self._rows(route, locality):
                     yield from _call_events(endpoints, row, now_us, interval_us, self._max_reported_calls)
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -50,12 +50,12 @@
 
     async def serve_state_of_the_world(self, peer: Peer) -> None:
         """Serve a stream whose responses carry all resources of a type."""
-        await self._serve(peer, discovery_pb2.DiscoveryRequest, wire.request)
+        await self._serve(peer, discovery_pb2.DiscoveryRequest, wire.parse_request)
 
     async def serve_incremental(self, peer: Peer) -> None:
         """Serve a stream whose responses carry what has changed."""
         peer.incremental = True
-        await self._serve(peer, discovery_pb2.DeltaDiscoveryRequest, wire.delta_request)
+        await self._serve(peer, discovery_pb2.DeltaDiscoveryRequest, wire.parse_delta_request)
 
     async def _serve(
         self,
--- a/scalefall/control/transport/route_configuration.py
+++ b/scalefall/control/transport/route_configuration.py
@@ -68,7 +68,7 @@
         if word in rules.classes:
             routes += _class_routes(name, message_class, retry_allowance(message_class, rules.attempts), word)
         else:
-            routes += _absent_class_routes(name, word)
+            routes += _unsupported_class_routes(name, word)
     routes.append(_route({"prefix": ""}, route=_route_action(name, 0, ONE_ATTEMPT)))
     host = route_components_pb2.VirtualHost(name=name, domains=["*"], routes=routes)
     return route_pb2.RouteConfiguration(name=name, virtual_hosts=[host])
@@ -89,7 +89,7 @@
     return routes
 
 
-def _absent_class_routes(name: str, word: str) -> list[route_components_pb2.Route]:
+def _unsupported_class_routes(name: str, word: str) -> list[route_components_pb2.Route]:
     body = base_pb2.DataSource(inline_string=f"{word} is not carried on {name}\n")
     answer = route_components_pb2.DirectResponseAction(status=404, body=body)
     return [_route(match, direct_response=answer) for match in _matches(word)]
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -33,8 +33,8 @@
 MAX_MESSAGE_BYTES = 4_000_000  # of one request: 20,000 names of 200 bytes
 SAVE_INTERVAL_S = 1.0  # between looks at what has to outlive the process, and at the clients' certificates
 STOP_GRACE_S = 1.0  # for streams to end in when the process ends
-LEADERSHIP_INTERVAL_S = 0.2  # between tries to become the leader
-LEADERSHIP_RETRY_S = 5  # more, after a state directory that could not be used
+LEADERSHIP_ATTEMPT_INTERVAL_S = 0.2  # between tries to become the leader
+LEADERSHIP_ERROR_BACKOFF_S = 5  # more, after a state directory that could not be used
 CHANNEL_OPTIONS = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", -1),  # no limit: what is sent is as large as the fleet
@@ -196,12 +196,12 @@
         if not self.leader_state.is_leader:
             log.info("standing by: another process grants on this folder")
         while not self.leader_state.is_leader:
-            await asyncio.sleep(LEADERSHIP_INTERVAL_S)
+            await asyncio.sleep(LEADERSHIP_ATTEMPT_INTERVAL_S)
             try:
                 self.try_to_lead()
             except StateDirectoryError as error:
                 log.error("cannot grant: %s", error)
-                await asyncio.sleep(LEADERSHIP_RETRY_S)
+                await asyncio.sleep(LEADERSHIP_ERROR_BACKOFF_S)
 
     async def _save_periodically(self) -> None:
         while True:
--- a/scalefall/control/transport/service_factory.py
+++ b/scalefall/control/transport/service_factory.py
@@ -34,7 +34,7 @@
     """Build a service with no fleet, which stands by."""
     builder = _resource_builder(config.settings, options)
     built = (
-        _build_for_all(config, options, builder, now_us)
+        _build_unsharded(config, options, builder, now_us)
         if options.sharding is None
         else _build_sharded(config, options, options.sharding, builder, now_us)
     )
@@ -42,7 +42,7 @@
     return built
 
 
-def _build_for_all(config: Config, options: ServerOptions, builder: ResourceBuilder, now_us: int) -> BuiltService:
+def _build_unsharded(config: Config, options: ServerOptions, builder: ResourceBuilder, now_us: int) -> BuiltService:
     """Build a service whose every client gets everything."""
     service = ControlService(
         now_us, config.settings, config.seed, builder, options.lease_us, options.delay_us, silence_us=options.lease_us
@@ -76,14 +76,14 @@
     Where destinations are divided, endpoints have no time to live of their own: one lease resource stands for all.
     """
     ttl_us = options.endpoint_lease_us
-    is_divided = options.sharding is not None
-    endpoint_ttl_us = 0 if is_divided else ttl_us
+    is_sharded = options.sharding is not None
+    endpoint_ttl_us = 0 if is_sharded else ttl_us
 
     def build_endpoints(route: int, entries: list[Entry], allowances: list[RouteAllowance], now_us: int) -> Resource:
         return resources.endpoint_resource(route, entries, allowances, now_us, endpoint_ttl_us)
 
     def build_static(entries: RouteEntries, rules: dict[int, RouteRules]) -> list[Resource]:
         built = resources.static_resources(entries, rules, settings)
-        return [*built, resources.lease_resource(ttl_us)] if is_divided else built
+        return [*built, resources.lease_resource(ttl_us)] if is_sharded else built
 
     return ResourceBuilder(build_static, build_endpoints)
--- a/scalefall/control/transport/state.py
+++ b/scalefall/control/transport/state.py
@@ -42,7 +42,7 @@
         """
         self._path = path
         self._lock = FileLock(self._file(LOCK_FILE))
-        self.reserved = 0  # numbers below this may be given
+        self.reserved_below = 0  # numbers below this may be given
 
     def __enter__(self) -> Self:
         """Return the directory as it is: entering does not acquire the lock."""
@@ -107,7 +107,7 @@
             self._replace(EPOCH_FILE, f"{reserved}\n", durable=True)
         except OSError as error:
             raise StateDirectoryError(f"{self._file(EPOCH_FILE)}: {error.strerror}") from None
-        self.reserved = reserved
+        self.reserved_below = reserved
 
     def save_snapshot(self, snapshot: SnapshotDocument) -> None:
         """Write what the module knows, as JSON (snapshot.py).
--- a/scalefall/control/transport/stream_reader.py
+++ b/scalefall/control/transport/stream_reader.py
@@ -13,7 +13,7 @@
 from scalefall.control.transport import clock
 from scalefall.control.transport.peers import Peer, StreamEndedError
 
-FIRST_MESSAGE_S = 10  # a client that has not said who it is by then holds a stream for nothing
+FIRST_MESSAGE_TIMEOUT_S = 10  # a client that has not said who it is by then holds a stream for nothing
 REQUEST_RATE = (200, 100)  # requests of one stream: at once, and a second
 BYTES_PER_REQUEST = 1_000  # that cost as much as one more request: so much is parsed and compared in its time
 BYTES_PER_REPEATED_REQUEST = 20_000  # where a request repeats the last one's names, which costs next to nothing
@@ -59,9 +59,9 @@
 async def _read_first(peer: Peer) -> bytes:
     """Read a message of a client that has not said who it is."""
     try:
-        data: bytes = await asyncio.wait_for(peer.context.read(), FIRST_MESSAGE_S)
+        data: bytes = await asyncio.wait_for(peer.context.read(), FIRST_MESSAGE_TIMEOUT_S)
     except TimeoutError:
-        reason = f"nothing said in {FIRST_MESSAGE_S} s"
+        reason = f"nothing said in {FIRST_MESSAGE_TIMEOUT_S} s"
         raise StreamEndedError(grpc.StatusCode.DEADLINE_EXCEEDED, reason) from None
     return data
 
--- a/scalefall/control/transport/wire.py
+++ b/scalefall/control/transport/wire.py
@@ -17,19 +17,19 @@
 from scalefall.control.transport.protobuf import serialize
 
 MAX_CACHED_RESOURCE_SETS = 256  # serialized sets of resources that are kept for the next client
-IDENTIFIER = "scalefall"
+CONTROL_PLANE_ID = "scalefall"
 TTL_FEATURE = "xds.config.supports-resource-ttl"  # as the protocol's specification names it
 
 
 # -- requests
 
 
-def request(message: discovery_pb2.DiscoveryRequest) -> Request:
+def parse_request(message: discovery_pb2.DiscoveryRequest) -> Request:
     """Read a request of the state-of-the-world form."""
     return Request(message.type_url, message.response_nonce, tuple(message.resource_names), error=_error(message))
 
 
-def delta_request(message: discovery_pb2.DeltaDiscoveryRequest) -> Request:
+def parse_delta_request(message: discovery_pb2.DeltaDiscoveryRequest) -> Request:
     """Read a request of the incremental form."""
     return Request(
         message.type_url,
@@ -100,7 +100,7 @@
 
 def _state_of_the_world_message(response: Response, understands_ttl: bool) -> discovery_pb2.DiscoveryResponse:
     message = discovery_pb2.DiscoveryResponse(type_url=response.type)
-    message.control_plane.identifier = IDENTIFIER
+    message.control_plane.identifier = CONTROL_PLANE_ID
     for resource in response.resources:
         if resource.ttl_us and understands_ttl:  # wrapped, as only so can it say how long it holds
             message.resources.add().Pack(_wrapped(resource, response.is_heartbeat, understands_ttl))
@@ -111,7 +111,7 @@
 
 def _incremental_message(response: Response, understands_ttl: bool) -> discovery_pb2.DeltaDiscoveryResponse:
     message = discovery_pb2.DeltaDiscoveryResponse(type_url=response.type, removed_resources=response.removed)
-    message.control_plane.identifier = IDENTIFIER
+    message.control_plane.identifier = CONTROL_PLANE_ID
     message.resources.extend(
         _wrapped(resource, response.is_heartbeat, understands_ttl) for resource in response.resources
     )
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -196,7 +196,7 @@
         if not peer.begun:
             peer.begun, peer.leased = True, wire.TTL_FEATURE in message.node.client_features
             self.service.resource_stream_opened(peer.number, message.node.id, True, peer.leased)
-        self._send(self.service.request(peer.number, wire.delta_request(message), self._clock.now))
+        self._send(self.service.request(peer.number, wire.parse_delta_request(message), self._clock.now))
 
     def _quota(self, peer: _Peer, message: messages.QuotaReport) -> None:
         now = self._clock.now
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -263,7 +263,7 @@
 
 
 def test_a_client_that_says_nothing_is_ended_after_a_while(monkeypatch):
-    monkeypatch.setattr(stream_reader, "FIRST_MESSAGE_S", 0.01)
+    monkeypatch.setattr(stream_reader, "FIRST_MESSAGE_TIMEOUT_S", 0.01)
 
     async def run():
         with pytest.raises(StreamEndedError, match=r"nothing said in 0\.01 s") as caught:
--- a/tests/transport/test_state_directory.py
+++ b/tests/transport/test_state_directory.py
@@ -97,16 +97,16 @@
 def test_numbers_are_reserved_a_block_above_those_in_use(tmp_path):
     directory = StateDirectory(str(tmp_path))
     assert directory.open_epoch() == 0
-    assert directory.reserved == 1_000_000
+    assert directory.reserved_below == 1_000_000
     directory.reserve_numbers(700_000)
-    assert directory.reserved == 1_700_000
+    assert directory.reserved_below == 1_700_000
     assert (tmp_path / "epoch").read_text() == "1700000\n"
     assert StateDirectory(str(tmp_path)).open_epoch() == 1_700_000
     unwritable(tmp_path, "epoch")
     with pytest.raises(StateDirectoryError) as caught:
         directory.reserve_numbers(1_500_000)
     assert str(caught.value) == f"{tmp_path}/epoch: Is a directory"
-    assert directory.reserved == 1_700_000
+    assert directory.reserved_below == 1_700_000
 
 
 def test_what_is_saved_is_loaded_and_nothing_is_none(tmp_path):
