--- a/scalefall/control/transport/__init__.py
+++ b/scalefall/control/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Everything of the control service that does I/O: gRPC streams, TLS certificates, files. It takes no decisions."""
+"""The I/O of the control service: gRPC streams, TLS certificates, files. It makes no decisions."""
--- a/scalefall/control/transport/clock.py
+++ b/scalefall/control/transport/clock.py
@@ -1,4 +1,4 @@
-"""The two clocks of the transport, in microseconds; the layers below are handed the time and read none."""
+"""The two clocks of the transport, in microseconds; the layers below read no clock and are passed the time."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def monotonic_us() -> int:
-    """Return the monotonic clock, which orders everything within one process."""
+    """Return the monotonic clock, for times that are compared within one process."""
     return time.monotonic_ns() // 1000
 
 
 def wall_us() -> int:
-    """Return the wall clock since the epoch, for what is compared with another process's time."""
+    """Return the wall clock since the Unix epoch, for times that are compared between processes."""
     return time.time_ns() // 1000
--- a/scalefall/control/transport/event_log.py
+++ b/scalefall/control/transport/event_log.py
@@ -1,4 +1,4 @@
-"""The lines that the service asks for, written to the log."""
+"""Writes the events that the service emits to the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def write_events(events: Iterable[LogEvent]) -> None:
-    """Write one line for each event: its name, then its fields, which also stand beside the text in JSON."""
+    """Write one line for each event: its name, then its fields, which JSON logs also carry as structured fields."""
     for event in events:
         level = logging.DEBUG if event.is_debug else logging.INFO
         if log.isEnabledFor(level):
--- a/scalefall/control/transport/file_lock.py
+++ b/scalefall/control/transport/file_lock.py
@@ -1,4 +1,4 @@
-"""An exclusive lock on a file, which the system releases the moment its process ends."""
+"""An exclusive lock on a file, which the operating system releases when its process ends."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from types import TracebackType
 from typing import Self
 
-PRIVATE_MODE = 0o600  # the file is this service's own
+PRIVATE_MODE = 0o600  # only the service's own user opens the file
 
 
 class FileLock:
-    """A lock by flock(2) on a file that is created where it is missing; a context manager that releases it."""
+    """A lock by flock(2) on a file, which is created if it is missing; a context manager that releases the lock."""
 
     def __init__(self, path: str) -> None:
-        """Name the file; nothing is opened yet."""
+        """Set the path; the file is opened by try_acquire()."""
         self._path = path
         self._descriptor: int | None = None
 
     def __enter__(self) -> Self:
-        """Return the lock as it is: entering does not acquire it."""
+        """Return the lock; entering does not acquire it."""
         return self
 
     def __exit__(
@@ -29,7 +29,7 @@
         self.release()
 
     def try_acquire(self) -> bool:
-        """Acquire the lock without waiting; True if this process holds it.
+        """Acquire the lock without waiting; return whether this process holds it.
 
         Raises:
             OSError: The file cannot be opened or created.
@@ -46,7 +46,7 @@
         return True
 
     def release(self) -> None:
-        """Give the lock up; nothing happens if it is not held."""
+        """Release the lock; does nothing if it is not held."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
--- a/scalefall/control/transport/leadership.py
+++ b/scalefall/control/transport/leadership.py
@@ -1,7 +1,7 @@
-"""Which process leads, and what a leader leaves to the next one.
+"""Which process leads, and the state that a leader saves for its successor.
 
-The leader is the one that grants. It leaves the numbers above all that it may have given, what the module knew, and
-which sender has which shard. The state directory reads and writes; the service decides.
+Only the leader grants. It saves a number above those of all grants that it may have made, a snapshot of the engine's
+knowledge, and the assignment of shards to senders. The state directory reads and writes; the service decides.
 """
 
 from __future__ import annotations
@@ -16,54 +16,52 @@
 from scalefall.net.logs import log
 from scalefall.policy.events import Event
 
-MIN_RESERVED_NUMBERS = (
-    NUMBERS_PER_BLOCK // 2
-)  # unused numbers at which the next block is reserved: long before they run out
+MIN_RESERVED_NUMBERS = NUMBERS_PER_BLOCK // 2  # with no more unused numbers, the next block is reserved
 
 
 class Role(Enum):
-    """What this process is among those that share a state directory."""
+    """The role of this process among those that share a state directory."""
 
     STANDBY = "standby"
     LEADER = "leader"
 
 
 class LeaderState:
-    """This process's role, and the state that outlives it."""
+    """This process's role, and the state that its successor needs."""
 
     def __init__(self, service: AnyControlService, directory: StateDirectory, startup_wait_us: int) -> None:
-        """Stand by.
+        """Start as a standby.
 
         Args:
-            service: What leads or stands by.
-            directory: The state that the processes share.
-            startup_wait_us: How long after a start no grants are made, as an earlier process may have granted all.
+            service: The service that makes the grants.
+            directory: The state directory that the processes share.
+            startup_wait_us: Time after becoming the leader without grants, as those of an earlier process may be valid.
         """
         self._service = service
         self._directory = directory
-        self._quiet_us = startup_wait_us
-        self._saved: SnapshotDocument | None = None  # the snapshot that was written last, without its time
-        self._saved_generation = 0  # of the assignment that was written last
+        self._startup_wait_us = startup_wait_us
+        self._saved: SnapshotDocument | None = None  # the last saved snapshot, without its time
+        self._saved_generation = 0  # generation of the last saved assignment
         self._role = Role.STANDBY
 
     @property
     def is_leader(self) -> bool:
-        """Whether this process is the one that grants."""
+        """Return whether this process is the leader."""
         return self._role is Role.LEADER
 
     def require_leadership(self) -> None:
-        """Check that this process leads, for what only the leader serves.
+        """Raise an error unless this process leads, before serving what only the leader serves.
 
         Raises:
-            LeadershipError: Another process does; the text is for the client.
+            LeadershipError: This process does not lead; the text is sent to the client.
         """
         if not self.is_leader:
             raise LeadershipError("another process grants here")
 
     def acquire_leadership(self, now_us: int, wall_us: int) -> bool:
-        """Try to become the leader; True if this process is one from now on and was not before.
+        """Try to become the leader; return whether this call made this process the leader.
 
-        Nothing is granted before what another process may have granted has run out.
+        Grants begin only after all that another process may have granted has expired.
 
         Args:
             now_us: The monotonic clock.
@@ -80,31 +78,31 @@
         self._service.restore(events, now_us)
         self._role = Role.LEADER
         log.info(
-            "granting: from number %d, in %.1f s",
+            "granting: numbers above %d, beginning in %.1f s",
             first,
-            self._quiet_us / 1e6,
+            self._startup_wait_us / 1e6,
             extra={"fields": {"epoch": first, "recalled": len(events)}},
         )
         return True
 
     def _load_events(self, now_us: int, wall_us: int) -> list[Event]:
-        """What the last leader knew, as events; nothing where it cannot be read."""
+        """Return the saved snapshot as events; none if it is missing or cannot be used."""
         try:
             saved = self._directory.load_snapshot()
             return snapshot.restore(saved, now_us, wall_us) if saved is not None else []
         except (StateDirectoryError, ValueError) as error:
-            log.warning("figures of the one before: cannot be read (%s)", error)
+            log.warning("saved snapshot cannot be used: %s; starting without it", error)
             return []
 
     def _load_assignment(self) -> str | None:
         try:
             return self._directory.load_assignment()
         except StateDirectoryError as error:
-            log.error("assignment of the one before: cannot be read, all shards are placed anew: %s", error)
+            log.error("saved assignment cannot be read: %s; assigning all shards again", error)
             return None
 
     def save(self, now_us: int, wall_us: int) -> None:
-        """Write what has changed since the last time; what cannot be written is one line in the log."""
+        """Save the snapshot and the assignment if they have changed; a write error is logged."""
         if not self.is_leader:
             return
         service = self._service
@@ -115,10 +113,10 @@
             self._save_snapshot(current)
             self._save_assignment()
         except StateDirectoryError as error:
-            log.error("figures cannot be kept: %s", error)
+            log.error("snapshot or assignment cannot be saved: %s; granting continues", error)
 
     def _save_snapshot(self, current: SnapshotDocument) -> None:
-        """Write the snapshot if it differs, or has rows whose age counts: doubts and waits."""
+        """Write the snapshot if it differs from the last one, or has rows that depend on its time: doubts and waits."""
         timeless: SnapshotDocument = {**current, "wall": 0}
         if timeless != self._saved or current["doubts"] or current["waits"]:
             self._directory.save_snapshot(current)
@@ -134,16 +132,16 @@
             self._directory.save_assignment(text)
 
     def reserve_numbers(self) -> None:
-        """Reserve numbers for the next grants; where they cannot be had, this process grants no more."""
+        """Reserve numbers for further grants; if that fails, this process grants no more until a restart."""
         used = self._service.ledger.number
         if not self.is_leader or used <= self._directory.reserved_below - MIN_RESERVED_NUMBERS:
             return
         try:
             self._directory.reserve_numbers(used)
         except StateDirectoryError as error:
-            log.error("cannot grant any more: %s", error)
+            log.error("grant numbers cannot be reserved: %s; granting nothing more until a restart", error)
             self._role = Role.STANDBY
 
     def release(self) -> None:
-        """Let another process lead."""
+        """Release the leader's lock, so that another process may lead."""
         self._directory.release()
--- a/scalefall/control/transport/load_report_streams.py
+++ b/scalefall/control/transport/load_report_streams.py
@@ -1,4 +1,4 @@
-"""Load report streams (LRS): what clients' calls came to. Source: envoy.service.load_stats.v3."""
+"""Load report streams (LRS): the results of clients' calls. Source: envoy.service.load_stats.v3."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
         leader_state: LeaderState,
         report_us: int,
     ) -> None:
-        """Take what the streams work on.
+        """Store the parts that the streams use.
 
         Args:
-            service: Is told of the calls.
-            quotas: Counts the calls where destinations are divided by their load.
+            service: Receives the calls as events.
+            quotas: Counts the calls if destinations are sharded by their load.
             peers: The open streams.
-            driver: Sends what follows.
-            leader_state: Whether this process leads.
-            report_us: The interval between reports that clients are asked for.
+            driver: Runs the steps that the reports make due.
+            leader_state: Tells whether this process leads.
+            report_us: The interval at which clients are to report.
         """
         self._service = service
         self._quotas = quotas
@@ -48,7 +48,7 @@
         self._index = LoadReportIndex(())
 
     def use_endpoints(self, entries: Iterable[Entry]) -> None:
-        """Take the fleet's endpoints, by whose addresses reports are read."""
+        """Set the fleet's endpoints, to which reports are matched by address."""
         self._index = LoadReportIndex(entries)
 
     async def serve(self, peer: Peer) -> None:
@@ -57,7 +57,7 @@
             self._leader_state.require_leadership()
             if not peer.node:
                 self._peers.identify(peer, message.node.id)
-                peer.send(self._first_answer())
+                peer.send(self._first_response())
             now_us = clock.monotonic_us()
             self._quotas.count_calls(self._index, message.cluster_stats)
             calls = list(self._index.events(message.cluster_stats, now_us))
@@ -65,9 +65,9 @@
                 self._service.calls_reported(calls, now_us)
                 self._driver.schedule()
 
-    def _first_answer(self) -> bytes:
-        """Ask for reports of all clusters by endpoint, at the interval of the options."""
-        answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
-        answer.load_reporting_interval.FromMicroseconds(self._report_us)
-        data: bytes = answer.SerializeToString()
+    def _first_response(self) -> bytes:
+        """Return the request for reports of all clusters by endpoint, at the interval of the options."""
+        response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
+        response.load_reporting_interval.FromMicroseconds(self._report_us)
+        data: bytes = response.SerializeToString()
         return data
--- a/scalefall/control/transport/options.py
+++ b/scalefall/control/transport/options.py
@@ -1,4 +1,4 @@
-"""How a control server listens, leases and divides destinations: the command line's options as typed values."""
+"""The command line's options of a control server as typed values: address, leases, sharding."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ShardingOptions:
-    """How destinations are divided among senders.
+    """How destinations are sharded over senders.
 
     Attributes:
         shards: Number of shards.
-        move_after_us: How long a sender may be silent before its shards go to others.
-        sender_load: Calls a second that one sender is to carry of a single destination; 0 for any number.
+        move_after_us: How long a lost sender keeps its shards, for a restart, before they move to others.
+        sender_load: Calls a second to one destination above which several senders share it; 0 for no limit.
     """
 
     shards: int
@@ -22,15 +22,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerOptions:
-    """What a control server is started with.
+    """The options that a control server starts with.
 
     Attributes:
-        listen: Address and port as `host:port`; port 0 takes a free one.
+        listen: Address and port as `host:port`; port 0 chooses a free one.
         lease_us: How long a grant lasts.
-        delay_us: The longest that a message may be under way to a client that does not number its reports.
-        endpoint_lease_us: How long a client trusts its endpoints without hearing from this service.
+        delay_us: The longest network delay of a message to a client that does not number its reports.
+        endpoint_lease_us: How long a client may use its endpoint lists without a heartbeat from this service.
         report_us: Interval between a client's load reports.
-        sharding: How destinations are divided; None if every client gets everything.
+        sharding: How destinations are sharded; None if every client gets all of them.
     """
 
     listen: str
--- a/scalefall/control/transport/peers.py
+++ b/scalefall/control/transport/peers.py
@@ -1,7 +1,7 @@
-"""One client's stream: who it is, what waits to be sent on it, and how it ends.
+"""The clients' streams: the node of each, its outgoing queue, and the status that it ends with.
 
-A client that reads slowly holds up its own writer alone. What may wait for it is bounded by its streams' windows, and
-beyond MAX_OUTGOING_MESSAGES it is cut off.
+A client that reads slowly blocks only its own writer task. Its outgoing queue is bounded by the windows of unanswered
+responses, and a stream with more than MAX_OUTGOING_MESSAGES queued messages is closed.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from scalefall.control.transport.quotas import QuotaSession
 from scalefall.errors import ScalefallError
 
-MAX_STREAMS = 5_000  # open at a time, over all clients: bounds the process's memory
-MAX_OUTGOING_MESSAGES = 2_000  # that wait for one client to read them
-MAX_NODE_ID_CHARACTERS = 256  # characters of a node id
-STREAM_OPENING_RATE = (50, 10)  # streams that one node may open: at once, and a second
-MAX_RATE_LIMITED_NODES = 10_000  # whose rate of opening streams is known: twice MAX_STREAMS
+MAX_STREAMS = 5_000  # open streams of all clients together: bounds the process's memory
+MAX_OUTGOING_MESSAGES = 2_000  # queued messages of one stream
+MAX_NODE_ID_CHARACTERS = 256
+STREAM_OPENING_RATE = (50, 10)  # streams that one node may open: burst, and sustained rate per second
+MAX_RATE_LIMITED_NODES = 10_000  # nodes whose rate of opening streams is tracked: twice MAX_STREAMS
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,10 +35,10 @@
 
 
 class StreamEndedError(ScalefallError):
-    """The stream is to end with a status, as the client broke a rule or asked for too much."""
+    """Ends a stream with a gRPC status, as the client violated the protocol or exceeded a limit."""
 
     def __init__(self, status: grpc.StatusCode, reason: str) -> None:
-        """Note the status and its text."""
+        """Set the status and its text."""
         super().__init__(reason)
         self.end = StreamEnd(status, reason)
 
@@ -48,18 +48,18 @@
     """One client's stream.
 
     Attributes:
-        number: The stream's number, which the service knows it by.
+        number: The stream's number, by which the service refers to it.
         context: gRPC's side of the stream.
         task: The task that reads the stream; cancelled to end it.
-        certificate: The client's certificate; None on a plain text connection.
-        incremental: Whether it speaks the incremental form of the discovery protocol.
-        understands_ttl: Whether the client knows resources' times to live.
+        certificate: The client's certificate; None on a plaintext connection.
+        incremental: Whether it uses the incremental form of the discovery protocol.
+        understands_ttl: Whether the client supports times to live of resources.
         node: The node id; empty until its first message.
-        repeats_names: Whether its last request had the names of the one before.
-        outgoing: Messages that wait to be written.
-        outgoing_ready: Set while there are some.
-        end: How it is to end, once that was decided here.
-        quota: What it has said of itself, on a quota stream.
+        repeats_names: Whether its last request had the same names as the previous one.
+        outgoing: Messages not yet written.
+        outgoing_ready: Set while there are any.
+        end: The status that this server ends it with; None until it is closed.
+        quota: The state of a quota stream.
     """
 
     number: int
@@ -76,20 +76,20 @@
     quota: QuotaSession = field(default_factory=QuotaSession)
 
     def send(self, data: bytes) -> None:
-        """Queue a message; a client with too many unread ones is cut off."""
+        """Queue a message; close the stream if too many are queued."""
         self.outgoing.append(data)
         self.outgoing_ready.set()
         if len(self.outgoing) > MAX_OUTGOING_MESSAGES:
             self.close(grpc.StatusCode.RESOURCE_EXHAUSTED, "it does not read what it is sent")
 
     def close(self, status: grpc.StatusCode, reason: str) -> None:
-        """End the stream with a status; only the first one counts."""
+        """End the stream with a status; later calls have no effect."""
         if self.end is None:
             self.end = StreamEnd(status, reason)
             self.task.cancel()
 
     async def write_outgoing(self) -> None:
-        """Write what is queued, until cancelled."""
+        """Write queued messages until cancelled."""
         while True:
             await self.outgoing_ready.wait()
             while self.outgoing:
@@ -98,13 +98,13 @@
 
 
 class PeerRegistry:
-    """The open streams by number, and who may open one."""
+    """The open streams by number; decides which clients may open one."""
 
     def __init__(self, certificates: tls.CertificateStore | None) -> None:
         """Start with no streams.
 
         Args:
-            certificates: Who may connect; None on plain text, where whoever connects is believed.
+            certificates: The trusted authorities; None for plaintext, where any client may claim any node.
         """
         self._certificates = certificates
         self._peers: dict[int, Peer] = {}
@@ -112,26 +112,26 @@
         self._openings = ClientRateLimiter(*STREAM_OPENING_RATE, MAX_RATE_LIMITED_NODES)
 
     def __iter__(self) -> Iterator[Peer]:
-        """Iterate over the streams that are open now; they may close meanwhile."""
+        """Iterate over a copy of the open streams, which may close during the iteration."""
         return iter(list(self._peers.values()))
 
     def get(self, number: int) -> Peer | None:
-        """Return an open stream; None if it is closed."""
+        """Return an open stream; None if there is none of this number."""
         return self._peers.get(number)
 
     def add(self, peer: Peer) -> None:
-        """Take in a stream."""
+        """Add a stream."""
         self._peers[peer.number] = peer
 
     def remove(self, peer: Peer) -> None:
-        """Forget a stream that has closed."""
+        """Remove a closed stream."""
         self._peers.pop(peer.number, None)
 
     def admit(self, context: grpc.aio.ServicerContext, task: asyncio.Task[None]) -> Peer:
-        """Take in a stream that is being opened, read by this task.
+        """Add and return a new stream, which this task reads.
 
         Raises:
-            StreamEndedError: Too many are open, or its certificate names no node.
+            StreamEndedError: Too many streams are open, or the client's certificate names no node.
         """
         if len(self._peers) >= MAX_STREAMS:
             raise StreamEndedError(grpc.StatusCode.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} streams are open")
@@ -149,11 +149,11 @@
         return tls.read_client_certificate(next(iter(chain), b""))
 
     def identify(self, peer: Peer, node: str) -> None:
-        """Set which node a stream is of, or check that it is still the same.
+        """Set the node of a stream, or check that a later message names the same one.
 
         Raises:
-            StreamEndedError: The node id is malformed, not the stream's or not the certificate's, or the node opens
-                streams too often.
+            StreamEndedError: The node id is malformed, differs from the stream's or is not in the certificate, or the
+                node opens streams too often.
         """
         if not _is_node_id(node):
             reason = f"a node id is 1 to {MAX_NODE_ID_CHARACTERS} printable characters without a slash"
@@ -167,7 +167,7 @@
         peer.node = node
 
     def close_untrusted(self, wall_s: float) -> None:
-        """Close the streams whose certificate has ended, or whose authority was taken out of the file.
+        """Close the streams whose certificate has expired or whose authority is no longer trusted.
 
         Args:
             wall_s: The wall clock, in seconds.
--- a/scalefall/control/transport/protobuf.py
+++ b/scalefall/control/transport/protobuf.py
@@ -1,4 +1,4 @@
-"""Small helpers for messages of protobuf."""
+"""Helpers for protobuf messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SerializableMessage(Protocol):
-    """A message of protobuf, as far as writing goes."""
+    """A protobuf message that can be serialized."""
 
     def SerializeToString(self) -> bytes:  # noqa: N802 - protobuf's name
         """Return the message as bytes."""
@@ -20,14 +20,14 @@
 
 
 def pack(message: SerializableMessage) -> any_pb2.Any:
-    """Return a message as an Any, whose bytes are the same for equal messages."""
+    """Return a message as an Any, with the same bytes for equal messages."""
     packed = any_pb2.Any()
     packed.Pack(message, deterministic=True)
     return packed
 
 
 def duration(us: int) -> duration_pb2.Duration:
-    """Return a duration of so many microseconds."""
+    """Return a duration in microseconds as a message."""
     message = duration_pb2.Duration()
     message.FromMicroseconds(us)
     return message
--- a/scalefall/control/transport/quota_streams.py
+++ b/scalefall/control/transport/quota_streams.py
@@ -1,7 +1,7 @@
-"""Quota streams (RLQS): the processes that make calls, what they need, and what they are granted.
+"""Quota streams (RLQS): the processes that make calls, the demand that they report, and their grants.
 
-A process names itself by the metadata scalefall-node and scalefall-instance, or by its domain alone; where it stands,
-by scalefall-region and scalefall-zone. Source: envoy.service.rate_limit_quota.v3.
+A process gives its identity in the metadata scalefall-node and scalefall-instance, or in its domain alone, and its
+locality in scalefall-region and scalefall-zone. Source: envoy.service.rate_limit_quota.v3.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from scalefall.control.transport.services import AnyControlService
 from scalefall.control.transport.stream_reader import read_messages
 
-MAX_LOCALITY_CHARACTERS = 64  # characters of a region or zone; more is cut off, as it is only kept and compared
-MAX_INSTANCE_CHARACTERS = 64  # characters of an instance, likewise
+MAX_LOCALITY_CHARACTERS = 64  # of a region or zone; longer ones are truncated, as they are only stored and compared
+MAX_INSTANCE_CHARACTERS = 64  # of an instance; longer ones are truncated
 
 
 class QuotaStreams:
@@ -35,7 +35,7 @@
         driver: ServiceDriver,
         leader_state: LeaderState,
     ) -> None:
-        """Take what the streams work on: the service, its translation, the open streams, the sender and the role."""
+        """Store the service, the conversion of its messages, the open streams, the driver and the role."""
         self._service = service
         self._quotas = quotas
         self._peers = peers
@@ -58,10 +58,10 @@
             self._driver.schedule()
 
     def _join(self, peer: Peer, metadata: Mapping[str, str], now_us: int) -> None:
-        """Make the process a member; an earlier stream of the same process is closed.
+        """Register the process as a member; close an earlier stream of the same process.
 
         Raises:
-            StreamEndedError: Too many processes are of one node.
+            StreamEndedError: Too many processes have the same node id.
         """
         joined = self._service.quota_stream_joined(
             peer.number,
--- a/scalefall/control/transport/quota_wire.py
+++ b/scalefall/control/transport/quota_wire.py
@@ -1,12 +1,12 @@
-"""Quota messages to and from the types of grants. No I/O. Source: envoy.service.rate_limit_quota.v3.
+"""Conversion between quota messages and grants. No I/O. Source: envoy.service.rate_limit_quota.v3.
 
-By route, a bucket's keys are the client's own and name the route. A client may number its reports, and then tells the
-highest grant that it has had.
+For grants by route, the client chooses the bucket's keys, one of which names the route. A client may number its
+reports; it then also reports the highest grant number that it has received.
 
-Where destinations are divided among senders, a grant is of a shard. Its bucket names the shard, the epoch and the
-number, the route too where the shard is one destination's own, and the share where that is not all. Allowances of
-destinations that are not unlimited follow as buckets of shard and route alone. A report's bucket names the number of
-the report and the highest grant number of all that came on this stream, in whose order nothing is lost.
+Where destinations are sharded, a grant is for a shard. Its bucket names the shard, the epoch and the grant number, the
+route if the shard holds one destination alone, and the quota if it is not the full one. The allowances of rate-limited
+destinations follow as buckets of shard and route only. A report's bucket names the report number and the highest grant
+number received on this stream, which acknowledges all lower ones, as a stream keeps order and loses nothing.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from scalefall.control.transport.protobuf import duration
 from scalefall.errors import RemoteProtocolError
 
-MIN_FILL_INTERVAL_US = 10_000  # the shortest time between fills of a token bucket
+MIN_FILL_INTERVAL_US = 10_000  # of a token bucket
 US_PER_SECOND = 1_000_000
-MAX_NUMBER_DIGITS = 18  # fits 64 bits signed
+MAX_NUMBER_DIGITS = 18  # fits a signed 64-bit integer
 
-ALLOW_ALL = RateLimitStrategy(blanket_rule=RateLimitStrategy.ALLOW_ALL)  # to be copied from, never changed
+ALLOW_ALL = RateLimitStrategy(blanket_rule=RateLimitStrategy.ALLOW_ALL)  # only copied from, never modified
 DENY_ALL = RateLimitStrategy(blanket_rule=RateLimitStrategy.DENY_ALL)
 
-# Keys of buckets.
+# Keys of a bucket; the strings are on the wire.
 ROUTE = "route"
 ACKNOWLEDGED_GRANT = "had"
 REPORT_NUMBER = "said"
@@ -50,11 +50,11 @@
 
 
 class ReportedRoute(NamedTuple):
-    """A row of a report, of a route.
+    """A row of a report by route.
 
     Attributes:
         route: The route; None if the bucket names none.
-        acknowledged_grant: The highest grant that the client has had; 0 if it does not number them.
+        acknowledged_grant: The highest grant number that the client has received; 0 if it reports none.
         report_number: The number of this report; None if the client does not number them.
         keys: The bucket's keys without the numbers.
     """
@@ -66,7 +66,7 @@
 
 
 def read_route_report(usage: Usage) -> ReportedRoute:
-    """Read a row of a report; what is malformed counts as left out."""
+    """Parse a row of a report; malformed numbers count as missing."""
     keys = usage.bucket_id.bucket
     return ReportedRoute(
         _parse_number(keys.get(ROUTE)),
@@ -77,17 +77,17 @@
 
 
 def demanded_calls_per_s(usage: Usage) -> float:
-    """Return the calls a second that the client would have made."""
+    """Return the client's demand: allowed and denied calls per second."""
     calls: int = usage.num_requests_allowed + usage.num_requests_denied
     elapsed_s: float = usage.time_elapsed.ToMicroseconds() / US_PER_SECOND
     return calls / elapsed_s if elapsed_s > 0 else 0.0
 
 
 def grant(given: Grant, bucket: dict[str, str], last_report: int | None) -> rlqs_pb2.RateLimitQuotaResponse:
-    """Return a grant as an assignment of one bucket.
+    """Return a grant as a response that assigns one bucket.
 
-    A client that numbers its reports is told the grant's number, and the last report that was received before: its
-    lease counts from when it sent that one, so no delay of the link makes it longer.
+    For a client that numbers its reports, the response names the grant and the last report received before it: the
+    lease runs from when the client sent that report, so network delay does not extend it.
 
     Args:
         given: The grant.
@@ -102,7 +102,7 @@
 
 
 def abandon(bucket: Mapping[str, str]) -> rlqs_pb2.RateLimitQuotaResponse:
-    """Return the answer to a bucket that names no route of ours."""
+    """Return the response to a bucket that names no configured route."""
     action = rlqs_pb2.RateLimitQuotaResponse.BucketAction(
         bucket_id=rlqs_pb2.BucketId(bucket=bucket),
         abandon_action=rlqs_pb2.RateLimitQuotaResponse.BucketAction.AbandonAction(),
@@ -117,8 +117,8 @@
     """A report of a process that is granted shards.
 
     Attributes:
-        acknowledged_grant: The highest grant that it has had on this stream; 0 for none.
-        report_number: The number of this report; None if it is left out.
+        acknowledged_grant: The highest grant number that it has received on this stream; 0 for none.
+        report_number: The number of this report; None if it is missing.
     """
 
     acknowledged_grant: int
@@ -130,7 +130,7 @@
 
     Attributes:
         grants: The grants.
-        last_report: The client's last report that was received before they were sent; None if none was numbered.
+        last_report: The number of the client's last report before they were sent; None if it numbers none.
     """
 
     grants: list[ShardGrant]
@@ -138,7 +138,7 @@
 
 
 def read_session_report(usage: Usage) -> SessionReport | None:
-    """Read a report; None for a bucket of a route."""
+    """Parse a report; None for a bucket of a route."""
     keys = usage.bucket_id.bucket
     if ROUTE in keys:
         return None
@@ -168,10 +168,10 @@
 
 
 def read_shard_grants(response: rlqs_pb2.RateLimitQuotaResponse, holder: str) -> ReceivedShardGrants:
-    """Read grants of shards: the other way, for clients of our own.
+    """Parse grants of shards, for this project's own clients.
 
     Raises:
-        RemoteProtocolError: It is no response with grants of shards.
+        RemoteProtocolError: It is not a valid response with grants of shards.
     """
     try:
         return _read_shard_grants(response, holder)
@@ -204,7 +204,7 @@
     """Add the allowance of one destination to the grant of its shard, which is the last one."""
     shard = int(keys[SHARD])
     if not grants or grants[-1].shard != shard:
-        raise ValueError(f"an allowance of shard {shard} follows no grant of it")
+        raise ValueError(f"allowance of shard {shard} does not follow a grant of this shard")
     grants[-1] = replace(grants[-1], limits=(*grants[-1].limits, DestinationLimit(int(keys[ROUTE]), amount)))
 
 
@@ -219,7 +219,7 @@
 
 
 def _strategy(amount: int) -> RateLimitStrategy:
-    """Return a rate as a bucket that holds one fill, so that nothing is saved up; rounded down.
+    """Return a rate, rounded down, as a token bucket that holds one fill only, so that no burst accumulates.
 
     Args:
         amount: Thousandths of a call a second.
@@ -240,7 +240,7 @@
 
 
 def amount_of(strategy: RateLimitStrategy) -> int:
-    """Return a rate in thousandths of a call a second: the other way, for clients of our own."""
+    """Return a rate in thousandths of a call a second: the inverse of `_strategy`, for this project's own clients."""
     if strategy.HasField("token_bucket"):
         bucket = strategy.token_bucket
         tokens: int = bucket.tokens_per_fill.value
@@ -250,7 +250,7 @@
 
 
 def _parse_number(text: str | None) -> int | None:
-    """Return a number that is written in plain digits; None for anything else."""
+    """Parse a number of ASCII digits; None for anything else."""
     if text and text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS:
         return int(text)
     return None
--- a/scalefall/control/transport/quotas.py
+++ b/scalefall/control/transport/quotas.py
@@ -1,6 +1,6 @@
-"""Quota messages: what a report says to the service, and how its grants go out.
+"""Quota streams by route or, where destinations are sharded, by shard.
 
-By route, or by shard where destinations are divided among senders. No I/O, and no decisions.
+Passes reports to the service and makes messages of its grants. No I/O, and no decisions.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True)
 class QuotaSession:
-    """What one quota stream has said of itself.
+    """The state of one quota stream.
 
     Attributes:
         buckets: The buckets that it has reported, by route.
-        last_report: The number of its last report, where destinations are divided.
+        last_report: The number of its last report; only where destinations are sharded.
     """
 
     buckets: dict[int, quota_wire.ReportedRoute] = field(default_factory=dict)
@@ -37,24 +37,24 @@
     """One of the two ways in which quotas are granted."""
 
     def usage_reported(self, stream: int, session: QuotaSession, usage: Usage, now_us: int) -> bytes | None:
-        """Take in one row of a report; return a message that answers it at once, if any."""
+        """Handle one row of a report; return the message that answers it immediately, if any."""
 
     def grant_message(self, session: QuotaSession, grant: Grant | ShardGrants) -> bytes | None:
-        """Return a grant as a message; None if the stream is not to have it."""
+        """Return a grant as a message; None if it is not for this stream."""
 
     def count_calls(self, index: LoadReportIndex, stats: Iterable[load_report_pb2.ClusterStats]) -> None:
-        """Count the calls of a load report, where quotas follow the load."""
+        """Count the calls of a load report, if quotas depend on the load."""
 
 
 class RouteQuotas:
-    """One bucket a route, named by the client; each is granted by itself."""
+    """Grants by route: one bucket each, whose keys the client chooses."""
 
     def __init__(self, service: ControlService) -> None:
-        """Take the service that grants."""
+        """Store the service that makes the grants."""
         self._service = service
 
     def usage_reported(self, stream: int, session: QuotaSession, usage: Usage, now_us: int) -> bytes | None:
-        """Take in a route's demand; a bucket of no route of ours is abandoned."""
+        """Record a route's demand; answer a bucket that names no configured route with an abandon action."""
         report = quota_wire.read_route_report(usage)
         if report.route is None or not self._service.demand_reported(
             stream, report.route, quota_wire.demanded_calls_per_s(usage), report.acknowledged_grant, now_us
@@ -64,7 +64,7 @@
         return None
 
     def grant_message(self, session: QuotaSession, grant: Grant | ShardGrants) -> bytes | None:
-        """Return a grant in the bucket that the client has reported; None if it has reported none of that route."""
+        """Return a grant in the bucket that the client has reported; None if it has reported none for the route."""
         if not isinstance(grant, Grant):
             return None
         bucket = session.buckets.get(grant.destination)
@@ -73,18 +73,18 @@
         return serialize(quota_wire.grant(grant, bucket.keys, bucket.report_number))
 
     def count_calls(self, index: LoadReportIndex, stats: Iterable[load_report_pb2.ClusterStats]) -> None:
-        """Do nothing: grants by route follow the demand that their reports tell."""
+        """Do nothing: grants by route follow the demand that clients report."""
 
 
 class ShardQuotas:
-    """Shards are granted as they are assigned, all that is due in one message; a report acknowledges them together."""
+    """Grants of assigned shards: one message carries all that are due, and a report acknowledges them together."""
 
     def __init__(self, service: ShardedService) -> None:
-        """Take the service that assigns."""
+        """Store the service that assigns the shards."""
         self._service = service
 
     def usage_reported(self, stream: int, session: QuotaSession, usage: Usage, now_us: int) -> bytes | None:
-        """Take in an acknowledgement; a bucket of a route is abandoned, as none is granted here."""
+        """Record an acknowledgement; answer a bucket of a route with an abandon action, as none is granted."""
         report = quota_wire.read_session_report(usage)
         if report is None:
             return serialize(quota_wire.abandon(dict(usage.bucket_id.bucket)))
@@ -99,5 +99,5 @@
         return serialize(quota_wire.shard_grants(grant.grants, session.last_report))
 
     def count_calls(self, index: LoadReportIndex, stats: Iterable[load_report_pb2.ClusterStats]) -> None:
-        """Count the calls of each destination: shards are placed by their load."""
+        """Count the calls of each destination, as shards are placed by their load."""
         self._service.calls_counted(index.loads(stats))
--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -1,13 +1,13 @@
-"""Load reports as the module's events. No I/O.
+"""Load reports as events of the engine. No I/O.
 
-By endpoint (upstream_endpoint_stats) where a client gives them, else a zone's totals over its endpoints in turn. What
-is reported by named metrics beside successes and errors, each with its number of calls, says how errors ended:
+Counts by endpoint (upstream_endpoint_stats) are used where a client reports them; else a zone's totals are distributed
+over its endpoints in turn. Named metrics beside the counts of successes and errors give the outcomes of failed calls:
 
-    scalefall.full, scalefall.timeout, scalefall.reset, scalefall.connect_failed     calls that ended so
-    scalefall.wait_ms       the longest Retry-After of its answers, as of this report
+    scalefall.full, scalefall.timeout, scalefall.reset, scalefall.connect_failed     calls with this outcome
+    scalefall.wait_ms       the longest Retry-After of the endpoint's answers, as of this report
     x0, x1                  ORCA's named metrics as the endpoint reported them (also as named_metrics.x0): the mean
 
-Errors that nothing says more of are errors. Source: envoy.service.load_stats.v3, gRFC A64, A85.
+Errors without such a metric have the outcome ERROR. Source: envoy.service.load_stats.v3, gRFC A64, A85.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
     "connect_failed": Outcome.CONNECT_FAILED,
 }
 NAMED_METRICS = ("x0", "x1")
-MAX_REPORTED_CALLS = 1000  # calls of one endpoint and outcome in one report that become an event each: bounds a step
-MAX_RETRY_AFTER_MS = 3_600_000  # an hour: a longer one is a client's mistake
-MAX_REPORT_INTERVAL_US = 60_000_000  # a minute between reports, likewise
+MAX_REPORTED_CALLS = 1000  # events of one endpoint and outcome from one report: bounds a step's work
+MAX_RETRY_AFTER_MS = 3_600_000  # an hour; a longer one counts as this
+MAX_REPORT_INTERVAL_US = 60_000_000  # a minute between reports; a longer one counts as this
 
 Stats: TypeAlias = load_report_pb2.UpstreamEndpointStats | load_report_pb2.UpstreamLocalityStats
 
 
-# Route, host and port, as a load report finds an endpoint. A plain tuple: a fleet has one for each endpoint, and each
-# row of a report makes one.
+# Route, host and port, by which a load report names an endpoint. A plain tuple for speed: there is one for each
+# endpoint of a fleet and for each row of a report.
 EndpointAddress: TypeAlias = tuple[int, str, int]
 
 
@@ -54,7 +54,7 @@
 
         Args:
             entries: The fleet's endpoints.
-            max_reported_calls: Calls of one endpoint and outcome in one report that become an event each.
+            max_reported_calls: Most events of one endpoint and outcome from one report.
         """
         self._max_reported_calls = max_reported_calls
         self._ids: dict[EndpointAddress, str] = {}
@@ -66,7 +66,7 @@
 
     @staticmethod
     def loads(stats: Iterable[load_report_pb2.ClusterStats]) -> dict[int, int]:
-        """Return the calls that were issued, by destination: all of them, however many become an event each."""
+        """Return the number of calls that were issued, by destination; MAX_REPORTED_CALLS does not limit it."""
         loads: dict[int, int] = {}
         for cluster in stats:
             route = resources.destination_of(cluster.cluster_name)
@@ -76,7 +76,7 @@
         return loads
 
     def events(self, stats: Iterable[load_report_pb2.ClusterStats], now_us: int) -> Iterator[EndpointReport]:
-        """Yield an event for each call; what is of no cluster or endpoint of ours says nothing."""
+        """Yield an event for each call; rows of unknown clusters and endpoints are ignored."""
         for cluster in stats:
             route = resources.destination_of(cluster.cluster_name)
             if route is None:
@@ -87,7 +87,7 @@
                     yield from _call_events(endpoints, row, now_us, interval_us, self._max_reported_calls)
 
     def _rows(self, route: int, locality: load_report_pb2.UpstreamLocalityStats) -> Iterator[tuple[list[str], Stats]]:
-        """Yield the endpoints that a row speaks of, with the row: one each, else all of the zone together."""
+        """Yield each row with its endpoints: one endpoint, or all of a zone if the client reports totals only."""
         if not locality.upstream_endpoint_stats:
             endpoints = self._ids_by_zone.get((route, locality.locality.zone))
             if endpoints:
@@ -101,7 +101,7 @@
 
 
 def _issued_calls(locality: load_report_pb2.UpstreamLocalityStats) -> int:
-    """Return the calls issued; clients that tell no such number tell how those that ended did."""
+    """Return the calls issued; for a client that does not report them, the calls that ended."""
     issued: int = locality.total_issued_requests
     return issued or sum(
         row.total_issued_requests or row.total_successful_requests + row.total_error_requests
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class _Metrics:
-    """What the named metrics of a row say.
+    """The named metrics of a row.
 
     Attributes:
         failures: Calls that failed, by outcome.
@@ -147,8 +147,8 @@
 ) -> Iterator[EndpointReport]:
     """Yield an event for each call of a row, over its endpoints in turn.
 
-    Failures come last, so that they are not taken back by successes of the same report; successes count as sent at its
-    beginning and failures at its end, which is the cautious side of both.
+    Failures come last, so that successes of the same report do not cancel them. Successes count as sent at the
+    beginning of the report's interval and failures at its end, which is the cautious assumption for both.
     """
     metrics = _read_metrics(row)
     in_turn = cycle(endpoints)
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -1,4 +1,4 @@
-"""Discovery streams: the aggregated discovery service (ADS) in its state-of-the-world and its incremental form.
+"""Discovery streams: the aggregated discovery service (ADS), state-of-the-world and incremental.
 
 Source: envoy.service.discovery.v3.
 """
@@ -32,15 +32,15 @@
         leader_state: LeaderState,
         leader_only: bool,
     ) -> None:
-        """Take what the streams work on.
+        """Store the parts that the streams use.
 
         Args:
-            service: Decides what is sent.
+            service: Decides the responses.
             peers: The open streams.
-            driver: Sends it.
-            leader_state: Whether this process leads.
-            leader_only: Whether only the leader serves resources, as where destinations are divided: who has which is
-                known to the leader alone.
+            driver: Sends the responses.
+            leader_state: Tells whether this process leads.
+            leader_only: Whether only the leader serves resources; so where destinations are sharded, as only the leader
+                knows the assignment.
         """
         self._service = service
         self._peers = peers
@@ -53,7 +53,7 @@
         await self._serve(peer, discovery_pb2.DiscoveryRequest, wire.parse_request)
 
     async def serve_incremental(self, peer: Peer) -> None:
-        """Serve a stream whose responses carry what has changed."""
+        """Serve a stream whose responses carry only the changes."""
         peer.incremental = True
         await self._serve(peer, discovery_pb2.DeltaDiscoveryRequest, wire.parse_delta_request)
 
@@ -72,7 +72,7 @@
             self._driver.schedule()
 
     def _identify(self, peer: Peer, message: DiscoveryRequest) -> None:
-        """Take the node from the first message; a later one may leave it out."""
+        """Set the node from the first message; later ones may omit it."""
         if peer.node:
             if message.node.id:
                 self._peers.identify(peer, message.node.id)
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -1,17 +1,16 @@
-"""The fleet and the module's figures as xDS resources, v3, by the published messages. No I/O.
+"""The fleet and the engine's allowances as xDS v3 resources. No I/O.
 
 A route N of the configuration is one listener, one route configuration, one cluster and one set of endpoints, all named
-`route-N`, so a client resolves `xds:///route-N`. What stands in them, and whose figure it is:
+`route-N`, so a client resolves `xds:///route-N`. Their contents:
 
     listener        an api_listener (no socket), its routes from RDS
     routes          see route_configuration.py
-    cluster         connect timeout, calls in flight (all endpoints together), and load reports to this service
+    cluster         connect timeout, limit of calls in flight (all endpoints together), load reports to this service
     endpoints       ready: HEALTHY, draining: DRAINING (calls in flight may end), ejected by slow start: UNHEALTHY;
-                    weights of endpoints in slow start from its budget. Nothing allowed on the whole route
-                    (Retry-After, slow start): all calls are dropped at the proxy, which a client that knows no grants
-                    keeps too.
+                    an endpoint in slow start is weighted by its budget. While nothing is allowed on the whole route
+                    (Retry-After, slow start), a drop policy covers all calls, which also binds clients without grants.
 
-Sources: envoy.config.{listener,cluster,endpoint}.v3; gRFC A27, A31, A32 for what gRPC takes.
+Sources: envoy.config.{listener,cluster,endpoint}.v3; gRFC A27, A31, A32 for the subset that gRPC supports.
 """
 
 from __future__ import annotations
@@ -39,12 +38,12 @@
 from scalefall.policy.actions import RouteAllowance
 from scalefall.policy.settings import Settings
 
-LEASE_NAME = "scalefall-lease"  # the resource whose heartbeats stand for those of all endpoint lists
+LEASE_NAME = "scalefall-lease"  # a resource whose heartbeats replace those of all endpoint lists
 NAME_PREFIX = "route"
-MAX_ROUTE_DIGITS = 9  # of a route's number in a resource's name
-DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # of a route without endpoints, where no call is made
-FULL_WEIGHT = 100  # of an endpoint at its full rate
-WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # of those in slow start, so that not every step is a change
+MAX_ROUTE_DIGITS = 9  # of the route number in a resource name
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # of a route without endpoints, which gets no calls
+FULL_WEIGHT = 100  # of an endpoint that is not in slow start
+WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # of an endpoint in slow start; coarse, so that few steps change the resource
 HEALTH = {
     EndpointHealth.READY: health_check_pb2.HEALTHY,
     EndpointHealth.DRAINING: health_check_pb2.DRAINING,
@@ -58,7 +57,7 @@
 
 
 def destination_of(name: str) -> int | None:
-    """Return the route of a resource's name, or of a cluster's in a load report; None if it is none of ours."""
+    """Return the route that a resource or cluster name stands for; None if the name is not `route-N`."""
     prefix, _, number = name.rpartition("-")
     is_ours = prefix == NAME_PREFIX and number.isascii() and number.isdigit() and len(number) <= MAX_ROUTE_DIGITS
     return int(number) if is_ours else None
@@ -67,7 +66,7 @@
 def static_resources(
     entries_by_route: RouteEntries, rules_by_route: dict[int, RouteRules], settings: Settings
 ) -> list[Resource]:
-    """Return listeners, routes and clusters: what follows from the configuration alone."""
+    """Return listeners, routes and clusters, which depend on the configuration alone."""
     built = []
     for destination, rules in rules_by_route.items():
         name = resource_name(destination)
@@ -82,12 +81,12 @@
 def endpoint_resource(
     destination: int, entries: list[Entry], allowances: list[RouteAllowance], now_us: int, ttl_us: int
 ) -> Resource:
-    """Return the endpoints of a route as they are now.
+    """Return the current endpoints of a route.
 
     Args:
         destination: The route.
         entries: Its endpoints.
-        allowances: What the module allows of it.
+        allowances: The engine's allowances of the route.
         now_us: The monotonic clock.
         ttl_us: The resource's time to live; 0 for none.
     """
@@ -110,10 +109,9 @@
 
 
 def lease_resource(ttl_us: int) -> Resource:
-    """Return an empty list of endpoints under a name of its own, with a time to live.
+    """Return an empty endpoint list under a name of its own, with a time to live.
 
-    Its heartbeats tell a client that all lists which it has are still those in force, so that the lists themselves need
-    none.
+    Its heartbeats confirm to a client that all of its endpoint lists are current, so the lists need no heartbeats.
     """
     body = pack(endpoint_pb2.ClusterLoadAssignment(cluster_name=LEASE_NAME))
     return Resource(EDS, LEASE_NAME, "1", body, frozenset(), ttl_us)
@@ -123,12 +121,12 @@
 
 
 def _fair_share(allowances: list[RouteAllowance]) -> float:
-    """Return one endpoint's part of the route's rate; 0 if no rate is set."""
+    """Return one endpoint's even part of the route's rate; 0 if the route has no rate limit."""
     return next((row.rate / max(1, len(row.endpoints)) for row in allowances if row.rate < inf), 0.0)
 
 
 def _weight(budget: float | None, fair_share: float) -> int:
-    """Return an endpoint's weight: its own budget over its fair share, rounded down to a step."""
+    """Return an endpoint's weight: its budget relative to its fair share, rounded down to one of WEIGHT_STEPS."""
     if budget is None or budget == inf:
         return FULL_WEIGHT
     weight = FULL_WEIGHT * budget / fair_share if fair_share > 0 else 1
@@ -144,7 +142,7 @@
 
 
 def _zone(zone: str, rows: list[endpoint_components_pb2.LbEndpoint]) -> endpoint_components_pb2.LocalityLbEndpoints:
-    """Return the endpoints of a zone, which weighs as much as it has of them."""
+    """Return the endpoints of a zone, weighted by their number."""
     return endpoint_components_pb2.LocalityLbEndpoints(
         locality=base_pb2.Locality(zone=zone),
         lb_endpoints=rows,
@@ -153,7 +151,7 @@
 
 
 def _drop_policy(blocked: BlockReason) -> endpoint_pb2.ClusterLoadAssignment.Policy:
-    """Return a policy that drops every call for this reason, if there is one."""
+    """Return a policy that drops every call for this reason; an empty one if there is no reason."""
     policy = endpoint_pb2.ClusterLoadAssignment.Policy()
     if blocked:
         every_call = percent_pb2.FractionalPercent(numerator=100, denominator=percent_pb2.FractionalPercent.HUNDRED)
@@ -189,7 +187,7 @@
 
 
 def _max_calls(entries: list[Entry]) -> int:
-    """Return how many calls all endpoints together take at a time; 0 if one of them has no limit."""
+    """Return the limit of calls in flight of all endpoints together; 0 if one of them has no limit."""
     limits = [entry.endpoint.max_calls for entry in entries]
     return sum(limits) if all(limits) else 0
 
--- a/scalefall/control/transport/run.py
+++ b/scalefall/control/transport/run.py
@@ -1,4 +1,4 @@
-"""A control process from its start to its end: signals, and reading the configuration again."""
+"""A control process from start to shutdown: signals and configuration reloads."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from scalefall.net.invariants import log_violations
 from scalefall.net.logs import log
 
-PROCESSING_MARGIN_MS = 500  # for a report's way through this process: the audit adds it to when a wait must be known
+PROCESSING_MARGIN_MS = 500  # for this process to handle a report, before the audit expects its Retry-After to apply
 
 
 def run(
@@ -24,23 +24,23 @@
     options: ServerOptions,
     directory: StateDirectory,
     certificates: CertificateStore | None,
-    read_again: Callable[[], Config],
+    load_config: Callable[[], Config],
 ) -> None:
-    """Serve until SIGTERM or SIGINT; SIGHUP reads the configuration again.
+    """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
     Args:
         config: The configuration to start with.
-        options: How to serve it.
-        directory: The state that lasts.
-        certificates: The TLS certificates; None for plain text.
-        read_again: Reads the configuration again; called in a thread of its own.
+        options: The server's options.
+        directory: The state directory.
+        certificates: The TLS certificates; None for plaintext.
+        load_config: Loads the configuration again; called in a thread of its own.
 
     Raises:
-        OSError: It cannot listen.
+        OSError: The server cannot listen at its address.
         StateDirectoryError: The state directory cannot be used.
     """
     with directory:
-        asyncio.run(_serve(config, options, directory, certificates, read_again))
+        asyncio.run(_serve(config, options, directory, certificates, load_config))
 
 
 async def _serve(
@@ -48,41 +48,41 @@
     options: ServerOptions,
     directory: StateDirectory,
     certificates: CertificateStore | None,
-    read_again: Callable[[], Config],
+    load_config: Callable[[], Config],
 ) -> None:
     loop = asyncio.get_running_loop()
-    ended, reload_wanted = asyncio.Event(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    loop.add_signal_handler(signal.SIGHUP, reload_wanted.set)
-    server = ControlServer(config, options, directory, certificates)  # signals that come meanwhile are not lost
+    shutdown_requested, reload_requested = asyncio.Event(), asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
+    server = ControlServer(config, options, directory, certificates)  # after the handlers, so no signal is lost
     await server.start()
-    reloads = asyncio.create_task(_reload(server, reload_wanted, read_again))
-    wait_known_ms = (options.report_us + options.lease_us + options.delay_us) // 1000 + PROCESSING_MARGIN_MS
+    reload_task = asyncio.create_task(_reload(server, reload_requested, load_config))
+    retry_after_bound_ms = (options.report_us + options.lease_us + options.delay_us) // 1000 + PROCESSING_MARGIN_MS
     log.info(
         "ready: control at %s",
         server.address,
-        extra={"fields": {"listen": server.address, "wait_heard_ms": wait_known_ms}},
+        extra={"fields": {"listen": server.address, "wait_heard_ms": retry_after_bound_ms}},
     )
-    await ended.wait()
-    reloads.cancel()
+    await shutdown_requested.wait()
+    reload_task.cancel()
     await server.stop()
     log.info("ended")
     log_violations()
 
 
-async def _reload(server: ControlServer, wanted: asyncio.Event, read_again: Callable[[], Config]) -> None:
-    """Read the configuration again each time that it is wanted; one that cannot be used changes nothing."""
+async def _reload(server: ControlServer, requested: asyncio.Event, load_config: Callable[[], Config]) -> None:
+    """Reload the configuration on each request; an unusable one changes nothing."""
     while True:
-        await wanted.wait()
-        wanted.clear()
-        began = time.monotonic()
+        await requested.wait()
+        requested.clear()
+        began_s = time.monotonic()
         try:
-            config = await asyncio.get_running_loop().run_in_executor(None, read_again)
+            config = await asyncio.get_running_loop().run_in_executor(None, load_config)
             server.configure(config)
         except (ConfigError, InconsistentResourcesError) as error:
             log.error("configuration not taken, the one in force stays: %s", error)
             continue
         for line in config.needs_restart:
-            log.warning("not taken until a restart: %s", line)
-        log.info("configuration read again: in %.0f ms", 1000 * (time.monotonic() - began))
+            log.warning("setting not applied, needs a restart: %s", line)
+        log.info("configuration read again: in %.0f ms", 1000 * (time.monotonic() - began_s))
--- a/scalefall/control/transport/server.py
+++ b/scalefall/control/transport/server.py
@@ -1,7 +1,7 @@
-"""The control server: gRPC services over a control service, from their start to their stop.
+"""The control server: gRPC services on top of a control service, from start to stop.
 
-It moves messages and decides nothing; what a message means is decided by control.service and its parts. Each stream is
-one task that reads (stream_server.py), at a limited pace (stream_reader.py), and one that writes (peers.py).
+It passes messages on and makes no decisions; the control service interprets them. Each stream has one task that reads
+(stream_server.py) at a limited rate (stream_reader.py) and one that writes (peers.py).
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 from scalefall.net.config import Config
 from scalefall.net.logs import log
 
-MAX_MESSAGE_BYTES = 4_000_000  # of one request: 20,000 names of 200 bytes
-SAVE_INTERVAL_S = 1.0  # between looks at what has to outlive the process, and at the clients' certificates
-STOP_GRACE_S = 1.0  # for streams to end in when the process ends
-LEADERSHIP_ATTEMPT_INTERVAL_S = 0.2  # between tries to become the leader
-LEADERSHIP_ERROR_BACKOFF_S = 5  # more, after a state directory that could not be used
+MAX_MESSAGE_BYTES = 4_000_000  # of one request: enough for 20,000 names of 200 bytes
+SAVE_INTERVAL_S = 1.0  # between saves of the leader's state, and between checks of the clients' certificates
+STOP_GRACE_S = 1.0  # for open streams to end at shutdown
+LEADERSHIP_ATTEMPT_INTERVAL_S = 0.2  # between attempts to become the leader
+LEADERSHIP_ERROR_BACKOFF_S = 5  # further delay after a state directory error
 CHANNEL_OPTIONS = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
-    ("grpc.max_send_message_length", -1),  # no limit: what is sent is as large as the fleet
-    ("grpc.max_concurrent_streams", 1000),  # of one connection
-    ("grpc.so_reuseport", 0),  # a second process on the address is an error
+    ("grpc.max_send_message_length", -1),  # no limit: a response grows with the fleet
+    ("grpc.max_concurrent_streams", 1000),  # per connection
+    ("grpc.so_reuseport", 0),  # a second process cannot listen at the address
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 5_000),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -49,13 +49,13 @@
 
 
 class ControlServer:
-    """A control service on the network.
+    """Serves a control service over gRPC.
 
     Attributes:
-        service: The service that decides.
+        service: The control service.
         peers: The open streams.
-        leader_state: Whether this process leads, and the state that outlives it.
-        address: Where it listens, as `host:port`; empty before start().
+        leader_state: Whether this process leads, and the state that its successor needs.
+        address: The address that it listens at, as `host:port`; empty before start().
     """
 
     def __init__(
@@ -65,13 +65,13 @@
         directory: StateDirectory,
         certificates: tls.CertificateStore | None,
     ) -> None:
-        """Put the server together; nothing is opened yet.
+        """Assemble the server; start() opens its sockets.
 
         Args:
             config: The configuration, with its fleet.
-            options: How to serve it.
-            directory: The state that lasts.
-            certificates: The TLS certificates; None for plain text.
+            options: The server's options.
+            directory: The state directory.
+            certificates: The TLS certificates; None for plaintext.
 
         Raises:
             ConfigurationError: The configuration has no fleet.
@@ -95,10 +95,10 @@
     # -- from start to stop
 
     async def start(self) -> None:
-        """Listen, and begin to lead or to stand by.
+        """Listen, and become the leader or a standby.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The server cannot listen at the address.
             StateDirectoryError: The state directory cannot be used.
         """
         self._driver.start()
@@ -132,10 +132,10 @@
         ]
 
     def _bind(self, server: grpc.aio.Server) -> int:
-        """Take the address; return its port."""
+        """Bind the address; return its port."""
         listen = self._options.listen
         port = 0
-        with contextlib.suppress(RuntimeError):  # what gRPC raises for an address in use, or returns 0
+        with contextlib.suppress(RuntimeError):  # gRPC raises it for an address in use, or returns 0
             if self._certificates is None:
                 port = server.add_insecure_port(listen)
             else:
@@ -145,7 +145,7 @@
         return port
 
     async def stop(self) -> None:
-        """Save what has to outlive the process, end the streams, and let another process lead."""
+        """Save the leader's state, end the streams and release the leadership."""
         for task in self._background:
             task.cancel()
         self._driver.stop()
@@ -157,7 +157,7 @@
     # -- configuration
 
     def configure(self, config: Config) -> None:
-        """Take a fleet, at the start or read again: its changes are on their way when this returns.
+        """Apply a fleet at the start or a reload; its changes are queued for the clients when this returns.
 
         Raises:
             ConfigurationError: The configuration has no fleet.
@@ -183,7 +183,7 @@
     # -- leadership
 
     def try_to_lead(self) -> None:
-        """Become the leader if no other process is.
+        """Become the leader unless another process is.
 
         Raises:
             StateDirectoryError: The state directory cannot be used.
@@ -192,15 +192,15 @@
             self._driver.schedule()
 
     async def _become_leader(self) -> None:
-        """Try until this process is the leader."""
+        """Try repeatedly until this process is the leader."""
         if not self.leader_state.is_leader:
-            log.info("standing by: another process grants on this folder")
+            log.info("standing by: another process leads on this state directory")
         while not self.leader_state.is_leader:
             await asyncio.sleep(LEADERSHIP_ATTEMPT_INTERVAL_S)
             try:
                 self.try_to_lead()
             except StateDirectoryError as error:
-                log.error("cannot grant: %s", error)
+                log.error("leadership cannot be acquired: %s; retrying", error)
                 await asyncio.sleep(LEADERSHIP_ERROR_BACKOFF_S)
 
     async def _save_periodically(self) -> None:
@@ -211,6 +211,6 @@
 
 
 def _rpc_handler(service: str, methods: Mapping[str, RpcHandler]) -> grpc.GenericRpcHandler:
-    """Return gRPC's handler of a service, whose methods are streams in both directions, as bytes."""
+    """Return gRPC's handler of a service whose methods are bidirectional streams of serialized messages."""
     handlers = {name: grpc.stream_stream_rpc_method_handler(handler) for name, handler in methods.items()}
     return grpc.method_handlers_generic_handler(service, handlers)
--- a/scalefall/control/transport/service_driver.py
+++ b/scalefall/control/transport/service_driver.py
@@ -1,4 +1,4 @@
-"""The service in real time: its steps when they are due, what it sends, and the lines that it asks for."""
+"""Runs the service in real time: its steps when they are due, its messages to clients, its log events."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class ServiceDriver:
-    """Runs a service's steps by one timer, and hands what it gives to the peers' queues."""
+    """Runs a service's steps by one timer, and puts its messages into the peers' queues."""
 
     def __init__(
         self, service: AnyControlService, quotas: Quotas, peers: PeerRegistry, leader_state: LeaderState
     ) -> None:
-        """Take the service and its peers; no step is run before start()."""
+        """Store the service and its peers; no step runs before start()."""
         self._service = service
         self._quotas = quotas
         self._peers = peers
@@ -36,7 +36,7 @@
         self._timer_at_us = 0
 
     def start(self) -> None:
-        """Let schedule() set the timer from now on."""
+        """Allow schedule() to set the timer."""
         self._is_started = True
 
     def stop(self) -> None:
@@ -47,14 +47,14 @@
     # -- steps
 
     def schedule(self) -> None:
-        """Set the timer to the service's next deadline. Before start() nothing happens."""
+        """Set the timer to the service's next deadline; before start(), do nothing."""
         if not self._is_started:
             return
         now_us = clock.monotonic_us()
         deadline_us = self._service.next_deadline(now_us)
         if self._timer is not None:
             if self._timer_at_us <= deadline_us:
-                return  # it comes early enough, and schedules anew then
+                return  # it fires early enough, and then schedules the next step
             self._timer.cancel()
         self._timer_at_us = deadline_us
         self._timer = asyncio.get_running_loop().call_later((deadline_us - now_us) / 1e6, self._step)
@@ -67,12 +67,12 @@
         self.schedule()
 
     def write_events(self) -> None:
-        """Write the log lines that the service has asked for since the last time."""
+        """Write the events that the service has emitted since the last call to the log."""
         events, self._service.emitted_events = self._service.emitted_events, []
         event_log.write_events(events)
 
     def stream_closed(self, peer: Peer) -> None:
-        """Tell the service that a stream is gone, whichever kind it was."""
+        """Remove a closed stream and notify the service, whichever kind of stream it was."""
         self._peers.remove(peer)
         self._service.resource_stream_closed(peer.number)
         self._service.quota_stream_closed(peer.number, clock.monotonic_us())
@@ -80,10 +80,10 @@
         if self._timer is not None:
             self.schedule()
 
-    # -- what goes out
+    # -- outgoing messages
 
     def send(self, outgoing: Iterable[Outgoing]) -> None:
-        """Hand what the service gives to its streams; what is for one that has closed is dropped."""
+        """Deliver the service's actions to their streams; those for closed streams are dropped."""
         for number, action in outgoing:
             peer = self._peers.get(number)
             if peer is not None:
@@ -105,7 +105,7 @@
 
 def _log_rejection(peer: Peer, rejection: ResponseRejected) -> None:
     log.warning(
-        "rejected: %s keeps what it had of %s: %s",
+        "rejected: node %s keeps its previous version of %s: %s",
         peer.node,
         ", ".join(rejection.names),
         rejection.text,
--- a/scalefall/control/transport/service_factory.py
+++ b/scalefall/control/transport/service_factory.py
@@ -1,4 +1,4 @@
-"""The control service that a server's options ask for, with the builders of its resources."""
+"""Builds the control service that a server's options select, with the builders of its resources."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class BuiltService(NamedTuple):
-    """A service, and the translation of its quota streams.
+    """A service, and the conversion of its quota messages.
 
     Attributes:
-        service: The service; it does not lead yet.
-        quotas: How its quota streams are read and answered.
+        service: The service, as a standby.
+        quotas: Reads its clients' reports and makes messages of its grants.
     """
 
     service: AnyControlService
@@ -31,7 +31,7 @@
 
 
 def build_service(config: Config, options: ServerOptions, now_us: int) -> BuiltService:
-    """Build a service with no fleet, which stands by."""
+    """Build a service without a fleet, as a standby."""
     builder = _resource_builder(config.settings, options)
     built = (
         _build_unsharded(config, options, builder, now_us)
@@ -43,7 +43,7 @@
 
 
 def _build_unsharded(config: Config, options: ServerOptions, builder: ResourceBuilder, now_us: int) -> BuiltService:
-    """Build a service whose every client gets everything."""
+    """Build a service of which every client gets all destinations."""
     service = ControlService(
         now_us, config.settings, config.seed, builder, options.lease_us, options.delay_us, silence_us=options.lease_us
     )
@@ -53,7 +53,7 @@
 def _build_sharded(
     config: Config, options: ServerOptions, sharding: ShardingOptions, builder: ResourceBuilder, now_us: int
 ) -> BuiltService:
-    """Build a service that divides destinations among senders."""
+    """Build a service that shards destinations over senders."""
     assignment = AssignmentSettings(
         sharding.shards, options.lease_us, options.delay_us, sharding.move_after_us, sharding.sender_load
     )
@@ -73,7 +73,7 @@
 def _resource_builder(settings: Settings, options: ServerOptions) -> ResourceBuilder:
     """Return the builder of resources.
 
-    Where destinations are divided, endpoints have no time to live of their own: one lease resource stands for all.
+    Where destinations are sharded, endpoint lists have no time to live: one lease resource replaces theirs.
     """
     ttl_us = options.endpoint_lease_us
     is_sharded = options.sharding is not None
--- a/scalefall/control/transport/services.py
+++ b/scalefall/control/transport/services.py
@@ -1,4 +1,4 @@
-"""The two kinds of control service that this transport serves."""
+"""The two kinds of control service that the transport serves."""
 
 from __future__ import annotations
 
--- a/scalefall/control/transport/state.py
+++ b/scalefall/control/transport/state.py
@@ -1,8 +1,8 @@
-"""The state directory of a control service: who leads, the epoch of grant numbers, and what the service knew.
+"""The state directory of a control service: the leader's lock, the epoch of grant numbers, and the saved state.
 
 One process leads at a time: it holds an exclusive lock on the directory's `granting` file. Others that share the
-directory stand by. The one that takes over waits delay + lease, as after any start, and numbers its grants above all
-that were given (`epoch`, written and synced before use).
+directory are standbys. A new leader waits delay + lease, as after any start, and numbers its grants above all earlier
+ones (`epoch`, written and synced before use).
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from scalefall.control.transport.file_lock import FileLock
 from scalefall.errors import StorageError
 
-NUMBERS_PER_BLOCK = 1_000_000  # grant numbers reserved at a time, so that the file is seldom written
-MAX_FILE_BYTES = 16_000_000  # read of a file: far above what a service writes, so a strange file costs no memory
-MAX_EPOCH_BYTES = 64  # read of the epoch file, which holds one decimal number
-MAX_EPOCH_DIGITS = 18  # fits 64 bits signed, as clients may store numbers so
+NUMBERS_PER_BLOCK = 1_000_000  # grant numbers reserved at a time, so that the epoch is rarely written
+MAX_FILE_BYTES = 16_000_000  # read of a file: far more than a service writes; bounds the memory for a foreign file
+MAX_EPOCH_BYTES = 64  # read of the epoch file, which contains one decimal number
+MAX_EPOCH_DIGITS = 18  # fits a signed 64-bit integer, which clients may store
 LOCK_FILE = "granting"
 EPOCH_FILE = "epoch"
 SNAPSHOT_FILE = "figures"
 ASSIGNMENT_FILE = "assignment"
-NEW_SUFFIX = ".new"  # of a file that is being written and will replace the one without it
+NEW_SUFFIX = ".new"  # of a new file until it replaces the old one
 
 
 class StateDirectoryError(StorageError):
@@ -35,17 +35,17 @@
     """The files of one state directory; a context manager that releases the leader's lock."""
 
     def __init__(self, path: str) -> None:
-        """Name the directory; nothing is opened yet.
+        """Set the directory; no file is opened yet.
 
         Args:
             path: An existing directory.
         """
         self._path = path
         self._lock = FileLock(self._file(LOCK_FILE))
-        self.reserved_below = 0  # numbers below this may be given
+        self.reserved_below = 0  # grants may have numbers below this
 
     def __enter__(self) -> Self:
-        """Return the directory as it is: entering does not acquire the lock."""
+        """Return the directory; entering does not acquire the lock."""
         return self
 
     def __exit__(
@@ -55,10 +55,10 @@
         self.release()
 
     def acquire_lock(self) -> bool:
-        """Try to become the process that leads; True if it is this one.
+        """Try to acquire the leader's lock; return whether this process holds it.
 
         Raises:
-            StateDirectoryError: The lock's file cannot be opened.
+            StateDirectoryError: The lock file cannot be opened.
         """
         try:
             return self._lock.try_acquire()
@@ -66,13 +66,13 @@
             raise StateDirectoryError(f"{self._file(LOCK_FILE)}: {error.strerror}") from None
 
     def release(self) -> None:
-        """Let another process lead."""
+        """Release the leader's lock, so that another process may lead."""
         self._lock.release()
 
     def open_epoch(self) -> int:
-        """Return the number above which grants may be given now, and reserve the first block of them.
+        """Return the epoch, above which grants may be numbered, and reserve the first block of numbers.
 
-        A file that cannot be read is no reason to begin at 0, as clients may hold higher numbers.
+        An unreadable file is an error rather than the epoch 0, as clients may hold grants with higher numbers.
 
         Raises:
             StateDirectoryError: The epoch cannot be read or written.
@@ -97,10 +97,10 @@
         return int(text)
 
     def reserve_numbers(self, used: int) -> None:
-        """Reserve the numbers up to one block above a number that is in use.
+        """Reserve the numbers up to one block above the highest number in use.
 
         Raises:
-            StateDirectoryError: The epoch cannot be written; what was reserved before stays.
+            StateDirectoryError: The epoch cannot be written; the earlier reservation stays valid.
         """
         reserved = used + NUMBERS_PER_BLOCK
         try:
@@ -110,18 +110,18 @@
         self.reserved_below = reserved
 
     def save_snapshot(self, snapshot: SnapshotDocument) -> None:
-        """Write what the module knows, as JSON (snapshot.py).
+        """Write a snapshot of the engine's knowledge as JSON (snapshot.py).
 
         Raises:
-            StateDirectoryError: It cannot be written; what was saved before stays.
+            StateDirectoryError: The file cannot be written; the previous one stays.
         """
         self._save(SNAPSHOT_FILE, json.dumps(snapshot), durable=False)
 
     def load_snapshot(self) -> Json:
-        """Return the saved snapshot as parsed JSON that is not checked yet; None if there is none.
+        """Return the saved snapshot as parsed, unvalidated JSON; None if there is none.
 
         Raises:
-            StateDirectoryError: It cannot be read.
+            StateDirectoryError: The file cannot be read.
         """
         text = self._read(SNAPSHOT_FILE)
         if text is None:
@@ -132,10 +132,10 @@
             raise StateDirectoryError(str(error)) from None
 
     def save_assignment(self, text: str) -> None:
-        """Write which sender has which shard.
+        """Write the assignment of shards to senders.
 
         Raises:
-            StateDirectoryError: It cannot be written; what was saved before stays.
+            StateDirectoryError: The file cannot be written; the previous one stays.
         """
         self._save(ASSIGNMENT_FILE, text, durable=True)
 
@@ -143,7 +143,7 @@
         """Return the saved assignment; None if there is none.
 
         Raises:
-            StateDirectoryError: It cannot be read.
+            StateDirectoryError: The file cannot be read.
         """
         return self._read(ASSIGNMENT_FILE)
 
@@ -166,7 +166,7 @@
             raise StateDirectoryError(str(error.strerror or error)) from None
 
     def _replace(self, name: str, text: str, durable: bool) -> None:
-        """Replace a file as a whole; durable: synced, with its directory, before this returns."""
+        """Replace a file atomically; if durable, sync it and its directory before returning."""
         path, new_path = self._file(name), self._file(name + NEW_SUFFIX)
         with open(new_path, "w", encoding="utf-8") as file:
             file.write(text)
--- a/scalefall/control/transport/stream_server.py
+++ b/scalefall/control/transport/stream_server.py
@@ -1,4 +1,4 @@
-"""A stream from its opening to its end: admission, its writer, the handler of its kind, and the status it ends with."""
+"""Serves a stream from opening to end: admission, the writer task, the handler of its kind, the final status."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from scalefall.errors import LeadershipError
 from scalefall.net.logs import log
 
-ServeStream = Callable[[Peer], Awaitable[None]]  # reads a stream until the client has sent its last message
+ServeStream = Callable[[Peer], Awaitable[None]]  # reads a stream until the client half-closes it
 RpcHandler = Callable[[object, grpc.aio.ServicerContext], Awaitable[None]]  # as gRPC calls it for each new stream
 
 
 class StreamServer:
-    """Serves streams of any kind: one task reads each, and one writes."""
+    """Serves streams of any kind, each by one task that reads and one that writes."""
 
     def __init__(self, peers: PeerRegistry, driver: ServiceDriver) -> None:
-        """Take the open streams, and the service that is told when they close."""
+        """Store the open streams, and the driver that is notified when they close."""
         self._peers = peers
         self._driver = driver
 
@@ -42,37 +42,37 @@
         return handle
 
     async def _admit(self, context: grpc.aio.ServicerContext) -> Peer:
-        """Take in a stream; one that may not be opened is ended here, by the exception that abort() raises."""
+        """Add a new stream; if it is not admitted, abort() ends it by raising an exception."""
         task = asyncio.current_task()
         assert task is not None  # gRPC runs each stream in a task of its own
         try:
             return self._peers.admit(context, task)
-        except StreamEndedError as refused:
-            await context.abort(refused.end.status, refused.end.reason)
+        except StreamEndedError as error:
+            await context.abort(error.end.status, error.end.reason)
             raise  # not reached
 
 
 async def _serve_to_end(peer: Peer, serve: ServeStream) -> StreamEnd | None:
-    """Serve a stream; return the status that it is to end with, None where the client ended it."""
+    """Serve a stream; return the status to end it with, None if the client ended it."""
     try:
         await serve(peer)
-    except StreamEndedError as ended:
-        return ended.end
+    except StreamEndedError as error:
+        return error.end
     except LeadershipError as error:
-        return StreamEnd(grpc.StatusCode.UNAVAILABLE, str(error))  # the client is to try the other processes
+        return StreamEnd(grpc.StatusCode.UNAVAILABLE, str(error))  # makes the client try another process
     except asyncio.CancelledError:
         if peer.end is None:
-            raise  # the server or the client cancelled it, not Peer.close
+            raise  # cancelled by gRPC or the client, not by Peer.close
         return peer.end
     except (grpc.aio.BaseError, grpc.RpcError):
-        return None  # the client is gone
+        return None  # the client has disconnected
     return None
 
 
 def _log_end(peer: Peer, end: StreamEnd) -> None:
     log.warning(
-        "stream ended: %s at %s: %s",
-        peer.node or "a client that did not say who it is",
+        "stream ended: node %s at %s: %s",
+        peer.node or "unknown",
         peer.context.peer(),
         end.reason,
         extra={"fields": {"node": peer.node, "status": end.status.name}},
--- a/scalefall/control/transport/tls.py
+++ b/scalefall/control/transport/tls.py
@@ -1,9 +1,8 @@
-"""TLS certificates: this service's own, who may connect, and which nodes a client's certificate is for.
+"""TLS certificates: the service's own, the authorities of clients, and the nodes that a client certificate names.
 
-The files are looked at for each new connection: a certificate, key or authority that was replaced counts from the next
-connection on, with no restart. While they are replaced only in part (a key that does not belong to the certificate)
-the old ones stay in use. A certificate names its node by a DNS or URI entry of its subject alternative name that
-equals the node id.
+The files are checked at each new connection, so a replaced certificate, key or authority is used from the next
+connection on, without a restart. While they are inconsistent (the key does not match the certificate), the old ones
+stay in use. A certificate names its node by a DNS or URI entry of its subject alternative name that equals the node id.
 """
 
 from __future__ import annotations
@@ -23,17 +22,17 @@
 
 from scalefall.errors import ConfigurationError
 
-MAX_FILE_BYTES = 1_000_000  # read of a PEM file: far above a chain of certificates
-MAX_CACHED_SIGNATURES = 10_000  # certificates whose signature check is remembered: twice the streams of a server
+MAX_FILE_BYTES = 1_000_000  # read of a PEM file: far more than a certificate chain
+MAX_CACHED_SIGNATURES = 10_000  # client certificates with a cached signature check: twice MAX_STREAMS
 
 
 class CertificateError(ConfigurationError):
-    """The certificate files cannot be used; the text is one plain line."""
+    """The certificate files cannot be used; the text is a single line."""
 
 
 @dataclass(slots=True, frozen=True)
 class CertificatePaths:
-    """Where the PEM files are.
+    """The paths of the PEM files.
 
     Attributes:
         certificate: This service's certificate with its chain.
@@ -48,13 +47,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CertificatePair:
-    """The contents of the files, read together and checked; each is PEM.
+    """The validated contents of the files, in PEM.
 
     Attributes:
         certificate: This service's certificate with its chain.
         key: Its private key.
         clients: The authorities that sign the clients' certificates.
-        expires: When the service's certificate ends, in UTC.
+        expires: When the service's certificate expires, in UTC.
     """
 
     certificate: bytes
@@ -65,12 +64,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientCertificate:
-    """What a client's certificate says.
+    """A client's certificate.
 
     Attributes:
-        pem: The certificate itself.
-        nodes: The node ids that it is for; empty if it cannot be read or names none.
-        expires_s: When it ends, in seconds of the wall clock.
+        pem: The certificate in PEM.
+        nodes: The node ids that it names; empty if it cannot be parsed or names none.
+        expires_s: When it expires, in seconds of the wall clock.
     """
 
     pem: bytes
@@ -79,7 +78,7 @@
 
 
 class _FileVersion(NamedTuple):
-    """What differs once a file was replaced; zeros for a file that is not there."""
+    """Attributes of a file that differ once it has been replaced; zeros for a missing file."""
 
     modified_ns: int
     size_bytes: int
@@ -87,14 +86,14 @@
 
 
 def read(paths: CertificatePaths, now: datetime.datetime) -> CertificatePair:
-    """Read and check the files.
+    """Read and validate the files.
 
     Args:
-        paths: Where they are.
-        now: The time at which the certificate has to be valid, in UTC.
+        paths: Their paths.
+        now: The time at which the certificate must not have expired, in UTC.
 
     Raises:
-        CertificateError: A file cannot be read, the key is another certificate's, or the certificate has ended.
+        CertificateError: A file cannot be read, the key does not match the certificate, or the certificate has expired.
     """
     certificate, key, clients = (_read_file(path) for path in (paths.certificate, paths.key, paths.clients))
     leaf = _parse_certificates(certificate, paths.certificate)[0]
@@ -103,11 +102,11 @@
         private_key = load_pem_private_key(key, None)
     except (ValueError, TypeError) as error:
         reason = str(error).splitlines()[0]
-        raise CertificateError(f"{paths.key} holds no private key that can be read: {reason}") from None
+        raise CertificateError(f"{paths.key} contains no readable private key: {reason}") from None
     if _public_bytes(private_key.public_key()) != _public_bytes(leaf.public_key()):
         raise CertificateError(f"{paths.key} is not the key of {paths.certificate}")
     if leaf.not_valid_after_utc <= now:
-        raise CertificateError(f"{paths.certificate} ended at {leaf.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
+        raise CertificateError(f"{paths.certificate} expired at {leaf.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
     return CertificatePair(certificate, key, clients, leaf.not_valid_after_utc)
 
 
@@ -118,11 +117,11 @@
         """Read the files.
 
         Args:
-            paths: Where they are.
-            report: Called with a line for the log, and whether it is good news, when files change or cannot be used.
+            paths: Their paths.
+            report: Called with a log line, and whether it is no error, when files change or cannot be used.
 
         Raises:
-            CertificateError: They cannot be used.
+            CertificateError: The files cannot be used.
         """
         self._paths = paths
         self._report = report
@@ -130,18 +129,18 @@
         self.pair = read(paths, _utc_now())
 
     def credentials(self) -> grpc.ServerCredentials:
-        """Return gRPC credentials that ask for a client certificate and follow the files."""
+        """Return gRPC credentials that require a client certificate and use replaced files."""
         return grpc.dynamic_ssl_server_credentials(_server_configuration(self.pair), self._fetch_configuration, True)
 
     def trusts(self, certificate: bytes) -> bool:
-        """Whether an authority in use now has signed a client's certificate, given as PEM.
+        """Return whether a currently trusted authority has signed a client's certificate, given as PEM.
 
-        An authority that was taken out of the file so ends its clients' streams.
+        It is false after the authority was removed from the file, which ends its clients' streams.
         """
         return _is_signed_by(certificate, self.pair.clients)
 
     def _fetch_configuration(self) -> grpc.ServerCertificateConfiguration | None:
-        """Return what has changed since the last handshake; None for no change.
+        """Return the new configuration if the files have changed since the last handshake; else None.
 
         gRPC calls this for each handshake, in a thread of its own.
         """
@@ -152,7 +151,7 @@
         try:
             self.pair = read(self._paths, _utc_now())
         except CertificateError as error:
-            self._report(f"certificates stay as they were: {error}", False)
+            self._report(f"certificate files cannot be used, the previous ones stay in use: {error}", False)
             return None
         self._report(f"certificates replaced: valid until {self.pair.expires:%Y-%m-%d %H:%M} UTC", True)
         return _server_configuration(self.pair)
@@ -162,7 +161,7 @@
 
 
 def read_client_certificate(pem: bytes) -> ClientCertificate:
-    """Read which nodes a client's certificate is for, and when it ends."""
+    """Parse a client's certificate."""
     try:
         certificate = x509.load_pem_x509_certificate(pem)
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
@@ -175,7 +174,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_SIGNATURES)
 def _is_signed_by(certificate: bytes, authorities: bytes) -> bool:
-    """Whether one of the authorities has signed it: cached, as it is asked of every stream again and again."""
+    """Return whether one of the authorities has signed a certificate; cached, as streams are checked periodically."""
     try:
         client = x509.load_pem_x509_certificate(certificate)
         issuers = x509.load_pem_x509_certificates(authorities)
@@ -200,7 +199,7 @@
     try:
         return x509.load_pem_x509_certificates(data)
     except ValueError:
-        raise CertificateError(f"{path} holds no certificate that can be read") from None
+        raise CertificateError(f"{path} contains no readable certificate") from None
 
 
 def _public_bytes(key: PublicKeyTypes | CertificatePublicKeyTypes) -> bytes:
--- a/scalefall/control/transport/wire.py
+++ b/scalefall/control/transport/wire.py
@@ -1,7 +1,7 @@
-"""Discovery messages to and from the types of streams. No I/O.
+"""Conversion between discovery messages and the types of streams.py. No I/O.
 
-A response is put together from two serialized messages, which protobuf reads as one: the resources, which are the same
-for every client, and the nonce and version, which are its own. So an endpoint's change is serialized once for all.
+A response is the concatenation of two serialized messages, which protobuf parses as one: the resources, which are the
+same for every client, and the stream's nonce and version. So an endpoint's change is serialized once for all clients.
 Source: envoy.service.discovery.v3.
 """
 
@@ -16,21 +16,21 @@
 from scalefall.control.streams import Request, Response
 from scalefall.control.transport.protobuf import serialize
 
-MAX_CACHED_RESOURCE_SETS = 256  # serialized sets of resources that are kept for the next client
+MAX_CACHED_RESOURCE_SETS = 256  # serialized sets of resources cached for further clients
 CONTROL_PLANE_ID = "scalefall"
-TTL_FEATURE = "xds.config.supports-resource-ttl"  # as the protocol's specification names it
+TTL_FEATURE = "xds.config.supports-resource-ttl"  # the name in the xDS protocol specification
 
 
 # -- requests
 
 
 def parse_request(message: discovery_pb2.DiscoveryRequest) -> Request:
-    """Read a request of the state-of-the-world form."""
+    """Parse a state-of-the-world request."""
     return Request(message.type_url, message.response_nonce, tuple(message.resource_names), error=_error(message))
 
 
 def parse_delta_request(message: discovery_pb2.DeltaDiscoveryRequest) -> Request:
-    """Read a request of the incremental form."""
+    """Parse an incremental request."""
     return Request(
         message.type_url,
         message.response_nonce,
@@ -42,7 +42,7 @@
 
 
 def _error(message: discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest) -> str | None:
-    """Return the text of a rejection; None for a request that rejects nothing."""
+    """Return the text of a rejection; None if the request rejects nothing."""
     if not message.HasField("error_detail"):
         return None
     text: str = message.error_detail.message
@@ -52,16 +52,16 @@
 # -- responses
 
 
-# What the serialized resources of a response depend on: the stream's form and whether its client knows times to live;
-# whether it is a heartbeat, the type, the resources and the names removed. A plain tuple, as one is made per response.
+# All that the serialized resources of a response depend on: incremental, understands_ttl, is_heartbeat, the type URL,
+# the resources and the removed names. A plain tuple for speed, as one is made for each response.
 _CacheKey: TypeAlias = tuple[bool, bool, bool, str, tuple[Resource, ...], tuple[str, ...]]
 
 
 class ResponseEncoder:
-    """Responses as bytes, with a cache of the resources that went out last."""
+    """Serializes responses, with a cache of the most recent resources."""
 
     def __init__(self) -> None:
-        """Start with nothing cached."""
+        """Start with an empty cache."""
         self._cache: OrderedDict[_CacheKey, bytes] = OrderedDict()
 
     def encode(self, response: Response, incremental: bool, understands_ttl: bool) -> bytes:
@@ -69,8 +69,8 @@
 
         Args:
             response: The response.
-            incremental: Whether the stream is of the incremental form.
-            understands_ttl: Whether the client knows resources' times to live.
+            incremental: Whether the stream is incremental.
+            understands_ttl: Whether the client supports times to live of resources.
         """
         key = (incremental, understands_ttl, response.is_heartbeat, response.type, response.resources, response.removed)
         encoded = self._cache.get(key)
@@ -83,14 +83,14 @@
 
 
 def _encode_resources(response: Response, incremental: bool, understands_ttl: bool) -> bytes:
-    """Return what is the same for every client."""
+    """Serialize the resources, which are the same for every client."""
     if incremental:
         return serialize(_incremental_message(response, understands_ttl))
     return serialize(_state_of_the_world_message(response, understands_ttl))
 
 
 def _encode_stream_fields(response: Response, incremental: bool) -> bytes:
-    """Return what is the client's own: the nonce and the version."""
+    """Serialize the nonce and the version, which are the stream's own."""
     if incremental:
         return serialize(
             discovery_pb2.DeltaDiscoveryResponse(nonce=response.nonce, system_version_info=response.version)
@@ -102,7 +102,7 @@
     message = discovery_pb2.DiscoveryResponse(type_url=response.type)
     message.control_plane.identifier = CONTROL_PLANE_ID
     for resource in response.resources:
-        if resource.ttl_us and understands_ttl:  # wrapped, as only so can it say how long it holds
+        if resource.ttl_us and understands_ttl:  # wrapped, as only the wrapper has a time to live
             message.resources.add().Pack(_wrapped(resource, response.is_heartbeat, understands_ttl))
         else:
             message.resources.append(resource.body)
--- a/tests/transport/test_certificates.py
+++ b/tests/transport/test_certificates.py
@@ -51,5 +51,5 @@
         theirs.write("control.key", b"no key")
         still_served = secure_channel(process, theirs, theirs.pair("n3", "n"))  # the old pair stays in use
         assert first_answer(still_served, "n") == CDS
-        process.line("certificates stay as they were")
+        process.line("certificate files cannot be used, the previous ones stay in use")
         assert process.end(signal.SIGTERM) == 0
--- a/tests/transport/test_service_driver.py
+++ b/tests/transport/test_service_driver.py
@@ -146,7 +146,7 @@
 def test_a_rejection_is_logged_and_a_broken_rule_ends_the_stream(caplog):
     async def play(stage):
         stage.driver.send([(1, ResponseRejected(CDS, ("a", "b"), "no such policy"))])
-        assert caplog.messages == ["rejected: n keeps what it had of a, b: no such policy"]
+        assert caplog.messages == ["rejected: node n keeps its previous version of a, b: no such policy"]
         assert caplog.records[0].fields == {"node": "n", "type": CDS, "names": ("a", "b")}
         stage.driver.send([(1, CloseStream("a nonce that was not sent"))])
         assert stage.peer.end == StreamEnd(grpc.StatusCode.INVALID_ARGUMENT, "a nonce that was not sent")
--- a/tests/transport/test_state_directory.py
+++ b/tests/transport/test_state_directory.py
@@ -141,7 +141,7 @@
     assert not leader.acquire_leadership(5, 6)  # it is one already
     assert service.began == [(5, 0, None)]
     assert service.events == []
-    assert caplog.messages == ["granting: from number 0, in 1.0 s"]
+    assert caplog.messages == ["granting: numbers above 0, beginning in 1.0 s"]
     assert caplog.records[0].fields == {"epoch": 0, "recalled": 0}
     second, follower = leader_of(tmp_path)
     assert not follower.acquire_leadership(7, 8)
@@ -164,7 +164,9 @@
     unwritable(tmp_path, "epoch")
     service.number = 1_200_000
     leader.reserve_numbers()
-    assert caplog.messages == [f"cannot grant any more: {tmp_path}/epoch: Is a directory"]
+    assert caplog.messages == [
+        f"grant numbers cannot be reserved: {tmp_path}/epoch: Is a directory; granting nothing more until a restart"
+    ]
     assert not leader.is_leader
     leader.release()
 
@@ -177,8 +179,10 @@
     assert service.began == [(0, 0, None)]
     assert service.events == []
     assignment, figures = caplog.messages
-    assert assignment.startswith("assignment of the one before: cannot be read, all shards are placed anew: 'utf-8'")
-    assert figures.startswith("figures of the one before: cannot be read (")
+    assert assignment.startswith("saved assignment cannot be read: 'utf-8'")
+    assert assignment.endswith("; assigning all shards again")
+    assert figures.startswith("saved snapshot cannot be used: ")
+    assert figures.endswith("; starting without it")
     leader.release()
 
 
@@ -200,5 +204,5 @@
     unwritable(tmp_path, "assignment")
     service.number_of_saves = 2
     leader.save(0, 5 * S)
-    assert caplog.messages == ["figures cannot be kept: Is a directory"]
+    assert caplog.messages == ["snapshot or assignment cannot be saved: Is a directory; granting continues"]
     leader.release()
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -40,16 +40,16 @@
     other = tls.CertificatePaths(paths.certificate, authority.pair("other", "other")[1], paths.clients)
     assert why(other) == f"{other.key} is not the key of {paths.certificate}"
     later = now() + datetime.timedelta(days=30)
-    assert why(paths, later).startswith(f"{paths.certificate} ended at 20")
+    assert why(paths, later).startswith(f"{paths.certificate} expired at 20")
     missing = tls.CertificatePaths(paths.certificate, paths.key, str(tmp_path / "none"))
     assert why(missing) == f"{tmp_path}/none: No such file or directory"
     for name in ("control.pem", "ca.pem"):
         kept = (tmp_path / name).read_bytes()
         (tmp_path / name).write_bytes(b"nothing")
-        assert why(paths) == f"{tmp_path}/{name} holds no certificate that can be read"
+        assert why(paths) == f"{tmp_path}/{name} contains no readable certificate"
         (tmp_path / name).write_bytes(kept)
     (tmp_path / "control.key").write_bytes(b"nothing")
-    assert why(paths).startswith(f"{paths.key} holds no private key that can be read: ")
+    assert why(paths).startswith(f"{paths.key} contains no readable private key: ")
     assert "\n" not in why(paths)
 
 
@@ -87,7 +87,9 @@
     assert fetch() is None
     assert fetch() is None
     [(line, is_good)] = lines
-    assert line.startswith(f"certificates stay as they were: {paths.key} holds no private key")
+    assert line.startswith(
+        f"certificate files cannot be used, the previous ones stay in use: {paths.key} contains no readable private key"
+    )
     assert not is_good
     assert store.pair is before
     authority.pair("control", "control")
