--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -1,11 +1,11 @@
-"""What the tests of the transport share."""
+"""Fixtures of the transport tests."""
 
 import pytest
-from transporthelp import write_site
+from transporthelp import write_configuration
 
 
 @pytest.fixture
 def folder(tmp_path):
-    """A folder whose site has one route with two endpoints, at ports where nothing listens."""
-    write_site(tmp_path, 9001, 9002)
+    """A folder with a configuration of one route and two endpoints, at ports where nothing listens."""
+    write_configuration(tmp_path, 9001, 9002)
     return tmp_path
--- a/tests/transport/test_control_process.py
+++ b/tests/transport/test_control_process.py
@@ -1,4 +1,4 @@
-"""`scalefall control` as a process: what it cannot start with, bad edits, its log, and what it does not load."""
+"""`scalefall control` as a process: unusable options, invalid reloads, JSON logs, and imports of the sender."""
 
 import json
 import signal
@@ -7,11 +7,11 @@
 
 import pytest
 from test_program import LONG, ROOT
-from transporthelp import ControlProcess, backends, reload_configuration, running_control, write_site
+from transporthelp import ControlProcess, backends, reload_configuration, running_control, write_configuration
 
 
 @pytest.mark.parametrize(
-    ("flags", "part"),
+    ("flags", "expected"),
     [
         ((), "--certificate, --key and --clients are needed"),
         (("--plain-text", "--listen", "10.0.0.1:1"), "loopback only"),
@@ -20,29 +20,29 @@
         (("--plain-text", "--listen", "127.0.0.1:{port}"), "cannot listen at"),
     ],
 )
-def test_what_it_cannot_start_with_is_said_in_one_line(folder, flags, part):
+def test_unusable_options_are_reported_in_one_line(folder, flags, expected):
     with backends("a") as (port,):
         process = ControlProcess(folder, *(flag.format(port=port) for flag in flags))
         assert process.child.wait(LONG) == 2
         process.lines.put(None)
-        process.line(part)
+        process.line(expected)
         assert not [line for line in process.seen if "Traceback" in line]
 
 
-def test_a_bad_edit_changes_nothing_and_the_epoch_is_never_guessed(folder):
+def test_an_invalid_reload_changes_nothing_and_an_invalid_epoch_prevents_a_start(folder):
     with running_control(folder) as process:
         (folder / "site.scale").write_text("route 7 { pool nowhere }")
         reload_configuration(process)
         assert "stays" in process.event("configuration not taken, the one in force stays")["text"]
         assert process.end(signal.SIGTERM) == 0
-    write_site(folder, 9001)
+    write_configuration(folder, 9001)
     (folder / "state" / "epoch").write_text("many")
     process = ControlProcess(folder, "--plain-text")
     assert process.child.wait(LONG) == 2
     process.line("does not hold a number")
 
 
-def test_the_senders_program_loads_nothing_of_it():
+def test_the_sender_imports_nothing_of_the_control_transport():
     code = (
         "import sys, scalefall.net.sender, scalefall.cli.main; print([m for m in sys.modules if 'grpc' in m or "
         "'google' in m or 'cryptography' in m or 'control.transport' in m])"
@@ -50,7 +50,7 @@
     assert subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).strip() == "[]"
 
 
-def test_log_lines_are_objects_with_an_event(folder):
+def test_json_log_lines_are_objects_with_an_event(folder):
     with running_control(folder) as process:
         assert process.end(signal.SIGTERM) == 0
         assert all("event" in json.loads(line) for line in process.seen)
--- a/tests/transport/test_discovery.py
+++ b/tests/transport/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery streams on sockets: a stock client, both forms of the protocol, clients that break its rules."""
+"""Discovery streams on sockets: gRPC's own client, both forms of the protocol, and clients that violate it."""
 
 import grpc
 import pytest
@@ -8,79 +8,79 @@
 from test_program import LONG
 from transporthelp import (
     DiscoveryStream,
-    StockClient,
+    GrpcXdsClient,
     backends,
     final_status,
     reload_configuration,
     running_control,
     unwrap,
-    write_site,
+    write_configuration,
 )
 
 from scalefall.control.catalog import CDS, EDS, LDS, RDS
 
 
-def health_by_port(response, whole=True):
-    """Port to health of each endpoint in a response."""
-    found = {}
+def health_by_port(response, is_state_of_the_world=True):
+    """Return the health of each endpoint in a response, by port."""
+    health = {}
     for packed in response.resources:
-        body = unwrap(packed)[0] if whole else packed.resource
+        body = unwrap(packed)[0] if is_state_of_the_world else packed.resource
         load = endpoint_pb2.ClusterLoadAssignment()
         assert body.Unpack(load)
         for zone in load.endpoints:
-            found |= {end.endpoint.address.socket_address.port_value: end.health_status for end in zone.lb_endpoints}
-    return found
+            health |= {row.endpoint.address.socket_address.port_value: row.health_status for row in zone.lb_endpoints}
+    return health
 
 
-def test_a_stock_client_resolves_the_route_connects_and_follows_a_drain(tmp_path):
+def test_grpcs_own_xds_client_resolves_a_route_and_follows_a_drain(tmp_path):
     with backends("a", "b") as ports:
-        write_site(tmp_path, *ports)
+        write_configuration(tmp_path, *ports)
         with running_control(tmp_path) as process:
-            stock = StockClient(process.address)
+            client = GrpcXdsClient(process.address)
             try:
-                assert stock.who() == ["a", "b"]
-                write_site(tmp_path, *ports, e0="draining")
+                assert client.answering_backends() == ["a", "b"]
+                write_configuration(tmp_path, *ports, e0="draining")
                 reload_configuration(process)
                 process.event("configuration read again")
-                until = [stock.who() for _ in range(50)]
-                assert until[-1] == ["b"]
+                answers = [client.answering_backends() for _ in range(50)]
+                assert answers[-1] == ["b"]
                 process.end()
-                assert stock.who() == ["b"]  # without times to live it goes on with what it has
+                assert client.answering_backends() == ["b"]  # without times to live it keeps its endpoints
             finally:
-                stock.end()
+                client.end()
             assert not [line for line in process.seen if "rejected" in line]
 
 
-def test_whole_and_incremental_streams_get_a_drain_with_their_own_nonces_and_beats(folder):
+def test_both_forms_of_streams_get_drains_and_heartbeats_with_nonces_of_their_own(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
-        whole, parts = DiscoveryStream(channel), DiscoveryStream(channel, True, "m")
-        for stream in (whole, parts):
+        full, incremental = DiscoveryStream(channel), DiscoveryStream(channel, True, "m")
+        for stream in (full, incremental):
             stream.request(EDS, "route-7")
-        first, part = whole.receive(), parts.receive()
-        assert health_by_port(first) == health_by_port(part, False) == {9001: 1, 9002: 1}
-        assert part.resources[0].ttl.nanos > 0
-        whole.acknowledge(first, "route-7")
-        beat = whole.receive()
-        body, ttl, name = unwrap(beat.resources[0])
+        full_response, incremental_response = full.receive(), incremental.receive()
+        assert health_by_port(full_response) == health_by_port(incremental_response, False) == {9001: 1, 9002: 1}
+        assert incremental_response.resources[0].ttl.nanos > 0
+        full.acknowledge(full_response, "route-7")
+        heartbeat = full.receive()
+        body, ttl, name = unwrap(heartbeat.resources[0])
         assert (body.type_url, name) == ("", "route-7")
         assert 0 < ttl < 1_000_000
-        assert beat.nonce != first.nonce
-        whole.acknowledge(beat, "route-7")
-        parts.acknowledge(part)
-        write_site(folder, 9001, 9002, e1="draining")
+        assert heartbeat.nonce != full_response.nonce
+        full.acknowledge(heartbeat, "route-7")
+        incremental.acknowledge(incremental_response)
+        write_configuration(folder, 9001, 9002, e1="draining")
         reload_configuration(process)
-        for stream, is_whole in ((whole, True), (parts, False)):
+        for stream, is_state_of_the_world in ((full, True), (incremental, False)):
             while True:
                 response = stream.receive()
-                if (is_whole and unwrap(response.resources[0])[0].type_url) or (
-                    not is_whole and response.resources[0].HasField("resource")
+                if (is_state_of_the_world and unwrap(response.resources[0])[0].type_url) or (
+                    not is_state_of_the_world and response.resources[0].HasField("resource")
                 ):
                     break
-                stream.acknowledge(response, *["route-7"] if is_whole else [])
-            assert health_by_port(response, is_whole) == {9001: 1, 9002: 3}
+                stream.acknowledge(response, *["route-7"] if is_state_of_the_world else [])
+            assert health_by_port(response, is_state_of_the_world) == {9001: 1, 9002: 3}
 
 
-def test_a_client_that_knows_no_times_to_live_gets_neither_them_nor_heartbeats(folder):
+def test_a_client_without_ttl_support_gets_neither_ttls_nor_heartbeats(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
         plain, leased = DiscoveryStream(channel, node="a", features=()), DiscoveryStream(channel, node="b")
         for stream in (plain, leased):
@@ -88,12 +88,12 @@
             stream.acknowledge(stream.receive(), "route-7")
         for _ in range(3):
             leased.acknowledge(leased.receive(), "route-7")
-        write_site(folder, 9001)
+        write_configuration(folder, 9001)
         reload_configuration(process)
         assert list(health_by_port(plain.receive())) == [9001]
 
 
-def test_a_rejection_is_logged_with_its_text_and_stops_nobody_else(folder):
+def test_a_rejection_is_logged_with_its_text_and_does_not_affect_other_clients(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
         bad, good = DiscoveryStream(channel, node="bad"), DiscoveryStream(channel, node="good")
         for stream in (bad, good):
@@ -128,7 +128,7 @@
     ],
     ids=["garbage", "giant", "nameless", "type", "nonce", "names"],
 )
-def test_a_bad_peer_is_told_why_and_costs_nobody_else(folder, message, code):
+def test_an_invalid_request_ends_its_stream_with_a_status_and_no_other_stream(folder, message, code):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
         good = DiscoveryStream(channel, node="good")
         good.request(EDS, "route-7")
@@ -142,9 +142,11 @@
         assert not [line for line in process.seen if "Traceback" in line]
 
 
-def test_streams_that_one_node_opens_again_and_again_are_turned_away(folder):
+def test_streams_that_one_node_opens_too_often_are_rejected(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
-        streams = [DiscoveryStream(channel) for _ in range(100)]  # all at once, so that time lets few more through
+        streams = [
+            DiscoveryStream(channel) for _ in range(100)
+        ]  # at once, so that the rate limit admits few after the burst
         codes = []
         for stream in streams:
             stream.request(LDS)
@@ -162,14 +164,14 @@
         assert other.receive().type_url == LDS
 
 
-def test_many_names_again_and_again_are_taken_slowly_and_a_repetition_is_cheap(folder):
+def test_many_large_requests_of_one_client_do_not_delay_another(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
         names = [[f"{word}-{n}" for n in range(15_000)] + ["route-7"] for word in "ab"]
-        greedy, good = DiscoveryStream(channel, node="greedy"), DiscoveryStream(channel, node="good")
+        flooding, good = DiscoveryStream(channel, node="flooding"), DiscoveryStream(channel, node="good")
         good.request(EDS, "route-7")
-        for turn in range(100):
-            greedy.request(EDS, *names[turn % 2])
-        for _ in range(4):  # one after the other, each half a lease: it is heard in between all along
+        for number in range(100):
+            flooding.request(EDS, *names[number % 2])
+        for _ in range(4):  # heartbeats come each half a lease, between the large requests
             good.acknowledge(good.receive(), "route-7")
         assert not good.call.done()
-        assert not greedy.call.done()
+        assert not flooding.call.done()
--- a/tests/transport/test_quotas.py
+++ b/tests/transport/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quota streams on sockets: grants within the limit, over a restart, and when another process takes over."""
+"""Quota streams on sockets: grants within the limit, after a restart, and after a change of leader."""
 
 import contextlib
 import queue
@@ -9,38 +9,42 @@
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2, rlqs_pb2_grpc
 from test_program import LONG
-from transporthelp import DiscoveryStream, final_status, running_control, unwrap, write_site
+from transporthelp import DiscoveryStream, final_status, running_control, unwrap, write_configuration
 
 from scalefall.control.catalog import CDS, EDS
 from scalefall.control.transport import quota_wire
 
 
 class QuotaStream:
+    """A client's quota stream, which reports demand by route and receives grants."""
+
     def __init__(self, channel, node="n", instance="i"):
-        self._more, self.node, self._usages = queue.SimpleQueue(), node, {}
+        self._new_usages, self.node, self._usages = queue.SimpleQueue(), node, {}
         self.call = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel).StreamRateLimitQuotas(
             self._reports(), timeout=LONG, metadata=(("scalefall-node", node), ("scalefall-instance", instance))
         )
 
     def _reports(self):
-        """What is said, and the last word on each route again and again: who is silent for a lease is lost."""
+        """Yield the last report of each route, at least each 100 ms: a client without reports for a lease is lost."""
         while True:
             with contextlib.suppress(queue.Empty):
-                usage = self._more.get(timeout=0.1)
+                usage = self._new_usages.get(timeout=0.1)
                 self._usages[usage.bucket_id.bucket["route"]] = usage
             if self._usages:
                 yield rlqs_pb2.RateLimitQuotaUsageReports(domain="d", bucket_quota_usages=self._usages.values())
 
-    def say(self, calls, had=0, said=1, route="7"):
+    def report(self, calls, acknowledged_grant=0, report_number=1, route="7"):
         usage = rlqs_pb2.RateLimitQuotaUsageReports.BucketQuotaUsage(
-            bucket_id=rlqs_pb2.BucketId(bucket={"route": route, "had": f"{had}", "said": f"{said}"}),
+            bucket_id=rlqs_pb2.BucketId(
+                bucket={"route": route, "had": f"{acknowledged_grant}", "said": f"{report_number}"}
+            ),
             num_requests_allowed=calls,
         )
         usage.time_elapsed.FromSeconds(1)
-        self._more.put(usage)
+        self._new_usages.put(usage)
 
     def receive(self):
-        """(calls a second in thousandths, the grant's number, the last report that was heard)"""
+        """Return (rate in thousandths of a call a second, grant number, last received report); None if abandoned."""
         action = next(self.call).bucket_action[0]
         keys = action.bucket_id.bucket
         if action.HasField("abandon_action"):
@@ -53,7 +57,7 @@
 
 
 def report_connect_failure(channel, node, port):
-    """Report that a connection to this port of route 7 failed."""
+    """Send a load report of one failed connection to this port of route 7."""
     report = lrs_pb2.LoadStatsRequest(node={"id": node})
     cluster = report.cluster_stats.add(cluster_name="route-7")
     row = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add(total_error_requests=1)
@@ -66,7 +70,7 @@
 
 
 def drop_category(channel):
-    """Wait until what knows no grants has all its calls on route 7 dropped; the reason."""
+    """Wait until the endpoint list of route 7 drops all calls, for clients without grants; return the reason."""
     stream = DiscoveryStream(channel)
     stream.request(EDS, "route-7")
     while True:
@@ -76,49 +80,49 @@
         stream.acknowledge(response, "route-7")
 
 
-def test_grants_add_up_to_the_limit_follow_reports_and_are_numbered_on_over_a_restart(folder):
-    write_site(folder, 9001, limit="limit 40 per 1s;")
+def test_grants_keep_the_limit_follow_load_reports_and_continue_their_numbers_after_a_restart(folder):
+    write_configuration(folder, 9001, limit="limit 40 per 1s;")
     flags = ("--plain-text", "--lease", "0.5", "--delay", "0.1")
     with running_control(folder, *flags) as process, grpc.insecure_channel(process.address) as channel:
-        one, two = QuotaStream(channel, "one"), QuotaStream(channel, "two")
-        one.say(100)
-        two.say(100, said=5)
-        first, second = one.receive(), two.receive()
-        assert second[2] == 5
-        assert 0 < first[0] + second[0] <= 40_000
-        one.say(1, route="8")
-        while (told := one.receive()) is not None:
-            assert told[0] <= 40_000
+        first_quota, second_quota = QuotaStream(channel, "one"), QuotaStream(channel, "two")
+        first_quota.report(100)
+        second_quota.report(100, report_number=5)
+        first_grant, second_grant = first_quota.receive(), second_quota.receive()
+        assert second_grant[2] == 5
+        assert 0 < first_grant[0] + second_grant[0] <= 40_000
+        first_quota.report(1, route="8")
+        while (grant := first_quota.receive()) is not None:
+            assert grant[0] <= 40_000
         report_connect_failure(channel, "one", 9001)
-        assert drop_category(channel) == "guarded"  # the partner is in doubt now
-        while (told := two.receive())[0]:
+        assert drop_category(channel) == "guarded"  # the failure has put the destination under guard
+        while (grant := second_quota.receive())[0]:
             pass
-        last = told[1]
+        last_number = grant[1]
         assert process.end(signal.SIGTERM) == 0
     with running_control(folder, *flags) as process, grpc.insecure_channel(process.address) as channel:
         assert process.event("granting")["recalled"] > 0
-        assert drop_category(channel)  # the guard has outlasted the process
-        three = QuotaStream(channel, "three")
-        three.say(10)
-        assert three.receive()[1] > last
+        assert drop_category(channel)  # the guard outlives the process
+        third_quota = QuotaStream(channel, "three")
+        third_quota.report(10)
+        assert third_quota.receive()[1] > last_number
 
 
-def test_one_process_grants_and_another_on_the_folder_takes_over_when_it_dies(folder):
+def test_one_process_grants_and_a_standby_takes_over_after_its_end(folder):
     flags = ("--plain-text", "--lease", "0.5", "--delay", "0.1")
     with (
-        running_control(folder, *flags) as one,
-        running_control(folder, *flags) as two,
-        grpc.insecure_channel(two.address) as channel,
+        running_control(folder, *flags) as leader,
+        running_control(folder, *flags) as standby,
+        grpc.insecure_channel(standby.address) as channel,
     ):
-        one.event("granting")
-        two.line("standing by")
+        leader.event("granting")
+        standby.line("standing by")
         quota, stream = QuotaStream(channel), DiscoveryStream(channel)
-        quota.say(10)
+        quota.report(10)
         stream.request(CDS)
-        assert stream.receive().resources  # resources are served by both
+        assert stream.receive().resources  # a standby serves resources too
         assert final_status(quota.call)[0] is grpc.StatusCode.UNAVAILABLE
-        one.end()
-        epoch = two.event("granting")["epoch"]
+        leader.end()
+        epoch = standby.event("granting")["epoch"]
         quota = QuotaStream(channel)
-        quota.say(10)
+        quota.report(10)
         assert quota.receive()[1] > epoch >= 1_000_000
--- a/tests/transport/test_service_driver.py
+++ b/tests/transport/test_service_driver.py
@@ -1,4 +1,4 @@
-"""The service in real time, without sockets: when its steps are run, and where what it gives goes."""
+"""The service driver without sockets: when steps run, and how actions and events are delivered."""
 
 import asyncio
 import logging
@@ -16,11 +16,11 @@
 from scalefall.control.transport.peers import Peer, PeerRegistry, StreamEnd
 from scalefall.control.transport.service_driver import ServiceDriver
 
-MS = 1000
+MILLISECOND_US = 1000
 
 
-class Service:
-    """In place of a control service: steps that are noted, and a deadline that the test sets."""
+class StubService:
+    """Stands in for a control service: records its steps; the test sets its deadline."""
 
     def __init__(self):
         self.emitted_events, self.steps, self.closed = [], [], []
@@ -31,7 +31,7 @@
 
     def step(self, now):
         self.steps.append(now)
-        self.deadline = now + 10_000 * MS
+        self.deadline = now + 10_000 * MILLISECOND_US
         outgoing, self.outgoing = self.outgoing, []
         return outgoing
 
@@ -42,145 +42,147 @@
         self.closed.append(("quota", stream))
 
 
-class Quotas:
-    """Grants as their representation; none for route 0."""
+class StubQuotas:
+    """Encodes a grant as its repr(); no message for route 0."""
 
     def grant_message(self, _session, grant):
         return None if isinstance(grant, Grant) and not grant.destination else repr(grant).encode()
 
 
-class Leader:
+class StubLeaderState:
+    """Stands in for the leader's state; counts the reservations."""
+
     is_leader = True
-    reserved = 0
+    reservation_count = 0
 
     def reserve_numbers(self):
-        self.reserved += 1
+        self.reservation_count += 1
 
 
-class Context:
+class StubContext:
     def peer(self):
         return "here"
 
 
 @dataclass
-class Stage:
-    """A service, its driver and one open stream."""
+class DriverHarness:
+    """A stub service, its driver and one open stream."""
 
-    service: Service
+    service: StubService
     driver: ServiceDriver
     peer: Peer
-    leader: Leader
+    leader: StubLeaderState
 
 
-def played(play):
-    """Run a play on a stage of its own."""
+def run_scenario(scenario):
+    """Run a scenario with a new harness."""
 
     async def run():
-        service, leader, registry = Service(), Leader(), PeerRegistry(None)
-        peer = Peer(1, Context(), asyncio.create_task(asyncio.sleep(100)), None, node="n")
+        service, leader, registry = StubService(), StubLeaderState(), PeerRegistry(None)
+        peer = Peer(1, StubContext(), asyncio.create_task(asyncio.sleep(100)), None, node="n")
         registry.add(peer)
-        driver = ServiceDriver(service, Quotas(), registry, leader)
-        await play(Stage(service, driver, peer, leader))
+        driver = ServiceDriver(service, StubQuotas(), registry, leader)
+        await scenario(DriverHarness(service, driver, peer, leader))
         driver.stop()
 
     asyncio.run(run())
 
 
-def test_steps_are_run_when_they_are_due_and_not_before_the_start():
-    async def play(stage):
-        stage.driver.schedule()
+def test_steps_run_when_due_and_not_before_the_start():
+    async def scenario(harness):
+        harness.driver.schedule()
         await asyncio.sleep(0.02)
-        assert stage.service.steps == []
-        stage.driver.start()
-        stage.service.deadline = clock.monotonic_us() + 30 * MS
-        stage.driver.schedule()
+        assert harness.service.steps == []
+        harness.driver.start()
+        harness.service.deadline = clock.monotonic_us() + 30 * MILLISECOND_US
+        harness.driver.schedule()
         await asyncio.sleep(0.01)
-        assert stage.service.steps == []
+        assert harness.service.steps == []
         await asyncio.sleep(0.05)
-        assert len(stage.service.steps) == stage.leader.reserved == 1
+        assert len(harness.service.steps) == harness.leader.reservation_count == 1
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_an_earlier_deadline_moves_the_step_and_a_later_one_does_not():
-    async def play(stage):
-        began = clock.monotonic_us()
-        stage.driver.start()
-        stage.service.deadline = began + 200 * MS
-        stage.driver.schedule()
-        stage.service.deadline = began + 20 * MS
-        stage.driver.schedule()
-        stage.service.deadline = began + 10_000 * MS
-        stage.driver.schedule()
+    async def scenario(harness):
+        began_us = clock.monotonic_us()
+        harness.driver.start()
+        harness.service.deadline = began_us + 200 * MILLISECOND_US
+        harness.driver.schedule()
+        harness.service.deadline = began_us + 20 * MILLISECOND_US
+        harness.driver.schedule()
+        harness.service.deadline = began_us + 10_000 * MILLISECOND_US
+        harness.driver.schedule()
         await asyncio.sleep(0.4)
-        assert len(stage.service.steps) == 1  # the one that was set first was cancelled
-        assert stage.service.steps[0] < began + 200 * MS
+        assert len(harness.service.steps) == 1  # the first timer was cancelled
+        assert harness.service.steps[0] < began_us + 200 * MILLISECOND_US
 
-    played(play)
+    run_scenario(scenario)
 
 
-def test_what_a_step_gives_goes_to_its_stream_and_to_none_that_has_closed():
-    async def play(stage):
-        stage.peer.incremental = stage.peer.understands_ttl = True
+def test_actions_of_a_step_are_delivered_to_open_streams_only():
+    async def scenario(harness):
+        harness.peer.incremental = harness.peer.understands_ttl = True
         response = Response(CDS, "1", "v", ())
         grant, shards = Grant("h", 7, 1, 5, 6), ShardGrants(())
-        stage.service.outgoing = [(1, response), (2, response), (1, grant), (1, Grant("h", 0, 1, 5, 6)), (1, shards)]
-        stage.driver.start()
-        stage.driver.schedule()
+        harness.service.outgoing = [(1, response), (2, response), (1, grant), (1, Grant("h", 0, 1, 5, 6)), (1, shards)]
+        harness.driver.start()
+        harness.driver.schedule()
         await asyncio.sleep(0.02)
         encoded = wire.ResponseEncoder().encode(response, True, True)
-        assert list(stage.peer.outgoing) == [encoded, repr(grant).encode(), repr(shards).encode()]
+        assert list(harness.peer.outgoing) == [encoded, repr(grant).encode(), repr(shards).encode()]
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_standby_sends_resources_and_no_grants():
-    async def play(stage):
-        stage.leader.is_leader = False
-        stage.driver.send([(1, Response(CDS, "1", "v", ())), (1, Grant("h", 7, 1, 5, 6))])
-        assert len(stage.peer.outgoing) == 1
+    async def scenario(harness):
+        harness.leader.is_leader = False
+        harness.driver.send([(1, Response(CDS, "1", "v", ())), (1, Grant("h", 7, 1, 5, 6))])
+        assert len(harness.peer.outgoing) == 1
 
-    played(play)
+    run_scenario(scenario)
 
 
-def test_a_rejection_is_logged_and_a_broken_rule_ends_the_stream(caplog):
-    async def play(stage):
-        stage.driver.send([(1, ResponseRejected(CDS, ("a", "b"), "no such policy"))])
+def test_a_rejection_is_logged_and_a_protocol_violation_ends_the_stream(caplog):
+    async def scenario(harness):
+        harness.driver.send([(1, ResponseRejected(CDS, ("a", "b"), "no such policy"))])
         assert caplog.messages == ["rejected: node n keeps its previous version of a, b: no such policy"]
         assert caplog.records[0].fields == {"node": "n", "type": CDS, "names": ("a", "b")}
-        stage.driver.send([(1, CloseStream("a nonce that was not sent"))])
-        assert stage.peer.end == StreamEnd(grpc.StatusCode.INVALID_ARGUMENT, "a nonce that was not sent")
+        harness.driver.send([(1, CloseStream("a nonce that was not sent"))])
+        assert harness.peer.end == StreamEnd(grpc.StatusCode.INVALID_ARGUMENT, "a nonce that was not sent")
 
-    played(play)
+    run_scenario(scenario)
 
 
-def test_a_closed_stream_is_told_to_the_service_and_an_earlier_deadline_counts():
-    async def play(stage):
-        stage.driver.stream_closed(stage.peer)
-        assert stage.service.closed == [("resources", 1), ("quota", 1)]
+def test_the_service_is_notified_of_a_closed_stream_and_an_earlier_deadline_applies():
+    async def scenario(harness):
+        harness.driver.stream_closed(harness.peer)
+        assert harness.service.closed == [("resources", 1), ("quota", 1)]
         await asyncio.sleep(0.01)
-        assert stage.service.steps == []  # no timer was set: it has not started
-        stage.driver.start()
-        stage.service.deadline = clock.monotonic_us() + 10_000 * MS
-        stage.driver.schedule()
-        stage.service.deadline = 0
-        stage.driver.stream_closed(stage.peer)
+        assert harness.service.steps == []  # no timer is set before the start
+        harness.driver.start()
+        harness.service.deadline = clock.monotonic_us() + 10_000 * MILLISECOND_US
+        harness.driver.schedule()
+        harness.service.deadline = 0
+        harness.driver.stream_closed(harness.peer)
         await asyncio.sleep(0.02)
-        assert len(stage.service.steps) == 1
+        assert len(harness.service.steps) == 1
 
-    played(play)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("level", "lines"), [(logging.DEBUG, 2), (logging.INFO, 1)])
-def test_the_service_s_events_are_written_once_with_their_fields(caplog, level, lines):
+def test_the_services_events_are_logged_once_with_their_fields(caplog, level, lines):
     caplog.set_level(level, "scalefall")
 
-    async def play(stage):
-        stage.service.emitted_events = [LogEvent("endpoint", {"route": 7, "now": "ready"}), LogEvent("had", {}, True)]
-        stage.driver.write_events()
-        stage.driver.write_events()
+    async def scenario(harness):
+        harness.service.emitted_events = [LogEvent("endpoint", {"route": 7, "now": "ready"}), LogEvent("had", {}, True)]
+        harness.driver.write_events()
+        harness.driver.write_events()
         assert caplog.messages == ["endpoint: route=7 now=ready", "had: "][:lines]
         assert caplog.records[0].fields == {"route": 7, "now": "ready"}
         assert caplog.records[0].msg == "endpoint: %s"
 
-    played(play)
+    run_scenario(scenario)
--- a/tests/transport/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes: a proxy behind a link that is cut, a partner, control, and the audit of their logs."""
+"""The stand-ins as processes: a proxy on a link with faults, a destination, control, and the audit of their logs."""
 
 import contextlib
 import http.client
@@ -8,7 +8,7 @@
 
 import pytest
 from test_program import LONG, ROOT
-from transporthelp import CLASSES, LoggedProcess, reload_configuration, running_control, write_site
+from transporthelp import CLASS_FLAGS, LoggedProcess, reload_configuration, running_control, write_configuration
 
 from scalefall.control import audit
 from scalefall.lab.classes import read_class
@@ -16,21 +16,22 @@
 
 
 @pytest.fixture
-def children():
+def start_process():
+    """Return a function that starts a Python module as a process, which is killed after the test."""
     started = []
 
-    def start(*words):
-        started.append(LoggedProcess("-u", "-m", *words))
+    def start(*arguments):
+        started.append(LoggedProcess("-u", "-m", *arguments))
         return started[-1]
 
     yield start
-    for each in started:
-        each.child.kill()
+    for process in started:
+        process.child.kill()
 
 
 @contextlib.contextmanager
 def link_to(address):
-    """A link that can be cut: its address, and a function that tells it what to do."""
+    """Run a link that can inject faults; yield its address and a function that sends it a command."""
     link = subprocess.Popen(
         [sys.executable, "-u", "-m", "scalefall.lab.link", address],
         cwd=ROOT,
@@ -39,85 +40,91 @@
         stdout=subprocess.PIPE,
     )
 
-    def tell(word):
-        link.stdin.write(word + "\n")
+    def send_command(command):
+        link.stdin.write(command + "\n")
         link.stdin.flush()
 
     try:
-        yield f"127.0.0.1:{link.stdout.readline().strip()}", tell
+        yield f"127.0.0.1:{link.stdout.readline().strip()}", send_command
     finally:
         link.kill()
         link.communicate()
 
 
 def proxy_flags(address, load):
-    return ("--control", address, "--node", "p", "--routes", "7", "--load", load, *CLASSES)
+    return ("--control", address, "--node", "p", "--routes", "7", "--load", load, *CLASS_FLAGS)
 
 
-def test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back(tmp_path, children):
-    partner = children("scalefall.lab.partner", "--limit", "20", *CLASSES)
-    port = partner.event("listening")["port"]
-    write_site(tmp_path, port, limit="limit 20 per 1s;")
+def test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back(tmp_path, start_process):
+    destination = start_process("scalefall.lab.partner", "--limit", "20", *CLASS_FLAGS)
+    port = destination.event("listening")["port"]
+    write_configuration(tmp_path, port, limit="limit 20 per 1s;")
     flags = ("--plain-text", "--log-level", "debug", "--report-every", "0.2", "--lease", "1")
-    with running_control(tmp_path, *flags) as process, link_to(process.address) as (address, tell):
-        proxy = children("scalefall.lab.proxy", *proxy_flags(address, "20"))
+    with running_control(tmp_path, *flags) as process, link_to(process.address) as (address, send_command):
+        proxy = start_process("scalefall.lab.proxy", *proxy_flags(address, "20"))
         proxy.event("ended", how="ok")
-        partner.event("effect", repeat="never")  # or the audit has none to check
-        tell("silence")
+        destination.event("effect", repeat="never")  # without one, the audit would have none to check
+        send_command("silence")
         proxy.event("ended", how="fallback")
-        tell("reset")
-        tell("heal")
+        send_command("reset")
+        send_command("heal")
         proxy.event("ended", how="ok")
-        write_site(tmp_path, port, limit="limit 20 per 1s;", e0="draining")
+        write_configuration(tmp_path, port, limit="limit 20 per 1s;", e0="draining")
         reload_configuration(process)
         process.line("configuration read again")
         proxy.event("ended", how="refused")
         assert proxy.end(signal.SIGTERM) == 0
         assert process.end(signal.SIGTERM) == 0
-    rows, _ = audit.read_log([*process.printed, *proxy.printed, *partner.printed])
-    found = {each.rule: each for each in audit.audit(rows)}
-    assert not [each.violations for each in found.values() if each.violations]
-    assert found["answer"].checked
-    assert found["grants"].checked
-    assert found["twice"].checked
+    rows, _ = audit.read_log([*process.output, *proxy.output, *destination.output])
+    findings = {finding.rule: finding for finding in audit.audit(rows)}
+    assert not [finding.violations for finding in findings.values() if finding.violations]
+    assert findings["answer"].checked
+    assert findings["grants"].checked
+    assert findings["twice"].checked
 
 
-def test_without_control_messages_go_over_a_senders_own_front_and_reach_the_partner(tmp_path, children):
-    partner = children("scalefall.lab.partner", "--limit", "20", *CLASSES)
-    write_site(tmp_path, partner.event("listening")["port"], limit="limit 20 per 1s;")
+def test_without_control_a_proxy_sends_messages_through_a_senders_ingress(tmp_path, start_process):
+    destination = start_process("scalefall.lab.partner", "--limit", "20", *CLASS_FLAGS)
+    write_configuration(tmp_path, destination.event("listening")["port"], limit="limit 20 per 1s;")
     (tmp_path / "sender").mkdir()
-    sender = children(
+    sender = start_process(
         "scalefall", "run", "--config", str(tmp_path), "--state", str(tmp_path / "sender"), "--listen", "127.0.0.1:0"
     )
-    front = sender.line("ready: ").split()[-1]
-    proxy = children("scalefall.lab.proxy", *proxy_flags("127.0.0.1:1", "10"), "--sender", front)
-    name = proxy.event("ended", how="fallback 202")["id"]
-    partner.event("effect", id=name)
+    ingress_address = sender.line("ready: ").split()[-1]
+    proxy = start_process("scalefall.lab.proxy", *proxy_flags("127.0.0.1:1", "10"), "--sender", ingress_address)
+    message_id = proxy.event("ended", how="fallback 202")["id"]
+    destination.event("effect", id=message_id)
     assert proxy.end(signal.SIGTERM) == 0
-    assert not [line for line in proxy.printed if '"sent"' in line]
+    assert not [line for line in proxy.output if '"sent"' in line]
 
 
-def test_a_partner_counts_effects_by_the_classes_it_is_told_of(children):
-    partner = children("scalefall.lab.partner", "--limit", "20", "--class", "ledger=freely", "--class", "vote=never")
-    port = partner.event("listening")["port"]
-    for cls, repeat in (("ledger", "freely"), ("vote", "never"), ("untold", "never")):
+def test_a_destination_reports_effects_with_the_repeat_setting_of_the_class(start_process):
+    destination = start_process(
+        "scalefall.lab.partner", "--limit", "20", "--class", "ledger=freely", "--class", "vote=never"
+    )
+    port = destination.event("listening")["port"]
+    for class_name, repeat in (("ledger", "freely"), ("vote", "never"), ("unlisted", "never")):
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=LONG)
-        connection.request("POST", f"/{cls}", b"body", {"X-Request-Id": cls})
+        connection.request("POST", f"/{class_name}", b"body", {"X-Request-Id": class_name})
         assert connection.getresponse().status == 200
         connection.close()
-        assert partner.event("effect", id=cls)["repeat"] == repeat
+        assert destination.event("effect", id=class_name)["repeat"] == repeat
 
 
-@pytest.mark.parametrize("word", ["", "=never", "a", "a=", "a=twice", "a=keyed:soon"])
-def test_a_word_that_names_no_class_is_told_in_one_line(children, word):
-    partner = children("scalefall.lab.partner", "--limit", "20", "--class", word)
-    partner.line(f"argument --class: invalid read_class value: {word!r}")
-    assert partner.child.wait(LONG) == 2
+@pytest.mark.parametrize("argument", ["", "=never", "a", "a=", "a=twice", "a=keyed:soon"])
+def test_an_invalid_class_argument_is_reported_in_one_line(start_process, argument):
+    destination = start_process("scalefall.lab.partner", "--limit", "20", "--class", argument)
+    destination.line(f"argument --class: invalid read_class value: {argument!r}")
+    assert destination.child.wait(LONG) == 2
 
 
-def test_a_class_is_read_from_its_word():
-    cls = read_class("a=keyed:1.5")
-    assert (cls.name, cls.idempotency, cls.key_ttl_us) == ("a", Idempotency.WITH_KEY, 1_500_000)
+def test_a_class_is_parsed_from_its_argument():
+    message_class = read_class("a=keyed:1.5")
+    assert (message_class.name, message_class.idempotency, message_class.key_ttl_us) == (
+        "a",
+        Idempotency.WITH_KEY,
+        1_500_000,
+    )
     assert (read_class("b=never").idempotency, read_class("c=freely").idempotency) == (
         Idempotency.NOT_IDEMPOTENT,
         Idempotency.IDEMPOTENT,
--- a/tests/transport/transporthelp.py
+++ b/tests/transport/transporthelp.py
@@ -1,4 +1,4 @@
-"""A control process on sockets, raw streams to it, and certificates for both."""
+"""Control processes on sockets, clients of their discovery streams, certificates, and gRPC backends."""
 
 import contextlib
 import datetime
@@ -21,7 +21,7 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from test_program import LONG, ROOT, Process
 
-SITE = """
+CONFIGURATION = """
 sender {{ name t; listen 127.0.0.1:0 }}
 class fee-order {{ aim 3s; deadline 24s; repeat never }}
 class event-notice {{ aim 3s; deadline 24s; repeat keyed for 6s }}
@@ -30,49 +30,51 @@
 pool p {{ kind one; {limit} {endpoints} }}
 route 7 {{ pool p; classes fee-order, event-notice, status-update }}
 """
-# the same classes for the stand-ins
-CLASSES = ("--class", "fee-order=never", "--class", "event-notice=keyed:6", "--class", "status-update=freely")
-TTL = "xds.config.supports-resource-ttl"
+# The same classes as arguments of the stand-ins.
+CLASS_FLAGS = ("--class", "fee-order=never", "--class", "event-notice=keyed:6", "--class", "status-update=freely")
+TTL_FEATURE = "xds.config.supports-resource-ttl"
 
 
-def write_site(folder, *ports, limit="", **states):
-    """Endpoints e0, e1, ... at these ports; states by name, else ready."""
+def write_configuration(folder, *ports, limit="", **states):
+    """Write a configuration with endpoints e0, e1, ... at these ports; `states` has the states that are not ready."""
     rows = " ".join(
         f"endpoint e{n} {{ at 127.0.0.1:{port}; state {states.get(f'e{n}', 'ready')} }}" for n, port in enumerate(ports)
     )
-    (folder / "site.scale").write_text(SITE.format(endpoints=rows, limit=limit))
+    (folder / "site.scale").write_text(CONFIGURATION.format(endpoints=rows, limit=limit))
 
 
 class LoggedProcess(Process):
-    """A process whose lines are JSON objects; said has every one of them."""
+    """A process that logs JSON objects, one a line; `output` has all lines."""
 
     def __init__(self, *command):
-        self.printed, self._whole = [], threading.Event()
+        self.output, self._output_ended = [], threading.Event()
         super().__init__(*command)
 
     def _read(self):
         for line in self.child.stdout:
-            self.printed.append(line.rstrip("\n"))
-            self.lines.put(self.printed[-1])
+            self.output.append(line.rstrip("\n"))
+            self.lines.put(self.output[-1])
         self.lines.put(None)
-        self._whole.set()
+        self._output_ended.set()
 
     def end(self, number=signal.SIGKILL):
         code = super().end(number)
-        assert self._whole.wait(LONG)  # its last lines have been read
+        assert self._output_ended.wait(LONG)  # the last lines have been read
         return code
 
     def event(self, name, **fields):
-        """The next line of an event with these fields."""
+        """Return the next line of an event with these fields."""
         until = time.monotonic() + LONG
         while time.monotonic() < until:
             row = json.loads(self.line(f'"event": "{name}"'))
             if all(row.get(key) == value for key, value in fields.items()):
                 return row
-        raise AssertionError(f"no {name} with {fields}")
+        raise AssertionError(f"no event {name} with the fields {fields} within {LONG} s")
 
 
 class ControlProcess(LoggedProcess):
+    """A `scalefall control` process on a configuration folder."""
+
     def __init__(self, folder, *flags, state="state"):
         (folder / state).mkdir(exist_ok=True)
         super().__init__(
@@ -90,28 +92,29 @@
             *flags,
         )
 
-    def ready(self):
+    def wait_until_ready(self):
         self.address = json.loads(self.line("ready: control"))["listen"]
         return self
 
 
 @contextlib.contextmanager
-def running_control(folder, *flags, **more):
-    process = ControlProcess(folder, *(flags or ("--plain-text",)), **more)
+def running_control(folder, *flags, **options):
+    """Run a control process for the block, on plaintext unless flags are given."""
+    process = ControlProcess(folder, *(flags or ("--plain-text",)), **options)
     try:
-        yield process.ready()
+        yield process.wait_until_ready()
     finally:
         if process.child.poll() is None:
             process.end()
 
 
 def reload_configuration(process):
-    """Ask a control process to read its configuration again; it answers with an event."""
+    """Send SIGHUP; the process logs an event once it has reloaded its configuration."""
     process.child.send_signal(signal.SIGHUP)
 
 
 def unwrap(packed):
-    """A state-of-the-world resource's body, its time to live in us (0: none) and its name (if that is known)."""
+    """Return a state-of-the-world resource's body, its time to live in us (0 for none) and its name if it has one."""
     if packed.Is(discovery_pb2.Resource.DESCRIPTOR):
         wrapped = discovery_pb2.Resource()
         packed.Unpack(wrapped)
@@ -120,35 +123,35 @@
 
 
 class DiscoveryStream:
-    """One incremental or whole stream, message by message."""
+    """An incremental or state-of-the-world stream, with one call per message."""
 
-    def __init__(self, channel, incremental=False, node="n", features=(TTL,)):
-        self.kind = discovery_pb2.DeltaDiscoveryRequest if incremental else discovery_pb2.DiscoveryRequest
+    def __init__(self, channel, incremental=False, node="n", features=(TTL_FEATURE,)):
+        self.request_type = discovery_pb2.DeltaDiscoveryRequest if incremental else discovery_pb2.DiscoveryRequest
         self.node, self.incremental = {"id": node, "client_features": features}, incremental
         stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
-        self._sent, self.first = [], True
-        self._more = queue.SimpleQueue()
-        open_ = stub.DeltaAggregatedResources if incremental else stub.StreamAggregatedResources
-        self.call = open_(iter(self._more.get, None), timeout=LONG)
+        self._is_first_request = True
+        self._requests = queue.SimpleQueue()
+        open_stream = stub.DeltaAggregatedResources if incremental else stub.StreamAggregatedResources
+        self.call = open_stream(iter(self._requests.get, None), timeout=LONG)
 
-    def request(self, kind, *names, **more):
-        word = "resource_names_subscribe" if self.incremental else "resource_names"
-        node, self.first = (self.node if self.first else None), False
-        self._more.put(self.kind(type_url=kind, node=node, **{word: names}, **more))
+    def request(self, type_url, *names, **fields):
+        names_field = "resource_names_subscribe" if self.incremental else "resource_names"
+        node, self._is_first_request = (self.node if self._is_first_request else None), False
+        self._requests.put(self.request_type(type_url=type_url, node=node, **{names_field: names}, **fields))
 
     def receive(self):
         return next(self.call)
 
-    def acknowledge(self, response, *names, **more):
-        self.request(response.type_url, *names, response_nonce=response.nonce, **more)
+    def acknowledge(self, response, *names, **fields):
+        self.request(response.type_url, *names, response_nonce=response.nonce, **fields)
 
     def end(self):
-        self._more.put(None)
+        self._requests.put(None)
         self.call.cancel()
 
 
 def final_status(call):
-    """How a call ends."""
+    """Return the status code and the text that a call ends with."""
     with contextlib.suppress(grpc.RpcError):
         for _ in call:
             pass
@@ -156,7 +159,7 @@
 
 
 class Authority:
-    """Certificates of one authority, written as PEM files into a folder."""
+    """A certificate authority that writes PEM files into a folder."""
 
     def __init__(self, folder, name="ca"):
         self.folder, self.key = pathlib.Path(folder), ec.generate_private_key(ec.SECP256R1())
@@ -165,29 +168,29 @@
         self.path = self.write(f"{name}.pem", self.certificate.public_bytes(serialization.Encoding.PEM))
 
     def write(self, name, data):
-        path = self.folder / (name + ".new")
-        path.write_bytes(data)
-        path.replace(self.folder / name)
+        new_path = self.folder / (name + ".new")
+        new_path.write_bytes(data)
+        new_path.replace(self.folder / name)
         return str(self.folder / name)
 
-    def pair(self, name, *nodes, days=1, file=None):
-        """Paths of a certificate that names these nodes, and of its key."""
+    def issue(self, name, *nodes, days=1, file=None):
+        """Write a certificate that names these nodes and its key; return both paths."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         names = [x509.DNSName(node) for node in nodes] + [x509.IPAddress(ipaddress.ip_address("127.0.0.1"))]
-        made = self._sign(subject, key.public_key(), x509.BasicConstraints(False, None), names, days)
+        certificate = self._sign(subject, key.public_key(), x509.BasicConstraints(False, None), names, days)
         pem = key.private_bytes(
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
         self.write(f"{file or name}.key", pem)
         return (
-            self.write(f"{file or name}.pem", made.public_bytes(serialization.Encoding.PEM)),
+            self.write(f"{file or name}.pem", certificate.public_bytes(serialization.Encoding.PEM)),
             str(self.folder / f"{file or name}.key"),
         )
 
     def _sign(self, subject, public, constraints, names, days):
         now = datetime.datetime.now(datetime.UTC)
-        made = (
+        builder = (
             x509.CertificateBuilder()
             .subject_name(subject)
             .issuer_name(self.name)
@@ -198,11 +201,11 @@
             .not_valid_after(now + datetime.timedelta(days=days))
         )
         if names:
-            made = made.add_extension(x509.SubjectAlternativeName(names), False)
-        return made.sign(self.key, hashes.SHA256())
+            builder = builder.add_extension(x509.SubjectAlternativeName(names), False)
+        return builder.sign(self.key, hashes.SHA256())
 
 
-STOCK_CLIENT = """
+GRPC_XDS_CLIENT_CODE = """
 import sys, grpc
 call = grpc.insecure_channel("xds:///route-7").unary_unary("/toy.Toy/Who")
 for line in sys.stdin:
@@ -213,16 +216,18 @@
 """
 
 
-class StockClient:
-    """gRPC's own xDS client, which knows nothing of scalefall."""
+class GrpcXdsClient:
+    """gRPC's own xDS client, without code of this project."""
 
-    def __init__(self, at):
+    def __init__(self, address):
         bootstrap = {
-            "xds_servers": [{"server_uri": at, "channel_creds": [{"type": "insecure"}], "server_features": ["xds_v3"]}],
+            "xds_servers": [
+                {"server_uri": address, "channel_creds": [{"type": "insecure"}], "server_features": ["xds_v3"]}
+            ],
             "node": {"id": "stock"},
         }
         self.child = subprocess.Popen(
-            [sys.executable, "-c", STOCK_CLIENT],
+            [sys.executable, "-c", GRPC_XDS_CLIENT_CODE],
             cwd=ROOT,
             text=True,
             stdin=subprocess.PIPE,
@@ -231,8 +236,8 @@
             env={"GRPC_XDS_BOOTSTRAP_CONFIG": json.dumps(bootstrap), "PATH": ""},
         )
 
-    def who(self):
-        """Who answered 20 calls."""
+    def answering_backends(self):
+        """Make 20 calls; return the names of the backends that answered."""
         self.child.stdin.write("?\n")
         self.child.stdin.flush()
         return self.child.stdout.readline().split()
@@ -244,7 +249,7 @@
 
 @contextlib.contextmanager
 def backends(*names):
-    """Their ports; each answers its name."""
+    """Run gRPC servers that answer with their names; yield their ports."""
     servers, ports = [], []
     for name in names:
         server = grpc.server(ThreadPoolExecutor(2))
