--- a/scalefall/control/transport/service_factory.py
+++ b/scalefall/control/transport/service_factory.py
@@ -1,4 +1,4 @@
-"""The control service that a server's options ask for, with the builders of its resources."""
+"""Builds the control service that a server's options select, with the builders of its resources."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class BuiltService(NamedTuple):
-    """A service, and the translation of its quota streams.
+    """A service, and the conversion of its quota messages.
 
     Attributes:
-        service: The service; it does not lead yet.
-        quotas: How its quota streams are read and answered.
+        service: The service, as a standby.
+        quotas: Reads its clients' reports and makes messages of its grants.
     """
 
     service: AnyControlService
@@ -31,10 +31,10 @@
 
 
 def build_service(config: Config, options: ServerOptions, now_us: int) -> BuiltService:
-    """Build a service with no fleet, which stands by."""
+    """Build a service without a fleet, as a standby."""
     builder = _resource_builder(config.settings, options)
     built = (
-        _build_for_all(config, options, builder, now_us)
+        _build_unsharded(config, options, builder, now_us)
         if options.sharding is None
         else _build_sharded(config, options, options.sharding, builder, now_us)
     )
@@ -42,8 +42,8 @@
     return built
 
 
-def _build_for_all(config: Config, options: ServerOptions, builder: ResourceBuilder, now_us: int) -> BuiltService:
-    """Build a service whose every client gets everything."""
+def _build_unsharded(config: Config, options: ServerOptions, builder: ResourceBuilder, now_us: int) -> BuiltService:
+    """Build a service of which every client gets all destinations."""
     service = ControlService(
         now_us, config.settings, config.seed, builder, options.lease_us, options.delay_us, silence_us=options.lease_us
     )
@@ -53,7 +53,7 @@
 def _build_sharded(
     config: Config, options: ServerOptions, sharding: ShardingOptions, builder: ResourceBuilder, now_us: int
 ) -> BuiltService:
-    """Build a service that divides destinations among senders."""
+    """Build a service that shards destinations over senders."""
     assignment = AssignmentSettings(
         sharding.shards, options.lease_us, options.delay_us, sharding.move_after_us, sharding.sender_load
     )
@@ -73,17 +73,17 @@
 def _resource_builder(settings: Settings, options: ServerOptions) -> ResourceBuilder:
     """Return the builder of resources.
 
-    Where destinations are divided, endpoints have no time to live of their own: one lease resource stands for all.
+    Where destinations are sharded, endpoint lists have no time to live: one lease resource replaces theirs.
     """
     ttl_us = options.endpoint_lease_us
-    is_divided = options.sharding is not None
-    endpoint_ttl_us = 0 if is_divided else ttl_us
+    is_sharded = options.sharding is not None
+    endpoint_ttl_us = 0 if is_sharded else ttl_us
 
     def build_endpoints(route: int, entries: list[Entry], allowances: list[RouteAllowance], now_us: int) -> Resource:
         return resources.endpoint_resource(route, entries, allowances, now_us, endpoint_ttl_us)
 
     def build_static(entries: RouteEntries, rules: dict[int, RouteRules]) -> list[Resource]:
         built = resources.static_resources(entries, rules, settings)
-        return [*built, resources.lease_resource(ttl_us)] if is_divided else built
+        return [*built, resources.lease_resource(ttl_us)] if is_sharded else built
 
     return ResourceBuilder(build_static, build_endpoints)
