--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -66,15 +66,15 @@
 
     idle = True
 
-    def __init__(self, delivered: Callable[[str], None]) -> None:
+    def __init__(self, report_confirmed: Callable[[str], None]) -> None:
         """Set the function that is called with the id of each reported message."""
-        self._delivered = delivered
+        self._report_confirmed = report_confirmed
 
     def report_failed(self, message_id: str, due_us: int = 0) -> None:
         """Log that a message was given up."""
         fields = {"id": message_id, "state": "failed"}
         log.warning("delivery report: %s failed", message_id, extra={"fields": fields})
-        self._delivered(message_id)
+        self._report_confirmed(message_id)
 
     def report_returned(self, message_id: str, retry_after_ms: int, due_us: int = 0) -> None:
         """Log that a message may be submitted again, and when."""
@@ -82,7 +82,7 @@
         log.warning(
             "delivery report: %s returned, retry after %d ms", message_id, retry_after_ms, extra={"fields": fields}
         )
-        self._delivered(message_id)
+        self._report_confirmed(message_id)
 
     def move(self, platform: tuple[str, int]) -> None:
         """Do nothing: there is no platform."""
@@ -117,24 +117,26 @@
 class _PostEnd(Enum):
     """The result of a POST, by which it wakes the task that starts POSTs."""
 
-    DELIVERED = "delivered"
-    NOT_DELIVERED = "not delivered"
+    CONFIRMED = "confirmed"
+    NOT_CONFIRMED = "not confirmed"
 
 
 class DeliveryReports:
     """Queues the reports that the platform has not confirmed, and posts them."""
 
-    def __init__(self, scheduler: Scheduler, platform: tuple[str, int], delivered: Callable[[str], None]) -> None:
+    def __init__(
+        self, scheduler: Scheduler, platform: tuple[str, int], report_confirmed: Callable[[str], None]
+    ) -> None:
         """Start with nothing to report.
 
         Args:
             scheduler: Runs the tasks.
             platform: The address that reports are posted to.
-            delivered: Called with the id of each message whose report the platform has confirmed.
+            report_confirmed: Called with the id of each message whose report the platform has confirmed.
         """
         self._scheduler = scheduler
         self._platform = platform
-        self._delivered = delivered
+        self._report_confirmed = report_confirmed
         self._reports: dict[str, _Report] = {}
         self._idle_socket: socket.socket | None = None  # reused by the next POST
         self._idle_socket_peer = platform
@@ -189,7 +191,7 @@
                 self._posts[post] = None
                 self._scheduler.spawn(self._run_post, post)
             woken_by = self._scheduler.sleep(HEDGE_DELAY_US)
-            if woken_by is _PostEnd.NOT_DELIVERED:  # an immediate retry would fail as well
+            if woken_by is _PostEnd.NOT_CONFIRMED:  # an immediate retry would fail as well
                 backoff_us = self._backoff_us
                 self._backoff_us = min(MAX_BACKOFF_US, 2 * backoff_us)
                 self._scheduler.sleep(backoff_us)
@@ -226,15 +228,15 @@
         elif status == BAD_REQUEST:
             self._isolate_unreadable(post.message_ids)
         if self._task is not None and (status != NO_STATUS or post.started_alone):
-            delivered = status == NO_CONTENT
-            self._scheduler.wake(self._task, _PostEnd.DELIVERED if delivered else _PostEnd.NOT_DELIVERED)
+            confirmed = status == NO_CONTENT
+            self._scheduler.wake(self._task, _PostEnd.CONFIRMED if confirmed else _PostEnd.NOT_CONFIRMED)
 
     def _confirm(self, message_ids: list[str]) -> None:
         self._backoff_us = MIN_BACKOFF_US
         self._max_reports = MAX_REPORTS_PER_POST
         for message_id in message_ids:
             if self._reports.pop(message_id, None) is not None:
-                self._delivered(message_id)
+                self._report_confirmed(message_id)
 
     def _isolate_unreadable(self, message_ids: list[str]) -> None:
         """Post one report at a time, and put a report that the platform cannot read behind all others."""
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -22,7 +22,7 @@
 FILE_HEADER = b"scalefall journal 1\n"
 FRAME = struct.Struct("<II")  # length and CRC-32 of the record
 NO_TEXT = 0xFFFF  # stands for None in place of a text's length
-MAX_SPAN_MS = 0xFFFFFFFF  # the longest duration that a record can hold
+MAX_DURATION_MS = 0xFFFFFFFF  # the longest duration that a record can hold
 RESERVED_ZONE_BYTES = 128  # reserved per delivery in a compacted copy, for the zone names of later attempts
 
 # The fixed fields of an ACCEPTED record, before its texts and its body:
@@ -184,9 +184,9 @@
     """Return the record of a delivery, with its history if it has one: for its acceptance and for compaction."""
     answer = delivery.final_answer
     if answer is None:
-        span_ms, body = min(delivery.key_ttl_us // 1000, MAX_SPAN_MS), delivery.body
+        duration_ms, body = min(delivery.key_ttl_us // 1000, MAX_DURATION_MS), delivery.body
     else:
-        span_ms, body = delivery.retry_after_ms, b""
+        duration_ms, body = delivery.retry_after_ms, b""
     fixed = ACCEPTED.pack(
         delivery.due_wall_us,
         delivery.destination,
@@ -194,7 +194,7 @@
         delivery.may_have_run_wall_us,
         _flags(delivery),
         0 if answer is None else answer.value,
-        span_ms,
+        duration_ms,
         delivery.attempt_started_wall_us,
     )
     texts = _encode_texts(
@@ -280,9 +280,11 @@
 
 
 def _decode_accepted(record: bytes) -> PendingDelivery:
-    deadline, destination, attempts, ran_at, flags, answer, span_ms, started_at = ACCEPTED.unpack_from(record, 1)
+    deadline, destination, attempts, may_have_run_at, flags, answer, duration_ms, started_at = ACCEPTED.unpack_from(
+        record, 1
+    )
     texts, end = _decode_texts(record, 1 + ACCEPTED.size, ACCEPTED_TEXT_COUNT)
-    message_id, class_name, idempotency_key, ran_in_zone, attempt_zone = texts
+    message_id, class_name, idempotency_key, may_have_run_zone, attempt_zone = texts
     return PendingDelivery(  # positional arguments save 2 us per message in the replay of a full journal
         message_id or "",
         class_name or "",
@@ -291,16 +293,16 @@
         idempotency_key,
         record[end:],
         attempts,
-        ran_at,
-        ran_in_zone or "",
+        may_have_run_at,
+        may_have_run_zone or "",
         bool(flags & IN_FLIGHT),
         started_at,
         attempt_zone or "",
         _FINAL_ANSWERS[answer] if answer else None,
-        span_ms if answer else 0,
+        duration_ms if answer else 0,
         IDEMPOTENCIES[flags >> IDEMPOTENCY_SHIFT & IDEMPOTENCY_MASK],
         bool(flags & KEY_SCOPE_ZONE),
-        0 if answer else span_ms * 1000,
+        0 if answer else duration_ms * 1000,
         FRAME.size + len(record) + RESERVED_ZONE_BYTES,
     )
 
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -26,8 +26,8 @@
     "with key": Idempotency.WITH_KEY,
     "never": Idempotency.NOT_IDEMPOTENT,
 }
-ENDS = {"none": None, "failed": FinalAnswer.FAILED, "returned": FinalAnswer.RETURNED}
-LATEST = {"rates": learned_rates.MAX_AGE_US}  # age in microseconds from which stored data is ignored
+FINAL_ANSWERS = {"none": None, "failed": FinalAnswer.FAILED, "returned": FinalAnswer.RETURNED}
+MAX_AGES_US = {"rates": learned_rates.MAX_AGE_US}  # age in microseconds from which stored data is ignored
 OUTCOMES = {"not sent": Outcome.NOT_SENT, "cannot connect": Outcome.CONNECT_FAILED}
 
 
@@ -55,7 +55,7 @@
         case ["finish", name]:
             opened_journal.record_finished(name)
         case ["owe notice", name, end, after_ms]:
-            opened_journal.record_final_answer(name, ENDS[end], after_ms)
+            opened_journal.record_final_answer(name, FINAL_ANSWERS[end], after_ms)
         case _:
             raise ValueError(operation)
     return True
@@ -91,7 +91,7 @@
             "attempt_open": row.in_flight,
             "last_attempt_at_us": row.attempt_started_wall_us,
             "last_attempt_in": row.attempt_zone,
-            "owes": _name_of(ENDS, row.final_answer),
+            "owes": _name_of(FINAL_ANSWERS, row.final_answer),
             "after_ms": row.retry_after_ms,
             "repeat": _name_of(REPEAT, row.idempotency),
             "key holds in one zone": row.key_scope_zone,
@@ -217,7 +217,7 @@
         self.service.ledger.number = number
         self._leader_state.reserve_numbers()
 
-    def remember(self):
+    def save(self):
         self._leader_state.save(self.now_us, self.wall_us)
 
     def end(self):
--- a/tests/stored_data/test_stored_control.py
+++ b/tests/stored_data/test_stored_control.py
@@ -48,7 +48,7 @@
     leader = mapping.Leader(tmp_path, expected("left"), assignment_text(name), 5_000_000, WALL_US)
     leader.lead()
     leader.grant_up_to(700_000)
-    leader.remember()
+    leader.save()
     leader.end()
     assert files(tmp_path) == files(STORED / name)
     assert set(files(tmp_path)) == FILES[name]
--- a/tests/stored_data/test_stored_sender.py
+++ b/tests/stored_data/test_stored_sender.py
@@ -59,7 +59,7 @@
 
 def test_stored_learned_rates_are_read_until_they_expire(tmp_path):
     folder, stored = copied("appended", tmp_path), expected("rates")
-    written, limit = stored["wall_us"], mapping.LATEST["rates"]
+    written, limit = stored["wall_us"], mapping.MAX_AGES_US["rates"]
     assert limit == 60_000_000
     for wall_us in (written, written + limit - 1):
         assert mapping.load_rates(folder, wall_us) == stored["rates"]
--- a/tests/stored_data/write.py
+++ b/tests/stored_data/write.py
@@ -151,7 +151,7 @@
         first = mapping.Leader(folder, CONTROL, text, 5_000_000, WALL_US)
         first.lead()
         first.grant_up_to(700_000)
-        first.remember()
+        first.save()
         first.end()
         with tempfile.TemporaryDirectory() as copy:
             shutil.copytree(folder, copy, dirs_exist_ok=True)
