--- a/scalefall/net/admin_actions.py
+++ b/scalefall/net/admin_actions.py
@@ -10,7 +10,7 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointReport, Outcome
 
-ASSUMED_OUTAGE_US = 2_000_000  # an endpoint that returns from maintenance counts as unreachable for this long
+ASSUMED_OUTAGE_US = 2_000_000  # how long an endpoint counts as unreachable before its return from maintenance
 INSUFFICIENT_STORAGE = 507  # the status of a call whose change could not be stored
 
 
--- a/scalefall/net/admin_state.py
+++ b/scalefall/net/admin_state.py
@@ -1,4 +1,4 @@
-"""The operators' state of the sender: endpoints in maintenance, and the drain. No socket, file or clock.
+"""The state that operators set: endpoints in maintenance, and the drain of the sender. No socket, file or clock.
 
 The admin API, each call without a body:
 
@@ -18,7 +18,10 @@
 from typing import NamedTuple
 from urllib.parse import unquote
 
-OK, NOT_FOUND, METHOD_NOT_ALLOWED, SERVICE_UNAVAILABLE = 200, 404, 405, 503
+OK = 200
+NOT_FOUND = 404
+METHOD_NOT_ALLOWED = 405
+SERVICE_UNAVAILABLE = 503
 
 
 class AdminAction(Enum):
--- a/scalefall/net/admission.py
+++ b/scalefall/net/admission.py
@@ -45,14 +45,14 @@
 
         Args:
             scheduler: The clock.
-            settings: The current classes and the limit of pending messages.
+            settings: The current classes and the limit of open messages.
             events: Passes requests to the engine.
-            tracker: The pending requests.
+            tracker: The open requests.
             deadline_monitor: Enforces the deadlines of accepted messages.
             journal: Stores each message before it is answered as accepted.
             endpoint_list: Knows which destinations have endpoints.
             routes: Knows which classes a route carries.
-            wall_offset_us: What to add to monotonic time for wall time, in microseconds.
+            wall_offset_us: Wall time minus monotonic time, in microseconds.
         """
         self._scheduler = scheduler
         self._settings = settings
--- a/scalefall/net/deadline_monitor.py
+++ b/scalefall/net/deadline_monitor.py
@@ -34,7 +34,7 @@
 
         Args:
             scheduler: The clock and its timers.
-            open_requests: The pending requests, by message id.
+            open_requests: The open requests, by message id.
             events: Notifies the engine of the messages that were failed here.
             final_answers: Fails the messages.
         """
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -38,7 +38,7 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing is left to report."""
+        """Whether nothing is left to report."""
 
     def report_failed(self, message_id: str, due_us: int = 0) -> None:
         """Report that a message was given up; whether it had an effect is unknown.
@@ -62,7 +62,7 @@
 
 
 class LoggedDeliveryReports:
-    """Stands in for a platform: logs each report, which counts as delivered with that."""
+    """Stands in for a platform: logs each report, which then counts as confirmed."""
 
     idle = True
 
@@ -148,12 +148,12 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether the platform has confirmed all reports."""
+        """Whether the platform has confirmed all reports."""
         return not self._reports
 
     @property
     def posts_in_flight(self) -> int:
-        """Return the number of POSTs in flight."""
+        """The number of POSTs in flight."""
         return len(self._posts)
 
     def move(self, platform: tuple[str, int]) -> None:
@@ -239,7 +239,7 @@
                 self._report_confirmed(message_id)
 
     def _isolate_unreadable(self, message_ids: list[str]) -> None:
-        """Post one report at a time, and put a report that the platform cannot read behind all others."""
+        """Post one report at a time, and one that the platform cannot read last: it must not block the others."""
         self._max_reports = 1
         if len(message_ids) == 1 and message_ids[0] in self._reports:
             log.error(
@@ -252,7 +252,7 @@
 
         Returns:
             The answer's status; NO_STATUS if there was none, or if the body is empty because another POST has
-            delivered all of its reports.
+            had all of its reports confirmed.
         """
         if not body:
             return NO_STATUS
--- a/scalefall/net/delivery_request.py
+++ b/scalefall/net/delivery_request.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Conflict:
-    """The id belongs to another message; the request is ignored."""
+    """The id belongs to another message, or to a request that is not decided yet; this request is ignored."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
     """A message that a client has submitted, and its answer once it is decided.
 
     Attributes:
-        id: The client's id of the message, unique among pending messages.
+        id: The client's id of the message, unique among open messages.
         class_name: Its class, a key of the settings' classes.
         destination: The number of its destination.
         due_us: Its deadline, monotonic, in microseconds.
@@ -63,7 +63,7 @@
         repeat_accepted: Whether a repeated submission was answered as accepted. Closing the connection of the first
             one then no longer withdraws the message.
         send_alone: Whether it must not share a call with other messages.
-        message_class: The class rules as of its acceptance.
+        message_class: The rules of its class as of its acceptance.
         on_decided: Called once the answer is decided.
     """
 
--- a/scalefall/net/delivery_tracker.py
+++ b/scalefall/net/delivery_tracker.py
@@ -1,4 +1,4 @@
-"""The messages in flight, and the ids of those that finished recently."""
+"""The open requests, submitted and not finished, and the ids of messages that finished recently."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 FINISHED_ID_RETENTION_US = 30 * SECOND_US  # clients do not repeat a finished id later than this
-MEMORY_BYTES_PER_FINISHED_ID = 4096  # one id is retained per so much of the memory limit: 46,875 ids for 192 MB
+MEMORY_BYTES_PER_FINISHED_ID = 4096  # of the memory limit, for each retained id: 46,875 ids for 192 MB
 
 
 class DeliveryTracker:
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, scheduler: Scheduler, memory_bytes: int) -> None:
-        """Start with nothing in flight.
+        """Start with no open requests.
 
         Args:
             scheduler: The clock.
--- a/scalefall/net/final_answers.py
+++ b/scalefall/net/final_answers.py
@@ -32,7 +32,7 @@
         """Set up final answers for the messages of a tracker.
 
         Args:
-            tracker: The messages in flight.
+            tracker: The open requests.
             journal: Stores the final answers that have to be reported.
             delivery_reports: Reports them to the platform.
             routes: Limits the retry-after times.
--- a/scalefall/net/journal.py
+++ b/scalefall/net/journal.py
@@ -2,7 +2,7 @@
 
 Each record is appended before the step that it records takes effect, so that recovery finds every accepted message and
 every attempt that may have run. An incomplete record at the end, as a killed process leaves it, is truncated. The
-journal is compacted when the file and a compacted copy of it would together exceed the folder's limit. A message is
+journal is compacted when the file and a compacted copy of it would together exceed the journal's limit. A message is
 accepted only if its records fit within that limit.
 """
 
@@ -89,7 +89,7 @@
 
     @property
     def unused_bytes(self) -> int:
-        """Return the bytes of the limit that neither the file nor its compacted copy uses."""
+        """The bytes of the limit that neither the file nor its compacted copy uses."""
         return self._limit_bytes - self._size - self._copy_bytes
 
     # -- writing records
@@ -239,7 +239,7 @@
             log.error("journal: truncation to %d bytes failed: %s", size, error)
 
     def compact(self) -> bool:
-        """Replace the file by a copy that holds only the pending deliveries; return whether that succeeded."""
+        """Replace the file with a copy that holds only the pending deliveries; return whether that succeeded."""
         try:
             copy = self._write_copy()
         except OSError as error:
@@ -271,7 +271,7 @@
             os.unlink(self._copy_path)
 
     def _load(self) -> int:
-        """Replay the file's records, truncate it behind the last readable one, and return its size."""
+        """Replay the file's records, truncate it after the last readable one, and return its size."""
         with open(self._path, "rb") as file:
             data = file.read()
         if not data.startswith(FILE_HEADER):
@@ -283,12 +283,12 @@
         except RecordError as error:
             log.error("journal: unreadable record, it and all later ones are discarded: %s", error)
         if end < len(data):
-            log.warning("journal: incomplete tail truncated: %d bytes", len(data) - end)
+            log.warning("journal: unreadable tail truncated: %d bytes", len(data) - end)
             self._truncate(end)
         return end
 
     def _reset_file(self, invalid_bytes: int) -> int:
-        """Replace contents that are no journal by an empty journal, and return the file's size."""
+        """Replace contents that are not a journal with an empty journal, and return the file's size."""
         if invalid_bytes:
             log.error("journal: file has no journal header, replaced by an empty journal: %d bytes lost", invalid_bytes)
         self._truncate(0)
@@ -297,7 +297,7 @@
 
 
 def _zone_bytes(zone: str) -> int:
-    """Return the bytes that a copy may need for a zone: of the first attempt that may have run, and of the last one."""
+    """Return the bytes that a zone may take in a copy: for the first attempt that may have run and for the last."""
     return 2 * len(zone.encode())
 
 
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class PendingDelivery:
-    """A message that the sender is responsible for: not delivered, or its final answer not reported.
+    """A message that the sender is responsible for: not delivered yet, or its final answer not reported yet.
 
     Attributes:
         id: The client's id of the message.
@@ -91,7 +91,7 @@
         attempt_zone: The zone of the last attempt.
         final_answer: The final answer of a message that will not be delivered; None before.
         retry_after_ms: With the answer RETURNED, how long the client should wait before it submits the message again.
-        idempotency: Whether it may be repeated, by its class as it was accepted. None: not known.
+        idempotency: Whether it may be repeated, by its class as of its acceptance; None if that was not recorded.
         key_scope_zone: Whether its idempotency key is valid within one zone only, by the same class.
         key_ttl_us: How long a destination remembers the key, by the same class.
         copy_bytes: The bytes that it takes in a compacted journal.
--- a/scalefall/net/logs.py
+++ b/scalefall/net/logs.py
@@ -1,4 +1,4 @@
-"""The logger of scalefall, and its configuration in the platform's sender."""
+"""The logger of scalefall, and its configuration in a sender that the platform runs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def log_to_standard_error(debug: bool) -> None:
-    """Configure logging to standard error, for the platform's sender.
+    """Configure logging to standard error, for a sender that the platform runs.
 
     Errors in writing the log are ignored, such as a closed pipe.
 
--- a/scalefall/net/rate_saver.py
+++ b/scalefall/net/rate_saver.py
@@ -9,7 +9,7 @@
 from scalefall.policy.events import LearnedRate
 
 SECOND_US = 1_000_000  # microseconds in a second
-MIN_SAVE_INTERVAL_US = SECOND_US  # older copies than this are of little use
+MIN_SAVE_INTERVAL_US = SECOND_US  # the interval for few rates; a copy older than this is of little use
 SAVE_INTERVAL_PER_RATE_US = SECOND_US // 200  # limits saving to 200 rates per second
 
 
--- a/scalefall/net/recovery.py
+++ b/scalefall/net/recovery.py
@@ -43,7 +43,7 @@
             deadline_monitor: Enforces their deadlines.
             journal: The journal of the previous process.
             delivery_reports: Sends the unconfirmed delivery reports.
-            wall_offset_us: What to add to monotonic time for wall time, in microseconds.
+            wall_offset_us: Wall time minus monotonic time, in microseconds.
         """
         self._classes = classes
         self._events = events
--- a/scalefall/net/reloader.py
+++ b/scalefall/net/reloader.py
@@ -55,7 +55,7 @@
         except ConfigError as error:
             log.error("configuration not taken, the old settings stay: %s", error)
             return
-        assert config.discovery is not None, "only a fleet comes without discovery"
+        assert config.discovery is not None, "a configuration without a fleet has a discovery address"
         log.info("configuration read again: discovery at %s:%d", *config.discovery)
         self._endpoint_list.move(config.discovery)
         self._delivery_reports.move(config.discovery)
@@ -162,5 +162,5 @@
 
 
 def endpoint_retention_us(settings: Settings) -> int:
-    """Return how long a removed endpoint is remembered: twice the longest deadline of any class."""
+    """Return how long to retain a removed endpoint: twice the longest deadline of any class."""
     return 2 * max((message_class.deadline_us for message_class in settings.classes.values()), default=0)
--- a/scalefall/net/sender.py
+++ b/scalefall/net/sender.py
@@ -50,11 +50,11 @@
         config: The configuration that it was made from.
         address: The address for clients; with the actual port once started.
         admin_address: The address for operators; None if there is none.
-        wall_offset_us: The difference of wall time and monotonic time, in microseconds.
+        wall_offset_us: Wall time minus monotonic time, in microseconds.
         engine: Takes all decisions.
         events: The events for the engine's next step.
         loop: Runs the steps.
-        tracker: The pending messages.
+        tracker: The open requests.
         deadline_monitor: Fails messages that are open past their deadline.
         admission: Lets an ingress submit and withdraw requests.
         dispatcher: The attempts, and the conditions that prevent one from starting.
@@ -148,7 +148,7 @@
         """Return the endpoint list, from discovery or from the operator's file, and the reloader that matches."""
         scheduler, config, settings = self._scheduler, self.config, self._settings
         if config.fleet is None:
-            assert config.discovery is not None, "only a fleet comes without discovery"
+            assert config.discovery is not None, "a configuration without a fleet has a discovery address"
             endpoint_list = DiscoveryList(
                 scheduler,
                 config.discovery,
@@ -218,8 +218,8 @@
         Raises:
             OSError: An address cannot be listened on.
         """
-        for doubt in self.config.warnings:
-            log.warning("configuration: %s", doubt)
+        for warning in self.config.warnings:
+            log.warning("configuration: %s", warning)
         self.recovery.defer_learned_rates(self.rate_saver.load())
         if self.admin_actions is not None:
             self.admin_actions.resume_maintenance()
--- a/scalefall/net/sender_loop.py
+++ b/scalefall/net/sender_loop.py
@@ -59,7 +59,7 @@
             scheduler: The clock, and the engine's timers.
             engine: Takes all decisions.
             events: Gathers the events for the engine.
-            tracker: The pending requests.
+            tracker: The open requests.
             admission: Journals the messages that the engine has admitted.
             dispatcher: Starts attempts, and closes connections.
             final_answers: Ends messages that are shed or failed.
--- a/scalefall/net/shutdown.py
+++ b/scalefall/net/shutdown.py
@@ -51,7 +51,7 @@
 
         Args:
             scheduler: The clock; it is stopped last.
-            open_requests: The pending requests.
+            open_requests: The open requests.
             events: Passes the deadline of all attempts to the engine.
             admission: Rejects new messages from that deadline on.
             ingress: The clients' connections, which are closed.
--- a/tests/stored_data/test_stored_control.py
+++ b/tests/stored_data/test_stored_control.py
@@ -73,7 +73,7 @@
     assert {event.get("outcome", "learned") for event in events} == kinds
 
 
-def test_a_coordinator_reads_the_stored_assignment_and_keeps_it():
+def test_a_coordinator_reads_the_stored_assignment_and_does_not_change_it():
     stored = (STORED / "with_shards" / "assignment").read_text()
     row = expected("assignment")
     assert mapping.assignment_row(stored, row["settings"]) == row
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -290,7 +290,7 @@
     names = b"m0", b"m1", b"\1\0n"
     flags = [
         data[data.index(name) - 2 * (name[0] != 1) - 12 - 2] for name in names
-    ]  # behind the flags: answer, duration, time, length
+    ]  # after the flags: answer, duration, time, length
     assert flags[:2] == [0, 1]
     assert flags[2] & ~1
     reopened = Journal(str(tmp_path), LIMIT_BYTES)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -309,8 +309,8 @@
 @pytest.mark.parametrize("polls", [True, False])
 def test_all_restored_messages_that_may_be_sent_are_sent(tmp_path, cls, ran, polls):
     """Guards against restored messages being shed: before a pushed list arrived the engine knew no route, so it queued
-    four per destination and shed the others, even those that may have run in one zone and must not be submitted anew in
-    another one."""
+    four per destination and shed the others, even those that may have run in one zone and must not be submitted again
+    in another one."""
     harness = SenderHarness(tmp_path, polls_endpoint_list=polls, max_queued=24, call_slots=30)
     names = [f"m{number}" for number in range(24)]
 
