--- a/tests/transport/test_standins.py
+++ b/tests/transport/test_standins.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from test_program import LONG, ROOT
+from test_program import PROCESS_TIMEOUT_S, ROOT
 from transporthelp import CLASS_FLAGS, LoggedProcess, reload_configuration, running_control, write_configuration
 
 from scalefall.control import audit
@@ -104,7 +104,7 @@
     )
     port = destination.event("listening")["port"]
     for class_name, repeat in (("ledger", "freely"), ("vote", "never"), ("unlisted", "never")):
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=LONG)
+        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PROCESS_TIMEOUT_S)
         connection.request("POST", f"/{class_name}", b"body", {"X-Request-Id": class_name})
         assert connection.getresponse().status == 200
         connection.close()
@@ -115,7 +115,7 @@
 def test_an_invalid_class_argument_is_reported_in_one_line(start_process, argument):
     destination = start_process("scalefall.lab.partner", "--limit", "20", "--class", argument)
     destination.line(f"argument --class: invalid read_class value: {argument!r}")
-    assert destination.child.wait(LONG) == 2
+    assert destination.child.wait(PROCESS_TIMEOUT_S) == 2
 
 
 def test_a_class_is_parsed_from_its_argument():
--- a/tests/transport/transporthelp.py
+++ b/tests/transport/transporthelp.py
@@ -19,7 +19,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
-from test_program import LONG, ROOT, Process
+from test_program import PROCESS_TIMEOUT_S, ROOT, Process
 
 CONFIGURATION = """
 sender {{ name t; listen 127.0.0.1:0 }}
@@ -59,17 +59,17 @@
 
     def end(self, number=signal.SIGKILL):
         code = super().end(number)
-        assert self._output_ended.wait(LONG)  # the last lines have been read
+        assert self._output_ended.wait(PROCESS_TIMEOUT_S)  # the last lines have been read
         return code
 
     def event(self, name, **fields):
         """Return the next line of an event with these fields."""
-        until = time.monotonic() + LONG
+        until = time.monotonic() + PROCESS_TIMEOUT_S
         while time.monotonic() < until:
             row = json.loads(self.line(f'"event": "{name}"'))
             if all(row.get(key) == value for key, value in fields.items()):
                 return row
-        raise AssertionError(f"no event {name} with the fields {fields} within {LONG} s")
+        raise AssertionError(f"no event {name} with the fields {fields} within {PROCESS_TIMEOUT_S} s")
 
 
 class ControlProcess(LoggedProcess):
@@ -132,7 +132,7 @@
         self._is_first_request = True
         self._requests = queue.SimpleQueue()
         open_stream = stub.DeltaAggregatedResources if incremental else stub.StreamAggregatedResources
-        self.call = open_stream(iter(self._requests.get, None), timeout=LONG)
+        self.call = open_stream(iter(self._requests.get, None), timeout=PROCESS_TIMEOUT_S)
 
     def request(self, type_url, *names, **fields):
         names_field = "resource_names_subscribe" if self.incremental else "resource_names"
