--- a/scalefall/net/admin.py
+++ b/scalefall/net/admin.py
@@ -14,10 +14,10 @@
 from scalefall.net.logs import log
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
 
-SECOND = 1_000_000  # microseconds
-READ_TIMEOUT_US = 2 * SECOND  # from the start of a connection to the last byte of its call
-WRITE_TIMEOUT_US = SECOND  # the time that a caller has to read its answer
-ACCEPT_RETRY_US = SECOND // 10  # wait after a failed accept, such as one for want of descriptors
+SECOND_US = 1_000_000  # microseconds in a second
+READ_TIMEOUT_US = 2 * SECOND_US  # from the start of a connection to the last byte of its call
+WRITE_TIMEOUT_US = SECOND_US  # the time that a caller has to read its answer
+ACCEPT_RETRY_US = SECOND_US // 10  # wait after a failed accept, such as one for want of descriptors
 LISTEN_BACKLOG = 64  # connections in the listener's queue
 MAX_WAITING_CALLERS = 16  # connections with an incomplete call; bounds the descriptors that they take
 MAX_BODY_BYTES = 4096  # calls have no body that is used
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -138,12 +138,12 @@
             OSError: The connection failed or broke, or the time was up.
             http.MalformedMessage: The answer is not valid HTTP.
         """
-        until_us = max(message.ends_at_us for message in attempt.messages)
+        deadline_us = max(message.ends_at_us for message in attempt.messages)
         pool = self._pool
         avoid_stale = pool.stale_loss_rate > MAX_STALE_LOSS_RATE and any(
             message.not_idempotent for message in attempt.messages
         )
-        connection = attempt.connection = pool.connect(attempt.entry, until_us, avoid_stale)
+        connection = attempt.connection = pool.connect(attempt.entry, deadline_us, avoid_stale)
         if attempt.over:
             self._close_connection(attempt)
             return
@@ -159,12 +159,12 @@
             attempt.over = True
             return
         request = encode_request(attempt, self._scheduler.now())
-        send_until_us = int(
+        send_deadline_us = int(
             min(end for message in attempt.messages for end in (message.ends_at_us, message.start_by_us))
         )
-        streams.send(self._scheduler, connection.sock, request, send_until_us)
+        streams.send(self._scheduler, connection.sock, request, send_deadline_us)
         attempt.written = True
-        if self._receive(attempt, connection.sock, reader, until_us):
+        if self._receive(attempt, connection.sock, reader, deadline_us):
             self._end_answered(attempt, connection, reader)
 
     def _drop_late_messages(self, attempt: Attempt) -> None:
@@ -182,7 +182,7 @@
             attempt.messages.remove(message)
             self._report(attempt, message, MessageResult(Outcome.NOT_SENT), {})
 
-    def _receive(self, attempt: Attempt, sock: socket.socket, reader: http.AnswerReader, until_us: int) -> bool:
+    def _receive(self, attempt: Attempt, sock: socket.socket, reader: http.AnswerReader, deadline_us: int) -> bool:
         """Read the whole answer; return False if the attempt ended before.
 
         Raises:
@@ -191,7 +191,7 @@
         """
         started_at_us = 0
         while not reader.complete:
-            data = streams.receive(self._scheduler, sock, until_us)
+            data = streams.receive(self._scheduler, sock, deadline_us)
             started_at_us = started_at_us or self._scheduler.now()
             if attempt.over:
                 return False
@@ -203,7 +203,7 @@
             reader.feed(data)
             is_delivered = reader.status == 200 and len(attempt.messages) == 1
             max_answer_us = MAX_DELIVERED_ANSWER_DURATION_US if is_delivered else MAX_ANSWER_DURATION_US
-            until_us = min(until_us, started_at_us + max_answer_us)
+            deadline_us = min(deadline_us, started_at_us + max_answer_us)
         return True
 
     # -- end of an attempt
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -98,12 +98,12 @@
         self.retention = ConnectionRetention(settings.replica_count)
         self.stale_loss_rate = 0.0
 
-    def connect(self, entry: Entry, until_us: int, avoid_stale: bool) -> Connection:
+    def connect(self, entry: Entry, deadline_us: int, avoid_stale: bool) -> Connection:
         """Return the most recently used idle connection that is reusable and still open, or else a new one.
 
         Args:
             entry: The endpoint and its address.
-            until_us: The end of the time for a dial, in monotonic microseconds.
+            deadline_us: The end of the time for a dial, in monotonic microseconds.
             avoid_stale: Dial instead of reusing a stale connection.
 
         Raises:
@@ -114,7 +114,7 @@
         now_us = self._scheduler.now()
         key = EndpointKey(entry.endpoint.id, entry.address)
         self.retention.call_started(key, now_us)
-        return self._pop_idle(key, now_us, avoid_stale) or self._dial(entry, key, until_us)
+        return self._pop_idle(key, now_us, avoid_stale) or self._dial(entry, key, deadline_us)
 
     def release(self, connection: Connection, entry: Entry) -> None:
         """Return a connection to the pool, or close it if none is kept; the caller must not use it again.
@@ -169,14 +169,14 @@
             idle.sock.close()
         return None
 
-    def _dial(self, entry: Entry, key: EndpointKey, until_us: int) -> Connection:
+    def _dial(self, entry: Entry, key: EndpointKey, deadline_us: int) -> Connection:
         """Open a new connection; at the socket limit, close the longest idle ones first."""
         while self._idle and self.in_use + len(self._idle) > self._max_sockets:
             self._discard(next(iter(self._idle)))
         if self.in_use > self._max_sockets:
             raise SocketLimitError(f"no socket left: {self.in_use} connections in use, limit {self._max_sockets}")
-        dial_until_us = self._scheduler.now() + (entry.dial_us or self._settings.dial_timeout_us)
-        sock = streams.dial(self._scheduler, entry.address, min(until_us, dial_until_us))
+        dial_deadline_us = self._scheduler.now() + (entry.dial_us or self._settings.dial_timeout_us)
+        sock = streams.dial(self._scheduler, entry.address, min(deadline_us, dial_deadline_us))
         return Connection(sock, key, is_new=True, was_stale=False)
 
     def _watch(self, idle: IdleConnection) -> None:
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -111,17 +111,17 @@
 
     def _is_newer(self, update: ListUpdate) -> bool:
         """Return whether an update is a whole list or newer than the known version."""
-        return update.is_full or update.seq > self.seq
+        return update.is_whole or update.seq > self.seq
 
     def _apply_and_notify(self, update: ListUpdate) -> None:
         """Apply an update, and notify the engine."""
         log.info(
-            "endpoint list: version %d, %s %d", update.seq, "all" if update.is_full else "changed", len(update.entries)
+            "endpoint list: version %d, %s %d", update.seq, "all" if update.is_whole else "changed", len(update.entries)
         )
         self._apply(update)
-        kind = ListUpdateKind.WHOLE if update.is_full else ListUpdateKind.CHANGES
+        kind = ListUpdateKind.WHOLE if update.is_whole else ListUpdateKind.CHANGES
         endpoint_ids = [entry.endpoint.id for entry in update.entries]
-        if update.is_full:
+        if update.is_whole:
             endpoint_ids += [endpoint_id for endpoint_id in update.unreadable_entries if endpoint_id in self.entries]
         self._on_change(EndpointListUpdate(kind, self._endpoints(endpoint_ids)))
 
@@ -132,7 +132,7 @@
     def _apply(self, update: ListUpdate) -> None:
         """Apply an update's entries and version."""
         now_us = self._scheduler.now()
-        if update.is_full:
+        if update.is_whole:
             self._mark_missing(update, now_us)
         for entry in update.entries:
             endpoint_id = entry.endpoint.id
--- a/scalefall/net/ingress_server.py
+++ b/scalefall/net/ingress_server.py
@@ -15,20 +15,20 @@
 from scalefall.net.scheduler import READ, READY, Scheduler, Task
 from scalefall.policy.settings import Idempotency, MessageClass
 
-SECOND = 1_000_000  # microseconds
-REQUEST_TIMEOUT_US = 2 * SECOND  # from a request's first byte to its last; also for a new connection's first byte
-WRITE_TIMEOUT_US = 2 * SECOND  # the time that a client has to read an answer
+SECOND_US = 1_000_000  # microseconds in a second
+REQUEST_TIMEOUT_US = 2 * SECOND_US  # from a request's first byte to its last; also for a new connection's first byte
+WRITE_TIMEOUT_US = 2 * SECOND_US  # the time that a client has to read an answer
 IDLE_TIMEOUT_US = 2050_000  # a connection that has been idle between requests for this long is closed
-LONG_IDLE_US = 2 * SECOND  # an idle connection is among the first to be evicted from this age on
-CROWDED_FIRST_BYTE_US = SECOND // 4  # with half of the places taken, one without a first byte is closed after this
-EVICTION_GRACE_US = SECOND // 20  # a connection whose request is incomplete is not evicted before this age
-EVICTION_RETRY_US = SECOND // 200  # wait before the next attempt to evict a connection, when none can be
-LINGER_US = SECOND // 2  # after the last answer, incoming bytes are read and dropped for at most this long
+LONG_IDLE_US = 2 * SECOND_US  # an idle connection is among the first to be evicted from this age on
+HALF_FULL_FIRST_BYTE_TIMEOUT_US = SECOND_US // 4  # of a new connection, while half of the places are taken
+EVICTION_GRACE_US = SECOND_US // 20  # a connection whose request is incomplete is not evicted before this age
+EVICTION_RETRY_US = SECOND_US // 200  # wait before the next attempt to evict a connection, when none can be
+LINGER_US = SECOND_US // 2  # after the last answer, incoming bytes are read and dropped for at most this long
 MAX_LINGER_BYTES = 256 * 1024  # most bytes that are read and dropped after the last answer
 LISTEN_BACKLOG = 512  # connections in the listener's queue
 MAX_ACCEPTS_PER_STEP = 32  # connections accepted in a row before other tasks run
 MAX_LOGGED_REJECTIONS = 10  # rejected requests logged one by one in each window; the others are counted
-REJECTION_LOG_WINDOW_US = 10 * SECOND
+REJECTION_LOG_WINDOW_US = 10 * SECOND_US
 
 # The client's deadline runs while its request waits unread in the socket buffer. That wait is estimated and taken off
 # the time left. While the process starts, its clock shows nothing of the wait, so a minimum is always taken off.
@@ -242,7 +242,7 @@
                 backlogged = False
             except OSError as error:
                 log.warning("accepting a client connection failed: %s; retrying in 100 ms", error)
-                self._scheduler.sleep(SECOND // 10)
+                self._scheduler.sleep(SECOND_US // 10)
 
     def _add_client(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -281,7 +281,7 @@
                 or (
                     max_rank is ConnectionState.AWAITING_FIRST_BYTE
                     and rank is max_rank
-                    and now_us - client.since_us < CROWDED_FIRST_BYTE_US
+                    and now_us - client.since_us < HALF_FULL_FIRST_BYTE_TIMEOUT_US
                 )
             ):
                 return False
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -84,13 +84,13 @@
 
     Attributes:
         seq: The version.
-        is_full: The update is the whole list; otherwise the changes.
+        is_whole: The update is the whole list; otherwise the changes.
         entries: The entries.
         unreadable_entries: The ids of the entries that cannot be read; empty strings where the id cannot be read.
     """
 
     seq: int
-    is_full: bool
+    is_whole: bool
     entries: list[Entry]
     unreadable_entries: tuple[str, ...] = ()
 
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -18,7 +18,7 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 DIAL_TIMEOUT_US = SECOND_US  # of a dial to discovery, and of sending the request
-FIRST_RESPONSE_TIMEOUT_US = 3 * SECOND_US
+FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US
 IDLE_TIMEOUT_US = 3 * SECOND_US  # discovery sends a line every 2 s
 BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # each such part of an incomplete object extends the time by one timeout
 MOVE_RETRY_WINDOW_US = 3 * SECOND_US  # after a move, as discovery may come up at the new address a moment later
@@ -69,7 +69,7 @@
     objects: ObjectStream
     active_at_us: int
     received_at_us: int
-    timeout_us: int = FIRST_RESPONSE_TIMEOUT_US
+    timeout_us: int = FIRST_ACTIVITY_TIMEOUT_US
     bytes_since_active: int = 0
     is_first: bool = True
 
@@ -230,7 +230,7 @@
             update = read_list(list_object, strict=False)
             if len(update.entries) >= YIELD_ENTRIES:
                 self._scheduler.sleep(0)
-            if connection.is_first and not update.is_full and update.seq < self._listener.seq:
+            if connection.is_first and not update.is_whole and update.seq < self._listener.seq:
                 self._listener.seq, self._reconnect_soon = 0, True
                 raise OSError(f"discovery restarted its version numbering at {update.seq}")
             connection.is_first = False
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -197,11 +197,11 @@
 class AttemptsHarness:
     """Attempts to one endpoint, and the outcomes that they reported."""
 
-    def __init__(self, world, settings, address, most=100):
+    def __init__(self, world, settings, address, max_sockets=100):
         self.world, self.outcomes, self.may_begin = world, [], True
         self.entry = Entry(Endpoint("e", "a", "many", 1, EndpointStatus.READY, 1.0), address)
         self.attempts = Attempts(
-            world, settings, most, lambda event, _: self.outcomes.append(event), lambda entry: self.may_begin
+            world, settings, max_sockets, lambda event, _: self.outcomes.append(event), lambda entry: self.may_begin
         )
 
     def message(self, name, attempt=0, span=2 * S, **more):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -208,9 +208,9 @@
         answer = harness.read_answer(late)
         assert (answer.status, answer.keep) == (202, False)
         assert closed(harness.world, late)
-        silent = socket.create_connection(harness.sender.address)
-        silent.setblocking(False)
-        assert closed(harness.world, silent)
+        unused = socket.create_connection(harness.sender.address)
+        unused.setblocking(False)
+        assert closed(harness.world, unused)
         assert harness.world.now() - began < 4 * S
         assert call(harness, "PUT", "/healthcheck/ok") == 200
         assert health() == (200, True)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize(("sent", "outcome"), MALFORMED)
 def test_a_malformed_answer_ends_its_call_soon_and_closes_its_connection(world, sent, outcome):
     """A status of 200 is final, but the message stayed in the journal forever. After any other malformed answer the
-    call may have run. AttemptsHarness waited until their deadline for the rest of the answer, and used up a slot."""
+    call may have run. Calls waited until their deadline for the rest of the answer, and used up a slot."""
 
     def play():
         calls, _, sock, _ = begun(world, "m", span=30 * S)
@@ -480,7 +480,7 @@
 def test_at_the_socket_limit_the_longest_idle_connection_is_closed(world):
     def play():
         peers = [StubServer(world) for _ in range(3)]
-        calls, socks = AttemptsHarness(world, settings(), None, most=2), []
+        calls, socks = AttemptsHarness(world, settings(), None, max_sockets=2), []
         for n, peer in enumerate(peers):
             calls.entry = Entry(calls.entry.endpoint, peer.address)
             calls.begin(str(n))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -207,7 +207,7 @@
     world = VirtualTimeScheduler()
 
     def play():
-        peer, endpoint_list, _told, sock = opened(world)
+        peer, endpoint_list, _events, sock = opened(world)
         sock.send(STREAM_HEAD + chunk(None))
         world.sleep(MS)
         resume_within_poll(world)
@@ -476,7 +476,7 @@
     world = VirtualTimeScheduler()
 
     def play():
-        peer, endpoint_list, _told = watched(world)
+        peer, endpoint_list, _events = watched(world)
         endpoint_list.subscribe()
         sock = peer.accept()
         sock.send(STREAM_HEAD)
--- a/tests/test_ingress_races.py
+++ b/tests/test_ingress_races.py
@@ -13,13 +13,13 @@
 CLOSE_REASONS = {
     "shutdown": lambda harness: harness.ingress.close_idle(),
     "drain": lambda harness: harness.ingress.drain(True),
-    "idle time-out": lambda harness: setattr(harness.world, "clock", harness.world.clock + IDLE_TIMEOUT_US + S),
+    "idle timeout": lambda harness: setattr(harness.world, "clock", harness.world.clock + IDLE_TIMEOUT_US + S),
 }
 
 
 def idle_connection(harness):
     sock = harness.dial()
-    harness.ask(sock, X_Request_Id="first")
+    harness.send_request(sock, X_Request_Id="first")
     assert harness.answer(sock).status == 202
     harness.world.sleep(MS)
     return sock
@@ -42,7 +42,7 @@
     def play():
         sock = idle_connection(harness)
         resume_within_poll(harness.world)
-        harness.ask(sock, X_Request_Id="second")  # not read yet
+        harness.send_request(sock, X_Request_Id="second")  # not read yet
         CLOSE_REASONS[reason](harness)
         assert harness.answer(sock).status == 202
         assert [one.id for one in harness.submitted] == ["first", "second"]
@@ -62,7 +62,7 @@
         CLOSE_REASONS[reason](harness)
         harness.world.sleep(2 * MS)
         for _ in range(3):  # more than one read returns
-            harness.ask(sock, X_Request_Id="second", body=b"x" * 60_000)
+            harness.send_request(sock, X_Request_Id="second", body=b"x" * 60_000)
             harness.world.sleep(MS)
         sock.shutdown(socket.SHUT_WR)
         harness.world.sleep(5 * MS)
@@ -80,7 +80,7 @@
 
     def play():
         sock = harness.dial()
-        harness.ask(sock)
+        harness.send_request(sock)
         harness.world.wait_until(lambda: harness.submitted)
         harness.ingress.close_idle()
         resume_within_poll(harness.world)
@@ -118,12 +118,12 @@
         resume_within_poll(harness.world)  # the connection is not accepted before the listener closes
         sock = harness.dial()
         if not late:
-            harness.ask(sock)
+            harness.send_request(sock)
         harness.ingress.close_idle()
         harness.ingress.stop_listening()
         if late:  # its request arrives after the close
             harness.world.sleep(MS)
-            harness.ask(sock)
+            harness.send_request(sock)
         assert harness.answer(sock).status == 202
         assert len(harness.submitted) == 1
         with pytest.raises(ConnectionRefusedError):
@@ -137,7 +137,7 @@
 
     def play():
         sock = harness.dial()
-        harness.ask(sock)
+        harness.send_request(sock)
         reader = read(harness.world, sock, http.AnswerReader())
         resume_within_poll(harness.world)
         sock.send(b"half a request")
@@ -161,7 +161,7 @@
         harness.ingress._max_clients = 3
         resume_within_poll(harness.world)
         if has_request:
-            harness.ask(socks[0], X_Request_Id="second")
+            harness.send_request(socks[0], X_Request_Id="second")
         assert harness.ingress._evict_client()
         assert harness.answer(socks[0]).status == 202 if has_request else closed(harness.world, socks[0])
         assert len(harness.ingress._clients) == 2
@@ -225,7 +225,7 @@
 
     def play():
         sock = harness.dial()
-        harness.ask(sock)
+        harness.send_request(sock)
         harness.world.wait_until(lambda: harness.submitted)
         resume_within_poll(harness.world)
         if closes == "before its result":
--- a/tests/test_ingress_server.py
+++ b/tests/test_ingress_server.py
@@ -34,7 +34,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
-    def ask(self, sock, target="/safe", method="POST", body=b"body", **changes):
+    def send_request(self, sock, target="/safe", method="POST", body=b"body", **changes):
         fields = HEAD | {name.replace("_", "-"): value for name, value in changes.items()}
         sock.send(http.request(method, target, "s", [(k, v) for k, v in fields.items() if v is not None], body))
 
@@ -50,14 +50,16 @@
         for number, (deadline, left_us) in enumerate(
             [("480m", 240 * MS), ("1500u", 750), ("0.5m", 250), ("99999999m", 7600 * MS)]
         ):  # less the time that it may have waited unread
-            harness.ask(sock, "/keyed/more?x=1", X_Request_Id=f"id{number}", Idempotency_Key="key", X_Deadline=deadline)
+            harness.send_request(
+                sock, "/keyed/more?x=1", X_Request_Id=f"id{number}", Idempotency_Key="key", X_Deadline=deadline
+            )
             assert harness.answer(sock).status == 202
             request = harness.submitted[number]
             assert (request.id, request.class_name, request.destination) == (f"id{number}", "keyed", 7)
             assert request.idempotency_key == "key"
             assert request.body == b"body"
             assert request.due_us == began + left_us
-        harness.ask(sock, "/healthz", "GET", None)
+        harness.send_request(sock, "/healthz", "GET", None)
         assert harness.answer(sock).status == 200
 
     harness.world.play(play)
@@ -73,16 +75,16 @@
         sock = harness.dial()
         harness.world.sleep(MS)
         if reused:
-            harness.ask(sock)
+            harness.send_request(sock)
             harness.answer(sock)
-        harness.ask(sock, X_Deadline="480m")
+        harness.send_request(sock, X_Deadline="480m")
         submitted_at = harness.world.now()
         harness.world.clock += busy_us  # the running step takes this long
         harness.answer(sock)
         unread_us = min(240 * MS, max(busy_us, 35 * MS))
         assert harness.submitted[-1].due_us == submitted_at + busy_us + 480 * MS - unread_us
         harness.world.sleep(S)  # the next request arrives while the poll waits, so its arrival is known
-        harness.ask(sock, X_Deadline="480m")
+        harness.send_request(sock, X_Deadline="480m")
         harness.answer(sock)
         assert harness.submitted[-1].due_us == harness.world.now() + 445 * MS
 
@@ -99,13 +101,13 @@
             world.call_at(world.now() + MS, lambda: None)
             world.clock += MS + late_us  # other processes use the processor
             world.sleep(0)
-            harness.ask(sock, X_Deadline="7000m")
+            harness.send_request(sock, X_Deadline="7000m")
             harness.answer(sock)
             assert abs(harness.submitted[-1].due_us - world.now() - left_ms * MS) < 4 * MS
         for _ in range(40):
             world.sleep(S)
         sock = harness.dial()
-        harness.ask(sock, X_Deadline="7000m")
+        harness.send_request(sock, X_Deadline="7000m")
         harness.answer(sock)
         assert abs(harness.submitted[-1].due_us - world.now() - 6600 * MS) < 4 * MS
 
@@ -121,7 +123,7 @@
     def play():
         for _ in range(3):  # at the start and later
             sock = harness.dial()
-            harness.ask(sock, X_Deadline=f"{left_ms}m")
+            harness.send_request(sock, X_Deadline=f"{left_ms}m")
             harness.answer(sock)
             assert harness.submitted[-1].due_us - harness.world.now() + 400 * MS <= left_ms * MS + 290 * MS
             harness.world.sleep(S)
@@ -138,7 +140,7 @@
 
     def play():
         sock = harness.dial()
-        harness.ask(sock)
+        harness.send_request(sock)
         answer = harness.answer(sock)
         assert (answer.status, answer.fields.get("retry-after"), answer.keep) == (status, retry_after, True)
 
@@ -170,12 +172,12 @@
 
     def play():
         sock, other = harness.dial(), harness.dial()
-        harness.ask(sock, **changes)
+        harness.send_request(sock, **changes)
         assert harness.answer(sock).status == status
         assert harness.submitted == []
         sock.shutdown(socket.SHUT_WR)
         assert closed(harness.world, sock)
-        harness.ask(other)
+        harness.send_request(other)
         assert harness.answer(other).status == 202
 
     harness.world.play(play)
@@ -204,7 +206,7 @@
 
     def play():
         sock = harness.dial()
-        harness.ask(sock)
+        harness.send_request(sock)
         harness.world.wait_until(lambda: harness.submitted)
         end(sock)
         harness.world.wait_until(lambda: harness.withdrawn)
@@ -265,14 +267,14 @@
 
     def play():
         began = harness.world.now()
-        silent, slow, idle = harness.dial(), harness.dial(), harness.dial()
-        harness.ask(idle)
+        unused, slow, idle = harness.dial(), harness.dial(), harness.dial()
+        harness.send_request(idle)
         assert harness.answer(idle).status == 202
         for _ in range(15):
             slow.send(b"X")
             harness.world.sleep(S // 10)
         assert len(harness.ingress._clients) == 3
-        assert closed(harness.world, silent)
+        assert closed(harness.world, unused)
         assert harness.answer(slow).status == 408
         assert harness.world.now() - began < 3 * S
         assert closed(harness.world, idle)
@@ -298,7 +300,7 @@
                 except BlockingIOError:
                     harness.world.sleep(MS)
         assert sent < 20_000_000
-        harness.ask(usual)
+        harness.send_request(usual)
         assert harness.answer(usual).status == 202
 
     harness.world.play(play)
@@ -311,7 +313,7 @@
     def play():
         usual = harness.dial()
         for _ in range(2):
-            harness.ask(usual)
+            harness.send_request(usual)
             assert harness.answer(usual).status == 202
         crowd = [harness.dial() for _ in range(20)]
         for _ in range(20):
@@ -319,10 +321,10 @@
             sock.send(b"nonsense\r\n\r\n")
             crowd.append(sock)
         late = harness.dial()
-        harness.ask(late)
+        harness.send_request(late)
         assert harness.answer(late).status == 202
         assert len(harness.ingress._clients) <= 8
-        harness.ask(usual)
+        harness.send_request(usual)
         assert harness.answer(usual).status == 202
 
     harness.world.play(play)
@@ -336,22 +338,22 @@
     def play():
         usual, waits, crowd = harness.dial(), [], []
         for _ in range(2):
-            harness.ask(usual)
+            harness.send_request(usual)
             assert harness.answer(usual).status == 202
         for number in range(300):
             crowd.append(harness.dial())
             if number % 10:
-                harness.ask(crowd[-1], "/healthz", "GET", None)
+                harness.send_request(crowd[-1], "/healthz", "GET", None)
             if number % 20 == 0:
                 began, late = harness.world.now(), harness.dial()
-                harness.ask(late)
+                harness.send_request(late)
                 assert harness.answer(late).status == 202
                 waits.append(harness.world.now() - began)
                 late.close()
             harness.world.sleep(4 * MS)
         assert max(waits) < 20 * MS
         assert len(harness.ingress._clients) <= 20
-        harness.ask(usual)
+        harness.send_request(usual)
         assert harness.answer(usual).status == 202
 
     harness.world.play(play)
@@ -397,7 +399,7 @@
 
     def play():
         idle, busy = harness.dial(), harness.dial()
-        harness.ask(idle)
+        harness.send_request(idle)
         assert harness.answer(idle).status == 202
         busy.send(b"POST /safe HTTP/1.1\r\n")
         harness.world.sleep(MS)
@@ -411,7 +413,7 @@
             assert not answer.keep
             assert closed(harness.world, sock)
         sock = harness.dial()
-        harness.ask(sock, "/healthz", "GET", None)
+        harness.send_request(sock, "/healthz", "GET", None)
         assert harness.answer(sock).status == 503
 
     harness.world.play(play)
@@ -423,17 +425,17 @@
     def play():
         idle = [harness.dial() for _ in range(3)]
         for sock in idle:
-            harness.ask(sock)
+            harness.send_request(sock)
             assert harness.answer(sock).keep
         harness.result, busy = None, []
         for number in range(8):
             assert len(harness.ingress._clients) <= 8
             busy.append(harness.dial())
-            harness.ask(busy[number])
+            harness.send_request(busy[number])
             harness.world.wait_until(lambda number=number: len(harness.submitted) == 4 + number)
         assert [closed(harness.world, sock) for sock in idle] == [True] * 3
         late = harness.dial()  # connections with a request in progress are not evicted: this one waits
-        harness.ask(late)
+        harness.send_request(late)
         harness.world.sleep(S)
         assert len(harness.submitted) == 11
         assert len(harness.ingress._clients) == 8
@@ -443,25 +445,25 @@
     harness.world.play(play)
 
 
-@pytest.mark.parametrize("silent", [True, False])
-def test_when_half_of_the_places_are_taken_connections_close_after_their_answer_and_unused_ones_early(silent):
+@pytest.mark.parametrize("unused", [True, False])
+def test_when_half_of_the_places_are_taken_connections_close_after_their_answer_and_unused_ones_early(unused):
     """Idle connections took all descriptors that the clients had, fewer than the sender has. They could open no more,
     and a third of the messages failed without reaching the sender."""
     harness = IngressHarness(max_clients=20, result=Accepted())
 
     def play():
         first = harness.dial()
-        harness.ask(first)
+        harness.send_request(first)
         assert harness.answer(first).keep
         for _ in range(100):
             sock = harness.dial()
-            if not silent:
-                harness.ask(sock)
+            if not unused:
+                harness.send_request(sock)
                 harness.answer(sock)
             harness.world.sleep(50 * MS)
             assert len(harness.ingress._clients) <= 11
         late = harness.dial()
-        harness.ask(late)
+        harness.send_request(late)
         assert harness.answer(late).keep is not (len(harness.ingress._clients) >= 10)
 
     harness.world.play(play)
