--- a/scalefall/net/admin.py
+++ b/scalefall/net/admin.py
@@ -1,6 +1,6 @@
 """The admin server: serves operators' calls over HTTP/1.1 on an address of its own, one call per connection.
 
-It answers under any load of messages. A connection whose call is incomplete is closed after a time-out, and earlier if
+It answers under any load of messages. A connection whose call is incomplete is closed after a timeout, and earlier if
 there are many of them. What a call means is decided in admin_state.py.
 """
 
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -94,7 +94,7 @@
 
 
 def read_retry_after(fields: dict[str, str]) -> int:
-    """Return an answer's Retry-After in microseconds, rounded up; 0 if it has none."""
+    """Return an answer's Retry-After in microseconds, rounded up so that no wait is cut short; 0 if it has none."""
     value = fields.get("retry-after", "")
     return math.ceil(float(value) * SECOND_US) if RETRY_AFTER.match(value) else 0
 
--- a/scalefall/net/attempt_state.py
+++ b/scalefall/net/attempt_state.py
@@ -44,7 +44,7 @@
         started_at_us: When it started, in monotonic microseconds.
         task: The task that runs it.
         connection: Its connection; None before the dial ends, and after the connection is released or closed.
-        written: The call's last byte has been sent, so that the messages may have run.
+        written: The call's last byte is in the socket's buffer, so that the messages may have run.
         over: All of its messages have their outcomes; later events are ignored.
     """
 
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -42,13 +42,13 @@
     name: str
     listen: Address
     discovery: Address | None  # None: the fleet is the endpoint list
-    state: str
+    state: str  # folder of the stored state
     seed: int
     sockets: int
     disk_bytes: int
     memory_bytes: int
     settings: Settings
-    known: ListUpdate
+    known: ListUpdate  # the endpoint list to start with
     reports: Address | None = None  # where delivery reports go without discovery; None: to the log
     fleet: Fleet | None = None
     needs_restart: tuple[str, ...] = ()  # after a reload: changes that take a restart
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -20,7 +20,7 @@
 MILLISECOND_US = 1000  # microseconds in a millisecond
 IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # between this side's close of an idle connection and the endpoint's
 REUSE_DELAY_US = 20 * MILLISECOND_US  # after an answer, in which surplus bytes of the answer may still arrive
-STALE_AFTER_US = 80 * MILLISECOND_US  # after the reuse delay; the peer may have dropped such a connection unnoticed
+STALE_AFTER_US = 80 * MILLISECOND_US  # after the reuse delay; such a connection may have been dropped unnoticed
 MAX_STALE_LOSS_RATE = 0.03  # above it, calls that must not run twice avoid stale connections
 STALE_LOSS_AVERAGED_CALLS = 50  # the span of the stale loss rate's exponential mean
 
@@ -44,7 +44,7 @@
         sock: The non-blocking socket.
         key: The endpoint and its address.
         is_new: The connection was dialled for this attempt.
-        was_stale: The connection was idle for so long that the peer may have dropped it unnoticed.
+        was_stale: The connection was idle for so long that it may have been dropped unnoticed.
     """
 
     sock: socket.socket
@@ -103,7 +103,7 @@
 
         Args:
             entry: The endpoint and its address.
-            deadline_us: The end of the time for a dial, in monotonic microseconds.
+            deadline_us: The latest end of a dial, in monotonic microseconds.
             avoid_stale: Dial instead of reusing a stale connection.
 
         Raises:
@@ -180,7 +180,10 @@
         return Connection(sock, key, is_new=True, was_stale=False)
 
     def _watch(self, idle: IdleConnection) -> None:
-        """Close an idle connection after its time, or at once if its endpoint closes it or sends; runs as a task."""
+        """Close an idle connection after its retention time, before its endpoint's idle timeout; runs as a task.
+
+        Close it at once if its endpoint closes it or sends.
+        """
         retention_us = REUSE_DELAY_US + self.retention.retention_us(idle.key, idle.idle_close_us)
         span_us = min(max(idle.idle_close_us // 2, idle.idle_close_us - IDLE_CLOSE_MARGIN_US), retention_us)
         if idle in self._idle:
--- a/scalefall/net/connection_retention.py
+++ b/scalefall/net/connection_retention.py
@@ -15,7 +15,7 @@
 REJECTED_FACTOR = 0.5  # of the retention time per rejected connection: halved, as congestion control does
 ACCEPTED_FACTOR = 1.25  # of the retention time per accepted connection: about three make up for one rejection
 NEWEST_INTERVAL_WEIGHT = 0.25  # in the exponential mean of call intervals, which spans about four of them
-MIN_MEAN_INTERVALS = 2.0  # that the retention time must hold for a connection to be kept
+MIN_MEAN_INTERVALS = 2.0  # mean call intervals that must fit into the retention time to keep a connection
 
 
 @dataclass(slots=True)
--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -18,8 +18,8 @@
     """The endpoints that discovery lists.
 
     Where lists are pushed, the sender counts as notified of discovery's list whether or not a watch is open. So a watch
-    is always open, and the engine gets the list of the last run only once discovery has answered. Where lists are
-    polled, each failure of the watch is one FAILED event.
+    is always open, and the engine gets the known list only once discovery has answered. Where lists are polled, each
+    failure of the watch is one FAILED event.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         self._on_change(EndpointListUpdate(ListUpdateKind.FAILED))
 
     def _announce_initial_list(self) -> None:
-        """Pass the list of the last run to the engine, once, before any newer update."""
+        """Pass the known list to the engine, once, before any newer update."""
         if not self._is_announced:
             self._is_announced = True
             self._on_change(self.initial_list())
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -14,7 +14,7 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import Endpoint, EndpointListUpdate, EndpointStatus, ListUpdateKind
 
-MIN_REMOVED_RETENTION_US = 60_000_000  # or as long as messages may take: calls may be in flight to a removed endpoint
+MIN_REMOVED_RETENTION_US = 60_000_000  # calls may be in flight to a removed endpoint; longer if messages take longer
 
 
 class EndpointList:
--- a/scalefall/net/http.py
+++ b/scalefall/net/http.py
@@ -45,7 +45,7 @@
 class Reader:
     """Parses one message after another: a head, then a body of known length, in chunks, or up to the end of the stream.
 
-    feed() takes bytes as they arrive; head_done and complete tell how much of the message has been parsed. Bytes after
+    feed() takes bytes as they arrive; head_done and complete show how much of the message has been parsed. Bytes after
     its end stay in `unparsed` for the next message, which begin_next() starts.
     """
 
--- a/scalefall/net/ingress_server.py
+++ b/scalefall/net/ingress_server.py
@@ -32,7 +32,7 @@
 
 # The client's deadline runs while its request waits unread in the socket buffer. That wait is estimated and taken off
 # the time left. While the process starts, its clock shows nothing of the wait, so a minimum is always taken off.
-MAX_UNREAD_US = 400_000  # most time that is taken off for the wait
+MAX_UNREAD_US = 400_000  # most time that is taken off for the wait: a client waits no longer for its answer
 MIN_UNREAD_DIVISOR = 20  # the minimum is the class's deadline divided by this
 MAX_UNREAD_DIVISOR = 2  # at most the time left divided by this is taken off
 
@@ -121,7 +121,7 @@
 
 
 def encode_admission_result(result: AdmissionResult, keep: bool) -> bytes:
-    """Return the HTTP answer for an admission result; keep tells whether the connection stays open."""
+    """Return the HTTP answer for an admission result; with keep, the connection stays open."""
     if isinstance(result, Accepted):
         return http.answer(202, [], keep=keep)
     if isinstance(result, GivenUp):
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -18,12 +18,12 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 DIAL_TIMEOUT_US = SECOND_US  # of a dial to discovery, and of sending the request
-FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US
+FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US  # from the request to the first whole object or blank line
 IDLE_TIMEOUT_US = 3 * SECOND_US  # discovery sends a line every 2 s
-BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # each such part of an incomplete object extends the time by one timeout
+BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # each such amount of an incomplete object extends its deadline by one timeout
 MOVE_RETRY_WINDOW_US = 3 * SECOND_US  # after a move, as discovery may come up at the new address a moment later
 MOVE_RETRY_INTERVAL_US = SECOND_US // 10
-IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # after an idle timeout
+IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # after an idle timeout or a restarted numbering
 CLOSED_RECONNECT_JITTER_US = 2 * SECOND_US  # after an active watch broke: senders must not all reconnect at once
 MIN_BACKOFF_US = SECOND_US // 20  # doubled by each further failure
 MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # where lists are pushed
@@ -48,7 +48,7 @@
         """Handle activity of discovery: a list or a blank keep-alive line."""
 
     def watch_failed(self) -> None:
-        """Handle a watch that broke other than by an idle timeout."""
+        """Handle a polled watch that broke, other than by an idle timeout or a restarted numbering."""
 
 
 @dataclass(slots=True)
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -26,7 +26,7 @@
 MIN_LAG_US = 10_000  # a timer that runs late by no more than this does not count as lag
 LAG_DECAY_DIVISOR = 10  # the lag decays by the time that passes, divided by this
 IMMEDIATE_POLL_US = 1000  # a poll that returned within this had its results ready: they arrived after the previous poll
-MAX_CANCELLED_TIMERS = 256  # cancelled timers that may stay in the heap
+MAX_CANCELLED_TIMERS = 256  # in the heap; more may stay while they are at most half of it
 READY = "ready"  # result of a pause: its socket is ready
 TIMED_OUT = "time up"  # result of a pause: its time is up
 
@@ -78,7 +78,7 @@
 
     @staticmethod
     def wall() -> int:
-        """Microseconds since the epoch."""
+        """Return the wall time, in microseconds since the epoch."""
         return time.time_ns() // 1000
 
     @property
@@ -100,7 +100,7 @@
             self.log_failure("task", function)
 
     def log_failure(self, kind: str, function: Callable[..., object]) -> None:
-        """Log an unhandled exception of a task, timer or signal handler; call it while the exception is handled."""
+        """Log an unhandled exception of a task, attempt, timer or signal handler; call it in the `except` block."""
         log.exception("unhandled exception in %s %s", kind, getattr(function, "__qualname__", function))
 
     def call_at(self, at_us: int, function: Callable[..., object], *args: Any) -> Timer:
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -52,9 +52,8 @@
                     task.throw()
         for container in (self.tasks, self._ready, self._tasks_by_fd, self._timers):
             container.clear()
-        for sock in (
-            (self._wakeup_receiver, self._wakeup_sender) if not self.threads else ()
-        ):  # a thread may still write to it
+        # A thread may still write to these.
+        for sock in (self._wakeup_receiver, self._wakeup_sender) if not self.threads else ():
             sock.close()
 
     def kill(self):
@@ -124,9 +123,8 @@
                 )
                 continue
             sock.setblocking(False)
-            sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
-            )  # else bytes may arrive after the clock has jumped
+            # Without TCP_NODELAY, bytes may arrive after the clock has jumped.
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.accepted += 1
             return sock
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -253,9 +253,8 @@
     state.apply(start)
     assert state.in_maintenance == {"a b"}
     end = AdminCommand(AdminAction.END_MAINTENANCE, "a b")
-    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(
-        200, end
-    )  # not in the list any more
+    # The endpoint is not in the list any more.
+    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(200, end)
     state.apply(end)
     assert state.in_maintenance == set()
     assert state.decide("GET", "/healthcheck", False, bool) == AdminDecision(503, None)
--- a/tests/test_ingress_server.py
+++ b/tests/test_ingress_server.py
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("busy_us", [20 * MS, 200 * MS, S])
 @pytest.mark.parametrize("reused", [False, True])
 def test_the_time_that_a_request_waits_unread_is_taken_off_its_deadline(busy_us, reused):
-    """Counted from the read, a message ended up to 400 ms after its deadline: it was answered, and lost."""
+    """With the deadline counted from the read, messages ended up to 400 ms late, and were lost though answered."""
     harness = IngressHarness(result=Accepted(), classes={"safe": message_class(deadline_us=7 * S // 10)})
 
     def play():
@@ -307,7 +307,7 @@
 
 
 def test_many_clients_that_send_nothing_do_not_keep_out_one_with_a_request():
-    """Nor do clients with one request each close the connections that others reuse."""
+    """Nor are connections that others reuse evicted for clients with one request each."""
     harness = IngressHarness(max_clients=8, result=Accepted())
 
     def play():
