--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -20,7 +20,7 @@
 MILLISECOND_US = 1000  # microseconds in a millisecond
 IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # between this side's close of an idle connection and the endpoint's
 REUSE_DELAY_US = 20 * MILLISECOND_US  # after an answer, in which surplus bytes of the answer may still arrive
-STALE_AFTER_US = 80 * MILLISECOND_US  # after the reuse delay; the peer may have dropped such a connection unnoticed
+STALE_AFTER_US = 80 * MILLISECOND_US  # after the reuse delay; such a connection may have been dropped unnoticed
 MAX_STALE_LOSS_RATE = 0.03  # above it, calls that must not run twice avoid stale connections
 STALE_LOSS_AVERAGED_CALLS = 50  # the span of the stale loss rate's exponential mean
 
@@ -44,7 +44,7 @@
         sock: The non-blocking socket.
         key: The endpoint and its address.
         is_new: The connection was dialled for this attempt.
-        was_stale: The connection was idle for so long that the peer may have dropped it unnoticed.
+        was_stale: The connection was idle for so long that it may have been dropped unnoticed.
     """
 
     sock: socket.socket
@@ -98,12 +98,12 @@
         self.retention = ConnectionRetention(settings.replica_count)
         self.stale_loss_rate = 0.0
 
-    def connect(self, entry: Entry, until_us: int, avoid_stale: bool) -> Connection:
+    def connect(self, entry: Entry, deadline_us: int, avoid_stale: bool) -> Connection:
         """Return the most recently used idle connection that is reusable and still open, or else a new one.
 
         Args:
             entry: The endpoint and its address.
-            until_us: The end of the time for a dial, in monotonic microseconds.
+            deadline_us: The latest end of a dial, in monotonic microseconds.
             avoid_stale: Dial instead of reusing a stale connection.
 
         Raises:
@@ -114,7 +114,7 @@
         now_us = self._scheduler.now()
         key = EndpointKey(entry.endpoint.id, entry.address)
         self.retention.call_started(key, now_us)
-        return self._pop_idle(key, now_us, avoid_stale) or self._dial(entry, key, until_us)
+        return self._pop_idle(key, now_us, avoid_stale) or self._dial(entry, key, deadline_us)
 
     def release(self, connection: Connection, entry: Entry) -> None:
         """Return a connection to the pool, or close it if none is kept; the caller must not use it again.
@@ -169,18 +169,21 @@
             idle.sock.close()
         return None
 
-    def _dial(self, entry: Entry, key: EndpointKey, until_us: int) -> Connection:
+    def _dial(self, entry: Entry, key: EndpointKey, deadline_us: int) -> Connection:
         """Open a new connection; at the socket limit, close the longest idle ones first."""
         while self._idle and self.in_use + len(self._idle) > self._max_sockets:
             self._discard(next(iter(self._idle)))
         if self.in_use > self._max_sockets:
             raise SocketLimitError(f"no socket left: {self.in_use} connections in use, limit {self._max_sockets}")
-        dial_until_us = self._scheduler.now() + (entry.dial_us or self._settings.dial_timeout_us)
-        sock = streams.dial(self._scheduler, entry.address, min(until_us, dial_until_us))
+        dial_deadline_us = self._scheduler.now() + (entry.dial_us or self._settings.dial_timeout_us)
+        sock = streams.dial(self._scheduler, entry.address, min(deadline_us, dial_deadline_us))
         return Connection(sock, key, is_new=True, was_stale=False)
 
     def _watch(self, idle: IdleConnection) -> None:
-        """Close an idle connection after its time, or at once if its endpoint closes it or sends; runs as a task."""
+        """Close an idle connection after its retention time, before its endpoint's idle timeout; runs as a task.
+
+        Close it at once if its endpoint closes it or sends.
+        """
         retention_us = REUSE_DELAY_US + self.retention.retention_us(idle.key, idle.idle_close_us)
         span_us = min(max(idle.idle_close_us // 2, idle.idle_close_us - IDLE_CLOSE_MARGIN_US), retention_us)
         if idle in self._idle:
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -52,9 +52,8 @@
                     task.throw()
         for container in (self.tasks, self._ready, self._tasks_by_fd, self._timers):
             container.clear()
-        for sock in (
-            (self._wakeup_receiver, self._wakeup_sender) if not self.threads else ()
-        ):  # a thread may still write to it
+        # A thread may still write to these.
+        for sock in (self._wakeup_receiver, self._wakeup_sender) if not self.threads else ():
             sock.close()
 
     def kill(self):
@@ -124,9 +123,8 @@
                 )
                 continue
             sock.setblocking(False)
-            sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
-            )  # else bytes may arrive after the clock has jumped
+            # Without TCP_NODELAY, bytes may arrive after the clock has jumped.
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.accepted += 1
             return sock
 
@@ -197,11 +195,11 @@
 class AttemptsHarness:
     """Attempts to one endpoint, and the outcomes that they reported."""
 
-    def __init__(self, world, settings, address, most=100):
+    def __init__(self, world, settings, address, max_sockets=100):
         self.world, self.outcomes, self.may_begin = world, [], True
         self.entry = Entry(Endpoint("e", "a", "many", 1, EndpointStatus.READY, 1.0), address)
         self.attempts = Attempts(
-            world, settings, most, lambda event, _: self.outcomes.append(event), lambda entry: self.may_begin
+            world, settings, max_sockets, lambda event, _: self.outcomes.append(event), lambda entry: self.may_begin
         )
 
     def message(self, name, attempt=0, span=2 * S, **more):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -208,9 +208,9 @@
         answer = harness.read_answer(late)
         assert (answer.status, answer.keep) == (202, False)
         assert closed(harness.world, late)
-        silent = socket.create_connection(harness.sender.address)
-        silent.setblocking(False)
-        assert closed(harness.world, silent)
+        unused = socket.create_connection(harness.sender.address)
+        unused.setblocking(False)
+        assert closed(harness.world, unused)
         assert harness.world.now() - began < 4 * S
         assert call(harness, "PUT", "/healthcheck/ok") == 200
         assert health() == (200, True)
@@ -253,9 +253,8 @@
     state.apply(start)
     assert state.in_maintenance == {"a b"}
     end = AdminCommand(AdminAction.END_MAINTENANCE, "a b")
-    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(
-        200, end
-    )  # not in the list any more
+    # The endpoint is not in the list any more.
+    assert state.decide("PUT", "/endpoints/a%20b/ready", True, lambda name: False) == AdminDecision(200, end)
     state.apply(end)
     assert state.in_maintenance == set()
     assert state.decide("GET", "/healthcheck", False, bool) == AdminDecision(503, None)
