--- a/benchmarks/assignment_options.py
+++ b/benchmarks/assignment_options.py
@@ -27,7 +27,7 @@
 from scalefall.assignment.isolation_policy import ISOLATION_THRESHOLD, LowLoadStreaks, decide
 from scalefall.assignment.model import Node
 from scalefall.assignment.placement import IDLE_FRACTION, PlacementLimits, Table, place
-from scalefall.assignment.sharding import Sharding, mix
+from scalefall.assignment.sharding import Sharding, splitmix64
 from scalefall.assignment.snapshot import TableState, encode
 
 BOUND = 1.25
@@ -91,12 +91,12 @@
 
 def rendezvous(before: Table, _loads: dict, nodes: list[Node], counts: dict, shards: list[int]) -> Table:
     """The nodes with the highest scores. Only shards that lost a holder, or are won by a new node, are gone over."""
-    keys = {node.name: mix(int(node.name[-4:])) for node in nodes}
+    keys = {node.name: splitmix64(int(node.name[-4:])) for node in nodes}
     known = {name for holders in before.values() for name in holders}
     new = [name for name in keys if name not in known] if before else []
     table = {}
     for shard in shards:
-        salt = mix(shard)
+        salt = splitmix64(shard)
 
         def score(name: str, salt: int = salt) -> int:
             return hash((keys[name], salt))
@@ -116,7 +116,7 @@
 
 def bounded(_before: Table, loads: dict, nodes: list[Node], counts: dict, shards: list[int]) -> Table:
     """Along the ring from the shard's point, to nodes that stay within the bound; the least loaded if there is none."""
-    ring = sorted((hash((mix(int(n.name[-4:])), point)), n.name) for n in nodes for point in range(POINTS))
+    ring = sorted((hash((splitmix64(int(n.name[-4:])), point)), n.name) for n in nodes for point in range(POINTS))
     names, points = [name for _, name in ring], [point for point, _ in ring]
     carried = dict.fromkeys((node.name for node in nodes), 0.0)
     idle = sum(loads.values()) / len(shards) * IDLE_FRACTION
@@ -124,7 +124,7 @@
     table = {}
     for shard in shards:
         part = loads.get(shard, idle) / counts[shard]
-        at = bisect_left(points, hash((mix(shard), -1)))
+        at = bisect_left(points, hash((splitmix64(shard), -1)))
         holders: list[str] = []
         steps = len(ring) if part <= cap else 0
         for step in range(steps):
--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -9,7 +9,7 @@
      while another may be removed waits for that, `restart_us` at most: a replacement gets the shards of the one before.
   3. Started from a table, nothing is placed until nothing granted by the service before may be in use: by then the
      nodes of the table have come back, or are removed. Those that come back keep their shards. Nor does anything move
-     for balance until loads have been measured for BALANCE_AFTER_US: the first reports are of some of the senders only.
+     for balance until loads have been measured for MIN_LOAD_HISTORY_US: the first reports cover only some senders.
   4. Allowances are not part of a table: whoever starts a coordinator sets all that are not UNLIMITED before the first
      grants.
 
@@ -35,7 +35,7 @@
 from scalefall.assignment.sharding import Sharding
 from scalefall.errors import AssignmentError
 
-BALANCE_AFTER_US = 120_000_000  # four reports on all senders: near enough to move shards by
+MIN_LOAD_HISTORY_US = 120_000_000  # four reports on all senders: near enough to move shards by
 
 
 class Placement(Protocol):
@@ -174,16 +174,16 @@
         if is_change:
             self._schedule.membership_changed(now, self._membership.last_removal_at())
 
-    def holder_lost(self, holder: str, now: int) -> None:
+    def holder_disconnected(self, holder: str, now: int) -> None:
         """Record that a process cannot be heard any more; repeated, it changes nothing.
 
         Raises:
             AssignmentError: The process is unknown.
         """
-        if not self._membership.is_live(holder) and self._ledger.knows(holder):
+        if not self._membership.is_live(holder) and self._ledger.is_known(holder):
             return
-        self._membership.holder_lost(holder, now)
-        self._ledger.holder_lost(holder)
+        self._membership.holder_disconnected(holder, now)
+        self._ledger.holder_disconnected(holder)
         if self._membership.holder(node_of(holder)) != holder:
             self._assign_node_shards(node_of(holder))
 
@@ -209,7 +209,7 @@
         Raises:
             AssignmentError: The process is unknown.
         """
-        if not self._membership.is_live(holder) and not self._ledger.knows(holder):
+        if not self._membership.is_live(holder) and not self._ledger.is_known(holder):
             raise AssignmentError(f"unknown holder {holder}")
         return self._ledger.acknowledged(holder, shard, number, now)
 
@@ -254,8 +254,8 @@
 
     def _may_balance(self, now: int) -> bool:
         """Whether loads are known well enough to move shards by them; a first table is balanced by number."""
-        since = self._loads.since
-        return self._is_first if since is None else now - since >= BALANCE_AFTER_US
+        since = self._loads.first_report_at
+        return self._is_first if since is None else now - since >= MIN_LOAD_HISTORY_US
 
     def _place(self, now: int) -> None:
         self._schedule.placed(now)
@@ -294,7 +294,7 @@
         quotas = {}
         for node, quota in zip(nodes, _even_quotas(len(nodes)), strict=True):
             holder = self._membership.holder(node)
-            if holder is not None and self._ledger.knows(holder):
+            if holder is not None and self._ledger.is_known(holder):
                 quotas[holder] = quota
         self._ledger.assign(shard, quotas)
 
--- a/scalefall/assignment/holder.py
+++ b/scalefall/assignment/holder.py
@@ -28,13 +28,13 @@
     number: int = 0
     epoch: int = 0
     quota: int = 0
-    until: int = 0  # the end of its lease
+    expires_at: int = 0  # the end of its lease
     destination: int | None = None  # whose own shard it is
     limits: dict[int, int] = field(default_factory=dict)  # destination -> milli-calls per second
 
     def quota_at(self, now: int) -> int:
         """Return the quota that may be used at a time."""
-        return self.quota if now < self.until else 0
+        return self.quota if now < self.expires_at else 0
 
 
 class ShardHolder:
@@ -60,12 +60,12 @@
         if tenure is not None and (grant.number <= tenure.number or grant.epoch < tenure.epoch):
             return False
         if tenure is None or grant.epoch > tenure.epoch:
-            self._forget_destination(grant.shard)
+            self._drop_isolation(grant.shard)
             tenure = self._tenures[grant.shard] = _Tenure(epoch=grant.epoch, destination=grant.destination)
             if grant.destination is not None:
                 self._isolated[grant.destination] = grant.shard
         tenure.number, tenure.quota = grant.number, grant.quota
-        tenure.until = since + grant.lease_us
+        tenure.expires_at = since + grant.lease_us
         tenure.limits.update(grant.limits)
         return True
 
@@ -109,17 +109,21 @@
         Args:
             now: If given, shards whose lease has run out are left out, as the service learns nothing of them.
         """
-        return {shard: tenure.number for shard, tenure in self._tenures.items() if now is None or now < tenure.until}
+        return {
+            shard: tenure.number for shard, tenure in self._tenures.items() if now is None or now < tenure.expires_at
+        }
 
-    def forget(self, before: int) -> None:
+    def prune_withdrawn(self, before: int) -> None:
         """Drop the tenures that were withdrawn and whose lease ran out before a time.
 
         Args:
             before: At least the service's delay ago.
         """
-        withdrawn = [shard for shard, tenure in self._tenures.items() if not tenure.quota and tenure.until < before]
+        withdrawn = [
+            shard for shard, tenure in self._tenures.items() if not tenure.quota and tenure.expires_at < before
+        ]
         for shard in withdrawn:
-            self._forget_destination(shard)
+            self._drop_isolation(shard)
             del self._tenures[shard]
 
     def _tenure_of(self, destination: int, now: int) -> _Tenure | None:
@@ -128,7 +132,7 @@
             return own
         return self._tenures.get(self._shard_of(destination))
 
-    def _forget_destination(self, shard: int) -> None:
+    def _drop_isolation(self, shard: int) -> None:
         tenure = self._tenures.get(shard)
         if tenure is None or tenure.destination is None:
             return
--- a/scalefall/assignment/isolation_transitions.py
+++ b/scalefall/assignment/isolation_transitions.py
@@ -25,7 +25,7 @@
     """How far a destination is on its way to a shard of its own, or back."""
 
     PREPARING = "preparing"
-    OWN = "own"
+    ISOLATED = "own"
     MERGING = "merging"
 
 
@@ -63,7 +63,7 @@
         isolation = self._isolated.get(destination)
         if isolation is None:
             if rate < UNLIMITED or self._records.get(shard) is not None:
-                self._records.set_limit(destination, self._records.open(shard), rate)
+                self._records.set_limit(destination, self._records.get_or_create(shard), rate)
             return
         is_merging = isolation.state is IsolationState.MERGING
         if shard != (isolation.home if is_merging else isolation.own):
@@ -71,7 +71,7 @@
         if is_merging:
             isolation.rate = rate
         else:
-            self._records.set_limit(destination, self._records.open(shard), rate)
+            self._records.set_limit(destination, self._records.get_or_create(shard), rate)
 
     def isolate(self, destination: int, home_shard: int, own_shard: int) -> None:
         """Begin to move the destination's budget to its own shard.
@@ -83,14 +83,14 @@
             raise AssignmentError(f"destination {destination} has a shard of its own, or is on its way back from one")
         if own_shard == home_shard or not self._records.is_free(own_shard):
             raise AssignmentError(f"shard {own_shard} is in use")
-        home = self._records.open(home_shard)
+        home = self._records.get_or_create(home_shard)
         if home.destination is not None:
             raise AssignmentError(f"shard {home_shard} is another destination's own")
-        own = self._records.open(own_shard)
+        own = self._records.get_or_create(own_shard)
         rate = home.limits.rate(destination)
         self._records.set_limit(destination, home, 0)
         self._records.set_limit(destination, own, rate)
-        home.watched, own.blocked, own.destination = True, True, destination
+        home.awaited_by_move, own.blocked, own.destination = True, True, destination
         self._isolated[destination] = _Isolation(home_shard, own_shard, home.limits.version)
         self._moving.add(destination)
 
@@ -103,9 +103,9 @@
         isolation = self._isolated.get(destination)
         if isolation is None or isolation.state is IsolationState.MERGING:
             raise AssignmentError(f"destination {destination} has no shard of its own")
-        own = self._records.open(isolation.own)
+        own = self._records.get_or_create(isolation.own)
         isolation.state, isolation.rate = IsolationState.MERGING, own.limits.rate(destination)
-        own.draining = own.watched = True
+        own.draining = own.awaited_by_move = True
         self._records.retarget(own, {})
         self._moving.add(destination)
 
@@ -119,26 +119,26 @@
                 self._finish_isolation(destination, isolation, now)
 
     def _finish_isolation(self, destination: int, isolation: _Isolation, now: int) -> None:
-        if self._records.open(isolation.home).may_lack_version(isolation.version, now):
+        if self._records.get_or_create(isolation.home).may_lack_version(isolation.version, now):
             return
-        isolation.state = IsolationState.OWN
+        isolation.state = IsolationState.ISOLATED
         self._moving.discard(destination)
-        self._records.open(isolation.own).blocked = False
+        self._records.get_or_create(isolation.own).blocked = False
         self._records.mark_changed(isolation.own)
         self._update_watch(isolation.home)
 
     def _finish_merge(self, destination: int, isolation: _Isolation, now: int) -> None:
-        own = self._records.open(isolation.own)
+        own = self._records.get_or_create(isolation.own)
         if own.in_use(now):
             return
         self._moving.discard(destination)
         del self._isolated[destination]
         self._records.drop(own)
-        home = self._records.open(isolation.home)
+        home = self._records.get_or_create(isolation.home)
         self._records.set_limit(destination, home, isolation.rate)
         self._update_watch(isolation.home)
 
     def _update_watch(self, home: int) -> None:
         """Watch a home shard for as long as a move waits for its grants."""
         moving = (self._isolated[destination] for destination in self._moving)
-        self._records.open(home).watched = any(isolation.home == home for isolation in moving)
+        self._records.get_or_create(home).awaited_by_move = any(isolation.home == home for isolation in moving)
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -41,7 +41,7 @@
 
 from scalefall.assignment.isolation_transitions import IsolationState, IsolationTransitions
 from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, ShardGrant
-from scalefall.assignment.shard_record import NEVER, HolderLease, SentGrant, ShardRecord
+from scalefall.assignment.shard_record import NEVER, HolderLease, OutstandingGrant, ShardRecord
 from scalefall.assignment.shard_records import ReleasedShard, ShardRecords
 from scalefall.errors import AssignmentError
 from scalefall.net.invariants import assert_invariant
@@ -95,12 +95,12 @@
         self._live.add(holder)
         self._records.mark_changed(*self._records.shards_of(holder))
 
-    def holder_lost(self, holder: str) -> None:
+    def holder_disconnected(self, holder: str) -> None:
         """Record that a holder cannot be heard any more. What it was granted counts on until it has run out."""
         self._live.discard(holder)
         self._records.mark_changed(*self._records.shards_of(holder))
 
-    def knows(self, holder: str) -> bool:
+    def is_known(self, holder: str) -> bool:
         """Return whether a holder can be heard, has a target, or may use something."""
         return holder in self._live or self._records.is_involved(holder)
 
@@ -119,7 +119,7 @@
             raise AssignmentError(f"shard {shard}: its destination is on its way back to its home shard")
         targets = {holder: quota for holder, quota in quotas.items() if quota}
         if targets != (record.targets if record else {}):
-            self._records.retarget(self._records.open(shard), targets)
+            self._records.retarget(self._records.get_or_create(shard), targets)
 
     def _check_quotas(self, shard: int, quotas: Mapping[str, int]) -> None:
         for holder, quota in quotas.items():
@@ -127,7 +127,7 @@
                 raise AssignmentError(
                     f"shard {shard}: the quota of {holder} is {quota!r}, not a whole number from 0 on"
                 )
-            if not self.knows(holder):
+            if not self.is_known(holder):
                 raise AssignmentError(f"shard {shard}: unknown holder {holder}")
         total = sum(quotas.values())
         if total > FULL_QUOTA:
@@ -178,9 +178,9 @@
         before = lease.in_use(now)
         if not lease.acknowledge(number, now + self._lease):
             return False
-        if record.watched or lease.in_use(now) < before:
+        if record.awaited_by_move or lease.in_use(now) < before:
             self._records.mark_changed(shard)
-        record.forget_limits()
+        record.prune_limits()
         return True
 
     def step(self, now: int) -> list[ShardGrant]:
@@ -191,7 +191,7 @@
         grants: list[ShardGrant] = []
         for record in self._records.pop_ready(now):
             self._records.release(record, record.expire(now))
-            record.forget_limits()
+            record.prune_limits()
             for holder, quota in record.decide_grants(now, self._live, self._renewal):
                 grants.append(self._grant(record, holder, quota, now))
             assert_invariant(record.in_use(now) <= FULL_QUOTA, "quotas in use add up to no more than the full quota")
@@ -215,7 +215,7 @@
         assert_invariant(epoch <= self._number and lease.acknowledged_version <= version, "a tenure is of the past")
         assert_invariant(not record.blocked, "nothing is granted on a blocked shard")
         until = now + self._delay + self._lease
-        lease.sent.append(SentGrant(self._number, epoch, quota, version, until))
+        lease.outstanding.append(OutstandingGrant(self._number, epoch, quota, version, until))
         lease.renewed_at = now
         if not quota:
             lease.epoch = 0
--- a/scalefall/assignment/limit_log.py
+++ b/scalefall/assignment/limit_log.py
@@ -10,7 +10,7 @@
 
 from scalefall.assignment.model import UNLIMITED, DestinationLimit
 
-SMALL_RAISE = 1.1  # a raise up to this factor is worth no message of its own and waits for the renewal
+SMALL_RAISE_FACTOR = 1.1  # a raise up to this factor is worth no message of its own and waits for the renewal
 
 
 class LimitLog:
@@ -50,7 +50,7 @@
             self._unlimited[destination] = self.version
         else:
             self._unlimited.pop(destination, None)
-        if before < rate <= before * SMALL_RAISE:
+        if before < rate <= before * SMALL_RAISE_FACTOR:
             return False
         self.urgent_version = self.version
         return True
@@ -66,7 +66,7 @@
             found.append(limit)
         return tuple(found)
 
-    def forget(self, version: int) -> None:
+    def prune_unlimited(self, version: int) -> None:
         """Drop rows that only say UNLIMITED, once every holder has acknowledged the log up to this version."""
         known = [destination for destination, changed in self._unlimited.items() if changed <= version]
         for destination in known:
@@ -75,5 +75,5 @@
 
     @property
     def has_unlimited_rows(self) -> bool:
-        """Whether there is something that forget() might drop."""
+        """Whether there is something that prune_unlimited() might drop."""
         return bool(self._unlimited)
--- a/scalefall/assignment/load_means.py
+++ b/scalefall/assignment/load_means.py
@@ -14,9 +14,9 @@
 from scalefall.errors import AssignmentError
 
 AVERAGING_US = 300_000_000  # ten placements at their usual interval: bursts of half a minute move next to nothing
-IDLE_BELOW = 0.001  # calls per second: a destination with a lower mean is idle, and forgotten
+IDLE_LOAD_CALLS_PER_S = 0.001  # calls per second: a destination with a lower mean is idle, and forgotten
 MAX_DESTINATIONS = 1_000_000  # more than twice those of the size aimed at; more are not recorded until some are idle
-RESCALE_BELOW = 1e-100  # the factor is folded into the values before it runs out of a float's range
+MIN_DECAY_FACTOR = 1e-100  # the factor is folded into the values before it runs out of a float's range
 
 
 def _is_load(load: float) -> bool:
@@ -34,7 +34,7 @@
         self._values: dict[int, float] = {}  # mean / factor
         self._factor = 1.0
         self._reported_at: int | None = None  # the last report
-        self.since: int | None = None  # the time of the first report
+        self.first_report_at: int | None = None  # the time of the first report
         self.unrecorded = 0  # loads of destinations not recorded, as there were too many
 
     def __len__(self) -> int:
@@ -56,7 +56,7 @@
                 raise AssignmentError(f"destination {destination}: a load of {load!r} calls a second")
         decay = 0.0 if self._reported_at is None else exp(-max(0, now - self._reported_at) / AVERAGING_US)
         self._reported_at = now
-        self.since = now if self.since is None else self.since
+        self.first_report_at = now if self.first_report_at is None else self.first_report_at
         self._apply_decay(decay)
         weight = (1 - decay) / self._factor
         for destination, load in loads.items():
@@ -72,12 +72,12 @@
         factor = self._factor
         if self._reported_at is not None:
             factor *= exp(-max(0, now - self._reported_at) / AVERAGING_US)
-        least = IDLE_BELOW / factor if factor else 0.0
+        least = IDLE_LOAD_CALLS_PER_S / factor if factor else 0.0
         self._values = {destination: value for destination, value in self._values.items() if value >= least}
         return {destination: value * factor for destination, value in self._values.items()}
 
     def _apply_decay(self, decay: float) -> None:
         self._factor *= decay
-        if self._factor < RESCALE_BELOW:
+        if self._factor < MIN_DECAY_FACTOR:
             self._values = {destination: value * self._factor for destination, value in self._values.items()}
             self._factor = 1.0
--- a/scalefall/assignment/membership.py
+++ b/scalefall/assignment/membership.py
@@ -61,7 +61,7 @@
         member.live.append(holder)
         return is_change
 
-    def holder_lost(self, holder: str, now: int) -> None:
+    def holder_disconnected(self, holder: str, now: int) -> None:
         """Record that a process cannot be heard any more.
 
         Raises:
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -36,7 +36,7 @@
 from scalefall.policy.settings import Settings
 
 LOAD_INTERVAL_US = 30_000_000  # over which calls are counted before they become loads: a placement's interval
-MAX_UNACKNOWLEDGED = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
+MAX_UNACKNOWLEDGED_GRANTS = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
 SECOND_US = 1_000_000
 
 
@@ -120,7 +120,7 @@
     def configure(self, fleet: Fleet, now: int) -> list[Outgoing]:
         """Put a fleet in force; see BaseControlService.configure."""
         outgoing = super().configure(fleet, now)
-        self._view.replace(fleet.routes)
+        self._view.replace_destinations(fleet.routes)
         return outgoing
 
     # -- streams of resources
@@ -166,7 +166,7 @@
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._nodes[answer.holder] = Node(node, region, zone)
-            self._unacknowledged[stream] = deque(maxlen=MAX_UNACKNOWLEDGED)
+            self._unacknowledged[stream] = deque(maxlen=MAX_UNACKNOWLEDGED_GRANTS)
             self._holder_reachable(answer.holder, now)
             self._schedule_step(now)
             self._emit("proxy joined", holder=answer.holder, came_back=answer.is_known, twin=answer.shares_node_id)
@@ -203,7 +203,7 @@
         if change.state is MemberState.EXPIRED:
             self._nodes.pop(change.holder, None)
         else:
-            self.coordinator.holder_lost(change.holder, now)
+            self.coordinator.holder_disconnected(change.holder, now)
 
     def _outgoing_grants(self, grants: Sequence[ShardGrant], now: int) -> list[Outgoing]:
         by_stream: dict[int, list[ShardGrant]] = {}
--- a/scalefall/assignment/shard_record.py
+++ b/scalefall/assignment/shard_record.py
@@ -17,14 +17,14 @@
 
 
 @dataclass(slots=True)
-class SentGrant:
+class OutstandingGrant:
     """A grant as the service has to count it."""
 
     number: int
     epoch: int
     quota: int
     version: int  # of the shard's limits that it carries, with what was acknowledged before
-    until: int  # it is out of use from then on
+    expires_at: int  # it is out of use from then on
 
 
 class GrantDecision(NamedTuple):
@@ -41,16 +41,16 @@
     epoch: int = 0  # of its tenure; 0: withdrawn, so that a further grant begins a new tenure
     acknowledged_version: int = 0  # of the limits, in this tenure
     renewed_at: int = 0  # when the last grant was sent
-    sent: list[SentGrant] = field(default_factory=list)  # that may be in use, by number
+    outstanding: list[OutstandingGrant] = field(default_factory=list)  # that may be in use, by number
 
     @property
     def quota(self) -> int:
         """The quota that it was sent last."""
-        return self.sent[-1].quota if self.sent else 0
+        return self.outstanding[-1].quota if self.outstanding else 0
 
     def in_use(self, now: int) -> int:
         """Return the most that it may use at this moment: the largest of its grants, never their sum."""
-        return max((grant.quota for grant in self.sent if grant.until > now), default=0)
+        return max((grant.quota for grant in self.outstanding if grant.expires_at > now), default=0)
 
     def acknowledge(self, number: int, until: int) -> bool:
         """Record that the holder has received a grant.
@@ -64,14 +64,14 @@
         Returns:
             Whether that changed anything.
         """
-        position = next((position for position, grant in enumerate(self.sent) if grant.number == number), None)
+        position = next((position for position, grant in enumerate(self.outstanding) if grant.number == number), None)
         if position is None:
             return False
-        grant = self.sent[position]
-        if position == 0 and until >= grant.until:
+        grant = self.outstanding[position]
+        if position == 0 and until >= grant.expires_at:
             return False
-        grant.until = min(grant.until, until)
-        del self.sent[:position]
+        grant.expires_at = min(grant.expires_at, until)
+        del self.outstanding[:position]
         if grant.epoch == self.epoch:
             self.acknowledged_version = max(self.acknowledged_version, grant.version)
         return True
@@ -88,7 +88,7 @@
     limits: LimitLog = field(default_factory=LimitLog)
     blocked: bool = False  # its destination may still be in use at the home shard: nothing is granted
     draining: bool = False  # its destination goes back to the home shard: all is withdrawn
-    watched: bool = False  # a move of a destination waits for this shard's grants
+    awaited_by_move: bool = False  # a move of a destination waits for this shard's grants
     next_evaluation_at: int = NEVER
 
     def in_use(self, now: int) -> int:
@@ -98,9 +98,9 @@
     def may_lack_version(self, version: int, now: int) -> bool:
         """Return whether a grant may be in use that was made without this version of the limits."""
         return any(
-            grant.version < version and grant.quota and grant.until > now
+            grant.version < version and grant.quota and grant.expires_at > now
             for lease in self.leases.values()
-            for grant in lease.sent
+            for grant in lease.outstanding
         )
 
     def expire(self, now: int) -> list[str]:
@@ -111,19 +111,19 @@
         """
         ended = []
         for holder, lease in self.leases.items():
-            if len(lease.sent) > 1 or lease.sent[0].until <= now:
-                lease.sent = [grant for grant in lease.sent if grant.until > now]
-            if not any(grant.quota for grant in lease.sent):
+            if len(lease.outstanding) > 1 or lease.outstanding[0].expires_at <= now:
+                lease.outstanding = [grant for grant in lease.outstanding if grant.expires_at > now]
+            if not any(grant.quota for grant in lease.outstanding):
                 ended.append(holder)
         for holder in ended:
             del self.leases[holder]
         return ended
 
-    def forget_limits(self) -> None:
+    def prune_limits(self) -> None:
         """Drop rows of the limits that are of no more use to any tenure."""
         if self.limits.has_unlimited_rows:
             acknowledged = (lease.acknowledged_version for lease in self.leases.values() if lease.epoch)
-            self.limits.forget(min(acknowledged, default=self.limits.version))
+            self.limits.prune_unlimited(min(acknowledged, default=self.limits.version))
 
     def decide_grants(self, now: int, live: Container[str], renewal_us: int) -> list[GrantDecision]:
         """Decide which grants to send now; those that have run out are dropped already.
@@ -161,7 +161,7 @@
         """Whether a grant of the same quota is to be sent: for the lease's time, or for a limit."""
         if lease is None:
             return True  # it has nothing yet
-        return now >= lease.renewed_at + renewal_us or lease.sent[-1].version < self.limits.urgent_version
+        return now >= lease.renewed_at + renewal_us or lease.outstanding[-1].version < self.limits.urgent_version
 
     def next_evaluation(self, now: int, live: Container[str], renewal_us: int) -> int:
         """Return when a grant is to be renewed, or runs out and something may wait for that; NEVER if neither."""
@@ -170,11 +170,13 @@
             if lease.quota and holder in live:
                 at = min(at, lease.renewed_at + renewal_us)
             steady = holder in live and lease.in_use(now) == self.targets.get(holder, 0)
-            if self.watched or self.draining or not steady:
-                at = min(at, *(grant.until for grant in lease.sent))
+            if self.awaited_by_move or self.draining or not steady:
+                at = min(at, *(grant.expires_at for grant in lease.outstanding))
         return max(at, now + 1)
 
     @property
     def is_empty(self) -> bool:
         """Whether nothing is lost if the record is dropped."""
-        return not (self.targets or self.leases or len(self.limits) or self.watched or self.destination is not None)
+        return not (
+            self.targets or self.leases or len(self.limits) or self.awaited_by_move or self.destination is not None
+        )
--- a/scalefall/assignment/shard_records.py
+++ b/scalefall/assignment/shard_records.py
@@ -33,7 +33,7 @@
         """Return the record of a shard, if it has one."""
         return self._records.get(number)
 
-    def open(self, number: int) -> ShardRecord:
+    def get_or_create(self, number: int) -> ShardRecord:
         """Return the record of a shard, made if there is none."""
         record = self._records.get(number)
         if record is None:
@@ -48,7 +48,7 @@
         """Record a limit; whether holders are sent it at once is the log's to decide."""
         if record.limits.set(destination, rate):
             self._changed.add(record.number)
-        record.forget_limits()
+        record.prune_limits()
 
     # -- holders
 
--- a/scalefall/assignment/shard_view.py
+++ b/scalefall/assignment/shard_view.py
@@ -68,7 +68,7 @@
         """Return the destinations of one shard."""
         return self._by_shard.get(shard, ())
 
-    def replace(self, destinations: Iterable[int]) -> None:
+    def replace_destinations(self, destinations: Iterable[int]) -> None:
         """Replace the destinations that there are."""
         wanted = set(destinations)
         for destination in self._shards.keys() - wanted:
--- a/scalefall/assignment/sharding.py
+++ b/scalefall/assignment/sharding.py
@@ -18,7 +18,7 @@
 UINT64_MASK = 2**64 - 1  # the hash is defined on unsigned 64-bit integers
 
 
-def mix(value: int) -> int:
+def splitmix64(value: int) -> int:
     """Return the finaliser of splitmix64 of a 64-bit integer, which is a well mixed one.
 
     Source: Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (OOPSLA 2014).
@@ -58,7 +58,7 @@
         own = self._isolated.get(destination)
         if own is not None:
             return own
-        return (mix(destination) * self.count) >> 64
+        return (splitmix64(destination) * self.count) >> 64
 
     @property
     def isolated(self) -> Mapping[int, int]:
--- a/scalefall/assignment/snapshot.py
+++ b/scalefall/assignment/snapshot.py
@@ -22,8 +22,8 @@
 from scalefall.assignment.model import Node
 from scalefall.errors import AssignmentError
 
-FORM = "scalefall-assignment"
-VERSION = "1"  # of the form; another one is rejected
+FORMAT_NAME = "scalefall-assignment"
+FORMAT_VERSION = "1"  # of the form; another one is rejected
 DIGEST_BYTES = 16  # enough that no damage goes unseen
 
 Json: TypeAlias = None | bool | int | float | str | list["Json"] | dict[str, "Json"]
@@ -76,7 +76,7 @@
         "table": [[shard, *(index[name] for name in state.table[shard])] for shard in sorted(state.table)],
     }
     body = json.dumps(fields, separators=(",", ":"))
-    return f"{FORM} {VERSION} {_checksum(body)}\n{body}\n"
+    return f"{FORMAT_NAME} {FORMAT_VERSION} {_checksum(body)}\n{body}\n"
 
 
 def decode(text: str, fingerprint: str) -> TableState:
@@ -107,12 +107,12 @@
     """The second line, once the first one vouches for it."""
     lines = text.split("\n")
     head = lines[0].split(" ")
-    if head[0] != FORM:
-        raise AssignmentError(f"snapshot: it does not begin with {FORM}")
+    if head[0] != FORMAT_NAME:
+        raise AssignmentError(f"snapshot: it does not begin with {FORMAT_NAME}")
     if len(lines) != 3 or lines[2] or len(head) != 3:
         raise AssignmentError("snapshot: it is not whole: a first line, a second and a line feed are wanted")
-    if head[1] != VERSION:
-        raise AssignmentError(f"snapshot: it has the form of version {head[1]!r:.20}, not {VERSION}")
+    if head[1] != FORMAT_VERSION:
+        raise AssignmentError(f"snapshot: it has the form of version {head[1]!r:.20}, not {FORMAT_VERSION}")
     if head[2] != _checksum(lines[1]):
         raise AssignmentError("snapshot: its checksum does not fit: it is cut off or was changed")
     return lines[1]
--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -7,7 +7,7 @@
 import pytest
 from coordinator_stand_ins import COUNT, StandInIsolation, StandInPlacement, StandInSharding
 
-from scalefall.assignment.coordinator import BALANCE_AFTER_US, Coordinator, CoordinatorSettings
+from scalefall.assignment.coordinator import MIN_LOAD_HISTORY_US, Coordinator, CoordinatorSettings
 from scalefall.assignment.holder import ShardHolder
 from scalefall.assignment.isolation_policy import IsolationChange
 from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, Node, ShardGrant
@@ -43,7 +43,7 @@
         """Let processes be heard no more; they use their leases on."""
         for process in processes:
             self.live.discard(process)
-            self.coordinator.holder_lost(process, self.now)
+            self.coordinator.holder_disconnected(process, self.now)
 
     def until(self, end):
         """Step whenever it is due; no shard is ever granted more than once."""
@@ -117,7 +117,7 @@
     simulation = running("a/1", "b/1")
     epochs = {shard: simulation.holders["a/1"].epoch(shard) for shard in simulation.leased("a/1")}
     simulation.loses("a/1")
-    simulation.coordinator.holder_lost("a/1", simulation.now)  # repeated
+    simulation.coordinator.holder_disconnected("a/1", simulation.now)  # repeated
     simulation.until(simulation.now + LEASE * 3 // 5)  # past its renewal, and within its lease
     simulation.joins("a/1")
     simulation.until(simulation.now + LEASE)
@@ -182,13 +182,13 @@
     simulation = running("a/1", "b/1")
     assert simulation.placement.may_move  # a first table, balanced by number
     begun, seen = simulation.now, []
-    while simulation.now <= begun + BALANCE_AFTER_US + SETTINGS.rebalance_us:
+    while simulation.now <= begun + MIN_LOAD_HISTORY_US + SETTINGS.rebalance_us:
         simulation.coordinator.loads_reported({1: 5.0}, simulation.now)
         simulation.until(simulation.now + SETTINGS.rebalance_us)
         seen.append(simulation.placement.may_move)
     assert seen[0] is False
     assert seen[-1] is True
-    assert seen.index(True) * SETTINGS.rebalance_us >= BALANCE_AFTER_US - S
+    assert seen.index(True) * SETTINGS.rebalance_us >= MIN_LOAD_HISTORY_US - S
     after = Simulation(state=simulation.coordinator.state(), now=simulation.now, number=simulation.coordinator.number)
     after.joins("a/2", "b/2")
     after.until(after.now + GRACE + SETTINGS.restart_us)
@@ -298,7 +298,7 @@
     [
         (lambda coordinator: coordinator.holder_joined("a", Node("a"), S), "holder 'a' is no process of node 'a'"),
         (lambda coordinator: coordinator.holder_joined("b/1", Node("a"), S), "holder 'b/1' is no process of node 'a'"),
-        (lambda coordinator: coordinator.holder_lost("b/1", S), "unknown holder b/1"),
+        (lambda coordinator: coordinator.holder_disconnected("b/1", S), "unknown holder b/1"),
         (lambda coordinator: coordinator.acknowledged("b/1", 0, 1, S), "unknown holder b/1"),
         (lambda coordinator: coordinator.set_allowance(3, -1), "destination 3: an allowance of -1"),
         (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: float("nan")}, S), "destination 3: a load of nan"),
--- a/tests/assignment/test_ledger_rules.py
+++ b/tests/assignment/test_ledger_rules.py
@@ -65,12 +65,12 @@
     first = ledger.step(0)
     if heard:
         acknowledge(ledger, first, S)
-    ledger.holder_lost("a")
+    ledger.holder_disconnected("a")
     ledger.assign(1, {"b": FULL_QUOTA})
     assert ledger.step(free_at - 1) == []
     assert ledger.next_deadline(free_at - 1) == free_at
     assert quotas(ledger.step(free_at)) == {("b", 1): FULL_QUOTA}
-    assert not ledger.knows("a")
+    assert not ledger.is_known("a")
 
 
 def test_free_quota_is_granted_once():
@@ -78,7 +78,7 @@
     ledger = started("a", "b", "c")
     ledger.assign(1, {"a": FULL_QUOTA // 2})
     ledger.step(0)
-    ledger.holder_lost("a")
+    ledger.holder_disconnected("a")
     ledger.assign(1, {"b": FULL_QUOTA // 2, "c": FULL_QUOTA // 2})
     assert quotas(ledger.step(S)) == {("b", 1): FULL_QUOTA // 2}
     assert ledger.in_use(1, S) == FULL_QUOTA
--- a/tests/assignment/test_shard_holder.py
+++ b/tests/assignment/test_shard_holder.py
@@ -86,10 +86,10 @@
     sender = holder()
     sender.granted(grant(1, limits=((13, 10),)), since=0)
     sender.granted(grant(2, 0, shard=4), since=0)
-    sender.forget(LEASE)
+    sender.prune_withdrawn(LEASE)
     assert sender.acknowledgements() == {3: 1, 4: 2}
     assert sender.acknowledgements(LEASE) == {}
-    sender.forget(LEASE + 1)
+    sender.prune_withdrawn(LEASE + 1)
     assert sender.acknowledgements() == {3: 1}
     sender.granted(
         grant(3), since=3 * LEASE
--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -102,14 +102,14 @@
     def is_cut_off(self, name, span, delays):
         """A holder can be heard no more, and uses what it has."""
         self.live.discard(name)
-        self.ledger.holder_lost(name)
+        self.ledger.holder_disconnected(name)
         self.time_goes_on(span, delays)
 
     @rule(name=names)
     def forgets_what_was_withdrawn(self, name):
         """A holder drops tenures as early as it may."""
         if name in self.holders:
-            self.holders[name].forget(self.now - DELAY)
+            self.holders[name].prune_withdrawn(self.now - DELAY)
 
     @rule(shard=st.integers(0, SHARDS + 1), name=names, other=st.none() | names, span=spans, delays=delays)
     def is_assigned(self, shard, name, other, span=0, delays=()):
@@ -119,7 +119,7 @@
         quotas = {name: FULL_QUOTA}
         if other not in (None, name) and shard >= SPLIT:
             quotas = {name: 2 * FULL_QUOTA // 3, other: FULL_QUOTA // 3}
-        if all(self.ledger.knows(holder) for holder in quotas):
+        if all(self.ledger.is_known(holder) for holder in quotas):
             self.targets[shard] = quotas
             self.ledger.assign(shard, quotas)
             self.goes_on(span, list(delays))
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from scalefall.assignment.sharding import MAX_SHARDS, Sharding, mix
+from scalefall.assignment.sharding import MAX_SHARDS, Sharding, splitmix64
 from scalefall.errors import AssignmentError
 
 
 def test_the_hash_is_fixed_and_does_not_depend_on_the_process():
     """A change of the hash would move every destination of a running fleet."""
-    assert mix(0) == 0xE220A8397B1DCDAF
-    assert mix(0x9E3779B97F4A7C15) == 0x6E789E6AA1B965F4
+    assert splitmix64(0) == 0xE220A8397B1DCDAF
+    assert splitmix64(0x9E3779B97F4A7C15) == 0x6E789E6AA1B965F4
     here = [Sharding(14_400).shard_of(number) for number in (0, 1, 2, 419_999, 10**9)]
     assert here == [12719, 8158, 8513, 12471, 4654]  # a change of the hash moves every destination of a running fleet
     program = "from scalefall.assignment.sharding import Sharding; print(Sharding(14_400).shard_of(419_999))"
