--- a/scalefall/assignment/holder.py
+++ b/scalefall/assignment/holder.py
@@ -1,16 +1,16 @@
-"""What a sender process remembers of its grants: which destinations it may call now, and how often.
-
-No I/O, no clock. Times are microseconds of the process's own clock; only how long a lease lasts comes from elsewhere.
-
-  1. Of a shard the grant of the highest number counts, for its lease from `since`. A lower number that comes late, or
-     an epoch below one that was received for the shard, is dropped: a service that no longer grants cannot bring back a
-     tenure that is over.
-  2. A grant of a newer epoch begins with no limits; any other adds its limits to what is known. A destination never
-     named is UNLIMITED.
-  3. A shard of one isolated destination goes before the hash while it is leased.
-  4. Whoever hands grants in has thrown away messages older than the service's `delay`. A tenure that was withdrawn more
-     than `delay` ago may therefore be forgotten: nothing of it can come any more. One that has only run out is
-     remembered, as the service may go on with it, and counts on the limits that were acknowledged.
+"""The grants of one sender process, from which it learns which destinations it may call, and at which rates.
+
+No I/O, no clock. Times are microseconds of the process's own clock; a grant carries only the length of its lease.
+
+  1. For each shard, the grant with the highest number is in force, for its lease from `since`. A grant with a lower
+     number, or with an epoch below one received for the shard, is dropped, so that a service that no longer grants
+     cannot revive a tenure that has ended.
+  2. A grant of a newer epoch starts with no limits; any other adds its limits to those known. A destination that was
+     never listed is UNLIMITED.
+  3. While the shard of an isolated destination is leased, it takes precedence over the destination's shard by hash.
+  4. The caller drops messages older than the service's `delay`. A tenure that was withdrawn more than `delay` ago can
+     therefore be removed, as no grant of it can arrive any longer. An expired tenure is kept: the service may continue
+     it, and relies on the limits that were acknowledged.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True)
 class _Tenure:
-    """The latest grant of one shard."""
+    """The present tenure of one shard, with its latest grant."""
 
     number: int = 0
     epoch: int = 0
     quota: int = 0
-    expires_at: int = 0  # the end of its lease
-    destination: int | None = None  # whose own shard it is
-    limits: dict[int, int] = field(default_factory=dict)  # destination -> milli-calls per second
+    expires_at: int = 0  # the end of the grant's lease
+    destination: int | None = None  # the isolated destination that the shard serves, if any
+    limits: dict[int, int] = field(default_factory=dict)  # milli-calls per second, by destination
 
     def quota_at(self, now: int) -> int:
         """Return the quota that may be used at a time."""
@@ -41,20 +41,20 @@
     """The grants of one process."""
 
     def __init__(self, shard_of: Callable[[int], int]) -> None:
-        """Start without grants; `shard_of` returns a destination's shard by the hash (as Sharding.shard_of does)."""
+        """Start without grants; `shard_of` returns a destination's shard by hash, as Sharding.shard_of does."""
         self._shard_of = shard_of
         self._tenures: dict[int, _Tenure] = {}
-        self._isolated: dict[int, int] = {}  # destination -> its own shard, by the grants
+        self._isolated: dict[int, int] = {}  # shards of isolated destinations, as the grants state them
 
     def granted(self, grant: ShardGrant, since: int) -> bool:
         """Record a grant.
 
         Args:
             grant: The grant.
-            since: When its lease begins: when it arrived, or when the process sent the report that it answers.
+            since: The start of its lease: its arrival, or when the process sent the report that the grant answers.
 
         Returns:
-            False if it was dropped, as its number or epoch is behind what was received before.
+            False if the grant is dropped, as a higher number or epoch was received before.
         """
         tenure = self._tenures.get(grant.shard)
         if tenure is not None and (grant.number <= tenure.number or grant.epoch < tenure.epoch):
@@ -70,19 +70,19 @@
         return True
 
     def budget(self, destination: int, now: int) -> int:
-        """Return how often this process may call a destination, in milli-calls per second; 0 if it is not leased."""
+        """Return the rate at which the process may call a destination, in milli-calls per second; 0 without a lease."""
         tenure = self._tenure_of(destination, now)
         if tenure is None:
             return 0
         return tenure.quota_at(now) * tenure.limits.get(destination, UNLIMITED) // FULL_QUOTA
 
     def holds(self, destination: int, now: int) -> bool:
-        """Return whether the process has a quota of the destination's shard now, whatever the limit is."""
+        """Return whether the process has a quota of the destination's shard now, whatever the destination's limit."""
         tenure = self._tenure_of(destination, now)
         return tenure is not None and tenure.quota_at(now) > 0
 
     def quotas(self, destinations: Iterable[int], now: int) -> dict[int, int]:
-        """Return the present quota of each of these destinations, in millionths; 0 where none is leased."""
+        """Return the present quota of the shard of each destination, in millionths; 0 without a lease."""
         found = {}
         for destination in destinations:
             tenure = self._tenure_of(destination, now)
@@ -95,29 +95,29 @@
         return tenure.quota_at(now) if tenure else 0
 
     def epoch(self, shard: int) -> int:
-        """Return the latest epoch that was received for a shard, 0 if there was none."""
+        """Return the latest epoch received for a shard, 0 if none was."""
         tenure = self._tenures.get(shard)
         return tenure.epoch if tenure else 0
 
     def leased_shards(self, now: int) -> frozenset[int]:
-        """Return the shards of which there is a quota now."""
+        """Return the shards of which the process has a quota now."""
         return frozenset(shard for shard, tenure in self._tenures.items() if tenure.quota_at(now))
 
     def acknowledgements(self, now: int | None = None) -> dict[int, int]:
-        """Return the highest number received of each shard, withdrawals included: what a report acknowledges.
+        """Return the highest grant number received for each shard, withdrawals included, for a report to acknowledge.
 
         Args:
-            now: If given, shards whose lease has run out are left out, as the service learns nothing of them.
+            now: If given, expired shards are left out: acknowledging them is of no use to the service.
         """
         return {
             shard: tenure.number for shard, tenure in self._tenures.items() if now is None or now < tenure.expires_at
         }
 
     def prune_withdrawn(self, before: int) -> None:
-        """Drop the tenures that were withdrawn and whose lease ran out before a time.
+        """Remove the withdrawn tenures whose lease expired before a time.
 
         Args:
-            before: At least the service's delay ago.
+            before: The time; at least the service's `delay` in the past.
         """
         withdrawn = [
             shard for shard, tenure in self._tenures.items() if not tenure.quota and tenure.expires_at < before
--- a/scalefall/assignment/membership.py
+++ b/scalefall/assignment/membership.py
@@ -1,8 +1,8 @@
-"""Nodes and their processes: which process holds a node's shards, and which nodes count as present.
+"""The membership of nodes: which nodes are present, and which process holds a node's shards.
 
-No I/O, no clock; times are microseconds. A node is present while a process of it can be heard, and for `restart_us`
-after, so that a restart moves nothing. Of several processes of one node that can be heard, the one that joined last
-holds its shards.
+No I/O, no clock; times are microseconds. A node is present while one of its processes is reachable, and for
+`restart_us` after that, so that a restart moves no shard. Of several reachable processes of one node, the one that
+joined last holds its shards.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 @dataclass(slots=True)
 class _Member:
     node: Node
-    live: list[str] = field(default_factory=list)  # processes that can be heard, in the order in which they joined
-    holder: str = ""  # the process that holds, or the last one that did
-    removal_at: int | None = None  # it is present until then, though none of its processes can be heard
+    live: list[str] = field(default_factory=list)  # reachable processes, in the order in which they joined
+    holder: str = ""  # the process that holds the node's shards, or held them last
+    removal_at: int | None = None  # when to remove the node; None while a process is reachable
 
 
 class NodeMembership:
@@ -33,23 +33,23 @@
         """Start without nodes; a node without processes stays present for `restart_us`."""
         self._restart_us = restart_us
         self._members: dict[str, _Member] = {}
-        self._removals: dict[str, int] = {}  # when nodes without a live process are removed, soonest first
+        self._removals: dict[str, int] = {}  # removal times of nodes without a reachable process, soonest first
 
     def __contains__(self, name: str) -> bool:
         """Return whether a node is present."""
         return name in self._members
 
     def holder_joined(self, holder: str, node: Node) -> bool:
-        """Record that a process can be heard, for the first time or again.
+        """Mark a process as reachable, for the first time or again.
 
         Returns:
-            Whether its node is new, or in another place than before.
+            Whether its node is new, or its region or zone has changed.
 
         Raises:
-            AssignmentError: The process's name is not one of this node.
+            AssignmentError: The process is not named "node/instance" after this node.
         """
         if not node.name or node_of(holder) != node.name or holder == f"{node.name}/":
-            raise AssignmentError(f"holder {holder!r} is no process of node {node.name!r}")
+            raise AssignmentError(f"holder {holder!r} is not a process of node {node.name!r}")
         member = self._members.get(node.name)
         is_change = member is None or member.node != node
         if member is None:
@@ -62,10 +62,10 @@
         return is_change
 
     def holder_disconnected(self, holder: str, now: int) -> None:
-        """Record that a process cannot be heard any more.
+        """Mark a process as unreachable.
 
         Raises:
-            AssignmentError: It could not be heard before.
+            AssignmentError: It was not reachable.
         """
         member = self._members.get(node_of(holder))
         if member is None or holder not in member.live:
@@ -78,7 +78,7 @@
             self._removals[member.node.name] = member.removal_at
 
     def pop_removed(self, now: int) -> list[str]:
-        """Remove the nodes none of whose processes came back in time, and return their names."""
+        """Remove the nodes whose restart time has passed, and return their names."""
         removed = []
         for name, removal_at in self._removals.items():
             if removal_at > now:
@@ -89,23 +89,23 @@
         return removed
 
     def next_removal_at(self) -> int | None:
-        """Return when pop_removed() has something if nothing joins before; None if no removal is pending."""
+        """Return the earliest pending removal; None if there is none."""
         return next(iter(self._removals.values()), None)
 
     def last_removal_at(self) -> int | None:
-        """Return when the last of the nodes that may yet come back is removed; None if no removal is pending."""
+        """Return the latest pending removal; None if there is none."""
         return max(self._removals.values(), default=None)
 
     def holder(self, name: str) -> str | None:
-        """Return the process that holds a node's shards, or did last; None if the node is not present."""
+        """Return the process that holds a node's shards, or held them last; None if the node is not present."""
         member = self._members.get(name)
         return member.holder if member else None
 
     def is_live(self, holder: str) -> bool:
-        """Return whether a process can be heard."""
+        """Return whether a process is reachable."""
         member = self._members.get(node_of(holder))
         return member is not None and holder in member.live
 
     def nodes(self) -> list[Node]:
-        """Return all nodes that are present, by name."""
+        """Return all present nodes, ordered by name."""
         return [self._members[name].node for name in sorted(self._members)]
--- a/scalefall/assignment/model.py
+++ b/scalefall/assignment/model.py
@@ -1,4 +1,4 @@
-"""The values that the parts of the assignment exchange, and their units."""
+"""The values that the modules of the assignment package exchange, and their units."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from typing import NamedTuple
 
 FULL_QUOTA = 1_000_000  # a quota is in millionths of a shard's allowances, so that sums of quotas are exact
-UNLIMITED = 10**12  # milli-calls per second; same value as scalefall.control.allocator.UNLIMITED, which sets no limit
+UNLIMITED = 10**12  # milli-calls per second: no limit; equal to scalefall.control.allocator.UNLIMITED
 
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """A sender's place in the fleet (a node id), not one process of it."""
+    """A sender's place in the fleet (a node id), as opposed to one process there."""
 
     name: str
     region: str = ""
@@ -19,7 +19,7 @@
 
 
 class DestinationLimit(NamedTuple):
-    """The rate that all holders of a shard together may call one of its destinations with."""
+    """The rate at which all holders of a shard together may call one of its destinations."""
 
     destination: int
     rate: int  # milli-calls per second
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ShardGrant:
-    """The right of one process to call a shard's destinations for the time of a lease; quota 0 withdraws it."""
+    """Permission for one process to call a shard's destinations until its lease expires; quota 0 withdraws it."""
 
-    holder: str  # one process: node id and instance, "node/instance"
+    holder: str  # one process, "node/instance"
     shard: int
-    epoch: int  # of the holder's tenure of this shard; a newer tenure has a higher one
-    number: int  # grows with every grant of the service, also over restarts
+    epoch: int  # of the holder's tenure of this shard; a later tenure has a higher epoch
+    number: int  # increases with every grant of the service, also across restarts
     quota: int  # millionths: the fraction of each destination's limit that this holder may use
-    lease_us: int  # from when it arrives (or from the holder's report that it answers)
-    # Only those that differ from what the holder has acknowledged; a destination never named is UNLIMITED.
+    lease_us: int  # from the grant's arrival, or from the holder's report that the grant answers
+    # The limits that changed since the holder's last acknowledgement; a destination never listed is UNLIMITED.
     limits: tuple[DestinationLimit, ...]
-    destination: int | None = None  # set where the shard is one isolated destination's own
+    destination: int | None = None  # the isolated destination that this shard serves, if it serves one alone
--- a/scalefall/assignment/shard_leases.py
+++ b/scalefall/assignment/shard_leases.py
@@ -1,4 +1,4 @@
-"""The coordinator as the ledger of grants that control's service asks for. No I/O, no clock."""
+"""An adapter of the coordinator to the lease ledger that the control service calls. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class ShardLeases:
-    """The coordinator as control.grants.LeaseLedger.
+    """Implements control.grants.LeaseLedger with a coordinator.
 
-    Holders come and go through the service, which knows their nodes.
+    Joins and disconnections of holders are reported to the coordinator by the service, which knows their nodes.
 
     Attributes:
-        delay_us: The longest that a message may be under way.
+        delay_us: The longest time that a message may be in transit.
     """
 
     def __init__(self, coordinator: Coordinator, delay_us: int) -> None:
-        """Start with a coordinator, and with every destination UNLIMITED."""
+        """Start with every destination UNLIMITED."""
         self._coordinator = coordinator
-        self._limited: dict[int, int] = {}  # allowances that are not UNLIMITED, by destination
+        self._limited: dict[int, int] = {}  # allowances other than UNLIMITED, by destination
         self.delay_us = delay_us
 
     def switch_to(self, coordinator: Coordinator) -> None:
-        """Use another coordinator, which gets all allowances that are not UNLIMITED."""
+        """Replace the coordinator, and set all allowances other than UNLIMITED on the new one."""
         coordinator.resume(self._coordinator.number)
         self._coordinator = coordinator
         for destination, amount in self._limited.items():
@@ -30,22 +30,22 @@
 
     @property
     def number(self) -> int:
-        """The highest number of a grant that was made."""
+        """Return the highest grant number that was assigned."""
         return self._coordinator.number
 
     def step_down(self) -> None:
-        """Grant nothing, as another service does."""
+        """Stop granting, as another service grants."""
         self._coordinator.step_down()
 
     def become_leader(self, now: int) -> None:
-        """Do nothing: a coordinator starts in a grace period when it is made, in ShardedService.become_leader."""
+        """Do nothing: ShardedService.become_leader creates a coordinator, which starts in a grace period."""
 
     def resume(self, number: int) -> None:
-        """Number grants above the highest that an earlier service may have made."""
+        """Number the next grants above the highest number that an earlier service may have used."""
         self._coordinator.resume(number)
 
     def allow(self, destination: int, amount: int) -> bool:
-        """Set a destination's allowance in milli-calls per second; whether it is another one than before."""
+        """Set a destination's allowance in milli-calls per second; return whether it has changed."""
         if self._limited.get(destination, UNLIMITED) == amount:
             return False
         if amount >= UNLIMITED:
@@ -56,15 +56,15 @@
         return True
 
     def join(self, holder: str) -> None:
-        """Do nothing: the service notifies the coordinator, with the holder's node."""
+        """Do nothing: the service reports joins, with the holder's node, to the coordinator."""
 
     def disconnected(self, holder: str) -> None:
-        """Do nothing: the service notifies the coordinator."""
+        """Do nothing: the service reports disconnections to the coordinator."""
 
     def step(self, now: int) -> list[ShardGrant]:
         """Return the grants to send now."""
         return self._coordinator.step(now)
 
     def next_deadline(self, now: int) -> int:
-        """Return when step() is to be called if nothing changes before."""
+        """Return when to call step() if nothing changes before."""
         return self._coordinator.next_deadline(now)
--- a/scalefall/assignment/shard_record.py
+++ b/scalefall/assignment/shard_record.py
@@ -1,7 +1,6 @@
-"""One shard's record: its target quotas, which grants may be in use, and which grants follow from that.
+"""One shard's record: its target quotas, its outstanding grants, and the grants to send next.
 
-The rules are those of scalefall/assignment/ledger.py; here is the part of them that concerns one shard alone. Quotas
-are in millionths, times in microseconds.
+It implements the rules of ledger.py that concern a single shard. Quotas are in millionths, times in microseconds.
 """
 
 from __future__ import annotations
@@ -18,17 +17,17 @@
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """A grant as the service has to count it."""
+    """A grant that was sent and may be in use."""
 
     number: int
     epoch: int
     quota: int
-    version: int  # of the shard's limits that it carries, with what was acknowledged before
-    expires_at: int  # it is out of use from then on
+    version: int  # the version of the shard's limits that a holder has with this grant
+    expires_at: int  # from this time on it cannot be in use
 
 
 class GrantDecision(NamedTuple):
-    """The quota that a holder is to be granted now; 0 withdraws."""
+    """The quota to grant a holder now; 0 withdraws its shard."""
 
     holder: str
     quota: int
@@ -36,33 +35,31 @@
 
 @dataclass(slots=True)
 class HolderLease:
-    """What one holder may use of one shard."""
+    """One holder's lease on one shard."""
 
-    epoch: int = 0  # of its tenure; 0: withdrawn, so that a further grant begins a new tenure
-    acknowledged_version: int = 0  # of the limits, in this tenure
+    epoch: int = 0  # of its tenure; 0: withdrawn, so the next grant begins a new tenure
+    acknowledged_version: int = 0  # the latest version of the limits that the holder acknowledged in this tenure
     renewed_at: int = 0  # when the last grant was sent
-    outstanding: list[OutstandingGrant] = field(default_factory=list)  # that may be in use, by number
+    outstanding: list[OutstandingGrant] = field(default_factory=list)  # in ascending order of their numbers
 
     @property
     def quota(self) -> int:
-        """The quota that it was sent last."""
+        """The quota of the last grant sent."""
         return self.outstanding[-1].quota if self.outstanding else 0
 
     def in_use(self, now: int) -> int:
-        """Return the most that it may use at this moment: the largest of its grants, never their sum."""
+        """Return the most that the holder may use now: the largest of its outstanding grants, never their sum."""
         return max((grant.quota for grant in self.outstanding if grant.expires_at > now), default=0)
 
     def acknowledge(self, number: int, until: int) -> bool:
-        """Record that the holder has received a grant.
-
-        Grants of lower numbers are out of use.
+        """Record that the holder has received a grant; grants with lower numbers are no longer in use.
 
         Args:
             number: The grant's number.
-            until: When this grant is out of use, if not earlier.
+            until: When this grant expires at the latest.
 
         Returns:
-            Whether that changed anything.
+            Whether anything changed.
         """
         position = next((position for position, grant in enumerate(self.outstanding) if grant.number == number), None)
         if position is None:
@@ -79,24 +76,24 @@
 
 @dataclass(slots=True)
 class ShardRecord:
-    """The record of one shard. Holders are in the order of their first grants."""
+    """The record of one shard."""
 
     number: int
-    destination: int | None = None  # whose own shard it is
+    destination: int | None = None  # the isolated destination that this shard serves, if any
     targets: dict[str, int] = field(default_factory=dict)  # the quota that each holder should have
-    leases: dict[str, HolderLease] = field(default_factory=dict)  # by holder
+    leases: dict[str, HolderLease] = field(default_factory=dict)  # by holder, in the order of their first grants
     limits: LimitLog = field(default_factory=LimitLog)
-    blocked: bool = False  # its destination may still be in use at the home shard: nothing is granted
-    draining: bool = False  # its destination goes back to the home shard: all is withdrawn
-    awaited_by_move: bool = False  # a move of a destination waits for this shard's grants
+    blocked: bool = False  # nothing is granted: its destination may still be in use through the home shard
+    draining: bool = False  # all holders are withdrawn: its destination moves back to the home shard
+    awaited_by_move: bool = False  # the move of a destination waits for this shard's grants to expire
     next_evaluation_at: int = NEVER
 
     def in_use(self, now: int) -> int:
-        """Return the quota that all holders together may use."""
+        """Return the quota that all holders together may be using."""
         return sum(lease.in_use(now) for lease in self.leases.values())
 
     def may_lack_version(self, version: int, now: int) -> bool:
-        """Return whether a grant may be in use that was made without this version of the limits."""
+        """Return whether a holder may be using a grant that is older than this version of the limits."""
         return any(
             grant.version < version and grant.quota and grant.expires_at > now
             for lease in self.leases.values()
@@ -104,10 +101,10 @@
         )
 
     def expire(self, now: int) -> list[str]:
-        """Drop the grants that have run out.
+        """Drop expired grants.
 
         Returns:
-            The holders that may use nothing any more: their tenure is over.
+            The holders whose tenure has ended, as they have no grant with a quota left.
         """
         ended = []
         for holder, lease in self.leases.items():
@@ -120,20 +117,20 @@
         return ended
 
     def prune_limits(self) -> None:
-        """Drop rows of the limits that are of no more use to any tenure."""
+        """Drop the rows of limits that every current tenure has acknowledged as UNLIMITED."""
         if self.limits.has_unlimited_rows:
             acknowledged = (lease.acknowledged_version for lease in self.leases.values() if lease.epoch)
             self.limits.prune_unlimited(min(acknowledged, default=self.limits.version))
 
     def decide_grants(self, now: int, live: Container[str], renewal_us: int) -> list[GrantDecision]:
-        """Decide which grants to send now; those that have run out are dropped already.
+        """Return the grants to send now. `expire` has to be called first.
 
-        Lower quotas come first, then those that are renewed, or raised by quota that is free.
+        Reductions come first, then renewals and raises. Raises use free quota only.
 
         Args:
-            now: The time.
-            live: The holders that can be heard.
-            renewal_us: How long after a grant the next one is sent.
+            now: The present time.
+            live: The reachable holders.
+            renewal_us: The time from a grant to its renewal.
         """
         targets = {} if self.blocked or self.draining else self.targets
         decisions = []
@@ -158,13 +155,13 @@
         return decisions
 
     def _needs_renewal(self, lease: HolderLease | None, now: int, renewal_us: int) -> bool:
-        """Whether a grant of the same quota is to be sent: for the lease's time, or for a limit."""
+        """Return whether to send the same quota again, because its lease is due or a limit is urgent."""
         if lease is None:
-            return True  # it has nothing yet
+            return True
         return now >= lease.renewed_at + renewal_us or lease.outstanding[-1].version < self.limits.urgent_version
 
     def next_evaluation(self, now: int, live: Container[str], renewal_us: int) -> int:
-        """Return when a grant is to be renewed, or runs out and something may wait for that; NEVER if neither."""
+        """Return the time of the next renewal, or of the next expiry that may permit another grant; else NEVER."""
         at = NEVER
         for holder, lease in self.leases.items():
             if lease.quota and holder in live:
@@ -176,7 +173,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is lost if the record is dropped."""
+        """Return whether the record has no content and may be dropped."""
         return not (
             self.targets or self.leases or len(self.limits) or self.awaited_by_move or self.destination is not None
         )
--- a/scalefall/assignment/shard_view.py
+++ b/scalefall/assignment/shard_view.py
@@ -1,4 +1,4 @@
-"""Which destinations' resources each node may have. No I/O, no clock."""
+"""The catalog's view of which destinations' resources each node may have. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class ShardView:
-    """The coordinator as control.catalog.DestinationView, and the destinations of each shard."""
+    """Implements control.catalog.DestinationView with a coordinator, and indexes destinations by shard."""
 
     def __init__(self, coordinator: Coordinator) -> None:
         """Start without destinations."""
         self._coordinator = coordinator
-        self._sharding: Sharding | None = None  # the one by which destinations are sorted into shards here
-        self._isolated: dict[int, int] = {}  # of that sharding
-        self._by_shard: dict[int, set[int]] = {}  # destinations of each shard
-        self._shards: dict[int, int] = {}  # of each destination
-        self._nodes: dict[int, set[str]] = {}  # of each shard
+        self._sharding: Sharding | None = None  # the sharding that the indexes follow
+        self._isolated: dict[int, int] = {}  # isolated destinations of that sharding, with their shards
+        self._by_shard: dict[int, set[int]] = {}  # destinations by shard
+        self._shards: dict[int, int] = {}  # shard by destination
+        self._nodes: dict[int, set[str]] = {}  # nodes by shard
 
     def switch_to(self, coordinator: Coordinator) -> None:
-        """Use another coordinator."""
+        """Replace the coordinator."""
         self._coordinator = coordinator
         self._nodes.clear()
         self.sync_sharding()
@@ -36,7 +36,7 @@
         return self._nodes.get(self._shards.get(destination, -1), ())
 
     def update_node(self, node: str, shards: Iterable[int]) -> None:
-        """Record that these shards have come to a node or gone from it."""
+        """Update the nodes of these shards, which the node has gained or lost."""
         covered = self._coordinator.shards_of(node)
         for shard in shards:
             if shard in covered:
@@ -45,10 +45,10 @@
                 self._nodes.get(shard, set()).discard(node)
 
     def sync_sharding(self) -> None:
-        """Move destinations that have got a shard of their own, or lost it, to their present shard."""
+        """Move the destinations that were isolated or merged to their present shard."""
         sharding = self._coordinator.sharding
         if sharding is self._sharding:
-            return  # a sharding is a value: it is another object whenever the isolated destinations differ
+            return  # a sharding is immutable, so the same object has the same isolated destinations
         self._sharding = sharding
         before, after = self._isolated, sharding.isolated
         moved = [
@@ -69,7 +69,7 @@
         return self._by_shard.get(shard, ())
 
     def replace_destinations(self, destinations: Iterable[int]) -> None:
-        """Replace the destinations that there are."""
+        """Set the destinations of the fleet."""
         wanted = set(destinations)
         for destination in self._shards.keys() - wanted:
             self._remove(destination)
--- a/scalefall/assignment/sharding.py
+++ b/scalefall/assignment/sharding.py
@@ -1,9 +1,9 @@
-"""From a destination to its shard.
+"""The mapping of destinations to shards.
 
 A destination's shard is a fixed hash of its number, so senders and control agree without exchanging a list. The hash
-takes no seed of the process (PYTHONHASHSEED changes nothing). A destination that is too heavy for a shared shard is
-isolated: it gets a shard of its own, numbered from `count` up. A Sharding is a value: isolating or merging gives a new
-one.
+does not depend on the process (PYTHONHASHSEED has no effect). A destination that is too heavy for a shared shard is
+isolated: it gets a shard of its own, numbered from `count` up. A Sharding is immutable: `isolate` and `merge` return a
+new one.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from scalefall.errors import AssignmentError
 
-MAX_SHARDS = 1_048_576  # 2**20, shared and isolated: about 100 bytes each keeps control's table near 100 MB
-MAX_DESTINATION = 10**9  # destinations are numbered 0 to this
+MAX_SHARDS = 1_048_576  # shared and isolated; at about 100 bytes each, control's table stays near 100 MB
+MAX_DESTINATION = 10**9  # the highest destination number
 UINT64_MASK = 2**64 - 1  # the hash is defined on unsigned 64-bit integers
 
 
 def splitmix64(value: int) -> int:
-    """Return the finaliser of splitmix64 of a 64-bit integer, which is a well mixed one.
+    """Return the 64-bit hash of an integer: the first output of the splitmix64 generator with that seed.
 
     Source: Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (OOPSLA 2014).
     """
@@ -30,7 +30,7 @@
 
 
 class Sharding:
-    """How many shared shards there are, and which destinations have one of their own.
+    """The number of shared shards, and the destinations that have a shard of their own.
 
     Attributes:
         count: The number of shared shards.
@@ -39,16 +39,16 @@
     __slots__ = ("_isolated", "count")
 
     def __init__(self, count: int, isolated: Mapping[int, int] | None = None) -> None:
-        """Make a sharding of shared shards, and of isolated destinations with the numbers of their own shards.
+        """Set the number of shared shards, and the shard of each isolated destination.
 
         Raises:
-            AssignmentError: A number is out of range, or a shard is given twice.
+            AssignmentError: A number is out of range, or two destinations have the same shard.
         """
         own = dict(isolated or {})
         if count < 1:
             raise AssignmentError(f"a sharding needs at least one shard, not {count}")
         if count + len(own) > MAX_SHARDS:
-            raise AssignmentError(f"more shards than the budget: {count + len(own)}, of at most {MAX_SHARDS}")
+            raise AssignmentError(f"more shards than the maximum: {count + len(own)}, of at most {MAX_SHARDS}")
         _check_isolated(count, own)
         self.count = count
         self._isolated = own
@@ -62,14 +62,14 @@
 
     @property
     def isolated(self) -> Mapping[int, int]:
-        """Each isolated destination's own shard (a read-only view)."""
+        """The shard of each isolated destination (a read-only view)."""
         return MappingProxyType(self._isolated)
 
     def isolate(self, destination: int) -> Sharding:
-        """Return a sharding with a shard for this destination alone, of the lowest free number from `count` up.
+        """Return a sharding in which this destination has a shard of its own, the lowest free number from `count` up.
 
         Raises:
-            AssignmentError: The destination has one already, or there are MAX_SHARDS.
+            AssignmentError: The destination is isolated already, or there are MAX_SHARDS shards.
         """
         if destination in self._isolated:
             raise AssignmentError(f"destination {destination} already has a shard of its own")
@@ -99,7 +99,7 @@
             return NotImplemented
         return self.count == other.count and self._isolated == other._isolated
 
-    __hash__ = None  # type: ignore[assignment]  # equality compares dicts, and no set of shardings is needed
+    __hash__ = None  # type: ignore[assignment]  # compared by value, and its dict is not hashable
 
 
 def _check_isolated(count: int, isolated: Mapping[int, int]) -> None:
--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -296,8 +296,11 @@
 @pytest.mark.parametrize(
     ("wrong", "text"),
     [
-        (lambda coordinator: coordinator.holder_joined("a", Node("a"), S), "holder 'a' is no process of node 'a'"),
-        (lambda coordinator: coordinator.holder_joined("b/1", Node("a"), S), "holder 'b/1' is no process of node 'a'"),
+        (lambda coordinator: coordinator.holder_joined("a", Node("a"), S), "holder 'a' is not a process of node 'a'"),
+        (
+            lambda coordinator: coordinator.holder_joined("b/1", Node("a"), S),
+            "holder 'b/1' is not a process of node 'a'",
+        ),
         (lambda coordinator: coordinator.holder_disconnected("b/1", S), "unknown holder b/1"),
         (lambda coordinator: coordinator.acknowledged("b/1", 0, 1, S), "unknown holder b/1"),
         (lambda coordinator: coordinator.set_allowance(3, -1), "destination 3: an allowance of -1"),
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -50,8 +50,8 @@
     ("make", "text"),
     [
         (lambda: Sharding(0), "a sharding needs at least one shard, not 0"),
-        (lambda: Sharding(MAX_SHARDS + 1), "more shards than the budget"),
-        (lambda: Sharding(MAX_SHARDS).isolate(1), "more shards than the budget"),
+        (lambda: Sharding(MAX_SHARDS + 1), "more shards than the maximum"),
+        (lambda: Sharding(MAX_SHARDS).isolate(1), "more shards than the maximum"),
         (lambda: Sharding(8).isolate(5).isolate(5), "destination 5 already has a shard of its own"),
         (lambda: Sharding(8).merge(5), "destination 5 has no shard of its own"),
         (lambda: Sharding(8, {5: 7}), "shard 7 of destination 5 is outside 8"),
