--- a/scalefall/assignment/assembly.py
+++ b/scalefall/assignment/assembly.py
@@ -1,7 +1,7 @@
-"""A coordinator put together from its parts, and the snapshot that it starts from or leaves. No I/O, no clock.
+"""The assembly of a coordinator from its policies, and its snapshots. No I/O, no clock.
 
-The parts remember what the pure decisions do not: placement where lost nodes stood, isolation for how long a
-destination had little load.
+Placement and isolation policy are pure functions. The wrappers here add their state: the regions of lost nodes, and the
+streaks of low load.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from scalefall.assignment.sharding import Sharding
 from scalefall.errors import AssignmentError
 
-LOAD_BOUND = 1.15  # of a sender's measured load over the mean: true loads stray from it, and are to stay within 1.25
+LOAD_BOUND = 1.15  # a sender's measured load over the mean; true loads deviate from it, and should stay within 1.25
 
 
 @dataclass(slots=True, frozen=True)
 class AssignmentSettings:
-    """How destinations are divided among senders. Times in microseconds, loads in calls per second."""
+    """The settings of an assignment. Times in microseconds, loads in calls per second."""
 
-    shards: int  # shared ones; each isolated destination has one more
+    shards: int  # the number of shared shards; each isolated destination has one more
     lease_us: int
-    delay_us: int  # no message arrives later after it was sent
-    restart_us: int  # a process that comes back within it finds its node's shards
-    replica_load: float = 0.0  # a shard above it has several holders; 0: always one
+    delay_us: int  # the longest time that a message may be in transit
+    restart_us: int  # a node whose process restarts within this time keeps its shards
+    replica_load: float = 0.0  # a shard with a higher load has several holders; 0: always one
 
     def fingerprint(self) -> str:
         """Return the fingerprint of the settings on which the meaning of a snapshot's shard numbers depends."""
@@ -37,11 +37,11 @@
 
 
 class StatefulPlacement:
-    """placement.place with a memory of where removed nodes stood, so that their shards stay in their region."""
+    """`placement.place` with a record of removed nodes, so that their shards stay in their region."""
 
     def __init__(self, nodes: Iterable[Node] = ()) -> None:
         """Start with the nodes of a snapshot."""
-        self._known = {node.name: node for node in nodes}
+        self._known = {node.name: node for node in nodes}  # present nodes, and removed ones that the table names
 
     def __call__(
         self,
@@ -68,33 +68,33 @@
 
 
 class StatefulIsolation:
-    """isolation_policy.decide with a memory of its streaks."""
+    """`isolation_policy.decide` with its streaks of low load."""
 
     def __init__(self) -> None:
         """Start without streaks."""
         self._low_load_streaks = LowLoadStreaks()
 
     def __call__(self, loads: Mapping[int, float], sharding: Sharding, node_load: float) -> IsolationChange:
-        """Return what to isolate and merge; see coordinator.IsolationPolicy."""
+        """Return the destinations to isolate and merge; see coordinator.IsolationPolicy."""
         change = isolation_policy.decide(loads, sharding, node_load, self._low_load_streaks)
         self._low_load_streaks = change.low_load_streaks
         return change
 
 
 class Assembly:
-    """One coordinator with its decisions and its snapshots.
+    """One coordinator with its policies and its snapshots.
 
     Attributes:
-        coordinator: Who has which shard.
+        coordinator: The coordinator.
     """
 
     def __init__(self, now: int, settings: AssignmentSettings, text: str | None = None) -> None:
-        """Start from a snapshot, or from nothing.
+        """Start from a snapshot, or with an empty table.
 
         Args:
-            now: The time, in microseconds.
-            settings: How destinations are divided.
-            text: The snapshot.
+            now: The present time, in microseconds.
+            settings: The settings of the assignment.
+            text: The snapshot; None for an empty table.
 
         Raises:
             AssignmentError: The snapshot cannot be used.
@@ -117,23 +117,23 @@
         )
 
     def snapshot(self) -> str:
-        """Return the table as text, for the next service."""
+        """Return the snapshot from which the next service can start."""
         state = self.coordinator.state()
         saved = snapshot.TableState(state.table, state.isolated, state.generation, self._placement.nodes())
         return snapshot.encode(saved, self._settings.fingerprint())
 
 
 class Assembled(NamedTuple):
-    """An assembly, and why it did not start from the snapshot; empty if it did, or if there was none."""
+    """An assembly, and the reason why the snapshot was rejected."""
 
     assembly: Assembly
-    rejection: str
+    rejection: str  # empty if the snapshot was used, or if there was none
 
 
 def assemble(now: int, settings: AssignmentSettings, text: str | None) -> Assembled:
-    """Return an assembly from a snapshot if that can be used, else from nothing.
+    """Return an assembly from a snapshot if it is valid, else one with an empty table.
 
-    Starting from nothing costs movement, not safety: nothing is granted before earlier leases have run out.
+    An empty table is safe, but moves shards: nothing is granted before earlier leases have expired.
     """
     try:
         return Assembled(Assembly(now, settings, text), "")
--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -1,20 +1,23 @@
-"""Joins, losses, loads and the clock in; placement consulted; the ledger updated; grants out. No I/O, no clock.
-
-Theory of operation. Placement is by node (a sender's place in the fleet), leases are by process ("node/instance").
-
-  1. A node whose process is lost keeps its shards for `restart_us`: a new process of it gets them once the leases of
-     the old one have run out, and nothing is placed anew. After that the node is removed and its shards are placed.
-  2. Placement is consulted SETTLE_US after a node came or was removed, so that a zone's loss is one decision, and each
-     `rebalance_us`; never on a report of loads. While no node is there the table stays as it is. A node that comes
-     while another may be removed waits for that, `restart_us` at most: a replacement gets the shards of the one before.
-  3. Started from a table, nothing is placed until nothing granted by the service before may be in use: by then the
-     nodes of the table have come back, or are removed. Those that come back keep their shards. Nor does anything move
-     for balance until loads have been measured for MIN_LOAD_HISTORY_US: the first reports cover only some senders.
-  4. Allowances are not part of a table: whoever starts a coordinator sets all that are not UNLIMITED before the first
-     grants.
-
-References: Slicer (Adya and others, OSDI 2016) for a table of leased shards held by control; Shard Manager (Lee and
-others, SOSP 2021) for planned moves and for restarts that move nothing.
+"""The coordinator of an assignment: it applies membership, loads and placements to the ledger. No I/O, no clock.
+
+Theory of operation. Shards are placed on nodes (a sender's place in the fleet), and leased to processes
+("node/instance").
+
+  1. A node whose process is lost keeps its shards for `restart_us`: a new process of the node gets them once the leases
+     of the old one have expired, and no shard is placed again. After that time the node is removed, and its shards are
+     placed on other nodes.
+  2. Shards are placed SETTLE_US after a node has joined or was removed, so that the loss of a zone leads to one
+     placement, and every `rebalance_us`; a load report triggers none. While no node is present the table does not
+     change. The placement for a node that joins while another may be removed waits for the removal, at most
+     `restart_us`, so that a replacement gets the shards of the lost node.
+  3. After a start from a table, nothing is placed until no grant of the previous service can be in use. By then the
+     nodes of the table have joined again, and keep their shards, or are removed. No shard moves for balance until loads
+     have been measured for MIN_LOAD_HISTORY_US, as the first reports cover only some senders.
+  4. Allowances are not part of a table: after creating a coordinator, the caller sets all allowances other than
+     UNLIMITED before the first grants.
+
+References: Slicer (Adya and others, OSDI 2016) for a table of leased shards in the control service; Shard Manager (Lee
+and others, SOSP 2021) for planned moves, and for restarts that move nothing.
 """
 
 from __future__ import annotations
@@ -35,7 +38,7 @@
 from scalefall.assignment.sharding import Sharding
 from scalefall.errors import AssignmentError
 
-MIN_LOAD_HISTORY_US = 120_000_000  # four reports on all senders: near enough to move shards by
+MIN_LOAD_HISTORY_US = 120_000_000  # four reports that cover all senders are accurate enough to move shards
 
 
 class Placement(Protocol):
@@ -57,33 +60,36 @@
     """Decides which destinations have a shard of their own (isolation_policy.decide)."""
 
     def __call__(self, loads: Mapping[int, float], sharding: Sharding, node_load: float) -> IsolationChange:
-        """Return what to isolate and merge; loads are calls per second, by destination and of the mean node."""
+        """Return the destinations to isolate and merge.
+
+        Loads are in calls per second, by destination; `node_load` is the mean load of a node.
+        """
 
 
 @dataclass(slots=True, frozen=True)
 class CoordinatorSettings:
-    """Times in microseconds."""
+    """The settings of a coordinator. Times in microseconds."""
 
     lease_us: int
-    delay_us: int  # no message arrives later after it was sent
-    restart_us: int = 3_000_000  # a process that starts anew within it finds its node's shards
-    rebalance_us: int = 30_000_000  # between placements when no node comes or goes
+    delay_us: int  # the longest time that a message may be in transit
+    restart_us: int = 3_000_000  # a node whose process restarts within this time keeps its shards
+    rebalance_us: int = 30_000_000  # between placements while membership does not change
     limits: PlacementLimits = field(default_factory=PlacementLimits)
 
 
 @dataclass(slots=True, frozen=True)
 class CoordinatorState:
-    """What a snapshot stores."""
+    """The state that a snapshot stores."""
 
-    table: dict[int, tuple[str, ...]]
-    isolated: dict[int, int]  # destination -> its own shard
-    generation: int  # grows with each change of the others
+    table: dict[int, tuple[str, ...]]  # names of the nodes that hold each shard
+    isolated: dict[int, int]  # shards of isolated destinations
+    generation: int  # increases with each change of the table or of the isolated destinations
 
 
 class Coordinator:
     """The assignment of one control service.
 
-    `step` returns the grants to be sent; it is to be called after changes, and at next_deadline() if there are none.
+    `step` returns the grants to send. It is called after changes, and at `next_deadline` if there are none.
     """
 
     def __init__(
@@ -98,12 +104,12 @@
         """Start in a grace period.
 
         Args:
-            now: The time, in microseconds as all others.
+            now: The present time, in microseconds, as in all methods.
             settings: Times and limits.
             placement: Decides which nodes hold which shard.
-            sharding: Which shard a destination is of.
-            isolation_policy: Decides which destinations have a shard of their own; without one it stays as it is.
-            state: Of the coordinator before, if there was one.
+            sharding: Maps destinations to shards.
+            isolation_policy: Decides which destinations have a shard of their own; without it their set never changes.
+            state: The state of the previous coordinator, if there was one.
 
         Raises:
             AssignmentError: The state does not fit the sharding.
@@ -117,7 +123,7 @@
         self._table: Table = {}
         self._generation = 0
         self._schedule = PlacementSchedule(now, settings.restart_us, settings.rebalance_us)
-        self._is_first = state is None  # no table from before
+        self._is_first = state is None  # whether it started without a table
         for destination, own in sharding.isolated.items():
             self._ledger.isolate(destination, sharding.merge(destination).shard_of(destination), own)
         if state is not None:
@@ -135,38 +141,38 @@
 
     @property
     def number(self) -> int:
-        """The highest number of a grant that was made."""
+        """Return the highest grant number that was assigned."""
         return self._ledger.number
 
     @property
     def generation(self) -> int:
-        """Grows with each change of the table or of the isolated destinations."""
+        """Return the generation, which increases with each change of the table or of the isolated destinations."""
         return self._generation
 
     @property
     def sharding(self) -> Sharding:
-        """Which shard a destination is of, now."""
+        """Return the present sharding."""
         return self._sharding
 
     def resume(self, number: int) -> None:
-        """Number grants above the highest that an earlier service may have made."""
+        """Number the next grants above the highest number that an earlier service may have used."""
         self._ledger.resume(number)
 
     def step_down(self) -> None:
-        """Grant nothing from now on, as another service does. To go on after it, a new coordinator has to be made."""
+        """Stop granting for good, as another service grants. A new leadership needs a new coordinator."""
         self._ledger.step_down()
 
     def state(self) -> CoordinatorState:
-        """Return what another coordinator can start from."""
+        """Return the state from which another coordinator can start."""
         return CoordinatorState(dict(self._table), dict(self._sharding.isolated), self._generation)
 
     # -- events
 
     def holder_joined(self, holder: str, node: Node, now: int) -> None:
-        """Record that a process can be heard, for the first time or again.
+        """Mark a process as reachable, for the first time or again.
 
         Raises:
-            AssignmentError: The process's name is not one of this node.
+            AssignmentError: The process is not named "node/instance" after this node.
         """
         is_change = self._membership.holder_joined(holder, node)
         self._ledger.holder_joined(holder)
@@ -175,7 +181,7 @@
             self._schedule.membership_changed(now, self._membership.last_removal_at())
 
     def holder_disconnected(self, holder: str, now: int) -> None:
-        """Record that a process cannot be heard any more; repeated, it changes nothing.
+        """Mark a process as unreachable; do nothing if it is already.
 
         Raises:
             AssignmentError: The process is unknown.
@@ -188,7 +194,7 @@
             self._assign_node_shards(node_of(holder))
 
     def loads_reported(self, loads: Mapping[int, float], now: int) -> None:
-        """Record one report on all senders: measured calls per second of each destination with traffic.
+        """Record one report for all senders together: the calls per second of each destination with traffic.
 
         Raises:
             AssignmentError: A load is not a finite number of 0 or more.
@@ -204,7 +210,7 @@
         self._ledger.set_limit(destination, self._sharding.shard_of(destination), amount)
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
-        """Record that a process has received the grant of this number; False if that is unknown here, or out of use.
+        """Record that a process has received a grant; return False for a number that is unknown or no longer in use.
 
         Raises:
             AssignmentError: The process is unknown.
@@ -229,7 +235,7 @@
         return grants
 
     def next_deadline(self, now: int) -> int:
-        """Return when step() is to be called if nothing changes before."""
+        """Return when to call step() if nothing changes before."""
         if self._ledger.grace_until == NEVER:
             return NEVER
         times = [self._ledger.next_deadline(now), self._schedule.next_at()]
@@ -239,21 +245,21 @@
         return max(now, min(times))
 
     def shards_of(self, node: str) -> frozenset[int]:
-        """Return the shards that the node may use now, or is to get as soon as they are free."""
+        """Return the shards that the node may be using, or will get once they are free."""
         return self._coverage.shards_of(node)
 
     def serves(self, node: str, destination: int) -> bool:
-        """Return whether the destination's shard is one of the node's shards_of()."""
+        """Return whether the destination's shard is in `shards_of(node)`."""
         return self._coverage.covers(node, self._sharding.shard_of(destination))
 
     def drain_changes(self) -> dict[str, frozenset[int]]:
-        """Return, by node, the shards that came, went, or have other destinations since the last call."""
+        """Return and clear, by node, the shards gained, lost, or with changed destinations since the last call."""
         return self._coverage.drain_changes()
 
     # -- placement
 
     def _may_balance(self, now: int) -> bool:
-        """Whether loads are known well enough to move shards by them; a first table is balanced by number."""
+        """Return whether shards may move for balance. A first table may, by number, before loads are reported."""
         since = self._loads.first_report_at
         return self._is_first if since is None else now - since >= MIN_LOAD_HISTORY_US
 
@@ -271,7 +277,7 @@
             self._generation += 1
 
     def _apply_table(self, table: Table) -> bool:
-        """Replace the table; whether anything is different."""
+        """Replace the table; return whether it has changed."""
         changed = _changed_shards(self._table, table)
         for shard in changed:
             before, after = self._table.get(shard, ()), tuple(table.get(shard, ()))
@@ -284,12 +290,12 @@
         return bool(changed)
 
     def _assign_node_shards(self, node: str) -> None:
-        """Assign the node's shards to the process that holds for it now."""
+        """Assign the node's shards to its present holder."""
         for shard in sorted(self._coverage.placed(node)):
             self._assign(shard)
 
     def _assign(self, shard: int) -> None:
-        """Divide a shard evenly among the processes of the nodes that hold it."""
+        """Divide a shard's quota evenly among the holders of its nodes."""
         nodes = self._table.get(shard, ())
         quotas = {}
         for node, quota in zip(nodes, _even_quotas(len(nodes)), strict=True):
@@ -301,7 +307,7 @@
     # -- isolation
 
     def _adjust_isolation(self, means: Mapping[int, float], node_count: int) -> bool:
-        """Isolate and merge destinations by their loads; whether any was."""
+        """Isolate and merge destinations by their loads; return whether any was."""
         if self._isolation_policy is None:
             return False
         before = self._sharding
@@ -318,7 +324,7 @@
         home, sharding = self._sharding.shard_of(destination), self._sharding.isolate(destination)
         own = sharding.isolated[destination]
         if not self._ledger.is_free(own):
-            return  # what was granted on it before is not out of use yet; decided again at the next placement
+            return  # an earlier grant of the shard may be in use; the next placement decides again
         self._ledger.isolate(destination, home, own)
         self._sharding = sharding
         self._coverage.destinations_changed(home, self._table.get(home, ()))
@@ -337,7 +343,7 @@
         raise AssignmentError("the sharding's isolated destinations are not those of the state")
     unknown = state.table.keys() - set(sharding.shards())
     if unknown:
-        raise AssignmentError(f"the table has shard {min(unknown)}, which the sharding has not")
+        raise AssignmentError(f"the table has shard {min(unknown)}, which is not in the sharding")
 
 
 def _loads_by_shard(means: Mapping[int, float], sharding: Sharding) -> dict[int, float]:
@@ -349,11 +355,11 @@
 
 
 def _changed_shards(before: Table, after: Table) -> list[int]:
-    """The shards whose holders, or their order, differ; ascending."""
+    """Return the shards whose holders, or their order, differ, ascending."""
     return sorted(shard for shard in before.keys() | after.keys() if before.get(shard) != after.get(shard))
 
 
 def _even_quotas(count: int) -> list[int]:
-    """FULL_QUOTA in so many parts, which differ by one at most; the first are the larger ones."""
+    """Return FULL_QUOTA divided into `count` quotas that differ by at most one, the larger ones first."""
     base, remainder = divmod(FULL_QUOTA, max(1, count))
     return [base + (position < remainder) for position in range(count)]
--- a/scalefall/assignment/coverage.py
+++ b/scalefall/assignment/coverage.py
@@ -1,7 +1,7 @@
-"""Which shards' destinations each node has to know: of those that it may use now or is to get; and what changed.
+"""The shards that each node covers, whose destinations' resources it needs, and the changes of them.
 
-A node covers a shard from when the table gives it to the node until no process of the node may use it any more, so two
-nodes cover a shard while it moves. Costs go with changes.
+A node covers a shard from its placement on the node until no process of the node can be using it. While a shard moves,
+both nodes cover it. The cost is proportional to the changes.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
     """The shards that each node covers."""
 
     def __init__(self, users: Callable[[int], Iterable[str]]) -> None:
-        """Start without shards; `users` returns the processes that may use something of a shard."""
+        """Start without shards; `users` returns the processes that may be using a shard."""
         self._users = users
-        self._placed: dict[str, set[int]] = {}  # by the table
-        self._draining: dict[str, set[int]] = {}  # no longer by the table, but may be in use
-        self._changed: dict[str, set[int]] = {}  # since drain_changes()
+        self._placed: dict[str, set[int]] = {}  # by node, the shards placed on it
+        self._draining: dict[str, set[int]] = {}  # by node, shards placed elsewhere that it may still be using
+        self._changed: dict[str, set[int]] = {}  # by node, shards changed since `drain_changes`
 
     def placed(self, node: str) -> frozenset[int]:
-        """Return the shards that the table gives to a node."""
+        """Return the shards that are placed on a node."""
         return frozenset(self._placed.get(node, ()))
 
     def shards_of(self, node: str) -> frozenset[int]:
@@ -34,7 +34,7 @@
         return shard in self._placed.get(node, ()) or shard in self._draining.get(node, ())
 
     def place(self, shard: int, before: Iterable[str], after: Iterable[str]) -> None:
-        """Record that the table gives the shard to other nodes than before."""
+        """Record that a shard is placed on other nodes than before."""
         old_nodes, new_nodes = set(before), set(after)
         for node in old_nodes - new_nodes:
             _remove(self._placed, node, shard)
@@ -48,19 +48,19 @@
                 self._mark_changed(node, shard)
 
     def released(self, holder: str, shard: int) -> None:
-        """Record that a process may use nothing more of a shard."""
+        """Record that a process can no longer be using a shard."""
         node = node_of(holder)
         if shard in self._draining.get(node, ()) and not self._in_use(node, shard):
             _remove(self._draining, node, shard)
             self._mark_changed(node, shard)
 
     def destinations_changed(self, shard: int, nodes: Iterable[str]) -> None:
-        """Record that a destination has left the shard for one of its own, or come back."""
+        """Record, for its nodes, that a destination was moved out of a shard or back into it."""
         for node in nodes:
             self._mark_changed(node, shard)
 
     def drain_changes(self) -> dict[str, frozenset[int]]:
-        """Return, by node, the shards that came, went, or have other destinations since the last call."""
+        """Return and clear, by node, the shards gained, lost, or with changed destinations since the last call."""
         changed, self._changed = self._changed, {}
         return {node: frozenset(shards) for node, shards in changed.items()}
 
@@ -72,7 +72,7 @@
 
 
 def _remove(shards_by_node: dict[str, set[int]], node: str, shard: int) -> bool:
-    """Remove a shard from a node's set, and the node from the map with its last; whether the shard was there."""
+    """Remove a shard from a node's set, and the node if the set is then empty; return whether the shard was in it."""
     shards = shards_by_node.get(node)
     if shards is None or shard not in shards:
         return False
--- a/scalefall/assignment/isolation_policy.py
+++ b/scalefall/assignment/isolation_policy.py
@@ -1,7 +1,7 @@
-"""Which destinations should have a shard of their own, and which go back to their shared shard. No I/O, no clock.
+"""The policy that isolates heavy destinations and merges light ones back into their shared shard. No I/O, no clock.
 
-A shard is moved and balanced as one, so a destination that is a large part of what a node carries must not be in one
-with others: it could be neither balanced nor, by replicas, spread without them.
+A shard moves as a unit. A destination that makes up a large part of a node's load must therefore not share a shard:
+it could not be balanced, nor spread over replicas, without the others in the shard.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 from scalefall.assignment.sharding import MAX_SHARDS, Sharding
 from scalefall.errors import AssignmentError
 
-# Of a node's mean load: what placement's bound of 1.25 leaves above the mean, so one more shard still fits.
+# Fractions of a node's mean load. Placement's bound of 1.25 leaves ISOLATION_THRESHOLD above the mean, so a shard below
+# it still fits on a node at the mean; MERGE_THRESHOLD is well below, so that noise does not alternate the two changes.
 ISOLATION_THRESHOLD = 0.25
-MERGE_THRESHOLD = ISOLATION_THRESHOLD / 2  # well below, so that noise in a load does not isolate and merge in turn
-MERGE_AFTER_DECISIONS = 30  # in a row below MERGE_THRESHOLD: a quarter of an hour where one is made every 30 s
+MERGE_THRESHOLD = ISOLATION_THRESHOLD / 2
+MERGE_AFTER_DECISIONS = 30  # consecutive decisions below MERGE_THRESHOLD: 15 minutes at one decision every 30 s
 
 
 @dataclass(slots=True, frozen=True)
 class LowLoadStreaks:
-    """For how many decisions in a row each isolated destination was below MERGE_THRESHOLD.
+    """The number of consecutive decisions for which each isolated destination was below MERGE_THRESHOLD.
 
-    It goes back in with the next decision, as `decide` itself remembers nothing.
+    `decide` is stateless: the caller passes the streaks of one decision to the next.
     """
 
     decisions: Mapping[int, int] = field(default_factory=dict)
@@ -31,12 +32,12 @@
 
 @dataclass(slots=True, frozen=True)
 class IsolationChange:
-    """Which destinations to isolate and merge.
+    """The destinations to isolate and merge.
 
     Attributes:
         isolate: Destinations to isolate, the heaviest first.
         merge: Destinations to merge, ascending.
-        low_load_streaks: For the next decision.
+        low_load_streaks: The streaks to pass to the next decision.
     """
 
     isolate: tuple[int, ...]
@@ -46,7 +47,7 @@
     def apply(self, sharding: Sharding) -> Sharding:
         """Return the sharding after the change.
 
-        Isolates first, so that no shard number changes its destination within one change.
+        Isolation comes first, so that a shard number that a merge frees is not reused within the same change.
         """
         for destination in self.isolate:
             sharding = sharding.isolate(destination)
@@ -58,16 +59,16 @@
 def decide(
     loads: Mapping[int, float], sharding: Sharding, node_load: float, low_load_streaks: LowLoadStreaks
 ) -> IsolationChange:
-    """Decide what to isolate and merge.
+    """Return the destinations to isolate and merge.
 
-    At most nodes / ISOLATION_THRESHOLD destinations can be above the threshold at once; beyond MAX_SHARDS only the
-    heaviest are isolated. While no node has a load nothing is decided.
+    At most nodes / ISOLATION_THRESHOLD destinations can be above the threshold at once; if MAX_SHARDS is too low for
+    them, only the heaviest are isolated. Without any load there is no change.
 
     Args:
-        loads: Measured loads by destination; one that is not measured has no load.
-        sharding: Which destinations are isolated now.
+        loads: Measured loads by destination; a destination that is not listed has no load.
+        sharding: The present sharding.
         node_load: The mean load of a node, in the unit of the loads.
-        low_load_streaks: Of the decision before.
+        low_load_streaks: The streaks that the previous decision returned.
 
     Raises:
         AssignmentError: A load is not a finite number of 0 or more.
--- a/scalefall/assignment/isolation_transitions.py
+++ b/scalefall/assignment/isolation_transitions.py
@@ -1,14 +1,15 @@
-"""Destinations with a shard of their own: the way there and back without a budget that is granted twice.
+"""The state machine that moves a destination to a shard of its own and back without granting its budget twice.
 
-    state      isolate     merge     home shard's limit in force    own shard's grants out of use
+    state      isolate     merge     home shard's limit in force    own shard's grants expired
     (none)     PREPARING   error     -                              -
-    PREPARING  error       MERGING   OWN                            -
-    OWN        error       MERGING   -                              -
+    PREPARING  error       MERGING   ISOLATED                       -
+    ISOLATED   error       MERGING   -                              -
     MERGING    error       error     -                              (none)
 
-In PREPARING the home shard's limit of the destination is 0 and nothing is granted on its own; "in force" is when every
-grant of the home shard that may be in use has that 0. In MERGING the own shard is withdrawn; the home shard's limit is
-0 until nothing of the own one may be in use. So a destination has a budget in one shard at most.
+In PREPARING the destination's limit in its home shard is 0, and nothing is granted on its own shard. The limit is in
+force once every grant of the home shard that may be in use carries it. In MERGING the own shard is withdrawn, and the
+limit in the home shard stays 0 until no grant of the own shard may be in use. So a destination has a budget in at most
+one shard.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class IsolationState(Enum):
-    """How far a destination is on its way to a shard of its own, or back."""
+    """The progress of a destination's move to a shard of its own, or back."""
 
     PREPARING = "preparing"
     ISOLATED = "own"
@@ -31,13 +32,13 @@
 
 @dataclass(slots=True)
 class _Isolation:
-    """A destination that has, is to have, or has had a shard of its own."""
+    """A destination that has a shard of its own, or is moving to or from one."""
 
-    home: int  # its shard by the hash
+    home: int  # its shard by hash
     own: int
-    version: int  # of the home shard's limits in which the destination's is 0
+    version: int  # the version of the home shard's limits that set the destination's to 0
     state: IsolationState = IsolationState.PREPARING
-    rate: int = UNLIMITED  # its limit, for the home shard, while it moves back
+    rate: int = UNLIMITED  # the limit to restore in the home shard at the end of MERGING
 
 
 class IsolationTransitions:
@@ -47,18 +48,18 @@
         """Start without isolated destinations."""
         self._records = records
         self._isolated: dict[int, _Isolation] = {}
-        self._moving: set[int] = set()  # destinations whose move waits for grants to be out of use
+        self._moving: set[int] = set()  # destinations whose move waits for acknowledgements or expiries of grants
 
     def state(self, destination: int) -> IsolationState | None:
-        """Return the destination's state; None if it has no shard of its own and nothing of one may be in use."""
+        """Return the destination's state; None if it has no shard of its own and no grant of one may be in use."""
         isolation = self._isolated.get(destination)
         return isolation.state if isolation else None
 
     def set_limit(self, destination: int, shard: int, rate: int) -> None:
-        """Set the limit of a destination in the shard that it is of.
+        """Set the limit of a destination in its present shard.
 
         Raises:
-            AssignmentError: It is of another shard.
+            AssignmentError: The destination is in another shard.
         """
         isolation = self._isolated.get(destination)
         if isolation is None:
@@ -74,13 +75,14 @@
             self._records.set_limit(destination, self._records.get_or_create(shard), rate)
 
     def isolate(self, destination: int, home_shard: int, own_shard: int) -> None:
-        """Begin to move the destination's budget to its own shard.
+        """Start to move the destination's budget to its own shard.
 
         Raises:
-            AssignmentError: The destination is isolated already, or one of the shards is of another use.
+            AssignmentError: The destination is isolated already, the own shard is in use, or the home shard is another
+                destination's own.
         """
         if destination in self._isolated:
-            raise AssignmentError(f"destination {destination} has a shard of its own, or is on its way back from one")
+            raise AssignmentError(f"destination {destination} has a shard of its own, or is moving back from one")
         if own_shard == home_shard or not self._records.is_free(own_shard):
             raise AssignmentError(f"shard {own_shard} is in use")
         home = self._records.get_or_create(home_shard)
@@ -95,10 +97,10 @@
         self._moving.add(destination)
 
     def merge(self, destination: int) -> None:
-        """Begin to move the destination's budget back to its home shard.
+        """Start to move the destination's budget back to its home shard.
 
         Raises:
-            AssignmentError: It has no shard of its own, or is on its way back already.
+            AssignmentError: The destination has no shard of its own, or is moving back already.
         """
         isolation = self._isolated.get(destination)
         if isolation is None or isolation.state is IsolationState.MERGING:
@@ -110,7 +112,7 @@
         self._moving.add(destination)
 
     def finish(self, now: int) -> None:
-        """Complete each move whose grants are out of use by now. Costs by the moves under way."""
+        """Complete each move whose grants can no longer be in use. The cost is proportional to the pending moves."""
         for destination in sorted(self._moving):
             isolation = self._isolated[destination]
             if isolation.state is IsolationState.MERGING:
@@ -139,6 +141,6 @@
         self._update_watch(isolation.home)
 
     def _update_watch(self, home: int) -> None:
-        """Watch a home shard for as long as a move waits for its grants."""
+        """Set whether a home shard is awaited by a move."""
         moving = (self._isolated[destination] for destination in self._moving)
         self._records.get_or_create(home).awaited_by_move = any(isolation.home == home for isolation in moving)
--- a/scalefall/assignment/limit_log.py
+++ b/scalefall/assignment/limit_log.py
@@ -1,16 +1,16 @@
 """The rate limits of one shard's destinations, as a log of changes.
 
-A grant carries every limit that changed since its holder last acknowledged one. Only destinations whose limit is not
-UNLIMITED have a row, and one that has become UNLIMITED keeps its row until every holder knows. Each change has the next
-version; rows are in the order of their versions, so the changes since a version are read from the end and cost no more
-than their count. Rates are in milli-calls per second.
+A grant carries every limit that changed since its holder's last acknowledgement. Only destinations with a limit have a
+row; one that becomes UNLIMITED keeps its row until every holder has acknowledged that. Each change has the next
+version. Rows are ordered by version, so the changes since a version are read from the end, at a cost proportional to
+their number. Rates are in milli-calls per second.
 """
 
 from __future__ import annotations
 
 from scalefall.assignment.model import UNLIMITED, DestinationLimit
 
-SMALL_RAISE_FACTOR = 1.1  # a raise up to this factor is worth no message of its own and waits for the renewal
+SMALL_RAISE_FACTOR = 1.1  # a raise up to this factor does not justify a message and waits for the renewal
 
 
 class LimitLog:
@@ -21,9 +21,9 @@
     def __init__(self) -> None:
         """Start with every destination UNLIMITED, at version 0."""
         self.version = 0  # of the latest change
-        self.urgent_version = 0  # of the latest change that is sent at once: a fall, or a raise that is not small
-        self._rows: dict[int, tuple[int, DestinationLimit]] = {}  # by destination, with the version, in its order
-        self._unlimited: dict[int, int] = {}  # destinations that are UNLIMITED again -> version
+        self.urgent_version = 0  # of the latest change to send at once: a reduction, or a raise that is not small
+        self._rows: dict[int, tuple[int, DestinationLimit]] = {}  # (version, limit) by destination, in version order
+        self._unlimited: dict[int, int] = {}  # versions of the rows that are UNLIMITED, by destination
 
     def __len__(self) -> int:
         """Return the number of destinations that have a row."""
@@ -38,13 +38,13 @@
         """Record a destination's new limit.
 
         Returns:
-            Whether holders are to be sent it at once.
+            Whether to send the limit to holders at once.
         """
         before = self.rate(destination)
         if rate == before:
             return False
         self.version += 1
-        self._rows.pop(destination, None)  # a changed row goes to the end, which keeps the order of versions
+        self._rows.pop(destination, None)  # so that the row moves to the end, in the order of versions
         self._rows[destination] = (self.version, DestinationLimit(destination, rate))
         if rate >= UNLIMITED:
             self._unlimited[destination] = self.version
@@ -56,7 +56,7 @@
         return True
 
     def changed_since(self, version: int) -> tuple[DestinationLimit, ...]:
-        """Return the present limit of each destination that changed after a version, the latest change first."""
+        """Return the present limits that changed after a version, the latest change first."""
         if version >= self.version:
             return ()
         found = []
@@ -67,7 +67,7 @@
         return tuple(found)
 
     def prune_unlimited(self, version: int) -> None:
-        """Drop rows that only say UNLIMITED, once every holder has acknowledged the log up to this version."""
+        """Drop UNLIMITED rows up to this version, which every holder has acknowledged."""
         known = [destination for destination, changed in self._unlimited.items() if changed <= version]
         for destination in known:
             del self._unlimited[destination]
@@ -75,5 +75,5 @@
 
     @property
     def has_unlimited_rows(self) -> bool:
-        """Whether there is something that prune_unlimited() might drop."""
+        """Return whether `prune_unlimited` may have rows to drop."""
         return bool(self._unlimited)
--- a/scalefall/assignment/load_means.py
+++ b/scalefall/assignment/load_means.py
@@ -1,9 +1,10 @@
-"""Measured load by destination as a decaying mean; memory goes with the destinations that have traffic.
+"""Exponentially decaying means of the measured load by destination.
 
-A report says calls per second for each destination with traffic; one that it leaves out had none. The mean at a time is
-the average of the reports, each weighed by its span of time and by exp(-age / AVERAGING_US). All decay alike, so one
-common factor stands for the decay and a report costs its own rows only ("forward decay": Cormode, Shkapenyuk,
-Srivastava and Xu, ICDE 2009). Times are microseconds.
+A report contains the calls per second of each destination with traffic; a destination that it omits had none. The mean
+at a time is the average of the reports, each weighted by its time span and by exp(-age / AVERAGING_US). All values
+decay alike, so one common factor represents the decay, and a report costs time only for its own rows ("forward decay":
+Cormode, Shkapenyuk, Srivastava and Xu, ICDE 2009). Memory is proportional to the destinations with traffic. Times are
+microseconds.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 from scalefall.errors import AssignmentError
 
-AVERAGING_US = 300_000_000  # ten placements at their usual interval: bursts of half a minute move next to nothing
-IDLE_LOAD_CALLS_PER_S = 0.001  # calls per second: a destination with a lower mean is idle, and forgotten
-MAX_DESTINATIONS = 1_000_000  # more than twice those of the size aimed at; more are not recorded until some are idle
-MIN_DECAY_FACTOR = 1e-100  # the factor is folded into the values before it runs out of a float's range
+AVERAGING_US = 300_000_000  # ten placement intervals, so that a burst of half a minute moves hardly any shard
+IDLE_LOAD_CALLS_PER_S = 0.001  # a destination with a lower mean is idle and dropped
+MAX_DESTINATIONS = 1_000_000  # more than twice the target fleet's; others are not recorded until some become idle
+MIN_DECAY_FACTOR = 1e-100  # below it the factor is folded into the values, so that it does not underflow
 
 
 def _is_load(load: float) -> bool:
@@ -27,18 +28,18 @@
 
 
 class LoadMeans:
-    """Calls per second by destination, averaged over about AVERAGING_US."""
+    """Mean calls per second by destination, over about AVERAGING_US."""
 
     def __init__(self) -> None:
         """Start without any report."""
         self._values: dict[int, float] = {}  # mean / factor
         self._factor = 1.0
-        self._reported_at: int | None = None  # the last report
-        self.first_report_at: int | None = None  # the time of the first report
-        self.unrecorded = 0  # loads of destinations not recorded, as there were too many
+        self._reported_at: int | None = None  # the time of the last report
+        self.first_report_at: int | None = None
+        self.unrecorded = 0  # loads that were dropped, as there were MAX_DESTINATIONS already
 
     def __len__(self) -> int:
-        """Return the number of destinations that are remembered."""
+        """Return the number of destinations that have a mean."""
         return len(self._values)
 
     def report(self, loads: Mapping[int, float], now: int) -> None:
@@ -68,12 +69,12 @@
                 self.unrecorded += 1
 
     def means(self, now: int) -> dict[int, float]:
-        """Return the mean in calls per second of each destination that is not idle; idle ones are forgotten."""
+        """Return the mean calls per second of each destination that is not idle, and drop the idle ones."""
         factor = self._factor
         if self._reported_at is not None:
             factor *= exp(-max(0, now - self._reported_at) / AVERAGING_US)
-        least = IDLE_LOAD_CALLS_PER_S / factor if factor else 0.0
-        self._values = {destination: value for destination, value in self._values.items() if value >= least}
+        idle_value = IDLE_LOAD_CALLS_PER_S / factor if factor else 0.0
+        self._values = {destination: value for destination, value in self._values.items() if value >= idle_value}
         return {destination: value * factor for destination, value in self._values.items()}
 
     def _apply_decay(self, decay: float) -> None:
--- a/scalefall/assignment/node_loads.py
+++ b/scalefall/assignment/node_loads.py
@@ -1,8 +1,8 @@
-"""The load of each node while a placement is worked out, and the least loaded node of a zone.
+"""The load of each node during the computation of a placement, with a heap per zone for its least loaded node.
 
-Nodes and zones are numbers here: nodes by ascending name, so that a placement does not depend on the order in which its
-caller lists them. Loads are whole numbers, so that sums are exact whatever their order. Each zone has a heap; an entry
-that no longer says its node's load is stale, and is dropped when it comes up.
+Nodes and zones are numbered. Nodes are numbered by ascending name, so that a placement does not depend on the order in
+which the caller lists them. Loads are integers, so that sums are exact in any order. A heap entry whose load differs
+from the node's present load is stale, and is dropped when it reaches the top.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     Attributes:
         names: Each node's name, by its number.
         numbers: Each node's number, by its name.
-        load: Each node's load, by its number. Before `build_heaps` it is added to directly, afterwards by `add_load`.
+        load: Each node's load, by its number. Modified directly before `build_heaps`, afterwards only by `add_load`.
         region: Each node's region, by its number.
         zone: The number of each node's zone, by the node's number.
     """
@@ -43,14 +43,14 @@
         places = sorted({(node.region, node.zone) for node in ordered})
         zone_numbers = {place: zone for zone, place in enumerate(places)}
         self.zone = [zone_numbers[node.region, node.zone] for node in ordered]
-        self._zones: dict[str, list[int]] = {}  # of each region
+        self._zones: dict[str, list[int]] = {}  # zones by region
         for (region, _), zone in zone_numbers.items():
             self._zones.setdefault(region, []).append(zone)
         self._all_zones = list(zone_numbers.values())
-        self._heaps: list[list[tuple[int, int]]] = [[] for _ in places]  # (load, node), by zone
+        self._heaps: list[list[tuple[int, int]]] = [[] for _ in places]  # heaps of (load, node), by zone
 
     def build_heaps(self) -> None:
-        """Build the heaps, after the loads of what stays have been added up."""
+        """Build the heaps, once the loads of the retained shards have been added."""
         for number, zone in enumerate(self.zone):
             self._heaps[zone].append((self.load[number], number))
         for heap in self._heaps:
@@ -63,9 +63,9 @@
         heappush(self._heaps[self.zone[node]], (load, node))
 
     def tiers(self, region: str | None) -> list[list[int]]:
-        """Return the zones to search, in order of preference.
+        """Return the zones to search, in tiers of descending preference.
 
-        Those of the region come first, then all others; without a known region all are of one tier.
+        The zones of the region are the first tier, all others the second. Without a known region there is one tier.
         """
         own = self._zones.get(region) if region is not None else None
         if own is None:
@@ -73,7 +73,7 @@
         return [own, [zone for zone in self._all_zones if zone not in own]]
 
     def regions(self) -> list[str]:
-        """Return the regions in which there is a node."""
+        """Return the regions that have a node."""
         return list(self._zones)
 
     def least_loaded(self, zone: int, excluded: Container[int] = ()) -> int | None:
@@ -95,6 +95,6 @@
         return found
 
     def least_loaded_of_each(self, zones: Sequence[int], excluded: Container[int] = ()) -> list[int]:
-        """Return the least loaded node of each zone that has one left."""
+        """Return the least loaded node of each zone; a zone whose nodes are all excluded has none."""
         found = (self.least_loaded(zone, excluded) for zone in zones)
         return [node for node in found if node is not None]
--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -1,22 +1,23 @@
-"""Placement: which nodes hold which shard.
+"""The placement of shards on nodes.
 
 Theory of operation
 -------------------
-Pure: the present table, the measured loads and the nodes in, the next table out; the same input gives the same table,
-in whatever order the nodes are listed, and the next table placed again gives itself.
-
-1. A holder that is still a node stays. A shard above `PlacementLimits.replica_load` gets that many more holders, at
-   once; it gives holders back only when three quarters of them would do, so that noise in a load does not move it to
-   and fro.
-2. What lacks a holder is placed, the heaviest first, on the least loaded node with spare capacity: of the region of the
-   shard's other holders, or of the lost one; of another region only where that one has no node left (or too few).
-   Holders of one shard are on different nodes, and in different zones where a node with spare capacity allows.
-3. Nodes above `bound` times the mean give shards away; nodes below the mean over `bound` (new ones) get some
-   (`rebalance`). Nothing else moves. Balance comes before region: a region that lost so much that all its nodes are
-   above the bound passes the excess to the other.
-
-A shard without a measured load counts a sixteenth of the mean shard, so that idle shards are spread by number as well.
-Cost: one pass over the table, and a few heap operations for each shard that moves.
+`place` is a pure function from the present table, the measured loads and the nodes to the next table. It is
+deterministic, independent of the order in which nodes are listed, and idempotent: placing its result again changes
+nothing.
+
+1. A holder that is still a node stays. A shard whose load exceeds `PlacementLimits.replica_load` gets more holders at
+   once; holders are removed only when three quarters of them would suffice, so that noise in a load does not add and
+   remove them alternately.
+2. Shards that lack a holder are placed, the heaviest first, on the least loaded node with spare capacity, in the region
+   of the shard's other holders or of its lost one; in another region only if that region has no (or too few) nodes.
+   Holders of one shard are on different nodes, and in different zones where a node with spare capacity permits.
+3. Shards move off nodes above `bound` times the mean load, and onto nodes below the mean divided by `bound`, such as
+   new ones (`rebalance`). Nothing else moves. Balance has priority over region: if all nodes of a region are above the
+   bound, the excess moves to another region.
+
+A shard without a measured load counts as a sixteenth of the mean shard, so that idle shards are spread by number.
+The cost is one pass over the table, and a few heap operations for each shard that moves.
 """
 
 from __future__ import annotations
@@ -32,21 +33,21 @@
 from scalefall.assignment.working_table import WorkingTable
 from scalefall.errors import AssignmentError
 
-Table = dict[int, tuple[str, ...]]  # shard -> names of the nodes that hold it, in order
+Table = dict[int, tuple[str, ...]]  # names of the nodes that hold each shard, in order
 
-WEIGHT_UNIT = 2**40  # the heaviest shard's load as a whole number: sums are exact, and the smallest differences count
-IDLE_FRACTION = 1 / 16  # of the mean shard's load: what an unmeasured shard counts; sixteen of them weigh as one
-SHRINK_FRACTION = 0.75  # holders are removed when this fraction of them would do: loads measured twice differ by less
+WEIGHT_UNIT = 2**40  # the weight of the heaviest shard; integers have exact sums, and this size keeps small differences
+IDLE_FRACTION = 1 / 16  # the weight of a shard without a measured load, as a fraction of the mean shard's
+SHRINK_FRACTION = 0.75  # holders are removed when this fraction suffices; repeated measurements differ by less
 
 
 @dataclass(slots=True, frozen=True)
 class PlacementLimits:
-    """How uneven a placement may be.
+    """The limits on the load of a node and of a replica.
 
     Attributes:
         bound: The most that a node may carry, as a multiple of the mean; 1 or more.
-        replica_load: A shard above this load has ceil(load / replica_load) holders, in the unit of the measured loads;
-            0: every shard has one.
+        replica_load: The most that one holder of a shard should carry, in the unit of the measured loads: a shard has
+            ceil(load / replica_load) holders. 0: every shard has one.
 
     Raises:
         AssignmentError: A limit is outside its range.
@@ -69,9 +70,9 @@
 
     Attributes:
         table: The nodes that hold each shard.
-        moved: Shards whose set of nodes changed, those that were removed (not in the table) among them.
-        forced: Those of them that could not stay: new, removed, a holder lost, or another number of holders.
-        load_ratio: The most loaded node over the mean, 0 without nodes.
+        moved: Shards whose set of nodes changed, including removed shards, which are not in the table.
+        forced: Moved shards that could not stay: new, removed, with a lost holder, or with another number of holders.
+        load_ratio: The load of the most loaded node divided by the mean, 0 without nodes.
     """
 
     table: Table
@@ -93,12 +94,12 @@
 
     Args:
         table: The present table. A holder that is not among the nodes counts as lost.
-        loads: Measured loads by shard in any one unit, above 0; a shard that had none is left out.
+        loads: Measured loads by shard, above 0 and in any one unit; shards without a load are omitted.
         nodes: The nodes that may hold shards.
-        limits: How uneven the placement may be.
+        limits: The limits on the load of a node and of a replica.
         shards: All shards of the next table.
         may_move: Whether shards that have their holders may move for balance.
-        former_nodes: Where lost nodes stood; the shards of one not among them go to any region.
+        former_nodes: The regions of lost nodes; shards of a node that is not listed may go to any region.
 
     Raises:
         AssignmentError: A node is named twice, or a load is not a finite number above 0.
@@ -123,7 +124,7 @@
 
 
 def _empty_plan(table: Table) -> Plan:
-    """Return the plan without a node: every shard that had a holder loses it."""
+    """Return the plan for a fleet without nodes: no shard has a holder."""
     removed = frozenset(shard for shard, names in table.items() if names)
     return Plan({}, removed, removed)
 
@@ -135,7 +136,7 @@
 
 
 def _weights(loads: Mapping[int, float], shards: Sequence[int]) -> dict[int, int]:
-    """Each shard's load as a whole number, the heaviest about WEIGHT_UNIT."""
+    """Return each shard's load as an integer weight, scaled so that the heaviest is WEIGHT_UNIT."""
     measured = [load for shard in shards if (load := loads.get(shard)) is not None]
     if not measured:
         return dict.fromkeys(shards, WEIGHT_UNIT)
@@ -151,17 +152,17 @@
 def _holder_counts(
     table: Table, loads: Mapping[int, float], limits: PlacementLimits, shards: Sequence[int], node_loads: NodeLoads
 ) -> dict[int, int]:
-    """How many nodes each shard should have."""
+    """Return the number of holders that each shard should have."""
     node_count = len(node_loads.names)
     return {shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, node_count) for shard in shards}
 
 
 def _holder_count(load: float | None, present: int, limits: PlacementLimits, nodes: int) -> int:
-    """How many nodes a shard should have."""
+    """Return the number of holders that a shard should have."""
     if limits.replica_load == 0:
         return 1
     if load is None:
-        return min(max(present, 1), nodes)  # a missing measurement takes no holder away
+        return min(max(present, 1), nodes)  # a missing measurement does not remove holders
     needed = max(1, ceil(min(load / limits.replica_load, nodes)))
     if present > needed > present * SHRINK_FRACTION:
         return min(present, nodes)
@@ -169,20 +170,20 @@
 
 
 def _retain_all_survivors(holder_counts: dict[int, int], table: Table, loads: NodeLoads) -> None:
-    """Raise each shard's count to the number of its holders that are still nodes, so that none of them goes."""
+    """Raise each shard's count to the number of its holders that are still nodes, so that none is removed."""
     for shard, count in holder_counts.items():
         holder_counts[shard] = max(count, _surviving_holders(table, shard, loads))
 
 
 def _surviving_holders(table: Table, shard: int, loads: NodeLoads) -> int:
-    """How many of a shard's holders are still nodes."""
+    """Return the number of a shard's holders that are still nodes."""
     return len({name for name in table.get(shard, ()) if name in loads.numbers})
 
 
 def _retain_holders(
     working: WorkingTable, table: Table, weights: dict[int, int], holder_counts: dict[int, int]
 ) -> list[int]:
-    """Enter the holders that stay into the working table; the shards that lack holders."""
+    """Add the holders that stay to the working table; return the shards that lack holders."""
     numbers = working.loads.numbers
     lacking = []
     for shard, weight in weights.items():
@@ -197,7 +198,10 @@
 
 
 def _reduce_holders(loads: NodeLoads, holders: list[int], count: int) -> list[int]:
-    """The holders that stay when there are too many: from the zone that has the most, the last goes first."""
+    """Return the holders that stay when there are too many.
+
+    The last holder in the zone with the most holders is removed first.
+    """
     remaining = list(holders)
     zones = Counter(loads.zone[node] for node in remaining)
     while len(remaining) > count:
@@ -213,7 +217,7 @@
     holder_counts: dict[int, int],
     former_regions: Mapping[str, str],
 ) -> None:
-    """Give each shard that lacks holders as many as it should have, the heaviest first."""
+    """Add the missing holders of each shard, the heaviest shard first."""
     lacking.sort(key=lambda shard: (-working.holder_load[shard], shard))
     for shard in lacking:
         region = working.region_of(shard)
@@ -228,10 +232,10 @@
 
 
 def _choose(working: WorkingTable, shard: int, tiers: list[list[int]], zones: Mapping[int, int]) -> int:
-    """The node for one more holder.
+    """Return the node for one more holder of a shard.
 
-    It is of the first tier with a node left; there with spare capacity if any has it, in the zone with the fewest
-    holders of the shard.
+    It is in the first tier that has a node left: a node with spare capacity in the zone with the fewest holders of the
+    shard, or the least loaded node if none has spare capacity.
     """
     loads, max_present_load = working.loads, working.cap - working.holder_load[shard]
     holders = set(working.holders[shard])
@@ -242,11 +246,11 @@
             return min(with_capacity, key=lambda node: (zones[loads.zone[node]], loads.load[node], node))
         if found:
             return min(found, key=lambda node: (loads.load[node], node))
-    raise AssertionError("a shard has never more holders than there are nodes")
+    raise AssertionError("a shard never has more holders than there are nodes")
 
 
 def _plan(working: WorkingTable, before: Table, holder_counts: dict[int, int], mean: float) -> Plan:
-    """The working table by names, compared with the one before."""
+    """Return the working table by node names, compared with the previous table."""
     names = working.loads.names
     after = {shard: tuple([names[node] for node in holders]) for shard, holders in working.holders.items()}
     moved, forced = set(), set()
--- a/scalefall/assignment/rebalance.py
+++ b/scalefall/assignment/rebalance.py
@@ -1,18 +1,17 @@
-"""Moves that better a placement in which every shard has its holders.
+"""Moves that improve a placement in which every shard has its holders.
 
 Theory of operation
 -------------------
-Three steps are repeated until none of them finds a move, so a second run on the same input finds none either:
+Three steps are repeated until none of them finds a move, so that a second run finds none:
 
-spread   a shard with two holders in one zone, while a zone of the region has none, has one of the two moved there;
-offload  a node above the cap gives shards away, to the least loaded node of its region that stays within the cap, else
-         of another region, else to any node that ends up below where the donor was;
-fill     a node below the floor (a new one) gets shards from the most loaded nodes of its region, else of another; the
-         donor stays above the floor, the receiver below the cap.
+spread   moves one of two holders in the same zone to a zone of the region that has none of the shard's holders;
+offload  moves shards off a node above the cap: to the least loaded node of its region that stays within the cap, else
+         of another region, else to any node whose load ends up below the source's load before the move;
+fill     moves shards to a node below the floor, such as a new one, from the most loaded nodes of its region, else of
+         another; the source stays above the floor, the target below the cap.
 
-Each move either spreads the holders of a shard over more zones, or leaves that spread as it is and makes the larger of
-the two nodes' loads smaller; so the steps end. A shard is chosen by size: the smallest one that is enough, else the
-largest.
+The steps terminate: each move either spreads the holders of a shard over more zones, or preserves that spread and
+lowers the larger of the two nodes' loads. The shard to move is the smallest that suffices, else the largest.
 """
 
 from __future__ import annotations
@@ -24,14 +23,14 @@
 
 
 def rebalance(table: WorkingTable) -> None:
-    """Bring nodes within floor and cap as far as moves of whole shards can."""
+    """Bring the nodes' loads between floor and cap, as far as moves of shards can."""
     replicated = sorted(shard for shard, holders in table.holders.items() if len(holders) > 1)
     while _spread(table, replicated) + _offload(table) + _fill(table):
         pass
 
 
 def _spread(table: WorkingTable, shards: list[int]) -> int:
-    """Spread these shards over zones; the number of moves."""
+    """Spread these shards over zones; return the number of moves."""
     moves = 0
     for shard in shards:
         while _spread_one(table, shard):
@@ -40,7 +39,7 @@
 
 
 def _spread_one(table: WorkingTable, shard: int) -> bool:
-    """Move one holder from a zone with several into one of its region without any, to a node with spare capacity."""
+    """Move one holder from a zone with several to a node with spare capacity in a zone of the region without any."""
     loads, counts = table.loads, table.holders_by_zone(shard)
     crowded = [node for node in table.holders[shard] if counts[loads.zone[node]] > 1]
     if not crowded:
@@ -56,7 +55,7 @@
 
 
 def _offload(table: WorkingTable) -> int:
-    """Move shards off the nodes above the cap, the most loaded first; the number of moves."""
+    """Move shards off the nodes above the cap, the most loaded first; return the number of moves."""
     load = table.loads.load
     overloaded = [(-load[node], node) for node in range(len(load)) if load[node] > table.cap]
     heapify(overloaded)
@@ -64,7 +63,7 @@
     while overloaded:
         negative_load, source = heappop(overloaded)
         if -negative_load != load[source]:
-            continue  # it got a shard since; there is an entry of its new load
+            continue  # a stale entry: the node has received a shard, and has a newer entry
         while load[source] > table.cap:
             target = _offload_one(table, source)
             if target is None:
@@ -76,7 +75,7 @@
 
 
 def _offload_one(table: WorkingTable, source: int) -> int | None:
-    """Move one shard off an overloaded node; the node that got it."""
+    """Move one shard off an overloaded node; return its new node, None if none can take a shard."""
     load, excess = table.loads.load, table.loads.load[source] - table.cap
     targets = list(_targets(table, source))
     for target in targets:
@@ -93,14 +92,14 @@
 
 
 def _targets(table: WorkingTable, source: int) -> Iterator[int]:
-    """The least loaded node of each zone, least loaded first, those of the source's region before the others."""
+    """Yield the least loaded node of each zone in ascending order of load, the source's region first."""
     loads = table.loads
     for zones in loads.tiers(loads.region[source]):
         yield from sorted(loads.least_loaded_of_each(zones, (source,)), key=lambda node: (loads.load[node], node))
 
 
 class _Donors:
-    """The most loaded nodes of each region, from which others are filled."""
+    """The nodes of each region from which shards move to underloaded nodes, the most loaded first."""
 
     def __init__(self, table: WorkingTable) -> None:
         self._table = table
@@ -110,21 +109,21 @@
         for heap in self._heaps.values():
             heapify(heap)
 
-    def give_one(self, target: int) -> bool:
-        """Move one shard to the target from the most loaded node that can give one, of its own region first."""
+    def move_one_to(self, target: int) -> bool:
+        """Move one shard to the target from the most loaded node that can spare one, first of its own region."""
         loads = self._table.loads
         own = loads.region[target]
         regions = [own, *(region for region in self._heaps if region != own)]
-        return any(self._give_one_from(self._heaps[region], target) for region in regions)
+        return any(self._move_one(self._heaps[region], target) for region in regions)
 
-    def _give_one_from(self, heap: list[tuple[int, int]], target: int) -> bool:
+    def _move_one(self, heap: list[tuple[int, int]], target: int) -> bool:
         table, load = self._table, self._table.loads.load
         set_aside = []
         found = False
         while heap and not found:
             negative_load, source = heappop(heap)
             if -negative_load != load[source]:
-                heappush(heap, (-load[source], source))  # the entry was stale: its node comes up again by its load
+                heappush(heap, (-load[source], source))  # replaces a stale entry
                 continue
             set_aside.append(source)
             if load[source] <= max(table.floor, load[target]):
@@ -136,7 +135,10 @@
 
 
 def _fill(table: WorkingTable) -> int:
-    """Shards for the nodes below the floor, the emptiest first; ends with the first for which there is no shard."""
+    """Move shards to the nodes below the floor, the least loaded first; return the number of moves.
+
+    It ends at the first node for which no shard is found.
+    """
     load = table.loads.load
     underloaded = [(load[node], node) for node in range(len(load)) if load[node] < table.floor]
     if not underloaded:
@@ -146,7 +148,7 @@
     moves = 0
     while underloaded:
         _, target = underloaded[0]
-        if not donors.give_one(target):
+        if not donors.move_one_to(target):
             break
         moves += 1
         heappop(underloaded)
@@ -156,7 +158,7 @@
 
 
 def _fill_one(table: WorkingTable, source: int, target: int) -> bool:
-    """Move one shard from the source to the target, if that leaves both within the bounds."""
+    """Move one shard from the source to the target if both stay within floor and cap; return whether one moved."""
     load = table.loads.load
     max_load = min(load[source] - table.floor, table.cap - load[target], load[source] - load[target] - 1)
     shard = table.pick_shard(source, target, table.floor - load[target], max_load)
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -1,18 +1,18 @@
-"""The control service where destinations are divided among senders.
+"""The control service that divides destinations among senders. No I/O, no clock.
 
-A sender gets resources and grants of the shards that are assigned to it, and of no others. No I/O, no clock. It is a
-control service with its own
+A sender gets the resources and grants of the shards that are assigned to it only. The service is a control service with
+its own
 
-    ledger      quotas of shards instead of amounts by destination (shard_leases.py, coordinator.py); an allowance
-                travels with the grants of its destination's shard
-    view        the catalog's answer to which node may have which destinations' resources (shard_view.py): those of the
-                shards that it holds, or is to hold as soon as the holder before it has released them
-    loads       calls that are reported, by destination, are the loads of the shards
+    ledger      grants quotas of shards instead of amounts by destination (shard_leases.py, coordinator.py); grants of a
+                shard carry the allowances of its destinations
+    view        which nodes may have which destinations' resources (shard_view.py): those of the shards that the node
+                holds, or will hold once the previous holder has released them
+    loads       measured from the reported calls, by destination
 
-A service that becomes leader makes its coordinator anew, from the snapshot of the one before if there is one.
+A service that becomes leader creates a new coordinator, from the previous leader's snapshot if there is one.
 
-What a node may have is no promise of safety: a list of endpoints alone allows no call. Calls need a grant, and the
-rules of grants are the ledger's.
+Safety does not depend on the view: an endpoint list alone permits no call. A call needs a grant, and the ledger's
+invariants cover grants.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from scalefall.net.config import Fleet
 from scalefall.policy.settings import Settings
 
-LOAD_INTERVAL_US = 30_000_000  # over which calls are counted before they become loads: a placement's interval
-MAX_UNACKNOWLEDGED_GRANTS = 4096  # grants of one stream that wait for an answer; more are renewals that nobody reads
+LOAD_INTERVAL_US = 30_000_000  # over which calls are counted for one load report: the placement interval
+MAX_UNACKNOWLEDGED_GRANTS = 4096  # per stream; the oldest are dropped, as a client with more does not read its renewals
 SECOND_US = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class ShardGrants(QuotaAction):
-    """All grants that one holder is to be sent now."""
+    """The grants of one step for one holder."""
 
     grants: tuple[ShardGrant, ...]
 
 
 class ShardedService(BaseControlService[ShardGrant]):
-    """A control service that grants shards. Streams of resources go by their node, quota streams by their process."""
+    """A control service that grants shards. A resource stream belongs to a node, a quota stream to a process."""
 
     def __init__(
         self,
@@ -64,39 +64,39 @@
         """Start without a fleet and without senders.
 
         Args:
-            now: The time, in microseconds as all others.
-            settings: Of the decision module.
-            seed: Of the decision module's random draws.
+            now: The present time in us, as in all methods.
+            settings: The engine's settings.
+            seed: The seed of the engine's random choices.
             builder: Makes resources.
-            lease_us: How long a grant may be used after it arrived.
-            delay_us: The longest that a message may be under way.
-            silence_us: A process that sends nothing for so long counts as lost.
-            assignment: How destinations are divided.
+            lease_us: How long a grant may be used from its receipt.
+            delay_us: The longest time that a message may be in transit.
+            silence_us: How long after its last message a process counts as unreachable.
+            assignment: The settings of the assignment.
         """
         self._assignment = assignment
         self._assembly = assemble(now, assignment, None).assembly
         self._view = ShardView(self.coordinator)
-        self._nodes: dict[str, Node] = {}  # of each holder
-        self._node_streams: dict[str, set[int]] = {}  # resource streams of each node
-        self._stream_nodes: dict[int, str] = {}  # node of each resource stream
+        self._nodes: dict[str, Node] = {}  # by holder
+        self._node_streams: dict[str, set[int]] = {}  # resource streams by node
+        self._stream_nodes: dict[int, str] = {}  # nodes by resource stream
         self._unacknowledged: dict[int, deque[tuple[int, int]]] = {}  # (grant number, shard) by quota stream, in order
-        self._calls: Counter[int] = Counter()  # by destination, since loads were last reported
-        self._counted_from = now
+        self._calls: Counter[int] = Counter()  # by destination, since the last load report
+        self._counting_since = now
         self._leases = ShardLeases(self.coordinator, delay_us)
         super().__init__(now, settings, seed, builder, lease_us, delay_us, silence_us, self._leases, self._view)
 
     @property
     def coordinator(self) -> Coordinator:
-        """Who has which shard."""
+        """Return the present coordinator."""
         return self._assembly.coordinator
 
     def become_leader(self, now: int, number: int, snapshot: str | None = None) -> None:
-        """Grant from now on, after a grace period, with a new coordinator.
+        """Become the leader, with a new coordinator that grants after a grace period.
 
         Args:
-            now: The time.
-            number: Grants are numbered above it.
-            snapshot: What the service before left; where it cannot be used all shards are placed anew.
+            now: The present time.
+            number: The highest grant number that an earlier leader may have used.
+            snapshot: The snapshot that the earlier leader stored; if it is rejected, all shards are placed again.
         """
         self._assembly, rejection = assemble(now, self._assignment, snapshot)
         if rejection:
@@ -108,11 +108,11 @@
             self.coordinator.holder_joined(holder, node, now)
 
     def generation(self) -> int:
-        """Return the generation of the table, which grows with each change that a snapshot would show."""
+        """Return the table's generation, which increases with each change of what a snapshot contains."""
         return self.coordinator.generation
 
     def snapshot(self) -> str | None:
-        """Return the table as text, for the next service."""
+        """Return the snapshot from which the next leader starts."""
         return self._assembly.snapshot()
 
     # -- the fleet
@@ -123,16 +123,16 @@
         self._view.replace_destinations(fleet.routes)
         return outgoing
 
-    # -- streams of resources
+    # -- resource streams
 
     def resource_stream_opened(self, stream: int, node: str, incremental: bool, supports_ttl: bool) -> None:
-        """Record a stream of resources; see BaseControlService.resource_stream_opened."""
+        """Register a resource stream; see BaseControlService.resource_stream_opened."""
         super().resource_stream_opened(stream, node, incremental, supports_ttl)
         self._node_streams.setdefault(node, set()).add(stream)
         self._stream_nodes[stream] = node
 
     def resource_stream_closed(self, stream: int) -> None:
-        """Forget a stream; nothing if it was none of resources."""
+        """Drop a closed stream; do nothing if it is no resource stream."""
         super().resource_stream_closed(stream)
         node = self._stream_nodes.pop(stream, None)
         if node is not None:
@@ -141,7 +141,7 @@
                 del self._node_streams[node]
 
     def _receivers(self, keys: set[ResourceKey]) -> Iterable[tuple[int, set[ResourceKey]]]:
-        """Only nodes that may have a destination's resources get them."""
+        """Return the streams of the nodes that may have some of these resources, with the keys for each."""
         return [
             (stream, keys_of_node)
             for node, keys_of_node in self._by_node(keys).items()
@@ -149,7 +149,7 @@
         ]
 
     def _by_node(self, keys: Iterable[ResourceKey]) -> dict[str, set[ResourceKey]]:
-        """The keys that each node with a stream has to know; those that are removed or of no destination, all nodes."""
+        """Return the keys for each node; all nodes get those that are removed or belong to no destination."""
         found: dict[str, set[ResourceKey]] = {}
         for key in keys:
             destination = self.catalog.destination_of(key)
@@ -157,12 +157,12 @@
                 found.setdefault(node, set()).add(key)
         return found
 
-    # -- processes and their grants
+    # -- quota streams and grants
 
     def quota_stream_joined(
         self, stream: int, node: str, instance: str, now: int, region: str = "", zone: str = ""
     ) -> Joined | JoinRejected:
-        """Record that a quota stream has named its process, and where that stands."""
+        """Register the process that a quota stream names, with its region and zone."""
         answer = self.members.join(stream, node, instance, now)
         if isinstance(answer, Joined):
             self._nodes[answer.holder] = Node(node, region, zone)
@@ -173,15 +173,15 @@
         return answer
 
     def quota_stream_closed(self, stream: int, now: int) -> None:
-        """Forget a stream; nothing if it was no holder's."""
+        """Record that a stream is closed; do nothing if it has no holder."""
         super().quota_stream_closed(stream, now)
         self._unacknowledged.pop(stream, None)
 
     def acknowledged(self, stream: int, number: int, now: int) -> None:
-        """Record that the stream's process has received all grants sent on it up to this number.
+        """Record that the stream's process has received all grants sent on the stream up to this number.
 
-        A stream preserves their order, so one number stands for all before it. It does not vouch for what was sent on
-        an earlier stream.
+        One number acknowledges all before it, as a stream preserves their order. It does not acknowledge grants that
+        were sent on an earlier stream.
         """
         holder = self.members.holder_of(stream)
         if holder is None:
@@ -224,7 +224,7 @@
             shard=grant.shard,
             epoch=grant.epoch,
             number=grant.number,
-            share=grant.quota,  # the field keeps its name: logs are read by machine
+            share=grant.quota,  # log readers depend on this field name
             lease_ms=grant.lease_us // 1000,
             delay_ms=self.ledger.delay_us // 1000,
         )
@@ -232,30 +232,30 @@
     # -- loads
 
     def calls_counted(self, calls: Mapping[int, int]) -> None:
-        """Add the calls that were made since the last report, by destination."""
+        """Add the calls that senders have made since their last report, by destination."""
         for destination, count in calls.items():
             if count > 0:
                 self._calls[destination] += count
 
     def _report_loads(self, now: int) -> None:
-        """Report the calls per second of each destination with traffic to the coordinator, once an interval."""
-        elapsed = now - self._counted_from
+        """Report the calls per second of each destination to the coordinator, once every LOAD_INTERVAL_US."""
+        elapsed = now - self._counting_since
         if elapsed >= LOAD_INTERVAL_US:
             loads = {destination: count * SECOND_US / elapsed for destination, count in self._calls.items()}
             self._calls.clear()
-            self._counted_from = now
+            self._counting_since = now
             self.coordinator.loads_reported(loads, now)
 
     # -- time
 
     def step(self, now: int) -> list[Outgoing]:
-        """Do what is due; what follows from a change of shards goes out first."""
+        """Process everything that is due; the resources of changed shards are sent before the rest."""
         self._report_loads(now)
         outgoing = super().step(now)
         return self._send_shard_changes() + outgoing
 
     def _send_shard_changes(self) -> list[Outgoing]:
-        """Send what came to a node's shards, or went from them, on its streams of resources."""
+        """Return the messages that add and remove resources on the streams of nodes whose shards have changed."""
         self._view.sync_sharding()
         outgoing: list[Outgoing] = []
         for node, shards in self.coordinator.drain_changes().items():
@@ -266,7 +266,7 @@
         return outgoing
 
     def _keys_of(self, shards: Iterable[int]) -> list[ResourceKey]:
-        """The resources of all destinations of these shards."""
+        """Return the keys of the resources of all destinations of these shards."""
         return [
             key
             for shard in shards
--- a/scalefall/assignment/snapshot.py
+++ b/scalefall/assignment/snapshot.py
@@ -1,14 +1,14 @@
-"""The table as text, for a file or a peer, and back.
+"""Snapshots of an assignment: encoding to text, for a file or a peer, and decoding.
 
-The form is two lines, each ended by a line feed:
+The format is two lines, each ended by a line feed:
 
     scalefall-assignment 1 <blake2b of the second line, 128 bits in hex>
     {"fingerprint": ..., "generation": ..., "isolated": [[destination, shard], ...], "names": [name, ...],
      "nodes": [[name, region, zone], ...], "table": [[shard, index of a name, ...], ...]}
 
-The second line is JSON without spaces. A text that is incomplete, was changed, or belongs to other settings is
-rejected; the error is one line that names what is wrong. The checksum guards against damage, not against a forger: a
-text with a right checksum is checked field by field all the same.
+The second line is JSON without spaces. A text that is truncated, was changed, or belongs to other settings is rejected
+with a one-line error that names the fault. The checksum detects corruption, not forgery, so a text whose checksum
+matches is still validated field by field.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from scalefall.errors import AssignmentError
 
 FORMAT_NAME = "scalefall-assignment"
-FORMAT_VERSION = "1"  # of the form; another one is rejected
-DIGEST_BYTES = 16  # enough that no damage goes unseen
+FORMAT_VERSION = "1"  # any other version is rejected
+DIGEST_BYTES = 16  # enough to make undetected corruption negligible
 
 Json: TypeAlias = None | bool | int | float | str | list["Json"] | dict[str, "Json"]
 Predicate = Callable[[Json], bool]
 
 
 class _Fields(TypedDict):
-    """The second line, checked."""
+    """The validated fields of the second line."""
 
     fingerprint: str
     generation: int
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True, frozen=True)
 class TableState:
-    """What outlives a control service.
+    """The state that the next control service starts from.
 
     Attributes:
         table: The names of the nodes that hold each shard.
-        isolated: Each isolated destination's own shard.
-        generation: Grows with each change of the table or of the isolated destinations.
-        nodes: Where the table's nodes stand, for placement's `former_nodes`.
+        isolated: The shard of each isolated destination.
+        generation: Increases with each change of the table or of the isolated destinations.
+        nodes: The regions and zones of the table's nodes, for placement's `former_nodes`.
     """
 
     table: dict[int, tuple[str, ...]]
@@ -63,7 +63,7 @@
 
     Args:
         state: The state.
-        fingerprint: That of the settings on which the meaning of the shards' numbers depends.
+        fingerprint: The fingerprint of the settings that define the meaning of shard numbers.
     """
     names = sorted({name for holders in state.table.values() for name in holders})
     index = {name: number for number, name in enumerate(names)}
@@ -80,17 +80,17 @@
 
 
 def decode(text: str, fingerprint: str) -> TableState:
-    """Return the state of a text that encode made under the same fingerprint.
+    """Return the state of a text that `encode` returned for the same fingerprint.
 
     Raises:
-        AssignmentError: It is any other text.
+        AssignmentError: The text is anything else.
     """
     fields = _checked(_parse(_body(text)))
     if fields["fingerprint"] != fingerprint:
         raise AssignmentError(f"snapshot: of other settings ({fields['fingerprint']!r:.80}, not {fingerprint!r:.80})")
     nodes = tuple(Node(*row) for row in fields["nodes"])
     if len({node.name for node in nodes}) < len(nodes):
-        raise AssignmentError("snapshot: nodes: a node is there twice")
+        raise AssignmentError("snapshot: nodes: duplicate node")
     return TableState(
         table=_table(fields["table"], fields["names"]),
         isolated=_isolated(fields["isolated"]),
@@ -104,38 +104,38 @@
 
 
 def _body(text: str) -> str:
-    """The second line, once the first one vouches for it."""
+    """Return the second line after checking the first: format, version and checksum."""
     lines = text.split("\n")
     head = lines[0].split(" ")
     if head[0] != FORMAT_NAME:
-        raise AssignmentError(f"snapshot: it does not begin with {FORMAT_NAME}")
+        raise AssignmentError(f"snapshot: does not begin with {FORMAT_NAME}")
     if len(lines) != 3 or lines[2] or len(head) != 3:
-        raise AssignmentError("snapshot: it is not whole: a first line, a second and a line feed are wanted")
+        raise AssignmentError("snapshot: truncated or extended: expected two lines, each ended by a line feed")
     if head[1] != FORMAT_VERSION:
-        raise AssignmentError(f"snapshot: it has the form of version {head[1]!r:.20}, not {FORMAT_VERSION}")
+        raise AssignmentError(f"snapshot: format version {head[1]!r:.20}, not {FORMAT_VERSION}")
     if head[2] != _checksum(lines[1]):
-        raise AssignmentError("snapshot: its checksum does not fit: it is cut off or was changed")
+        raise AssignmentError("snapshot: checksum mismatch: the text is truncated or was changed")
     return lines[1]
 
 
 def _unique(pairs: list[tuple[str, Json]]) -> dict[str, Json]:
-    """Make an object of JSON of which no field is there twice."""
+    """Return a JSON object as a dict, after checking that no field is repeated."""
     found = dict(pairs)
     if len(found) < len(pairs):
-        raise AssignmentError("snapshot: a field is there twice")
+        raise AssignmentError("snapshot: duplicate field")
     return found
 
 
 def _parse(body: str) -> dict[str, Json]:
-    """The fields of the second line, unchecked."""
+    """Return the fields of the second line, not yet validated."""
     try:
         fields = json.loads(body, object_pairs_hook=_unique)
     except AssignmentError:
         raise
     except (ValueError, RecursionError) as error:
-        raise AssignmentError("snapshot: its second line is not JSON") from error
+        raise AssignmentError("snapshot: the second line is not JSON") from error
     if not isinstance(fields, dict):
-        raise AssignmentError("snapshot: its second line is not an object")
+        raise AssignmentError("snapshot: the second line is not an object")
     return fields
 
 
@@ -158,10 +158,10 @@
 
 
 class FieldCheck(NamedTuple):
-    """What a field of the second line has to be."""
+    """The check of a field of the second line."""
 
     is_valid: Predicate
-    expected: str  # for the error, after "is not"
+    expected: str  # completes the error "the field ... is not ..."
 
 
 FIELD_CHECKS: dict[str, FieldCheck] = {
@@ -175,7 +175,7 @@
 
 
 def _checked(fields: dict[str, Json]) -> _Fields:
-    """The same fields, once each has been found to be what it has to be, and none is there besides."""
+    """Return the same fields after checking that each is valid, none is missing and none is unknown."""
     for name, field_check in FIELD_CHECKS.items():
         if name not in fields:
             raise AssignmentError(f"snapshot: the field {name} is missing")
@@ -191,11 +191,11 @@
     table: dict[int, tuple[str, ...]] = {}
     for shard, *holders in rows:
         if shard in table:
-            raise AssignmentError(f"snapshot: table: shard {shard} is there twice")
+            raise AssignmentError(f"snapshot: table: duplicate shard {shard}")
         if holders and max(holders) >= len(names):
-            raise AssignmentError(f"snapshot: table: shard {shard} is held by name {max(holders)} of {len(names)}")
+            raise AssignmentError(f"snapshot: table: shard {shard} has index {max(holders)} of {len(names)} names")
         if len(set(holders)) < len(holders):
-            raise AssignmentError(f"snapshot: table: shard {shard} is held twice by one node")
+            raise AssignmentError(f"snapshot: table: shard {shard} lists a node twice")
         table[shard] = tuple([names[number] for number in holders])
     return table
 
@@ -204,8 +204,8 @@
     isolated: dict[int, int] = {}
     for destination, shard in rows:
         if destination in isolated:
-            raise AssignmentError(f"snapshot: isolated: destination {destination} is there twice")
+            raise AssignmentError(f"snapshot: isolated: duplicate destination {destination}")
         isolated[destination] = shard
     if len(set(isolated.values())) < len(isolated):
-        raise AssignmentError("snapshot: isolated: a shard is given to two destinations")
+        raise AssignmentError("snapshot: isolated: two destinations have the same shard")
     return isolated
--- a/scalefall/assignment/working_table.py
+++ b/scalefall/assignment/working_table.py
@@ -1,4 +1,4 @@
-"""The table while a placement is worked out: who holds which shard, at what load, with exact sums for each node."""
+"""The table during the computation of a placement: the holders of each shard, and exact loads of nodes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class WorkingTable:
-    """Shards on nodes, both as numbers, and the moves that change the table.
+    """Shards on nodes, both by number, and the moves that change the table.
 
     Attributes:
         loads: The nodes' loads, kept in step with the table.
         cap: The most that a node should carry.
         floor: The least that a node should carry.
         holders: The nodes that hold each shard, in order.
-        holder_load: What each holder of a shard carries of its load; all carry the same.
+        holder_load: The load of each holder of a shard, equal for all its holders.
     """
 
     def __init__(self, loads: NodeLoads, cap: int, floor: int) -> None:
@@ -25,17 +25,17 @@
         self.holders: dict[int, list[int]] = {}
         self.holder_load: dict[int, int] = {}
         self._shards_on: list[list[tuple[int, int]]] = [[] for _ in loads.names]  # (holder load, shard), by node
-        self._is_sorted = [False] * len(loads.names)  # sorted when first read: many nodes never are
+        self._is_sorted = [False] * len(loads.names)  # by node; sorted at the first read, as many are never read
 
     def add_existing(self, shard: int, holder_load: int, holders: list[int]) -> None:
-        """Enter a shard with the holders that stay; only before `loads.build_heaps()`."""
+        """Add a shard with the holders that stay; only before `loads.build_heaps`."""
         self.holders[shard], self.holder_load[shard] = holders, holder_load
         for node in holders:
             self.loads.load[node] += holder_load
             self._shards_on[node].append((holder_load, shard))
 
     def add_holder(self, shard: int, node: int) -> None:
-        """Give a shard one more holder."""
+        """Add a holder to a shard."""
         holder_load = self.holder_load[shard]
         self.holders[shard].append(node)
         self._enter(node, holder_load, shard)
@@ -64,7 +64,7 @@
         return self._shards_on[node]
 
     def holders_by_zone(self, shard: int) -> Counter[int]:
-        """Return how many of a shard's holders are in each zone."""
+        """Return the number of a shard's holders in each zone."""
         return Counter(self.loads.zone[node] for node in self.holders[shard])
 
     def region_of(self, shard: int) -> str | None:
@@ -73,7 +73,7 @@
         return self.loads.region[holders[0]] if holders else None
 
     def may_move(self, shard: int, source: int, target: int) -> bool:
-        """Return whether a move leaves the holders on different nodes, and in zones as different as they are."""
+        """Return whether a move leaves the holders on different nodes, spread over zones no less evenly than before."""
         holders = self.holders[shard]
         if len(holders) == 1:
             return True
@@ -85,7 +85,7 @@
     def pick_shard(self, source: int, target: int, wanted_load: int, max_load: int) -> int | None:
         """Return the shard to move from source to target, None if there is none.
 
-        It is the smallest one that carries the wanted load, else the largest; none above the maximum.
+        It is the smallest shard with at least the wanted load, else the largest, and never above the maximum.
         """
         if max_load < 1:
             return None
--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -333,7 +333,7 @@
     with pytest.raises(AssignmentError, match="isolated destinations are not those of the state"):
         Coordinator(0, SETTINGS, StandInPlacement(), StandInSharding({5: COUNT}), None, state)
     state.table[77] = ("a",)
-    with pytest.raises(AssignmentError, match="shard 77, which the sharding has not"):
+    with pytest.raises(AssignmentError, match="shard 77, which is not in the sharding"):
         Coordinator(0, SETTINGS, StandInPlacement(), StandInSharding(), None, state)
 
 
--- a/tests/assignment/test_snapshot.py
+++ b/tests/assignment/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The table to text and back; anything else is rejected with one line."""
+"""Snapshots: encoding, decoding, and the one-line errors of invalid ones."""
 
 import json
 from hashlib import blake2b
@@ -16,7 +16,7 @@
 
 
 def rejection(text, fingerprint="settings 1"):
-    """Return the error of a text, which is one line."""
+    """Return the error of decoding a text, after checking that it is one line."""
     with pytest.raises(AssignmentError) as caught:
         decode(text, fingerprint)
     assert "\n" not in str(caught.value)
@@ -25,12 +25,12 @@
 
 
 def sealed(body):
-    """Return a text with this second line and its checksum."""
+    """Return a text with this second line and a matching checksum."""
     return f"scalefall-assignment 1 {blake2b(body.encode(), digest_size=16).hexdigest()}\n{body}\n"
 
 
 def changed(**fields):
-    """Return the snapshot with other fields, and its checksum."""
+    """Return the snapshot with some fields replaced, and a matching checksum."""
     return sealed(json.dumps({**json.loads(TEXT.split("\n")[1]), **fields}))
 
 
@@ -41,14 +41,14 @@
 @given(tables, st.sets(st.integers(0, 10**9)), st.integers(0, 2**70), names)
 @settings(max_examples=100, derandomize=True, deadline=None)
 def test_a_decoded_snapshot_equals_the_encoded_state(table, isolated, generation, fingerprint):
-    """Whatever the names, numbers and the fingerprint are."""
+    """Guards against a loss of data for any names, numbers and fingerprint."""
     state = TableState(table, {destination: number for number, destination in enumerate(isolated)}, generation)
     assert decode(encode(state, fingerprint), fingerprint) == state
     assert decode(TEXT, "settings 1") == STATE
 
 
-def test_the_fleet_s_table_is_under_a_megabyte():
-    """At 14,400 shards, 900 senders and 300 isolated destinations."""
+def test_the_snapshot_of_a_large_fleet_is_under_a_megabyte():
+    """The fleet has 14,400 shards, 900 senders and 300 isolated destinations."""
     table = {shard: (f"sender-eu-west-1a-{shard % 900:04}",) for shard in range(14_400)}
     isolated = {destination: 14_400 + destination for destination in range(300)}
     for destination, shard in isolated.items():
@@ -56,8 +56,8 @@
     assert len(encode(TableState(table, isolated, 10**9), "f")) < 1_000_000
 
 
-def test_a_text_torn_or_changed_at_any_byte_is_rejected():
-    """Cut off, one bit different, or a byte less."""
+def test_a_text_that_is_truncated_or_changed_at_any_character_is_rejected():
+    """Guards against a corrupt file that is accepted: truncated, with one bit flipped, or without one character."""
     for end in range(len(TEXT)):
         rejection(TEXT[:end])
         rejection(TEXT[:end] + chr(ord(TEXT[end]) ^ 1) + TEXT[end + 1 :])
@@ -67,17 +67,17 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "text_of_error"),
+    ("text", "expected_error"),
     [
         ("", "does not begin with scalefall-assignment"),
         (TEXT.replace("assignment 1", "assignment 2"), "version '2', not 1"),
-        (TEXT[:-10], "not whole"),
-        (TEXT[:-10] + "\n", "checksum"),
+        (TEXT[:-10], "truncated or extended: expected two lines"),
+        (TEXT[:-10] + "\n", "checksum mismatch"),
         (sealed("{"), "not JSON"),
         (sealed("[" * 100_000), "not JSON"),
         (sealed("9" * 10_000), "not JSON"),
         (sealed("[]"), "not an object"),
-        (sealed('{"names":[],"names":[]}'), "a field is there twice"),
+        (sealed('{"names":[],"names":[]}'), "duplicate field"),
         (sealed("{}"), "the field fingerprint is missing"),
         (changed(epochs=[]), "unknown field 'epochs'"),
         (changed(fingerprint=None), "the field fingerprint is not a string"),
@@ -85,18 +85,18 @@
         (changed(generation=-1), "the field generation is not a number"),
         (changed(names=[1]), "the field names is not a list of strings"),
         (changed(nodes=[["n1", "r"]]), "the field nodes is not a list of"),
-        (changed(nodes=[["n1", "r", "z"], ["n1", "r", "y"]]), "nodes: a node is there twice"),
+        (changed(nodes=[["n1", "r", "z"], ["n1", "r", "y"]]), "nodes: duplicate node"),
         (changed(table={"0": [0]}), "the field table is not a list of"),
         (changed(table=[[]]), "the field table is not a list of"),
         (changed(table=[[0, 0.5]]), "the field table is not a list of"),
-        (changed(table=[[4, 0], [4, 1]]), "table: shard 4 is there twice"),
-        (changed(table=[[4, 2]]), "table: shard 4 is held by name 2 of 2"),
-        (changed(table=[[4, 1, 1]]), "table: shard 4 is held twice by one node"),
-        (changed(isolated=[[1, 8], [1, 9]]), "isolated: destination 1 is there twice"),
-        (changed(isolated=[[1, 8], [2, 8]]), "isolated: a shard is given to two destinations"),
+        (changed(table=[[4, 0], [4, 1]]), "table: duplicate shard 4"),
+        (changed(table=[[4, 2]]), "table: shard 4 has index 2 of 2 names"),
+        (changed(table=[[4, 1, 1]]), "table: shard 4 lists a node twice"),
+        (changed(isolated=[[1, 8], [1, 9]]), "isolated: duplicate destination 1"),
+        (changed(isolated=[[1, 8], [2, 8]]), "isolated: two destinations have the same shard"),
         (changed(fingerprint="settings 2"), "of other settings"),
     ],
 )
-def test_each_rejection_names_what_is_wrong(text, text_of_error):
-    """Also where the checksum fits."""
-    assert text_of_error in rejection(text)
+def test_the_error_of_a_rejected_text_names_the_fault(text, expected_error):
+    """Guards against accepting invalid fields because their checksum matches."""
+    assert expected_error in rejection(text)
