--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -123,7 +123,7 @@
         self._table: Table = {}
         self._generation = 0
         self._schedule = PlacementSchedule(now, settings.restart_us, settings.rebalance_us)
-        self._is_first = state is None  # whether it started without a table
+        self._started_without_table = state is None
         for destination, own in sharding.isolated.items():
             self._ledger.isolate(destination, sharding.merge(destination).shard_of(destination), own)
         if state is not None:
@@ -261,7 +261,7 @@
     def _may_balance(self, now: int) -> bool:
         """Return whether shards may move for balance. A first table may, by number, before loads are reported."""
         since = self._loads.first_report_at
-        return self._is_first if since is None else now - since >= MIN_LOAD_HISTORY_US
+        return self._started_without_table if since is None else now - since >= MIN_LOAD_HISTORY_US
 
     def _place(self, now: int) -> None:
         self._schedule.placed(now)
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -64,8 +64,8 @@
             lease_us: How long a grant may be used from its receipt.
             delay_us: The longest time that a message may be in transit.
         """
-        self._lease, self._delay = lease_us, delay_us
-        self._renewal = lease_us // 2
+        self._lease_us, self._delay_us = lease_us, delay_us
+        self._renewal_us = lease_us // 2
         self._grace_until = now + lease_us + delay_us
         self._number = 0
         self._live: set[str] = set()  # reachable holders
@@ -92,7 +92,7 @@
 
     def start_grace_period(self, now: int) -> None:
         """Start granting once all that another service may have granted until `now` has expired."""
-        self._grace_until = now + self._lease + self._delay
+        self._grace_until = now + self._lease_us + self._delay_us
 
     # -- holders
 
@@ -182,7 +182,7 @@
         if lease is None:
             return False
         before = lease.in_use(now)
-        if not lease.acknowledge(number, now + self._lease):
+        if not lease.acknowledge(number, now + self._lease_us):
             return False
         if record.awaited_by_move or lease.in_use(now) < before:
             self._records.mark_changed(shard)
@@ -198,17 +198,17 @@
         for record in self._records.pop_ready(now):
             self._records.release(record, record.expire(now))
             record.prune_limits()
-            for holder, quota in record.decide_grants(now, self._live, self._renewal):
+            for holder, quota in record.decide_grants(now, self._live, self._renewal_us):
                 grants.append(self._grant(record, holder, quota, now))
             assert_invariant(record.in_use(now) <= FULL_QUOTA, "quotas in use add up to no more than the full quota")
-            self._records.schedule(record, record.next_evaluation(now, self._live, self._renewal))
+            self._records.schedule(record, record.next_evaluation(now, self._live, self._renewal_us))
         return grants
 
     def next_deadline(self, now: int) -> int:
         """Return when to call step() if nothing changes before."""
         if now < self._grace_until:
             return self._grace_until
-        return min(self._records.next_evaluation(now), now + self._lease)
+        return min(self._records.next_evaluation(now), now + self._lease_us)
 
     def _grant(self, record: ShardRecord, holder: str, quota: int, now: int) -> ShardGrant:
         self._number += 1
@@ -222,13 +222,13 @@
             epoch <= self._number and lease.acknowledged_version <= version, "a lease is not ahead of the ledger"
         )
         assert_invariant(not record.blocked, "nothing is granted on a blocked shard")
-        until = now + self._delay + self._lease
+        until = now + self._delay_us + self._lease_us
         lease.outstanding.append(OutstandingGrant(self._number, epoch, quota, version, until))
         lease.renewed_at = now
         if not quota:
             lease.epoch = 0
         limits = record.limits.changed_since(lease.acknowledged_version)
-        return ShardGrant(holder, record.number, epoch, self._number, quota, self._lease, limits, record.destination)
+        return ShardGrant(holder, record.number, epoch, self._number, quota, self._lease_us, limits, record.destination)
 
     # -- what may be in use
 
--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -108,11 +108,11 @@
     node_loads = NodeLoads(nodes)
     if not nodes:
         return _empty_plan(table)
-    wanted = sorted(set(shards))
-    weights = _weights(loads, wanted)
+    shard_numbers = sorted(set(shards))
+    weights = _weights(loads, shard_numbers)
     mean = sum(weights.values()) / len(nodes)
     working = WorkingTable(node_loads, cap=int(mean * limits.bound), floor=ceil(mean / limits.bound))
-    holder_counts = _holder_counts(table, loads, limits, wanted, node_loads)
+    holder_counts = _holder_counts(table, loads, limits, shard_numbers, node_loads)
     if not may_move:
         _retain_all_survivors(holder_counts, table, node_loads)
     lacking = _retain_holders(working, table, weights, holder_counts)
--- a/scalefall/assignment/shard_view.py
+++ b/scalefall/assignment/shard_view.py
@@ -70,10 +70,10 @@
 
     def replace_destinations(self, destinations: Iterable[int]) -> None:
         """Set the destinations of the fleet."""
-        wanted = set(destinations)
-        for destination in self._shards.keys() - wanted:
+        present = set(destinations)
+        for destination in self._shards.keys() - present:
             self._remove(destination)
-        for destination in wanted - self._shards.keys():
+        for destination in present - self._shards.keys():
             self._add(destination)
 
     def _add(self, destination: int) -> None:
--- a/tests/assignment/coordinator_stand_ins.py
+++ b/tests/assignment/coordinator_stand_ins.py
@@ -1,49 +1,49 @@
-"""Stand-ins for what the coordinator consults: sharding, placement and isolation that a test can foresee."""
+"""Predictable stand-ins for the coordinator's sharding, placement and isolation policy."""
 
 from __future__ import annotations
 
 from scalefall.assignment.isolation_policy import IsolationChange
 from scalefall.assignment.placement import Plan
 
-COUNT = 12  # shared shards
+SHARED_SHARDS = 12
 
 
 class StandInSharding:
-    """Destination modulo COUNT; an isolated one has the lowest free number from COUNT on."""
+    """A destination's shard is its number modulo SHARED_SHARDS, or if isolated the lowest free one from there up."""
 
     def __init__(self, isolated=()):
-        """Isolate these destinations, with their shards."""
+        """Start with these isolated destinations and their shards."""
         self.isolated = dict(isolated)
 
     def shard_of(self, destination):
         """Return the destination's shard."""
-        return self.isolated.get(destination, destination % COUNT)
+        return self.isolated.get(destination, destination % SHARED_SHARDS)
 
     def shards(self):
         """Return all shards."""
-        return [*range(COUNT), *self.isolated.values()]
+        return [*range(SHARED_SHARDS), *self.isolated.values()]
 
     def isolate(self, destination):
-        """Return a sharding with one more isolated destination."""
-        free = next(number for number in range(COUNT, 99) if number not in self.isolated.values())
+        """Return a sharding in which the destination is isolated."""
+        free = next(number for number in range(SHARED_SHARDS, 99) if number not in self.isolated.values())
         return StandInSharding(self.isolated | {destination: free})
 
     def merge(self, destination):
-        """Return a sharding with one isolated destination less."""
+        """Return a sharding in which the destination is not isolated."""
         return StandInSharding({other: own for other, own in self.isolated.items() if other != destination})
 
 
 class StandInPlacement:
-    """A shard stays on nodes that are there; others go to the nodes with the fewest, `replicas` for each shard.
+    """Shards stay on nodes that are present; others go to the nodes with the fewest shards, to `replicas` nodes each.
 
-    A `next_table` that is set is the answer to the next call, whatever its input.
+    If `next_table` is set, the next call returns it.
     """
 
     def __init__(self, replicas=1):
-        """Place each shard on so many nodes."""
+        """Place each shard on `replicas` nodes."""
         self.replicas = replicas
         self.next_table = None
-        self.calls = []  # (loads by shard, names of the nodes)
+        self.calls = []  # (loads by shard, names of the nodes) of each call
         self.may_move = None  # of the last call
 
     def __call__(self, table, loads, nodes, _limits, shards, may_move):
@@ -58,7 +58,7 @@
         return Plan(table, frozenset())
 
     def table(self, table, names, shards):
-        """Return the table in which what can stay stays."""
+        """Return the next table, in which holders that are present stay."""
         placed = {shard: [name for name in table.get(shard, ()) if name in names] for shard in shards}
         counts = {name: sum(name in row for row in placed.values()) for name in names}
         for row in placed.values():
@@ -69,10 +69,10 @@
 
 
 class StandInIsolation:
-    """Answers `change`, whatever its input."""
+    """An isolation policy that returns `change`, whatever its input."""
 
     def __init__(self):
-        """Change nothing until `change` is another."""
+        """Start with an empty change."""
         self.change = IsolationChange(isolate=(), merge=())
         self.loads, self.node_load = None, None  # of the last call
 
--- a/tests/assignment/test_isolation.py
+++ b/tests/assignment/test_isolation.py
@@ -1,4 +1,4 @@
-"""Which destinations get a shard of their own."""
+"""The policy that isolates and merges destinations."""
 
 from math import inf, nan
 
@@ -10,7 +10,7 @@
 
 
 def test_heavy_destinations_are_isolated_the_heaviest_first():
-    """Above the threshold, not at it; one that is isolated already is not named again."""
+    """The threshold is exclusive, and a destination that is isolated already is not listed again."""
     change = decide({1: 25.0, 2: 25.1, 3: 9_000.0, 4: 26.0}, Sharding(8).isolate(4), 100.0, LowLoadStreaks())
     assert change.isolate == (3, 2)
     assert change.merge == ()
@@ -18,10 +18,10 @@
 
 
 def test_a_destination_is_merged_after_an_unbroken_streak_of_low_load():
-    """One decision at or above the threshold begins the count anew."""
+    """Guards against merging on interrupted low load: a decision at or above the threshold resets the streak."""
     sharding, low_load_streaks = Sharding(8).isolate(4).isolate(5), LowLoadStreaks()
     for _ in range(MERGE_AFTER_DECISIONS - 1):
-        change = decide({5: 13.0}, sharding, 100.0, low_load_streaks)  # 5 is above half of the limit, 4 is not measured
+        change = decide({5: 13.0}, sharding, 100.0, low_load_streaks)  # 5 is above MERGE_THRESHOLD, 4 has no load
         low_load_streaks = change.low_load_streaks
         assert change.merge == ()
     assert decide({4: 12.6}, sharding, 100.0, low_load_streaks).low_load_streaks.decisions == {5: 1}
@@ -31,15 +31,15 @@
     assert dict(change.apply(sharding).isolated) == {5: 9}
 
 
-def test_a_number_does_not_change_its_destination_within_one_change():
-    """Isolating comes before merging, so the number that becomes free is not used at once."""
+def test_a_shard_number_is_not_reused_within_one_change():
+    """Guards against two destinations of one shard number: isolation comes before merging, which frees the number."""
     sharding = Sharding(8).isolate(4)
     change = decide({6: 50.0}, sharding, 100.0, LowLoadStreaks({4: MERGE_AFTER_DECISIONS}))
     assert dict(change.apply(sharding).isolated) == {6: 9}
 
 
-def test_shards_stay_within_their_maximum_and_no_traffic_decides_nothing():
-    """The heaviest destination gets the last free shard; without traffic the streaks stay as they are."""
+def test_the_heaviest_destination_gets_the_last_free_shard_and_no_traffic_changes_nothing():
+    """Guards against more than MAX_SHARDS shards, and against merging all destinations when loads are missing."""
     sharding = Sharding(MAX_SHARDS - 1)
     assert decide({1: 50.0, 2: 60.0}, sharding, 100.0, LowLoadStreaks()).isolate == (2,)
     low_load_streaks = LowLoadStreaks({4: MERGE_AFTER_DECISIONS})
@@ -48,8 +48,8 @@
 
 
 @pytest.mark.parametrize("load", [nan, inf, -1.0])
-def test_loads_that_are_no_finite_number_from_0_on_are_rejected(load):
-    """Both those of destinations and the mean of a node."""
+def test_loads_that_are_negative_or_not_finite_are_rejected(load):
+    """The check covers the loads of destinations and the mean load of a node."""
     with pytest.raises(AssignmentError, match=r"^destination 7 has a load of"):
         decide({7: load}, Sharding(8), 100.0, LowLoadStreaks())
     with pytest.raises(AssignmentError, match=r"^the mean load of a node is"):
--- a/tests/assignment/test_load_means.py
+++ b/tests/assignment/test_load_means.py
@@ -4,14 +4,14 @@
 
 from scalefall.assignment.load_means import AVERAGING_US, LoadMeans
 
-S = 1_000_000
+SECOND = 1_000_000  # us
 
 
-def test_the_mean_decays_and_idle_destinations_are_forgotten():
-    """Reports weigh less with their age; a destination without traffic is dropped once its mean is next to nothing."""
+def test_the_mean_decays_and_idle_destinations_are_dropped():
+    """Reports weigh less with age; a destination without traffic is dropped once its mean is close to zero."""
     loads, now = LoadMeans(), 0
     for _ in range(30):
-        now += 10 * S
+        now += 10 * SECOND
         loads.report({1: 50.0, 2: 8.0}, now)
     assert loads.means(now) == pytest.approx({1: 50.0, 2: 8.0})
     loads.report({1: 50.0}, now + AVERAGING_US)
--- a/tests/assignment/test_shard_holder.py
+++ b/tests/assignment/test_shard_holder.py
@@ -1,41 +1,41 @@
-"""What a sender process keeps of its grants."""
+"""The grants of one sender process."""
 
 from __future__ import annotations
 
 from scalefall.assignment.holder import ShardHolder
 from scalefall.assignment.model import FULL_QUOTA, UNLIMITED, ShardGrant
 
-S = 1_000_000
-LEASE = 4 * S
+SECOND = 1_000_000  # us
+LEASE_US = 4 * SECOND
 
 
 def grant(number, quota=FULL_QUOTA, limits=(), epoch=1, shard=3, destination=None):
-    """Return a grant of shard 3, or another."""
-    return ShardGrant("node/one", shard, epoch, number, quota, LEASE, limits, destination)
+    """Return a grant, of shard 3 by default."""
+    return ShardGrant("node/one", shard, epoch, number, quota, LEASE_US, limits, destination)
 
 
 def holder():
-    """Return a holder whose shards are destinations modulo 10."""
+    """Return a holder for which a destination's shard is its number modulo 10."""
     return ShardHolder(lambda destination: destination % 10)
 
 
-def test_a_budget_is_quota_times_limit_until_the_lease_runs_out():
-    """A destination of another shard has none."""
+def test_a_budget_is_quota_times_limit_until_the_lease_expires():
+    """Guards against calls after the lease, or to destinations of a shard without one."""
     sender = holder()
-    assert sender.granted(grant(1, FULL_QUOTA // 4, ((13, 4000),)), since=S)
-    assert sender.budget(13, S) == 1000
-    assert sender.budget(23, S) == UNLIMITED // 4
-    assert sender.budget(14, S) == 0
-    assert not sender.holds(14, S)
-    assert sender.holds(13, S + LEASE - 1)
-    assert sender.leased_shards(S + LEASE - 1) == {3}
-    assert sender.budget(13, S + LEASE) == 0
-    assert not sender.holds(13, S + LEASE)
-    assert not sender.leased_shards(S + LEASE)
+    assert sender.granted(grant(1, FULL_QUOTA // 4, ((13, 4000),)), since=SECOND)
+    assert sender.budget(13, SECOND) == 1000
+    assert sender.budget(23, SECOND) == UNLIMITED // 4
+    assert sender.budget(14, SECOND) == 0
+    assert not sender.holds(14, SECOND)
+    assert sender.holds(13, SECOND + LEASE_US - 1)
+    assert sender.leased_shards(SECOND + LEASE_US - 1) == {3}
+    assert sender.budget(13, SECOND + LEASE_US) == 0
+    assert not sender.holds(13, SECOND + LEASE_US)
+    assert not sender.leased_shards(SECOND + LEASE_US)
 
 
 def test_a_late_grant_is_dropped():
-    """An equal or a lower number does not bring back what was withdrawn."""
+    """Guards against a withdrawn shard that is revived by a grant with an equal or a lower number."""
     sender = holder()
     assert sender.granted(grant(2, 0), since=0)
     assert not sender.granted(grant(2), since=1)
@@ -45,7 +45,7 @@
 
 
 def test_a_grant_of_an_older_epoch_is_dropped_whatever_its_number():
-    """A service that no longer grants cannot bring back a tenure."""
+    """Guards against a tenure that is revived by a service that no longer grants."""
     sender = holder()
     assert sender.granted(grant(10, 0, epoch=9), since=0)
     assert not sender.granted(grant(11, epoch=8), since=0)
@@ -53,8 +53,8 @@
     assert sender.epoch(3) == 9
 
 
-def test_limits_add_up_in_a_tenure_and_end_with_it():
-    """A new epoch begins with no limits."""
+def test_limits_accumulate_in_a_tenure_and_end_with_it():
+    """Guards against limits of an earlier tenure that are applied in a new one."""
     sender = holder()
     sender.granted(grant(1, limits=((13, 4000), (23, 50))), since=0)
     sender.granted(grant(2, limits=((23, UNLIMITED),)), since=0)
@@ -65,8 +65,8 @@
     assert sender.budget(23, 0) == 7
 
 
-def test_the_shard_of_an_isolated_destination_goes_before_the_hash_while_it_is_leased():
-    """Withdrawn, the home shard counts again, also when the number gets another destination."""
+def test_the_shard_of_an_isolated_destination_takes_precedence_over_the_hash_while_it_is_leased():
+    """After its withdrawal the home shard counts again, also once the number is reused for another destination."""
     sender = holder()
     sender.granted(grant(1, limits=((13, 0),)), since=0)
     assert sender.budget(13, 0) == 0
@@ -76,22 +76,20 @@
     sender.granted(grant(3, 0, epoch=2, shard=12, destination=13), since=1)
     sender.granted(grant(4, limits=((13, 900),)), since=1)
     assert sender.budget(13, 1) == 900
-    sender.granted(grant(5, limits=((23, 60),), epoch=5, shard=12, destination=23), since=1)  # the number used again
+    sender.granted(grant(5, limits=((23, 60),), epoch=5, shard=12, destination=23), since=1)  # the number is reused
     assert sender.budget(13, 1) == 900
     assert sender.budget(23, 1) == 60
 
 
-def test_only_withdrawn_tenures_are_forgotten():
-    """One that has only run out keeps its limits, as the service counts on them."""
+def test_only_withdrawn_tenures_are_removed():
+    """Guards against lost limits of an expired tenure, which the service may continue and does not send again."""
     sender = holder()
     sender.granted(grant(1, limits=((13, 10),)), since=0)
     sender.granted(grant(2, 0, shard=4), since=0)
-    sender.prune_withdrawn(LEASE)
+    sender.prune_withdrawn(LEASE_US)
     assert sender.acknowledgements() == {3: 1, 4: 2}
-    assert sender.acknowledgements(LEASE) == {}
-    sender.prune_withdrawn(LEASE + 1)
+    assert sender.acknowledgements(LEASE_US) == {}
+    sender.prune_withdrawn(LEASE_US + 1)
     assert sender.acknowledgements() == {3: 1}
-    sender.granted(
-        grant(3), since=3 * LEASE
-    )  # the service goes on with the tenure, and counts on what was acknowledged
-    assert sender.budget(13, 3 * LEASE) == 10
+    sender.granted(grant(3), since=3 * LEASE_US)  # the service continues the tenure without repeating the limits
+    assert sender.budget(13, 3 * LEASE_US) == 10
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -1,4 +1,4 @@
-"""The control service with destinations divided among senders, and senders that keep its contract, on one clock."""
+"""The control service with destinations divided among senders, and simulated senders, in virtual time."""
 
 from collections import Counter
 
@@ -19,29 +19,33 @@
 from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Endpoint, EndpointReport, EndpointStatus, Outcome
 
-MS, S = 1000, 1_000_000
-LEASE, DELAY, TTL = 2 * S, S // 2, 900 * MS
-SHARDS, DESTINATIONS = 64, range(1, 41)
-ASSIGNMENT = AssignmentSettings(SHARDS, LEASE, DELAY, restart_us=3 * S)
-RULES = RouteRules(frozenset({"c"}), 3, S)
+MILLISECOND = 1000  # us
+SECOND = 1_000_000  # us
+LEASE_US = 2 * SECOND
+DELAY_US = SECOND // 2
+TTL_US = 900 * MILLISECOND
+SHARDS = 64
+DESTINATIONS = range(1, 41)
+ASSIGNMENT = AssignmentSettings(SHARDS, LEASE_US, DELAY_US, restart_us=3 * SECOND)
+RULES = RouteRules(frozenset({"c"}), 3, SECOND)
 
 
 def built_list(number, rows, _allowed, _now):
-    """Return a destination's list of endpoints, all ready."""
+    """Return a destination's endpoint list, with all endpoints ready."""
     states = {entry.endpoint.id: "ready" for entry in rows}
     return Resource(EDS, resources.resource_name(number), "1", states, destination=number)
 
 
 def built_fixed(_rows, _routes):
-    """Return the resource whose heartbeats stand for all lists."""
-    return [Resource(EDS, resources.LEASE_NAME, "1", None, frozenset(), TTL)]
+    """Return the resource whose heartbeats keep all endpoint lists valid."""
+    return [Resource(EDS, resources.LEASE_NAME, "1", None, frozenset(), TTL_US)]
 
 
 class Sender:
-    """A process of a node: one stream of resources, one of quotas; what it is sent has arrived at once."""
+    """A process of a node with a resource stream and a quota stream, on which messages arrive at once."""
 
     def __init__(self, simulation, node, instance="1", region="r"):
-        """Make a process that has not connected yet."""
+        """Create a process that has not connected yet."""
         self.simulation, self.node, self.instance, self.region = simulation, node, instance, region
         self.contract = ShardedContract(Sharding(SHARDS).shard_of)
         self.reachable, self.sent = True, Counter()
@@ -59,7 +63,7 @@
         return self
 
     def received(self, action):
-        """Process what the service sent."""
+        """Process a message of the service."""
         if isinstance(action, ShardGrants):
             grants, _ = quota_wire.read_shard_grants(
                 quota_wire.shard_grants(action.grants, 1), f"{self.node}/{self.instance}"
@@ -94,18 +98,20 @@
         self.simulation.service.acknowledged(self.quota, had, self.simulation.now)
 
     def try_all(self):
-        """One message for each destination; how each ended."""
+        """Return the proxy's decision on one message for each destination."""
         return {number: self.contract.choose(number, self.simulation.now) for number in DESTINATIONS}
 
 
 class Simulation:
-    """A service, its senders, and the streams between them, which deliver at once."""
+    """A service, its senders, and the streams between them, which deliver messages at once."""
 
     def __init__(self):
         """Start a service with one endpoint for each destination, and no sender."""
         self.now, self.numbers, self.senders = 0, 0, []
         builder = ResourceBuilder(built_fixed, built_list)
-        self.service = ShardedService(0, settings(replica_count=1), 3, builder, LEASE, DELAY, LEASE, ASSIGNMENT)
+        self.service = ShardedService(
+            0, settings(replica_count=1), 3, builder, LEASE_US, DELAY_US, LEASE_US, ASSIGNMENT
+        )
         self.service.become_leader(0, 0)
         entries = [
             Entry(Endpoint(f"e{number}", "a", "one", number, EndpointStatus.READY, 0.0), ("127.0.0.1", number))
@@ -119,18 +125,18 @@
         return self.senders[-1].start()
 
     def carry(self, out):
-        """Deliver what the service sends."""
+        """Deliver the service's messages."""
         for stream, action in out:
             for sender in self.senders:
                 if sender.reachable and stream in (sender.ads, sender.quota):
                     sender.received(action)
 
     def run(self, seconds):
-        """Step each 50 ms, report each 500 ms, and check the sum rule at each."""
-        end = self.now + seconds * S
+        """Step every 50 ms, report every 500 ms, and check after each step that no destination has two holders."""
+        end = self.now + seconds * SECOND
         while self.now < end:
-            self.now += 50 * MS
-            if self.now % (500 * MS) == 0:
+            self.now += 50 * MILLISECOND
+            if self.now % (500 * MILLISECOND) == 0:
                 for sender in self.senders:
                     if sender.reachable:
                         sender.report()
@@ -138,12 +144,12 @@
             self.check()
 
     def check(self):
-        """No two senders hold a destination."""
+        """Check that no two senders hold a destination."""
         for number in DESTINATIONS:
             assert sum(sender.contract.holder.holds(number, self.now) for sender in self.senders) <= 1
 
     def served(self):
-        """By whom each destination would be called now."""
+        """Return the nodes that would call each destination now."""
         chosen = [(sender, sender.try_all()) for sender in self.senders]
         return {
             number: [sender.node for sender, found in chosen if isinstance(found[number], Send)]
@@ -153,7 +159,7 @@
 
 @pytest.fixture
 def simulation():
-    """Three senders, past the grace period."""
+    """Return a simulation of three senders after the grace period."""
     made = Simulation()
     for node in "abc":
         made.add(node)
@@ -161,8 +167,8 @@
     return made
 
 
-def test_each_destination_is_served_by_one_sender_which_alone_has_its_list(simulation):
-    """Lists of endpoints and grants go to the same sender."""
+def test_each_destination_is_served_by_one_sender_which_alone_has_its_endpoint_list(simulation):
+    """Guards against endpoint lists and grants that go to different senders."""
     served = simulation.served()
     assert all(len(nodes) == 1 for nodes in served.values())
     for sender in simulation.senders:
@@ -171,8 +177,8 @@
         assert sender.lists == theirs
 
 
-def test_a_message_at_a_sender_that_does_not_hold_its_destination_is_never_sent_from_there(simulation):
-    """It goes to the sender's own ingress, once."""
+def test_a_message_at_a_sender_that_does_not_hold_its_destination_goes_to_the_ingress(simulation):
+    """Guards against calls without a lease on the destination's shard."""
     for sender in simulation.senders:
         found = sender.try_all()
         others = [found[number] for number in DESTINATIONS if number not in sender.lists]
@@ -180,8 +186,8 @@
         assert all(isinstance(each, Fall) for each in others)
 
 
-def test_a_lost_sender_s_shards_go_on_after_its_lease_and_a_restart_moves_nothing(simulation):
-    """A new process gets the node's shards; a node that stays away loses only its own."""
+def test_a_restarted_sender_keeps_its_shards_and_only_the_shards_of_a_lost_one_move(simulation):
+    """Guards against moves after a restart, and against moves of other nodes' shards when a node does not return."""
     before = simulation.served()
     lost = simulation.senders[0]
     lost.reachable = False
@@ -193,14 +199,14 @@
     assert simulation.served() == before
     assert again.lists
     again.reachable = False
-    simulation.run(12)  # its silence is seen, it does not come back, and the others have its shards
+    simulation.run(12)  # until the silent process is removed, and the others have its shards
     after = simulation.served()
     assert all(len(nodes) == 1 and nodes != ["a"] for nodes in after.values())
     assert all(after[number] == nodes for number, nodes in before.items() if nodes != ["a"])
 
 
-def test_a_shard_that_moves_goes_on_once_its_withdrawal_is_acknowledged(simulation):
-    """The gap is shorter than a lease, and nothing else moves."""
+def test_a_shard_that_moves_is_served_again_once_its_withdrawal_is_acknowledged(simulation):
+    """Guards against a gap as long as a lease, and against moves of other shards."""
     before, added = simulation.served(), simulation.add("d")
     gaps = Counter()
     for _ in range(60):
@@ -212,11 +218,11 @@
     assert all(after[number] == ["d"] for number in moved)
     assert added.lists == moved
     assert not any(sender.lists & moved for sender in simulation.senders if sender is not added)
-    assert max(gaps.values()) * 50 * MS < LEASE  # an acknowledgement, not the lease's end
+    assert max(gaps.values()) * 50 * MILLISECOND < LEASE_US  # ended by the acknowledgement, not by the lease's expiry
 
 
 def test_a_lost_sender_s_shards_stay_in_its_region():
-    """All of its destinations are served by senders of that region."""
+    """Guards against shards of a lost sender that are placed in another region."""
     simulation = Simulation()
     for node, region in zip("abcdevwx", "eeeeewww", strict=True):
         simulation.add(node, region=region)
@@ -229,11 +235,11 @@
     assert after <= set("bcde")
 
 
-def test_an_allowance_reaches_the_holder_and_binds_it(simulation):
-    """An overloaded endpoint stops its destination at once; later it gets a small rate."""
+def test_an_allowance_limits_the_holder(simulation):
+    """An overloaded endpoint stops calls to its destination at once; later they resume at a small rate."""
     number, [node] = next(iter(simulation.served().items()))
     simulation.service.calls_reported(
-        [EndpointReport(f"e{number}", simulation.now, Outcome.OVERLOADED, 2 * S)], simulation.now
+        [EndpointReport(f"e{number}", simulation.now, Outcome.OVERLOADED, 2 * SECOND)], simulation.now
     )
     simulation.run(0.2)
     [holder] = [sender for sender in simulation.senders if sender.node == node]
@@ -243,8 +249,8 @@
     assert 0 < holder.contract.holder.budget(number, simulation.now) < 10 * UNITS_PER_CALL
 
 
-def test_the_next_service_leaves_every_shard_where_it_was(simulation):
-    """It starts from the snapshot of the one before."""
+def test_a_service_that_starts_from_a_snapshot_moves_no_shard(simulation):
+    """Guards against a change of leader that moves destinations between senders."""
     before, text = simulation.served(), simulation.service.snapshot()
     old, simulation.service = simulation.service, Simulation().service
     simulation.service.become_leader(simulation.now, old.ledger.number, text)
@@ -257,8 +263,8 @@
 
 
 @pytest.mark.parametrize("text", ["", "scalefall-assignment 1 00\n{}\n", None])
-def test_an_unusable_snapshot_is_logged_in_one_line_and_all_is_placed_anew(text):
-    """An empty, a damaged, and one of other settings."""
+def test_a_rejected_snapshot_is_logged_in_one_line_and_all_shards_are_placed_again(text):
+    """Guards against a service that fails to start from an empty or corrupt snapshot, or one of other settings."""
     simulation = Simulation()
     if text is None:
         text = simulation.service.snapshot().replace("shards 64", "shards 65")
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -1,4 +1,4 @@
-"""Destinations to shards: a fixed hash, and shards of one destination's own."""
+"""The mapping of destinations to shards: a fixed hash, and isolated destinations."""
 
 import subprocess
 import sys
@@ -10,11 +10,11 @@
 
 
 def test_the_hash_is_fixed_and_does_not_depend_on_the_process():
-    """A change of the hash would move every destination of a running fleet."""
+    """Guards against a changed hash, which would move every destination of a running fleet."""
     assert splitmix64(0) == 0xE220A8397B1DCDAF
     assert splitmix64(0x9E3779B97F4A7C15) == 0x6E789E6AA1B965F4
     here = [Sharding(14_400).shard_of(number) for number in (0, 1, 2, 419_999, 10**9)]
-    assert here == [12719, 8158, 8513, 12471, 4654]  # a change of the hash moves every destination of a running fleet
+    assert here == [12719, 8158, 8513, 12471, 4654]
     program = "from scalefall.assignment.sharding import Sharding; print(Sharding(14_400).shard_of(419_999))"
     for seed in ("1", "2"):
         out = subprocess.run([sys.executable, "-c", program], env={"PYTHONHASHSEED": seed}, capture_output=True)
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("count", [1, 1_000, 1_024])
 def test_destinations_spread_evenly(count):
-    """Within five standard deviations of an even random spread."""
+    """The bounds are five standard deviations of a uniform random distribution."""
     sharding, counts = Sharding(count), [0] * count
     for destination in range(100 * count):
         counts[sharding.shard_of(destination)] += 1
@@ -32,7 +32,7 @@
 
 
 def test_isolation_uses_the_lowest_free_number_and_merging_undoes_it():
-    """A sharding is a value: none of it changes the one before."""
+    """Guards against numbers that grow without bound, and against a sharding that is modified in place."""
     before = Sharding(8)
     both = before.isolate(5).isolate(7)
     assert (both.shard_of(5), both.shard_of(7)) == (8, 9)
@@ -43,7 +43,7 @@
     assert list(again.shards()) == [*range(8), 9]
     assert again.isolate(6).shard_of(6) == 8
     assert again.merge(7) == before
-    assert dict(before.isolated) == {}  # a value: nothing above changed it
+    assert dict(before.isolated) == {}  # not modified in place
 
 
 @pytest.mark.parametrize(
@@ -59,8 +59,8 @@
         (lambda: Sharding(8).isolate(-1), "destination -1 is outside"),
     ],
 )
-def test_shardings_out_of_range_are_rejected(make, text):
-    """The error is one line."""
+def test_an_invalid_sharding_is_rejected_with_a_one_line_error(make, text):
+    """Guards against shards beyond the maximum, and against two destinations with one shard of their own."""
     with pytest.raises(AssignmentError, match=text) as caught:
         make()
     assert "\n" not in str(caught.value)
