--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -42,8 +42,8 @@
         self.targets, self.isolated = {}, set()
         self.ledger, self.generation, self.started_at = ShardLedger(-LEASE_US - DELAY_US, LEASE_US, DELAY_US), 0, 0
         for shard, name in enumerate("abc"):
-            self.join(name)
-            self.assign_shard(shard, name, None)
+            self.register_holder(name)
+            self.change_assignment(shard, name, None)
 
     def own_shard(self, destination):
         """Return the present shard of a destination."""
@@ -56,13 +56,13 @@
             if delay is not None:
                 self.in_transit.append((self.now + delay, "grant", grant, self.generation))
 
-    def step_and_advance(self, span_us, delays):
-        """Step at once, then advance time."""
+    def step_and_simulate(self, span_us, delays):
+        """Step at once, then simulate a time span."""
         self.step(delays)
-        self.advance_time(span_us, delays)
+        self.simulate_time(span_us, delays)
 
     @rule(span_us=st.integers(1, LEASE_US + DELAY_US), delays=delays)
-    def advance_time(self, span_us, delays):
+    def simulate_time(self, span_us, delays):
         """Deliver messages and step whenever either is due, and check the invariants after each."""
         end = self.now + span_us
         while True:
@@ -93,27 +93,27 @@
                 self.in_transit.append((self.now + delay, "ack", grant, generation))
 
     @rule(name=names)
-    def join(self, name):
+    def register_holder(self, name):
         """Make a holder reachable."""
         self.holders.setdefault(name, ShardHolder(shard_of))
         self.live.add(name)
         self.ledger.holder_joined(name)
 
     @rule(name=names, span_us=spans_us, delays=delays)
-    def disconnect(self, name, span_us, delays):
+    def disconnect_holder(self, name, span_us, delays):
         """Make a holder unreachable; it continues to use its leases."""
         self.live.discard(name)
         self.ledger.holder_disconnected(name)
-        self.advance_time(span_us, delays)
+        self.simulate_time(span_us, delays)
 
     @rule(name=names)
-    def prune_withdrawn_tenures(self, name):
+    def age_out_withdrawn_tenures(self, name):
         """Remove a holder's withdrawn tenures as early as permitted."""
         if name in self.holders:
             self.holders[name].prune_withdrawn(self.now - DELAY_US)
 
     @rule(shard=st.integers(0, SHARDS + 1), name=names, other=st.none() | names, span_us=spans_us, delays=delays)
-    def assign_shard(self, shard, name, other, span_us=0, delays=()):
+    def change_assignment(self, shard, name, other, span_us=0, delays=()):
         """Assign a shard to one holder, or a third of a splittable shard to the other holder."""
         if shard >= SHARDS and shard not in [OWN_SHARDS[destination] for destination in self.isolated]:
             return
@@ -123,7 +123,7 @@
         if all(self.ledger.is_known(holder) for holder in quotas):
             self.targets[shard] = quotas
             self.ledger.assign(shard, quotas)
-            self.step_and_advance(span_us, list(delays))
+            self.step_and_simulate(span_us, list(delays))
 
     @rule(
         destination=st.sampled_from(DESTINATIONS),
@@ -131,29 +131,29 @@
         span_us=spans_us,
         delays=delays,
     )
-    def set_allowance(self, destination, amount, span_us, delays):
+    def change_allowance(self, destination, amount, span_us, delays):
         """Change a destination's allowance."""
         self.allowances[destination].append((self.now, amount))
         self.ledger.set_limit(destination, self.own_shard(destination), amount)
-        self.step_and_advance(span_us, delays)
+        self.step_and_simulate(span_us, delays)
 
     @rule(destination=st.sampled_from(sorted(OWN_SHARDS)), name=names, span_us=spans_us, delays=delays)
-    def isolate(self, destination, name, span_us, delays):
+    def isolate_destination(self, destination, name, span_us, delays):
         """Start to move a destination to a shard of its own."""
         if self.ledger.isolation(destination) or not self.ledger.is_free(OWN_SHARDS[destination]):
             return
         self.ledger.isolate(destination, shard_of(destination), OWN_SHARDS[destination])
         self.isolated.add(destination)
-        self.assign_shard(OWN_SHARDS[destination], name, None, span_us, delays)
+        self.change_assignment(OWN_SHARDS[destination], name, None, span_us, delays)
 
     @rule(destination=st.sampled_from(sorted(OWN_SHARDS)), span_us=spans_us, delays=delays)
-    def merge(self, destination, span_us, delays):
+    def merge_destination(self, destination, span_us, delays):
         """Start to move a destination back to its home shard."""
         if destination in self.isolated:
             self.ledger.merge(destination)
             self.isolated.discard(destination)
             self.targets.pop(OWN_SHARDS[destination], None)
-            self.step_and_advance(span_us, delays)
+            self.step_and_simulate(span_us, delays)
 
     @precondition(lambda self: self.now >= self.started_at + LEASE_US + DELAY_US)
     @rule(keeps_table=st.booleans())
@@ -199,7 +199,7 @@
         if not hasattr(self, "ledger"):
             return
         for _ in range(4 * (LEASE_US + DELAY_US) // SECOND):
-            self.advance_time(SECOND, [])
+            self.simulate_time(SECOND, [])
         for shard, quotas in self.targets.items():
             for name in quotas.keys() & self.live:
                 assert self.holders[name].quota(shard, self.now) == quotas[name]
