--- a/scalefall/cli/config.py
+++ b/scalefall/cli/config.py
@@ -14,7 +14,7 @@
 from scalefall.lang import explain as explainer
 from scalefall.lang import files, load, render
 from scalefall.lang import format as formatter
-from scalefall.lang.text import near
+from scalefall.lang.text import closest_match
 
 
 @click.command(
@@ -38,7 +38,7 @@
         click.echo(render.text(loaded.problems, loaded.source(), paint), nl=False)
     if loaded.fatal:
         sys.exit(output.CANNOT_RUN)
-    sys.exit(output.ERRORS if loaded.errors or (strict and loaded.problems) else output.OK)
+    sys.exit(output.ERRORS if loaded.error_count or (strict and loaded.problems) else output.OK)
 
 
 @click.command(
@@ -63,7 +63,7 @@
             code = max(code, _format_stdin())
             continue
         try:
-            found = files.below(path)
+            found = files.find_files(path)
         except OSError as error:
             output.cannot_run(f"{path}: {error.strerror or error}")
         for name in found:
@@ -72,7 +72,7 @@
 
 
 def _format_stdin() -> int:
-    loaded = load.single_text(sys.stdin.buffer.read(), "standard input")
+    loaded = load.load_syntax_text(sys.stdin.buffer.read(), "standard input")
     if not loaded.usable:
         return output.print_errors(loaded)
     click.echo(formatter.layout(loaded.documents[0]), nl=False)
@@ -80,7 +80,7 @@
 
 
 def _format_file(name: str, only_check: bool, show_diff: bool) -> int:
-    loaded = load.single(*files.locate(name))
+    loaded = load.load_syntax(*files.locate(name))
     if not loaded.usable:
         return output.print_errors(loaded)
     old, new = loaded.raw, formatter.layout(loaded.documents[0])
@@ -94,7 +94,7 @@
     elif only_check:
         click.echo(f"{name} would change")
     else:
-        output.put(new, name)
+        output.write_output(new, name)
         click.echo(f"{name} laid out")
     return output.DIFFERS if only_check or show_diff else output.OK
 
@@ -146,15 +146,15 @@
 @color_option
 def explain(route: str, path: str, form: str) -> None:
     """Print each value in force on a route, with the file and line that it comes from."""
-    site = output.usable(path).site
-    if route not in site.of("route"):
-        found = near(route, site.of("route"))
+    site = output.read_usable(path).site
+    if route not in site.definitions("route"):
+        found = closest_match(route, site.definitions("route"))
         output.cannot_run(
             f"{site.file} has no route {route}"
             + (
                 f"; did you mean {found}?"
                 if found
-                else f"; it has {', '.join(sorted(site.of('route'), key=int)) or 'none'}"
+                else f"; it has {', '.join(sorted(site.definitions('route'), key=int)) or 'none'}"
             )
         )
     rows = explainer.explain(site, route)
@@ -173,10 +173,10 @@
     """Write the platform's JSON. What it has no place for is named on standard error."""
     from scalefall.lang import wire
 
-    table, lost = wire.compiled(output.usable(path).site)
+    table, lost = wire.to_platform_json(output.read_usable(path).site)
     for row in lost:
         click.echo(f"not in the JSON: {row}", err=True)
-    output.put(json.dumps(table, indent=2) + "\n", target)
+    output.write_output(json.dumps(table, indent=2) + "\n", target)
 
 
 @click.command(
@@ -193,7 +193,7 @@
     from scalefall.net.config import ConfigError
 
     try:
-        text, dropped = wire.imported(json.loads(files.read(path)))
+        text, dropped = wire.from_platform_json(json.loads(files.read(path)))
     except json.JSONDecodeError as error:
         output.cannot_run(f"{path}:{error.lineno}:{error.colno}: {error.msg}")
     except OSError as error:
@@ -202,7 +202,7 @@
         output.cannot_run(f"{path}: {error}")
     for row in dropped:
         click.echo(f"not in the language: {row}", err=True)
-    output.put(text, target)
+    output.write_output(text, target)
 
 
 COMMANDS = (check, fmt, diff, explain, compile_, import_)
--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -12,13 +12,13 @@
 from scalefall.cli import logs, output
 from scalefall.cli.output import option
 from scalefall.cli.run import configuration
-from scalefall.cli.run import folder as state_folder
+from scalefall.cli.run import writable_folder
 from scalefall.control import audit
 from scalefall.lang.files import ROOT_FILE
 from scalefall.net.config import ConfigError, read_address
 from scalefall.net.logs import log
 
-MISSING = "the control service needs {}: pip install 'scalefall[tools,control]'"
+MISSING_LIBRARY = "the control service needs {}: pip install 'scalefall[tools,control]'"
 
 
 def _listen(context: click.Context, parameter: click.Parameter, value: str) -> str:
@@ -51,7 +51,7 @@
 )
 @option(
     "--state",
-    callback=lambda *args: args[2] and state_folder(*args),
+    callback=lambda *args: args[2] and writable_folder(*args),
     help="The folder that lasts. Processes that share it stand by for each other.",
 )
 @option(
@@ -163,7 +163,7 @@
     except ModuleNotFoundError as error:
         if error.name.startswith("scalefall"):
             raise
-        output.cannot_run(MISSING.format(error.name))
+        output.cannot_run(MISSING_LIBRARY.format(error.name))
     start, read_again = configuration(path, state, {})
     logs.set_up(log_level, log_format)
 
--- a/scalefall/cli/logs.py
+++ b/scalefall/cli/logs.py
@@ -12,13 +12,13 @@
 
 import structlog
 
-NAME = re.compile(r"[^%:(]*")
+EVENT_NAME = re.compile(r"[^%:(]*")
 LEVELS = ("debug", "info", "warning", "error")
 
 
 def event_name(template: str) -> str:
     """The name of an event, from the text that its line is made of."""
-    return NAME.match(template)[0].strip(" ,;")
+    return EVENT_NAME.match(template)[0].strip(" ,;")
 
 
 def _fields(_logger: object, _method: str, event: dict) -> dict:
--- a/scalefall/cli/main.py
+++ b/scalefall/cli/main.py
@@ -6,7 +6,7 @@
 
 from scalefall import __version__
 from scalefall.cli import config, control, run
-from scalefall.cli.output import SETTINGS
+from scalefall.cli.output import CONTEXT_SETTINGS
 
 EPILOG = """\b
 Examples:
@@ -18,7 +18,7 @@
 """
 
 
-@click.group(context_settings=SETTINGS, epilog=EPILOG)
+@click.group(context_settings=CONTEXT_SETTINGS, epilog=EPILOG)
 @click.version_option(__version__, prog_name="scalefall")
 def main() -> None:
     """Deliver messages to other firms' endpoints, by rules kept in files that can be checked."""
--- a/scalefall/cli/output.py
+++ b/scalefall/cli/output.py
@@ -11,7 +11,7 @@
 
 from scalefall.lang import files, load, render
 
-SETTINGS = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
+CONTEXT_SETTINGS = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
 OK, DIFFERS, ERRORS, CANNOT_RUN, DANGEROUS = 0, 1, 1, 2, 3
 STYLES: dict[str, dict[str, Any]] = {
     "error": {"fg": "red", "bold": True},
@@ -35,7 +35,7 @@
     return click.option(*names, show_envvar=True, **more)
 
 
-def colours(context: click.Context, _: click.Parameter, value: str) -> str:
+def choose_colours(context: click.Context, _: click.Parameter, value: str) -> str:
     context.color = {"always": True, "never": False}.get(value, False if os.environ.get("NO_COLOR") else None)
     return value
 
@@ -53,7 +53,7 @@
     type=click.Choice(["auto", "always", "never"]),
     default="auto",
     show_default=True,
-    callback=colours,
+    callback=choose_colours,
     expose_value=False,
     help="Colours; auto: on a terminal only.",
 )
@@ -67,7 +67,7 @@
     raise SystemExit(CANNOT_RUN)
 
 
-def read(path: str, revision: str = "") -> load.Loaded:
+def read(path: str, revision: str = "") -> load.LoadResult:
     """The configuration at a path (a file, or a folder with a site.scale), as it is or as a git revision has it."""
     gc.disable()  # one run reads and ends: looking for cycles meanwhile was a third of its time
     try:
@@ -76,7 +76,7 @@
         cannot_run(f"{path}: {error.strerror or error}")
 
 
-def usable(path: str, revision: str = "") -> load.Loaded:
+def read_usable(path: str, revision: str = "") -> load.LoadResult:
     """The same where only a configuration without errors is of use: otherwise they are printed, and that was it."""
     loaded = read(path, revision)
     if not loaded.usable:
@@ -84,13 +84,13 @@
     return loaded
 
 
-def print_errors(loaded: load.Loaded) -> int:
+def print_errors(loaded: load.LoadResult) -> int:
     """On standard error; the exit code that goes with them."""
-    click.echo(render.text(loaded.wrong, loaded.source(), paint), err=True, nl=False)
+    click.echo(render.text(loaded.error_problems, loaded.source(), paint), err=True, nl=False)
     return CANNOT_RUN if loaded.fatal else ERRORS
 
 
-def put(text: str, path: str | None) -> None:
+def write_output(text: str, path: str | None) -> None:
     """To a file if one is named, otherwise to standard output."""
     if path is None:
         click.echo(text, nl=False)
--- a/scalefall/cli/reader.py
+++ b/scalefall/cli/reader.py
@@ -18,8 +18,8 @@
 from scalefall.net.config import Config, ConfigError, Fleet
 from scalefall.net.list_stream import Entry, ListUpdate
 
-PIECE = 200  # endpoints
-MOST_SECONDS = 120
+ENDPOINTS_PER_CHUNK = 200  # endpoints
+TIMEOUT_S = 120
 
 
 @dataclass(slots=True)
@@ -28,42 +28,42 @@
     state: str
     seed: int  # where the file has none
     flags: dict[str, Any]  # values of the Config that go before the file's
-    fixed: dict[str, Any] | None  # what the running sender cannot change, where there is one
+    restart_only: dict[str, Any] | None  # what the running sender cannot change, where there is one
 
 
 @dataclass(slots=True)
-class Read:
+class ReadResult:
     config: Config  # without its endpoints
-    fixed: dict[str, Any]
-    notes: list[str]  # worth a line in the log at the start
+    restart_only: dict[str, Any]
+    start_warnings: list[str]  # worth a line in the log at the start
 
 
 @dataclass(slots=True)
-class Wrong:
+class ConfigurationErrors:
     text: str  # as `scalefall check` prints it
     lines: list[str]  # for a log
     fatal: bool  # the file itself could not be read
 
 
-class Unusable(ConfigError):
+class InvalidConfigurationError(ConfigError):
     """The configuration has errors."""
 
-    def __init__(self, wrong: Wrong) -> None:
-        super().__init__("\n".join(wrong.lines))
-        self.wrong = wrong
+    def __init__(self, errors: ConfigurationErrors) -> None:
+        super().__init__("\n".join(errors.lines))
+        self.errors = errors
 
 
 # -- the sender's side
 
 
-def read(request: Request) -> Read:
+def read(request: Request) -> ReadResult:
     """The configuration, read elsewhere; Unusable if it has errors, ConfigError if it could not be read at all."""
     try:
         done = subprocess.run(
             [sys.executable, "-m", "scalefall.cli.reader"],
             input=pickle.dumps(request),
             capture_output=True,
-            timeout=MOST_SECONDS,
+            timeout=TIMEOUT_S,
             start_new_session=True,
         )
     except (OSError, subprocess.SubprocessError) as error:
@@ -74,10 +74,10 @@
     return _taken(memoryview(done.stdout))
 
 
-def _taken(data: memoryview) -> Read:
+def _taken(data: memoryview) -> ReadResult:
     first, at = _next(data, 0)
-    if isinstance(first, Wrong):
-        raise Unusable(first)
+    if isinstance(first, ConfigurationErrors):
+        raise InvalidConfigurationError(first)
     entries: list[Entry] = []
     while at < len(data):
         piece, at = _next(data, at)
@@ -95,7 +95,7 @@
 # -- the reading process
 
 
-def answer(request: Request, put: Callable[[Any], None]) -> None:
+def respond(request: Request, put: Callable[[Any], None]) -> None:
     """Read what is asked for, and hand the answer's parts to put."""
     import gc
 
@@ -106,23 +106,25 @@
         loaded = load.load(*files.locate(request.path))
     except OSError as error:
         line = f"{request.path}: {error.strerror or error}"
-        put(Wrong(f"scalefall: {line}\n", [line], True))
+        put(ConfigurationErrors(f"scalefall: {line}\n", [line], True))
         return
     if not loaded.usable:
         put(
-            Wrong(
-                render.text(loaded.wrong, loaded.source()), [render.line(each) for each in loaded.wrong], loaded.fatal
+            ConfigurationErrors(
+                render.text(loaded.error_problems, loaded.source()),
+                [render.line(each) for each in loaded.error_problems],
+                loaded.fatal,
             )
         )
         return
     config = replace(sender.config(loaded.site, request.state, request.seed), **request.flags)
-    left = sender.cannot_change(request.fixed, loaded.site) if request.fixed else []
+    left = sender.changes_needing_restart(request.restart_only, loaded.site) if request.restart_only else []
     bare = replace(
         config, known=ListUpdate(1, True, []), fleet=Fleet([], config.fleet.routes), needs_restart=tuple(left)
     )
-    put(Read(bare, sender.fixed(loaded.site), sender.notes(config, loaded.site)))
-    for at in range(0, len(config.fleet.entries), PIECE):
-        put(config.fleet.entries[at : at + PIECE])
+    put(ReadResult(bare, sender.restart_only(loaded.site), sender.start_warnings(config, loaded.site)))
+    for at in range(0, len(config.fleet.entries), ENDPOINTS_PER_CHUNK):
+        put(config.fleet.entries[at : at + ENDPOINTS_PER_CHUNK])
 
 
 def main() -> None:
@@ -130,7 +132,7 @@
         data = pickle.dumps(part, pickle.HIGHEST_PROTOCOL)
         sys.stdout.buffer.write(len(data).to_bytes(8, "big") + data)
 
-    answer(pickle.load(sys.stdin.buffer), put)
+    respond(pickle.load(sys.stdin.buffer), put)
     sys.stdout.buffer.flush()
 
 
--- a/scalefall/cli/run.py
+++ b/scalefall/cli/run.py
@@ -26,7 +26,7 @@
         raise click.BadParameter(str(error)) from None
 
 
-def folder(context: click.Context, parameter: click.Parameter, value: str) -> str:
+def writable_folder(context: click.Context, parameter: click.Parameter, value: str) -> str:
     if not os.path.isdir(value):
         raise click.BadParameter(f"{value} is not a folder")
     if not os.access(value, os.W_OK | os.X_OK):
@@ -34,21 +34,21 @@
     return value
 
 
-def configuration(path: str, state: str, flags: dict[str, Any]) -> tuple[reader.Read, Callable[[], Config]]:
+def configuration(path: str, state: str, flags: dict[str, Any]) -> tuple[reader.ReadResult, Callable[[], Config]]:
     """The configuration that a process starts on, and what reads it again; where it has errors, they are printed and
     the process ends."""
     request = reader.Request(path, state, secrets.randbits(64), flags, None)
     try:
         start = reader.read(request)
-    except reader.Unusable as error:
-        click.echo(error.wrong.text, err=True, nl=False)
-        raise SystemExit(output.CANNOT_RUN if error.wrong.fatal else output.ERRORS) from None
+    except reader.InvalidConfigurationError as error:
+        click.echo(error.errors.text, err=True, nl=False)
+        raise SystemExit(output.CANNOT_RUN if error.errors.fatal else output.ERRORS) from None
     except ConfigError as error:
         output.cannot_run(str(error))
 
     def read_again() -> Config:
         """Called beside the serving; what it raises leaves everything as it was."""
-        return reader.read(replace(request, fixed=start.fixed)).config
+        return reader.read(replace(request, restart_only=start.restart_only)).config
 
     return start, read_again
 
@@ -69,7 +69,7 @@
     show_default=True,
     help="The configuration's file, or a folder with a site.scale.",
 )
-@option("--state", required=True, callback=folder, help="The folder that lasts. Nothing else is written.")
+@option("--state", required=True, callback=writable_folder, help="The folder that lasts. Nothing else is written.")
 @option("--name", help="Goes before the file's name.")
 @option("--listen", metavar="ADDRESS:PORT", callback=_address, help="Goes before the file's listen.")
 @option("--reports", metavar="ADDRESS:PORT", callback=_address, help="Goes before the file's reports.")
@@ -101,7 +101,7 @@
     flags = {key: value for key, value in (("name", name), ("listen", listen), ("reports", reports)) if value}
     start, read_again = configuration(path, state, flags)
     logs.set_up(log_level, log_format)
-    for line in start.notes:
+    for line in start.start_warnings:
         log.warning("%s", line)
     try:
         serve(start.config, read_again)
--- a/scalefall/lang/diff.py
+++ b/scalefall/lang/diff.py
@@ -15,13 +15,13 @@
 from scalefall.lang import units
 from scalefall.lang.model import Site
 from scalefall.lang.schema import BLOCKS, DURATION, POLICY, RATE, Repeat
-from scalefall.lang.text import Place, listed
+from scalefall.lang.text import Place, join_words
 
 DANGEROUS, NOTABLE, PLAIN = "dangerous", "notable", "plain"
-ORDER = (DANGEROUS, NOTABLE, PLAIN)
-MOST_RAISE = 2  # times that a limit may be raised without danger
-MOST_TIMES = 50  # times that any time may change before a wrong unit is more likely
-EFFECTS = ("never", "keyed", "freely")
+LEVELS = (DANGEROUS, NOTABLE, PLAIN)
+MAX_SAFE_FACTOR = 2  # times that a limit may be raised without danger
+WRONG_UNIT_FACTOR = 50  # times that any time may change before a wrong unit is more likely
+EFFECT_ORDER = ("never", "keyed", "freely")
 Table = dict[str, Any]
 
 
@@ -40,7 +40,7 @@
 def compare(old: Site, new: Site) -> list[Change]:
     """All changes, worst first."""
     found = list(_Compare(old, new).changes())
-    return sorted(found, key=lambda change: (ORDER.index(change.level), change.subject, change.word, change.text))
+    return sorted(found, key=lambda change: (LEVELS.index(change.level), change.subject, change.word, change.text))
 
 
 def as_text(changes: list[Change], paint: Callable[[str, str], str] = lambda text, _what: text) -> str:
@@ -49,7 +49,7 @@
         mark = {DANGEROUS: "DANGEROUS ", NOTABLE: "notable   ", PLAIN: "          "}[change.level]
         place = f"  ({change.place.file}:{change.place.line})" if change.place else ""
         rows.append(paint(mark, change.level) + change.text + paint(place, "place"))
-    numbers = [f"{sum(change.level == level for change in changes)} {level}" for level in ORDER]
+    numbers = [f"{sum(change.level == level for change in changes)} {level}" for level in LEVELS]
     return "\n".join([*rows, ", ".join(numbers) if changes else "no change of meaning"]) + "\n"
 
 
@@ -81,7 +81,7 @@
     def __init__(self, old: Site, new: Site) -> None:
         self._old, self._new = old, new
         self._was, self._is = old.meaning(), new.meaning()
-        self._grace = units.say_duration(self._is["rules"]["drain-grace"])
+        self._grace = units.format_duration_spaced(self._is["rules"]["drain-grace"])
         self._homes = {
             row["address"]: (pool, name)
             for pool, table in self._is["pool"].items()
@@ -121,7 +121,7 @@
         title = f"{word} {setting.lead}".strip()
         told = f"{title} of {name}: {_say(block, word, old)} -> {_say(block, word, new)}" + (f", {how}" if how else "")
         if block == "policy" and (routes := self._routes_of(name)):
-            told += f" (route {listed(routes)})"
+            told += f" (route {join_words(routes)})"
         return self._change(level, code, told, block, name, True, word, setting.show(old), setting.show(new), subject)
 
     def _routes_of(self, policy: str) -> list[str]:
@@ -308,11 +308,11 @@
             place = (
                 next((row.place for row in site.endpoints.get(pool, ()) if row.name == name), None)
                 if len(site.endpoints.get(pool, ())) <= 100
-                else site.of("pool")[pool].place
+                else site.definitions("pool")[pool].place
             )
             subject = f"endpoint {pool}/{name}"
         else:
-            each = getattr(site, block) if block in ("sender", "rules") else site.of(block).get(name)
+            each = getattr(site, block) if block in ("sender", "rules") else site.definitions(block).get(name)
             place = each and (each.values[word].place if word in each.values else each.place)
         return Change(level, code, text, subject or f"{block} {name}", word, old, new, place)
 
@@ -334,7 +334,7 @@
         return PLAIN, "value", ""
     times = _times(Decimal(old), Decimal(new))
     if setting.kind is DURATION:
-        far = times >= MOST_TIMES
+        far = times >= WRONG_UNIT_FACTOR
         how = "" if not times else f"{_round(times)} times {'shorter' if new < old else 'longer'}"
         return (DANGEROUS, "unit", f"{how}: a wrong unit?") if far else (PLAIN, "value", how)
     words = (
@@ -344,7 +344,7 @@
         if isinstance(old, int)
         else ("less", "more")
     )
-    return PLAIN, "value", f"{_round(times)} times {words[new > old]}" if times >= MOST_RAISE else ""
+    return PLAIN, "value", f"{_round(times)} times {words[new > old]}" if times >= MAX_SAFE_FACTOR else ""
 
 
 def _judge_rate(word: str, old: Any, new: Any) -> tuple[str, str, str]:
@@ -352,33 +352,33 @@
         return DANGEROUS, "limit-raised", "nothing holds the sending back any more" if word == "limit" else ""
     if old is None:
         return NOTABLE, "limit-lowered", ""
-    times = _times(old.a_second, new.a_second)
-    if new.a_second > old.a_second:
-        return (DANGEROUS if times > MOST_RAISE else NOTABLE), "limit-raised", f"{_round(times)} times higher"
+    times = _times(old.per_second, new.per_second)
+    if new.per_second > old.per_second:
+        return (DANGEROUS if times > MAX_SAFE_FACTOR else NOTABLE), "limit-raised", f"{_round(times)} times higher"
     return NOTABLE, "limit-lowered", f"{_round(times)} times lower" if times > 1 else "the same in other words"
 
 
 def _wider(old: Repeat, new: Repeat) -> bool:
     if old.effect != new.effect:
-        return EFFECTS.index(new.effect) > EFFECTS.index(old.effect)
+        return EFFECT_ORDER.index(new.effect) > EFFECT_ORDER.index(old.effect)
     return new.ttl_us > old.ttl_us or (old.in_zone and not new.in_zone)
 
 
 def _times(old: Decimal, new: Decimal) -> Decimal:
     """How many times the larger is the smaller; endless from or to nothing counts as MOST_TIMES."""
     small, large = sorted((old, new))
-    return large / small if small else Decimal(MOST_TIMES if large else 0)
+    return large / small if small else Decimal(WRONG_UNIT_FACTOR if large else 0)
 
 
 def _round(times: Decimal) -> str:
-    return units.plain(times.quantize(Decimal("0.01")) if times < 10 else times.quantize(Decimal(1)))
+    return units.format_decimal(times.quantize(Decimal("0.01")) if times < 10 else times.quantize(Decimal(1)))
 
 
 def _say(block: str, word: str, value: Any) -> str:
     setting = BLOCKS[block][word]
     if value is None:
         return setting.show(None)
-    return units.say_duration(value) if setting.kind is DURATION else setting.kind.show(value)
+    return units.format_duration_spaced(value) if setting.kind is DURATION else setting.kind.show(value)
 
 
 def _number(endpoints: Table) -> str:
--- a/scalefall/lang/explain.py
+++ b/scalefall/lang/explain.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from scalefall.lang.model import Def, Site
+from scalefall.lang.model import Definition, Site
 from scalefall.lang.schema import BLOCKS, POLICY
 from scalefall.lang.text import Place
 
@@ -20,22 +20,22 @@
 
 def explain(site: Site, name: str) -> list[Row]:
     """Rows for the route; KeyError if there is none."""
-    return list(_rows(site, site.of("route")[name]))
+    return list(_rows(site, site.definitions("route")[name]))
 
 
-def _rows(site: Site, route: Def) -> Iterator[Row]:
-    yield Row("route", f"pool {route.get('pool')}", f"route {route.name}", route.own("pool").place)
-    policy = route.own("policy")
+def _rows(site: Site, route: Definition) -> Iterator[Row]:
+    yield Row("route", f"pool {route.get('pool')}", f"route {route.name}", route.lookup("pool").place)
+    policy = route.lookup("policy")
     yield Row("route", f"policy {policy.value}", f"route {route.name}" if policy.place else "built in", policy.place)
     for setting in POLICY:
-        found = site.policy(route, setting.word)
+        found = site.policy_value(route, setting.word)
         yield Row("policy", setting.line(found.value), found.origin, found.place)
     pool = site.pool_of(route)
     if pool is not None:
         yield from _pool(site, pool)
-    classes = route.own("classes")
+    classes = route.lookup("classes")
     for name in site.classes_of(route):
-        cls = site.of("class")[name]
+        cls = site.definitions("class")[name]
         yield Row(
             "class",
             f"class {name}",
@@ -43,20 +43,20 @@
             classes.place or cls.place,
         )
         for word, setting in BLOCKS["class"].items():
-            value, place = cls.own(word)
+            value, place = cls.lookup(word)
             yield Row("class", f"  {setting.line(value)}", f"class {name}" if place else "built in", place)
     for word, setting in BLOCKS["rules"].items():
-        value, place = site.rules.own(word)
+        value, place = site.rules.lookup(word)
         yield Row("rules", setting.line(value), "rules" if place else "built in", place)
 
 
-def _pool(site: Site, pool: Def) -> Iterator[Row]:
+def _pool(site: Site, pool: Definition) -> Iterator[Row]:
     for word, setting in BLOCKS["pool"].items():
         if word == "idle-close":
             found = site.idle_close(pool)
             yield Row("pool", setting.line(found.value), found.origin, found.place)
         else:
-            value, place = pool.own(word)
+            value, place = pool.lookup(word)
             yield Row("pool", setting.line(value), f"pool {pool.name}" if place else "built in", place)
     for each in site.endpoints.get(pool.name, ()):
         state = "" if each.ready else ", draining"
--- a/scalefall/lang/files.py
+++ b/scalefall/lang/files.py
@@ -7,7 +7,7 @@
 import subprocess
 
 ROOT_FILE = "site.scale"  # what is read where a folder is named
-GIT_SECONDS = 60
+GIT_TIMEOUT_S = 60
 
 
 class Disk:
@@ -17,14 +17,14 @@
         self._root, self._shown = root or ".", root if shown is None else shown
         self._real = os.path.realpath(self._root)
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, max_bytes: int) -> bytes:
         number = os.open(os.path.join(self._root, path), os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         try:
             mode = os.fstat(number).st_mode
             if not stat.S_ISREG(mode):
                 raise OSError(0, "it is a folder" if stat.S_ISDIR(mode) else "it is not a file")
             with open(number, "rb", closefd=False) as file:
-                return file.read(most + 1)
+                return file.read(max_bytes + 1)
         finally:
             os.close(number)
 
@@ -65,7 +65,7 @@
 
     def _git(self, *words: str) -> bytes:
         try:
-            done = subprocess.run(["git", "-C", self._folder, *words], capture_output=True, timeout=GIT_SECONDS)
+            done = subprocess.run(["git", "-C", self._folder, *words], capture_output=True, timeout=GIT_TIMEOUT_S)
         except (OSError, subprocess.SubprocessError) as error:
             raise OSError(0, f"git cannot be run: {error}") from error
         if done.returncode:
@@ -73,14 +73,14 @@
             raise OSError(0, lines[-1] if lines else f"git knows no revision {self._revision}")
         return done.stdout
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, max_bytes: int) -> bytes:
         if path in self._folders:
             raise OSError(0, "it is a folder")
         if path not in self._kinds:
             raise OSError(0, f"revision {self._revision} has no such file")
         if self._kinds[path] == "120000":
             raise OSError(0, "it is a link, and links in a revision are not followed")
-        return self._git("cat-file", "blob", f"{self._revision}:{self._prefix}{path}")[: most + 1]
+        return self._git("cat-file", "blob", f"{self._revision}:{self._prefix}{path}")[: max_bytes + 1]
 
     def names(self, folder: str) -> list[str]:
         return list(self._folders.get(folder, ()))
@@ -92,7 +92,7 @@
         return f"{self._revision}:{path}"
 
 
-def below(path: str) -> list[str]:
+def find_files(path: str) -> list[str]:
     """The file itself, or every .scale file below a folder, in the order of their names."""
     if not os.path.isdir(path):
         return [path]
--- a/scalefall/lang/format.py
+++ b/scalefall/lang/format.py
@@ -12,8 +12,8 @@
 
 from scalefall.lang.syntax import Document, Statement
 
-WIDTH = 110
-STEP = "  "
+MAX_COLUMNS = 110
+INDENT = "  "
 
 
 def layout(document: Document) -> str:
@@ -48,8 +48,8 @@
         self._comments_before(group[0].line, level)
         flat = [_flat(statement) for statement in group]
         line = "; ".join(flat) if None not in flat else None
-        indent = STEP * level
-        if line is not None and len(indent) + len(line) <= WIDTH:
+        indent = INDENT * level
+        if line is not None and len(indent) + len(line) <= MAX_COLUMNS:
             self._write(indent + line, group[0].line, group[-1].end_line)
         else:
             for statement, text in zip(group, flat, strict=False):
@@ -57,8 +57,8 @@
         self._comment_behind(group[-1].end_line)
 
     def _one(self, statement: Statement, flat: str | None, level: int) -> None:
-        indent = STEP * level
-        if statement.body is None or (flat is not None and len(indent) + len(flat) <= WIDTH):
+        indent = INDENT * level
+        if statement.body is None or (flat is not None and len(indent) + len(flat) <= MAX_COLUMNS):
             self._write(indent + (flat or _words(statement.words)), statement.line, statement.end_line)
             return
         head_line = _last_line(statement.words)
@@ -74,7 +74,7 @@
     def _comments_before(self, line: int | None, level: int) -> None:
         while self._comments and (line is None or self._comments[0].line < line):
             comment = self._comments.popleft()
-            self._write(STEP * level + comment.rstrip(), comment.line, comment.line)
+            self._write(INDENT * level + comment.rstrip(), comment.line, comment.line)
 
     def _comment_behind(self, line: int, before: int | None = None) -> None:
         if self._comments and self._comments[0].line == line and (before is None or line < before):
--- a/scalefall/lang/include.py
+++ b/scalefall/lang/include.py
@@ -12,19 +12,19 @@
 from typing import Protocol
 
 from scalefall.lang.syntax import Document, Statement, parse, value_of
-from scalefall.lang.text import Place, Problems, near
+from scalefall.lang.text import Place, Problems, closest_match
 
-MOST_DEPTH = 16  # files that include files
-MOST_FILE = 4 * 1024 * 1024
-MOST_TOTAL = 32 * 1024 * 1024
-MOST_FILES = 10_000
+MAX_INCLUDE_DEPTH = 16  # files that include files
+MAX_FILE_BYTES = 4 * 1024 * 1024
+MAX_TOTAL_BYTES = 32 * 1024 * 1024
+MAX_FILES = 10_000
 GLOB = re.compile(r"[*?\[]")
 
 
 class Files(Protocol):
     """Where files come from; paths are relative to the root, with slashes. Errors are OSErrors with a plain text."""
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, max_bytes: int) -> bytes:
         """At most `most` bytes and one more of a regular file."""
 
     def names(self, folder: str) -> list[str]:
@@ -76,11 +76,11 @@
     def _bytes(self, step: _Step) -> bytes | None:
         shown = self._files.shown(step.path)
         place = step.place or Place(shown, 1)
-        if len(self._read) >= MOST_FILES:
-            self._problems.error("many", place, f"more than {MOST_FILES:,} files in all")
+        if len(self._read) >= MAX_FILES:
+            self._problems.error("many", place, f"more than {MAX_FILES:,} files in all")
             return None
         try:
-            data = self._files.read(step.path, MOST_FILE)
+            data = self._files.read(step.path, MAX_FILE_BYTES)
         except OSError as error:
             why = error.strerror or str(error)
             self._problems.error(
@@ -88,20 +88,20 @@
             )
             return None
         self._total += len(data)
-        if len(data) > MOST_FILE:
+        if len(data) > MAX_FILE_BYTES:
             self._problems.error(
                 "large",
                 place,
-                f"{shown} is larger than {MOST_FILE // 2**20} MiB",
+                f"{shown} is larger than {MAX_FILE_BYTES // 2**20} MiB",
                 "split it into files and include them",
                 fatal=step.place is None,
             )
             return None
-        if self._total > MOST_TOTAL:
+        if self._total > MAX_TOTAL_BYTES:
             self._problems.error(
                 "large",
                 place,
-                f"with {shown} all files together are larger than {MOST_TOTAL // 2**20} MiB",
+                f"with {shown} all files together are larger than {MAX_TOTAL_BYTES // 2**20} MiB",
                 fatal=step.place is None,
             )
             return None
@@ -110,7 +110,7 @@
     def _neighbour(self, step: _Step) -> str:
         folder, name = posixpath.split(step.path)
         others = [each for each in self._files.names(folder) if posixpath.join(folder, each) not in self._read]
-        found = near(name, others)
+        found = closest_match(name, others)
         return f"did you mean {found}?" if found and found != name else ""
 
     def _text(self, data: bytes, shown: str) -> str:
@@ -146,8 +146,8 @@
                 "includes are relative and stay below the folder of the first file",
             )
             return
-        if len(chain) >= MOST_DEPTH:
-            self._problems.error("include", place, f"includes more than {MOST_DEPTH} deep")
+        if len(chain) >= MAX_INCLUDE_DEPTH:
+            self._problems.error("include", place, f"includes more than {MAX_INCLUDE_DEPTH} deep")
             return
         path = posixpath.normpath(posixpath.join(posixpath.dirname(chain[-1].path), wanted))
         found = self._matching(path) if GLOB.search(wanted) else [path]
--- a/scalefall/lang/load.py
+++ b/scalefall/lang/load.py
@@ -5,28 +5,28 @@
 from dataclasses import dataclass
 
 from scalefall.lang.include import Files, Loader
-from scalefall.lang.meaning import understand
-from scalefall.lang.model import Def, Site
+from scalefall.lang.meaning import analyze
+from scalefall.lang.model import Definition, Site
 from scalefall.lang.syntax import Document
 from scalefall.lang.text import ERROR, Place, Problem, Problems
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadResult:
     """site is whole and may be used only where usable is true."""
 
     site: Site
     documents: list[Document]
     problems: list[Problem]
-    errors: int
+    error_count: int
     raw: bytes = b""  # as it was read, where it is a single file
 
     @property
     def usable(self) -> bool:
-        return not self.errors
+        return not self.error_count
 
     @property
-    def wrong(self) -> list[Problem]:
+    def error_problems(self) -> list[Problem]:
         """The errors alone, for who has no use for warnings."""
         return [problem for problem in self.problems if problem.severity == ERROR]
 
@@ -40,20 +40,20 @@
         return {document.file: document.lines for document in self.documents}
 
 
-def load(files: Files, path: str) -> Loaded:
+def load(files: Files, path: str) -> LoadResult:
     problems = Problems()
     documents = Loader(files, problems).load(path)
-    site = understand(files.shown(path), documents, problems)
-    return Loaded(site, documents, problems.sorted(), problems.errors)
+    site = analyze(files.shown(path), documents, problems)
+    return LoadResult(site, documents, problems.sorted(), problems.error_count)
 
 
-def single(files: Files, path: str) -> Loaded:
+def load_syntax(files: Files, path: str) -> LoadResult:
     """One file's shape alone: what it includes is not read, and what it says is not understood."""
     problems = Problems()
     loader = Loader(files, problems, follow=False)
     documents, nowhere = loader.load(path), Place(files.shown(path), 1)
-    site = Site(files.shown(path), Def("sender", "", nowhere), Def("rules", "", nowhere))
-    return Loaded(site, documents, problems.sorted(), problems.errors, loader.raw)
+    site = Site(files.shown(path), Definition("sender", "", nowhere), Definition("rules", "", nowhere))
+    return LoadResult(site, documents, problems.sorted(), problems.error_count, loader.raw)
 
 
 class _Given:
@@ -62,10 +62,10 @@
     def __init__(self, data: bytes, name: str) -> None:
         self._data, self._name = data, name
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, max_bytes: int) -> bytes:
         if path != self._name:
             raise FileNotFoundError(0, "there is no other file")
-        return self._data[: most + 1]
+        return self._data[: max_bytes + 1]
 
     def names(self, folder: str) -> list[str]:
         return []
@@ -77,10 +77,10 @@
         return path
 
 
-def single_text(data: bytes, name: str) -> Loaded:
-    return single(_Given(data, name), name)
+def load_syntax_text(data: bytes, name: str) -> LoadResult:
+    return load_syntax(_Given(data, name), name)
 
 
-def text(data: bytes, name: str) -> Loaded:
+def load_text(data: bytes, name: str) -> LoadResult:
     """A configuration that is one text, with its meaning; an include in it finds nothing."""
     return load(_Given(data, name), name)
--- a/scalefall/lang/meaning.py
+++ b/scalefall/lang/meaning.py
@@ -13,28 +13,28 @@
 from lark import Token
 
 from scalefall.lang import suspicious
-from scalefall.lang.model import DEFAULT, Def, Endpoint, Site, Value
-from scalefall.lang.schema import BLOCKS, NAME, SINGLE, TOP, Setting, Span
+from scalefall.lang.model import DEFAULT, Definition, Endpoint, Site, Value
+from scalefall.lang.schema import BLOCKS, NAME, SINGLE, TOP, Setting, AddressRange
 from scalefall.lang.syntax import Document, Statement, value_of
-from scalefall.lang.text import Place, Problems, Wrong, count, listed, meant
+from scalefall.lang.text import Place, Problems, InvalidValue, pluralize, join_words, suggestion
 
-ROUTE = re.compile(r"(0|[1-9][0-9]{0,8})\Z")
-MOST_ENDPOINTS = 200_000
-REPORTED = "reported"  # of a value whose shape has its error already
+ROUTE_NUMBER = re.compile(r"(0|[1-9][0-9]{0,8})\Z")
+MAX_ENDPOINTS = 200_000
+ALREADY_REPORTED = "reported"  # of a value whose shape has its error already
 
 
-def understand(file: str, documents: list[Document], problems: Problems) -> Site:
+def analyze(file: str, documents: list[Document], problems: Problems) -> Site:
     """The meaning of the documents together; it is complete only if no error was added to problems."""
     reader = _Reader(file, problems)
-    reader.torn = any(document.broken for document in documents)
+    reader.incomplete = any(document.broken for document in documents)
     for document in documents:
         for statement in document.statements:
             reader.top(document, statement)
     reader.endpoints_apart()
     reader.addresses()
     reader.references()
-    if not reader.torn:
-        suspicious.look(reader.site, problems)
+    if not reader.incomplete:
+        suspicious.add_warnings(reader.site, problems)
     return reader.site
 
 
@@ -44,14 +44,14 @@
         self.problems = problems
         self.site = Site(
             file,
-            Def("sender", "", nowhere),
-            Def("rules", "", nowhere),
+            Definition("sender", "", nowhere),
+            Definition("rules", "", nowhere),
             {block: {} for block in TOP if block not in SINGLE},
         )
-        self.torn = False  # a definition is missing or in part: what seems unused or empty may not be
+        self.incomplete = False  # a definition is missing or in part: what seems unused or empty may not be
         self._seen: dict[tuple[str, str], Place] = {}
-        self._spans: list[tuple[Def, str, Span, Place]] = []
-        self._pools: list[tuple[Def, Document, list[Statement]]] = []
+        self._spans: list[tuple[Definition, str, AddressRange, Place]] = []
+        self._pools: list[tuple[Definition, Document, list[Statement]]] = []
         self._number = 0  # of endpoints
 
     # -- definitions
@@ -63,19 +63,19 @@
                 self._error("block", place, "include has no block")
             return  # done by whoever loads the files
         if block not in TOP:
-            self.torn = True
+            self.incomplete = True
             if block in ("endpoint", "endpoints"):
                 self._error("misplaced", place, f"{block} belongs inside a pool", "move it between the pool's braces")
             elif block != "?":
-                self._error("unknown", place, f"{block} is no definition", meant(block, (*TOP, "include")))
+                self._error("unknown", place, f"{block} is no definition", suggestion(block, (*TOP, "include")))
             return
         name = self._head(document, statement, block)
         if name is None:
-            self.torn = True
+            self.incomplete = True
             return
-        each = Def(block, name, place)
+        each = Definition(block, name, place)
         if not self._first(block, name, place):
-            self.torn = True
+            self.incomplete = True
             return
         endpoints = self._settings(document, statement.body or [], each, block == "pool")
         if block in SINGLE:
@@ -109,7 +109,7 @@
             self._error("head", document.place(at), f"{block} needs one name", f"write {block} NAME {{ ... }}")
             return None
         name = value_of(words[0])
-        if block == "route" and not ROUTE.match(name):
+        if block == "route" and not ROUTE_NUMBER.match(name):
             self._error(
                 "name",
                 document.place(words[0]),
@@ -143,7 +143,9 @@
 
     # -- settings
 
-    def _settings(self, document: Document, body: list[Statement], each: Def, with_endpoints: bool) -> list[Statement]:
+    def _settings(
+        self, document: Document, body: list[Statement], each: Definition, with_endpoints: bool
+    ) -> list[Statement]:
         """Reads the block's settings into each; gives back the endpoints that stand in it."""
         table, endpoints = BLOCKS[each.block], []
         for statement in body:
@@ -176,10 +178,10 @@
                     f"write {word} {setting.lead} and {setting.kind.name} ({setting.doc})".replace("  ", " "),
                 )
         if each.broken:
-            self.torn = True
+            self.incomplete = True
         return endpoints
 
-    def _unknown(self, document: Document, statement: Statement, each: Def) -> None:
+    def _unknown(self, document: Document, statement: Statement, each: Definition) -> None:
         word, place = statement.name, document.place(statement.words[0])
         if statement.body is not None and word in TOP:
             self._error(
@@ -192,17 +194,17 @@
         homes = [block for block in (*TOP, "endpoint") if word in BLOCKS[block]]
         if word in ("endpoint", "endpoints"):
             homes = ["pool"]
-        help_text = meant(word, BLOCKS[each.block])
+        help_text = suggestion(word, BLOCKS[each.block])
         if homes and not help_text.startswith("did"):
-            help_text = f"it belongs in {listed(homes).replace(' and ', ' or ')}"
+            help_text = f"it belongs in {join_words(homes).replace(' and ', ' or ')}"
         self._error("unknown", place, f"{each.block} has no setting {word}", help_text)
 
-    def _setting(self, document: Document, statement: Statement, setting: Setting, each: Def) -> None:
+    def _setting(self, document: Document, statement: Statement, setting: Setting, each: Definition) -> None:
         words = statement.words[1:]
         try:
             if setting.lead:
                 if not words or str(words[0]) != setting.lead:
-                    raise Wrong(
+                    raise InvalidValue(
                         f"{setting.word} is followed by {setting.lead}",
                         f"write {setting.word} {setting.lead} and {setting.kind.name}",
                         code="lead",
@@ -210,7 +212,7 @@
                 words = words[1:]
             value = self._read(setting, words)
             each.values[setting.word] = Value(value, document.place(statement.words[0]))
-        except Wrong as wrong:
+        except InvalidValue as wrong:
             each.broken = True
             self._wrong(document, statement, words, wrong)
 
@@ -218,47 +220,49 @@
         if setting.default is None and setting.absent and [str(word) for word in words] == [setting.absent]:
             return None
         if any(word.type == "BADSTRING" for word in words):
-            raise Wrong("its string does not end", code=REPORTED)
+            raise InvalidValue("its string does not end", code=ALREADY_REPORTED)
         if not words:
-            raise Wrong(f"{setting.word} has no value", f"write {setting.word} and {setting.kind.name}", code="missing")
+            raise InvalidValue(
+                f"{setting.word} has no value", f"write {setting.word} and {setting.kind.name}", code="missing"
+            )
         if not setting.kind.is_list:
             comma = next((at for at, word in enumerate(words) if word.type == "COMMA"), None)
             if comma is not None:
-                raise Wrong(f"{setting.word} takes one value, not a list", "", comma)
+                raise InvalidValue(f"{setting.word} takes one value, not a list", "", comma)
             return setting.kind.read([value_of(word) for word in words])
         for at, word in enumerate(words):
             if (word.type == "COMMA") != bool(at % 2):
-                raise Wrong(
+                raise InvalidValue(
                     "a comma with nothing before it" if word.type == "COMMA" else f"a comma is missing before {word}",
                     "write a, b, c",
                     at,
                 )
         if words[-1].type == "COMMA":
-            raise Wrong("a comma with nothing after it", "take it out", len(words) - 1)
+            raise InvalidValue("a comma with nothing after it", "take it out", len(words) - 1)
         try:
             return setting.kind.read([value_of(word) for word in words[::2]])
-        except Wrong as wrong:
-            raise Wrong(wrong.text, wrong.instead, 2 * wrong.word, wrong.code) from None
+        except InvalidValue as wrong:
+            raise InvalidValue(wrong.text, wrong.instead, 2 * wrong.word, wrong.code) from None
 
-    def _wrong(self, document: Document, statement: Statement, words: list[Token], wrong: Wrong) -> None:
-        if wrong.code == REPORTED:
+    def _wrong(self, document: Document, statement: Statement, words: list[Token], wrong: InvalidValue) -> None:
+        if wrong.code == ALREADY_REPORTED:
             return
         at = words[min(wrong.word, len(words) - 1)] if words else statement.words[0]
         self._error(wrong.code, document.place(at), wrong.text, wrong.instead)
 
     # -- endpoints
 
-    def _endpoints(self, pool: Def, document: Document, statements: list[Statement]) -> None:
+    def _endpoints(self, pool: Definition, document: Document, statements: list[Statement]) -> None:
         found, names = [], {}
         for statement in statements:
             each = self._endpoint(pool, document, statement)
             if each is None:
-                self.torn = True
+                self.incomplete = True
                 continue
-            span: Span = each.get("at")
+            span: AddressRange = each.get("at")
             self._number += span.last - span.first + 1
-            if self._number > MOST_ENDPOINTS:
-                self._error("many", each.place, f"more than {count(MOST_ENDPOINTS, 'endpoint')} in all")
+            if self._number > MAX_ENDPOINTS:
+                self._error("many", each.place, f"more than {pluralize(MAX_ENDPOINTS, 'endpoint')} in all")
                 return
             zone, state, weight = each.get("zone"), each.get("state"), each.get("weight")
             self._spans.append((pool, each.name, span, each.values["at"].place))
@@ -277,11 +281,11 @@
                 found.append(Endpoint(name, pool.name, host, span.port, zone, state, weight, each.place))
         self.site.endpoints[pool.name] = found
 
-    def _endpoint(self, pool: Def, document: Document, statement: Statement) -> Def | None:
+    def _endpoint(self, pool: Definition, document: Document, statement: Statement) -> Definition | None:
         name = self._head(document, statement, statement.name)
         if name is None:
             return None
-        each = Def(statement.name, name, document.place(statement.words[0]))
+        each = Definition(statement.name, name, document.place(statement.words[0]))
         self._settings(document, statement.body or [], each, False)
         if each.broken or "at" not in each.values:
             return None
@@ -309,7 +313,7 @@
             self._error(
                 "outside",
                 place,
-                f"{netaddr.IPAddress(outside, 4)} of {name} lies outside {listed(map(str, networks))}",
+                f"{netaddr.IPAddress(outside, 4)} of {name} lies outside {join_words(map(str, networks))}",
                 "move it, or widen dial-within",
                 [(within.place, f"dial-within of pool {pool.name}")],
             )
@@ -317,7 +321,7 @@
 
     def addresses(self) -> None:
         """One address belongs to one endpoint: spans at each port are laid beside each other."""
-        ports: dict[int, list[tuple[Def, str, Span, Place]]] = {}
+        ports: dict[int, list[tuple[Definition, str, AddressRange, Place]]] = {}
         for row in self._spans:
             ports.setdefault(row[2].port, []).append(row)
         for rows in ports.values():
@@ -330,9 +334,11 @@
                 if reach is None or span.last > reach[0]:
                     reach = span.last, at
 
-    def _overlap(self, first: tuple[Def, str, Span, Place], second: tuple[Def, str, Span, Place]) -> None:
+    def _overlap(
+        self, first: tuple[Definition, str, AddressRange, Place], second: tuple[Definition, str, AddressRange, Place]
+    ) -> None:
         (pool, name, span, place), (other_pool, other_name, other, other_place) = first, second
-        both = Span(max(span.first, other.first), min(span.last, other.last), span.port)
+        both = AddressRange(max(span.first, other.first), min(span.last, other.last), span.port)
         word = "is" if both.first == both.last else "are"
         where = (
             f"in two pools, {pool.name} and {other_pool.name}"
@@ -351,27 +357,27 @@
 
     def references(self) -> None:
         site = self.site
-        for pool in site.of("pool").values():
+        for pool in site.definitions("pool").values():
             self._declared(pool, "kind", pool.values.get("kind"))
         checked: set[str] = set()
-        for endpoint in site.all_endpoints() if site.of("zone") else ():
+        for endpoint in site.all_endpoints() if site.definitions("zone") else ():
             if endpoint.zone not in checked:
                 checked.add(endpoint.zone)
                 self._declared(None, "zone", Value(endpoint.zone, endpoint.place))
-        carried: dict[str, Def] = {}
-        for route in site.of("route").values():
+        carried: dict[str, Definition] = {}
+        for route in site.definitions("route").values():
             self._refers(route, "pool")
             self._refers(route, "policy")
             for name in route.get("classes") or ():
-                if name not in site.of("class") and not self._was_tried("class", name):
+                if name not in site.definitions("class") and not self._was_tried("class", name):
                     self._error(
                         "reference",
                         route.values["classes"].place,
                         f"route {route.name} carries class {name}, which is not defined",
-                        meant(name, site.of("class"), "defined are"),
+                        suggestion(name, site.definitions("class"), "defined are"),
                     )
             pool = route.values.get("pool")
-            if pool is not None and pool.value in site.of("pool"):
+            if pool is not None and pool.value in site.definitions("pool"):
                 first = carried.setdefault(pool.value, route)
                 if first is not route:
                     self._error(
@@ -385,9 +391,9 @@
     def _was_tried(self, block: str, name: str) -> bool:
         return (block, name) in self._seen
 
-    def _refers(self, route: Def, block: str) -> None:
+    def _refers(self, route: Definition, block: str) -> None:
         value = route.values.get(block)
-        if value is None or value.value in self.site.of(block) or self._was_tried(block, value.value):
+        if value is None or value.value in self.site.definitions(block) or self._was_tried(block, value.value):
             return
         if block == "policy" and value.value == DEFAULT:
             return
@@ -395,19 +401,19 @@
             "reference",
             value.place,
             f"route {route.name} names {block} {value.value}, which is not defined",
-            meant(value.value, self.site.of(block), "defined are"),
+            suggestion(value.value, self.site.definitions(block), "defined are"),
         )
 
-    def _declared(self, pool: Def | None, block: str, value: Value | None) -> None:
+    def _declared(self, pool: Definition | None, block: str, value: Value | None) -> None:
         """Kinds and zones need no definition; but where some are defined, an unknown one may be a slip."""
-        known = self.site.of(block)
+        known = self.site.definitions(block)
         if value is None or not known or value.value in known or self._was_tried(block, value.value):
             return
         self.problems.warn(
             "undeclared",
             value.place,
             f"{block} {value.value} is not defined, and counts as a plain one",
-            meant(value.value, known, "defined are"),
+            suggestion(value.value, known, "defined are"),
         )
 
     def _error(
--- a/scalefall/lang/model.py
+++ b/scalefall/lang/model.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Def:
+class Definition:
     """One definition; values hold what is written in it."""
 
     block: str
@@ -32,12 +32,12 @@
     values: dict[str, Value] = field(default_factory=dict)
     broken: bool = False  # a value of it could not be read, so what is missing says nothing
 
-    def own(self, word: str) -> Value:
+    def lookup(self, word: str) -> Value:
         """What is written, or else the built-in default."""
         return self.values.get(word) or Value(BLOCKS[self.block][word].built_in, None)
 
     def get(self, word: str) -> Any:
-        return self.own(word).value
+        return self.lookup(word).value
 
 
 class Endpoint(NamedTuple):
@@ -61,7 +61,7 @@
         return self.state == "ready"
 
 
-class Effective(NamedTuple):
+class EffectiveValue(NamedTuple):
     """A value in force on a route, and whose it is."""
 
     word: str
@@ -73,41 +73,43 @@
 @dataclass(slots=True)
 class Site:
     file: str
-    sender: Def
-    rules: Def
-    blocks: dict[str, dict[str, Def]] = field(default_factory=dict)  # by block, then by name
+    sender: Definition
+    rules: Definition
+    blocks: dict[str, dict[str, Definition]] = field(default_factory=dict)  # by block, then by name
     endpoints: dict[str, list[Endpoint]] = field(default_factory=dict)  # by pool, in the file's order
 
-    def of(self, block: str) -> dict[str, Def]:
+    def definitions(self, block: str) -> dict[str, Definition]:
         return self.blocks.setdefault(block, {})
 
-    def policy(self, route: Def, word: str) -> Effective:
+    def policy_value(self, route: Definition, word: str) -> EffectiveValue:
         """A policy's setting on a route: the route's own word, its policy's, the default policy's, the built-in."""
         if word in route.values:
-            return Effective(word, *route.values[word], f"route {route.name}")
-        policies, named = self.of("policy"), route.get("policy")
+            return EffectiveValue(word, *route.values[word], f"route {route.name}")
+        policies, named = self.definitions("policy"), route.get("policy")
         for name in dict.fromkeys((named, DEFAULT)):
             if name in policies and word in policies[name].values:
-                return Effective(word, *policies[name].values[word], f"policy {name}")
-        return Effective(word, BLOCKS["policy"][word].built_in, None, "built in")
+                return EffectiveValue(word, *policies[name].values[word], f"policy {name}")
+        return EffectiveValue(word, BLOCKS["policy"][word].built_in, None, "built in")
 
-    def idle_close(self, pool: Def) -> Effective:
+    def idle_close(self, pool: Definition) -> EffectiveValue:
         own = pool.values.get("idle-close")
         if own is not None:
-            return Effective("idle-close", *own, f"pool {pool.name}")
-        return Effective(
-            "idle-close", *self.sender.own("idle-close"), "sender" if "idle-close" in self.sender.values else "built in"
+            return EffectiveValue("idle-close", *own, f"pool {pool.name}")
+        return EffectiveValue(
+            "idle-close",
+            *self.sender.lookup("idle-close"),
+            "sender" if "idle-close" in self.sender.values else "built in",
         )
 
-    def classes_of(self, route: Def) -> tuple[str, ...]:
+    def classes_of(self, route: Definition) -> tuple[str, ...]:
         own = route.get("classes")
-        return tuple(self.of("class")) if own is None else own
+        return tuple(self.definitions("class")) if own is None else own
 
-    def pool_of(self, route: Def) -> Def | None:
-        return self.of("pool").get(route.get("pool"))
+    def pool_of(self, route: Definition) -> Definition | None:
+        return self.definitions("pool").get(route.get("pool"))
 
     def pools_in_use(self) -> set[str]:
-        return {route.get("pool") for route in self.of("route").values()}
+        return {route.get("pool") for route in self.definitions("route").values()}
 
     def all_endpoints(self) -> Iterator[Endpoint]:
         for rows in self.endpoints.values():
@@ -117,13 +119,14 @@
         """Plain values without places, defaults filled in. Names and addresses are what things are known by."""
         result: dict[str, Any] = {"sender": _filled(self.sender), "rules": _filled(self.rules)}
         for block in ("class", "kind", "zone", "tenant"):
-            result[block] = {name: _filled(each) for name, each in self.of(block).items()}
+            result[block] = {name: _filled(each) for name, each in self.definitions(block).items()}
         result["policy"] = {
             name: {row.word: self._of_policy(name, row.word) for row in POLICY}
-            for name in {DEFAULT, *self.of("policy")}
+            for name in {DEFAULT, *self.definitions("policy")}
         }
         result["pool"] = {
-            name: _filled(each) | {"idle-close": self.idle_close(each).value} for name, each in self.of("pool").items()
+            name: _filled(each) | {"idle-close": self.idle_close(each).value}
+            for name, each in self.definitions("pool").items()
         }
         for name, pool in result["pool"].items():
             pool["dial-within"] = pool["dial-within"] and tuple(sorted(pool["dial-within"]))
@@ -131,22 +134,22 @@
                 each.name: {"address": each.address, "zone": each.zone, "state": each.state, "weight": each.weight}
                 for each in self.endpoints.get(name, ())
             }
-        result["route"] = {name: self._of_route(each) for name, each in self.of("route").items()}
+        result["route"] = {name: self._of_route(each) for name, each in self.definitions("route").items()}
         return result
 
     def _of_policy(self, name: str, word: str) -> Any:
         for each in dict.fromkeys((name, DEFAULT)):
-            if each in self.of("policy") and word in self.of("policy")[each].values:
-                return self.of("policy")[each].values[word].value
+            if each in self.definitions("policy") and word in self.definitions("policy")[each].values:
+                return self.definitions("policy")[each].values[word].value
         return BLOCKS["policy"][word].built_in
 
-    def _of_route(self, route: Def) -> dict[str, Any]:
+    def _of_route(self, route: Definition) -> dict[str, Any]:
         return {
             "pool": route.get("pool"),
             "policy": route.get("policy"),
             "classes": tuple(sorted(self.classes_of(route))),
-        } | {row.word: self.policy(route, row.word).value for row in POLICY}
+        } | {row.word: self.policy_value(route, row.word).value for row in POLICY}
 
 
-def _filled(each: Def) -> dict[str, Any]:
+def _filled(each: Definition) -> dict[str, Any]:
     return {word: each.get(word) for word in BLOCKS[each.block]}
--- a/scalefall/lang/render.py
+++ b/scalefall/lang/render.py
@@ -5,10 +5,10 @@
 import json
 from collections.abc import Callable
 
-from scalefall.lang.text import ERROR, Place, Problem, count
+from scalefall.lang.text import ERROR, Place, Problem, pluralize
 
 Paint = Callable[[str, str], str]  # a text and what it is: error, warning, place, caret, help
-MOST_SHOWN = 160  # columns of a source line
+MAX_EXCERPT_COLUMNS = 160  # columns of a source line
 
 
 def no_paint(text: str, _what: str) -> str:
@@ -32,8 +32,8 @@
     if not 0 < place.line <= len(source) or not source[place.line - 1].strip():
         return []
     text, column = "".join(c if c.isprintable() else " " for c in source[place.line - 1]), place.column - 1
-    start = max(0, column - MOST_SHOWN // 2) if len(text) > MOST_SHOWN else 0
-    shown = text[start : start + MOST_SHOWN].rstrip()
+    start = max(0, column - MAX_EXCERPT_COLUMNS // 2) if len(text) > MAX_EXCERPT_COLUMNS else 0
+    shown = text[start : start + MAX_EXCERPT_COLUMNS].rstrip()
     length = max(1, min(place.length, len(shown) - (column - start)))
     number = str(place.line)
     return [f"  {number} | {shown}", f"  {' ' * len(number)} | {' ' * (column - start)}{paint('^' * length, what)}"]
@@ -49,7 +49,7 @@
 
 def summary(problems: list[Problem]) -> str:
     errors = sum(problem.severity == ERROR for problem in problems)
-    return f"{count(errors, 'error')}, {count(len(problems) - errors, 'warning')}"
+    return f"{pluralize(errors, 'error')}, {pluralize(len(problems) - errors, 'warning')}"
 
 
 def line(problem: Problem) -> str:
--- a/scalefall/lang/schema.py
+++ b/scalefall/lang/schema.py
@@ -16,11 +16,11 @@
 import netaddr
 
 from scalefall.lang import units
-from scalefall.lang.text import Wrong, listed, meant
+from scalefall.lang.text import InvalidValue, join_words, suggestion
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z")
-MOST_RANGE = 4096  # addresses that one range may hold
-MOST_SCORE = 1_000_000
+MAX_RANGE_ADDRESSES = 4096  # addresses that one range may hold
+MAX_SCORE = 1_000_000
 
 
 class Address(NamedTuple):
@@ -31,7 +31,7 @@
         return f"{self.host}:{self.port}"
 
 
-class Span(NamedTuple):
+class AddressRange(NamedTuple):
     """Addresses from first to last, as numbers, at one port; a single one where both are the same."""
 
     first: int
@@ -53,7 +53,7 @@
     def __str__(self) -> str:
         if self.effect != "keyed":
             return self.effect
-        return f"keyed for {units.show_duration(self.ttl_us)}" + (" in-zone" if self.in_zone else "")
+        return f"keyed for {units.format_duration(self.ttl_us)}" + (" in-zone" if self.in_zone else "")
 
 
 @dataclass(frozen=True)
@@ -73,7 +73,7 @@
     doc: str
     default: str | None = ""  # in the language; "": the block must have it; None: it has none and needs none
     lead: str = ""  # a word that stands between the setting's name and its value
-    brief: bool = False  # a duration that may well be under 50 ms
+    may_be_short: bool = False  # a duration that may well be under 50 ms
     absent: str = "none"  # how to write that there is none, where the default is None; "": not at all
 
     @functools.cached_property
@@ -93,7 +93,7 @@
         return f"{self.word} {self.show(value)}"
 
 
-def _one(read: Callable[[str], Any], dimension: str = "") -> Callable[[list[str]], Any]:
+def _one_word(read: Callable[[str], Any], dimension: str = "") -> Callable[[list[str]], Any]:
     """A reader of exactly one word."""
 
     def reader(words: list[str]) -> Any:
@@ -102,32 +102,34 @@
         if (
             dimension
             and len(words) == 2
-            and units.PLAIN.match(words[0])
+            and units.PLAIN_NUMBER.match(words[0])
             and words[1].isalpha()
             and words[1] not in ("per", "of")
         ):
-            unit = units.SPELLED.get(words[1].lower(), words[1])
-            raise Wrong(f"a blank between {words[0]} and its unit {words[1]}", f"write {words[0]}{unit}", code="unit")
+            unit = units.UNIT_ALIASES.get(words[1].lower(), words[1])
+            raise InvalidValue(
+                f"a blank between {words[0]} and its unit {words[1]}", f"write {words[0]}{unit}", code="unit"
+            )
         if dimension and len(words) == 3 and words[1] == "per" and dimension != "a rate":
-            raise Wrong(
+            raise InvalidValue(
                 f"{' '.join(words)} is a rate where {dimension} belongs", f"write {dimension}", code="unit-kind"
             )
         if not words:
-            raise Wrong("a value is missing", code="missing")
-        raise Wrong(f"one value belongs here, not {len(words)}", "a statement ends with its line or with ;", 1)
+            raise InvalidValue("a value is missing", code="missing")
+        raise InvalidValue(f"one value belongs here, not {len(words)}", "a statement ends with its line or with ;", 1)
 
     return reader
 
 
-def name(text: str) -> str:
+def parse_name(text: str) -> str:
     if not NAME.match(text):
-        raise Wrong(f"{text!r} is not a name", "letters, digits, dots, dashes and underscores, 100 at most")
+        raise InvalidValue(f"{text!r} is not a name", "letters, digits, dots, dashes and underscores, 100 at most")
     return text
 
 
-def text(value: str) -> str:
+def parse_text(value: str) -> str:
     if not value or len(value) > 200 or not value.isprintable():
-        raise Wrong(f"{value!r} is not a name of 1 to 200 printable characters")
+        raise InvalidValue(f"{value!r} is not a name of 1 to 200 printable characters")
     return value
 
 
@@ -137,39 +139,43 @@
     except (netaddr.AddrFormatError, ValueError):
         pass
     if ":" in text or text.startswith("["):
-        raise Wrong(f"{text} is not an IPv4 address", "the sender dials IPv4 only", code="address")
+        raise InvalidValue(f"{text} is not an IPv4 address", "the sender dials IPv4 only", code="address")
     if re.search("[A-Za-z]", text):
-        raise Wrong(
+        raise InvalidValue(
             f"{text} is a name, and names are not looked up", "write its address, like 10.3.0.18:8081", code="address"
         )
-    raise Wrong(f"{text} is not an IPv4 address", "write four numbers up to 255, like 10.3.0.18", code="address")
+    raise InvalidValue(f"{text} is not an IPv4 address", "write four numbers up to 255, like 10.3.0.18", code="address")
 
 
 def _port(text: str, least: int) -> int:
     if not re.match(r"[0-9]{1,5}\Z", text) or not least <= int(text) < 65536:
-        raise Wrong(f"{text or 'nothing'} is not a port", f"write a number from {least} to 65535", code="address")
+        raise InvalidValue(
+            f"{text or 'nothing'} is not a port", f"write a number from {least} to 65535", code="address"
+        )
     return int(text)
 
 
-def span(value: str) -> Span:
+def parse_address_range(value: str) -> AddressRange:
     """An address or a range of addresses with its port."""
     hosts, colon, port = value.rpartition(":")
     if not colon:
-        kind = units.looks_like(value)
+        kind = units.kind_of(value)
         if "-" not in value and kind in ("a duration", "a rate", "a share", "a size", "a bare number", "a network"):
-            raise Wrong(
+            raise InvalidValue(
                 f"{value} is {kind} where an address belongs",
                 "write an address and a port, like 10.3.0.18:8081",
                 code="unit-kind",
             )
         _host(value.partition("-")[0])
-        raise Wrong(f"{value} has no port", f"write {value}:8081, with the port that it listens on", code="address")
+        raise InvalidValue(
+            f"{value} has no port", f"write {value}:8081, with the port that it listens on", code="address"
+        )
     first, dash, last = hosts.partition("-")
     start = _host(first)
     if not dash:
-        return Span(start, start, _port(port, 1))
+        return AddressRange(start, start, _port(port, 1))
     if last.isdigit():
-        raise Wrong(
+        raise InvalidValue(
             f"{value} is not how a range is written",
             f"write {first}-{first.rpartition('.')[0]}.{last}:{port}",
             code="address",
@@ -178,30 +184,32 @@
     try:
         netaddr.IPRange(start, end)
     except (netaddr.AddrFormatError, ValueError):
-        raise Wrong(f"{value} ends before it begins", f"write {last}-{first}:{port}", code="address") from None
-    if end - start >= MOST_RANGE:
-        raise Wrong(f"{value} holds {end - start + 1:,} addresses; {MOST_RANGE:,} is the most", code="address")
-    return Span(start, end, _port(port, 1))
+        raise InvalidValue(f"{value} ends before it begins", f"write {last}-{first}:{port}", code="address") from None
+    if end - start >= MAX_RANGE_ADDRESSES:
+        raise InvalidValue(
+            f"{value} holds {end - start + 1:,} addresses; {MAX_RANGE_ADDRESSES:,} is the most", code="address"
+        )
+    return AddressRange(start, end, _port(port, 1))
 
 
-def address(value: str) -> Address:
+def parse_address(value: str) -> Address:
     """An address to listen at or to dial; port 0 picks a free one."""
     host, colon, port = value.rpartition(":")
     if not colon:
-        raise Wrong(f"{value} is not an address with a port", "write it like 127.0.0.1:8080", code="address")
+        raise InvalidValue(f"{value} is not an address with a port", "write it like 127.0.0.1:8080", code="address")
     _host(host)
     return Address(host, _port(port, 0))
 
 
-def network(value: str) -> netaddr.IPNetwork:
+def parse_network(value: str) -> netaddr.IPNetwork:
     try:
         found = netaddr.IPNetwork(value, version=4, flags=0)
     except (netaddr.AddrFormatError, ValueError):
         found = None
     if found is None or "/" not in value:
-        raise Wrong(f"{value} is not a network", "write it like 10.3.0.0/16", code="address")
+        raise InvalidValue(f"{value} is not a network", "write it like 10.3.0.0/16", code="address")
     if found.ip.value != found.first:
-        raise Wrong(f"{value} has bits set beyond its length", f"write {found.cidr}", code="address")
+        raise InvalidValue(f"{value} has bits set beyond its length", f"write {found.cidr}", code="address")
     return found.cidr
 
 
@@ -210,62 +218,64 @@
         return Repeat(words[0])
     if words[:1] == ["keyed"]:
         if len(words) < 3 or words[1] != "for" or words[3:] not in ([], ["in-zone"]):
-            raise Wrong(f"{' '.join(words)!r} does not say for how long", "write keyed for 6s")
+            raise InvalidValue(f"{' '.join(words)!r} does not say for how long", "write keyed for 6s")
         try:
-            return Repeat("keyed", units.duration(words[2]), len(words) > 3)
-        except Wrong as wrong:
-            raise Wrong(wrong.text, wrong.instead, 2, wrong.code) from None
-    raise Wrong(
+            return Repeat("keyed", units.parse_duration(words[2]), len(words) > 3)
+        except InvalidValue as wrong:
+            raise InvalidValue(wrong.text, wrong.instead, 2, wrong.code) from None
+    raise InvalidValue(
         f"{' '.join(words) or 'nothing'} is not a way to repeat", "write never, freely or keyed for 6s", code="choice"
     )
 
 
 def _number_of(words: list[str]) -> tuple[int, int]:
     if len(words) != 3 or words[1] != "of":
-        raise Wrong(f"{' '.join(words)!r} is not a place in a row", "write it like 0 of 3")
-    siblings = units.count(words[2], 1, 100_000)
-    return units.count(words[0], 0, siblings - 1), siblings
+        raise InvalidValue(f"{' '.join(words)!r} is not a place in a row", "write it like 0 of 3")
+    siblings = units.parse_count(words[2], 1, 100_000)
+    return units.parse_count(words[0], 0, siblings - 1), siblings
 
 
 def _choice(*words: str) -> Kind:
     def read(word: str) -> str:
         if word not in words:
-            raise Wrong(f"{word} is not {listed(words).replace(' and ', ' or ')}", meant(word, words), code="choice")
+            raise InvalidValue(
+                f"{word} is not {join_words(words).replace(' and ', ' or ')}", suggestion(word, words), code="choice"
+            )
         return word
 
-    return Kind(" or ".join(words), _one(read))
+    return Kind(" or ".join(words), _one_word(read))
 
 
 def _flag(word: str) -> bool:
     if word not in ("yes", "no"):
-        raise Wrong(f"{word} is not yes or no", "write yes or no", code="choice")
+        raise InvalidValue(f"{word} is not yes or no", "write yes or no", code="choice")
     return word == "yes"
 
 
-def _count(least: int, most: int = units.MOST_COUNT) -> Kind:
-    return Kind("a count", _one(lambda word: units.count(word, least, most), "a count"))
+def _count(least: int, most: int = units.MAX_COUNT) -> Kind:
+    return Kind("a count", _one_word(lambda word: units.parse_count(word, least, most), "a count"))
 
 
 def _size(least: int) -> Kind:
     def read(word: str) -> int:
-        value = units.size(word)
+        value = units.parse_size(word)
         if value < least:
-            raise Wrong(f"{word} is too little", f"write at least {units.show_size(least)}", code="range")
+            raise InvalidValue(f"{word} is too little", f"write at least {units.format_size(least)}", code="range")
         return value
 
-    return Kind("a size", _one(read, "a size"), units.show_size)
+    return Kind("a size", _one_word(read, "a size"), units.format_size)
 
 
 def _score(word: str) -> Decimal:
-    value = units.number(word)
-    if value > MOST_SCORE:
-        raise Wrong(f"{word} is out of range", f"write at most {MOST_SCORE}", code="range")
+    value = units.parse_number(word)
+    if value > MAX_SCORE:
+        raise InvalidValue(f"{word} is out of range", f"write at most {MAX_SCORE}", code="range")
     return value
 
 
 def _seed(word: str) -> str:
     if not re.match(r"[0-9a-fA-F]{1,64}\Z", word):
-        raise Wrong(f"{word} is not a hexadecimal number", "write digits from 0 to f, 64 at most")
+        raise InvalidValue(f"{word} is not a hexadecimal number", "write digits from 0 to f, 64 at most")
     return word
 
 
@@ -275,10 +285,10 @@
         for at, word in enumerate(words):
             try:
                 values.append(read(word))
-            except Wrong as wrong:
-                raise Wrong(wrong.text, wrong.instead, at, wrong.code) from None
+            except InvalidValue as wrong:
+                raise InvalidValue(wrong.text, wrong.instead, at, wrong.code) from None
             if values[-1] in values[:-1]:
-                raise Wrong(f"{word} stands here twice", "", at, "twice")
+                raise InvalidValue(f"{word} stands here twice", "", at, "twice")
         return tuple(values)
 
     return reader
@@ -288,14 +298,14 @@
     return Kind(what, _items(read), lambda values: ", ".join(map(str, values)) or "none", True)
 
 
-DURATION = Kind("a duration", _one(units.duration, "a duration"), units.show_duration)
-RATE = Kind("a rate", units.rate)
-SHARE = Kind("a share", _one(units.share, "a share"), units.show_share)
-SCORE = Kind("a number", _one(_score, "a number"), units.plain)
-FLAG = Kind("yes or no", _one(_flag), lambda value: "yes" if value else "no")
-NAMED = Kind("a name", _one(name))
-TEXT = Kind("a name", _one(text))
-PLACE = Kind("an address", _one(address))
+DURATION = Kind("a duration", _one_word(units.parse_duration, "a duration"), units.format_duration)
+RATE = Kind("a rate", units.parse_rate)
+SHARE = Kind("a share", _one_word(units.parse_share, "a share"), units.format_share)
+SCORE = Kind("a number", _one_word(_score, "a number"), units.format_decimal)
+FLAG = Kind("yes or no", _one_word(_flag), lambda value: "yes" if value else "no")
+IDENTIFIER = Kind("a name", _one_word(parse_name))
+TEXT = Kind("a name", _one_word(parse_text))
+SOCKET_ADDRESS = Kind("an address", _one_word(parse_address))
 REPEAT = Kind("a way to repeat", _repeat)
 
 POLICY = (
@@ -308,10 +318,15 @@
     for block, rows in {
         "sender": (
             Setting("name", TEXT, "what it calls itself in its log", "scalefall"),
-            Setting("listen", PLACE, "where clients connect", "127.0.0.1:8080"),
-            Setting("discovery", PLACE, "the platform's discovery; `run` has none", None),
-            Setting("reports", PLACE, "where the ends of messages that were given up are told; else in the log", None),
-            Setting("seed", Kind("a hexadecimal number", _one(_seed)), "for random numbers", "0"),
+            Setting("listen", SOCKET_ADDRESS, "where clients connect", "127.0.0.1:8080"),
+            Setting("discovery", SOCKET_ADDRESS, "the platform's discovery; `run` has none", None),
+            Setting(
+                "reports",
+                SOCKET_ADDRESS,
+                "where the ends of messages that were given up are told; else in the log",
+                None,
+            ),
+            Setting("seed", Kind("a hexadecimal number", _one_word(_seed)), "for random numbers", "0"),
             Setting(
                 "number",
                 Kind("a place in a row", _number_of, lambda v: f"{v[0]} of {v[1]}"),
@@ -325,7 +340,9 @@
             Setting("slots", _count(1, 100_000), "calls that may be out at once", "12"),
             Setting("hold", _count(1, 1_000_000), "messages that may be open at once", "200"),
             Setting("idle-close", DURATION, "an idle connection is closed before this", "10s"),
-            Setting("tick", DURATION, "events are gathered for so long before they are decided on", "5ms", brief=True),
+            Setting(
+                "tick", DURATION, "events are gathered for so long before they are decided on", "5ms", may_be_short=True
+            ),
             Setting("late", _choice("linear", "line", "halving"), "how a message loses worth after its aim", "linear"),
             Setting("cancel", FLAG, "calls may be given up", "yes"),
             Setting("probe", FLAG, "endpoints may be asked how they are", "no"),
@@ -333,9 +350,11 @@
             Setting("streams", _count(1, 1000), "calls at once on a connection", "1"),
             Setting("list", _choice("ask", "push"), "how discovery's list comes", "ask"),
             Setting("weights", _choice("none", "nominal", "rough", "live"), "what discovery's weights mean", "none"),
-            Setting("load-report", _list(text, "names"), "fields of the load reports that answers carry", "x0, x1"),
+            Setting(
+                "load-report", _list(parse_text, "names"), "fields of the load reports that answers carry", "x0, x1"
+            ),
             Setting("over-share", SHARE, "what a message beyond its tenant's share is worth", "10%"),
-            Setting("turn-gap", DURATION, "between two messages of one key", "0s", brief=True),
+            Setting("turn-gap", DURATION, "between two messages of one key", "0s", may_be_short=True),
         ),
         "rules": (
             Setting("drain-grace", DURATION, "no fresh work for a draining endpoint later than this", "1s"),
@@ -344,7 +363,7 @@
             Setting("fall", DURATION, "a cold partner that is flooded for so long falls over", "2s"),
             Setting("fall-multiple", SCORE, "flooded: so many times what it takes", "2"),
             Setting("ask-within", DURATION, "discovery is asked again within this", "10s"),
-            Setting("answer-slack", DURATION, "by how much a final answer may be late", "20ms", brief=True),
+            Setting("answer-slack", DURATION, "by how much a final answer may be late", "20ms", may_be_short=True),
         ),
         "class": (
             Setting("aim", DURATION, "a delivery within it keeps its whole worth"),
@@ -372,10 +391,10 @@
                 None,
                 absent="",
             ),
-            Setting("dial-within", _list(network, "networks"), "networks that its endpoints must lie in", None),
+            Setting("dial-within", _list(parse_network, "networks"), "networks that its endpoints must lie in", None),
         ),
         "endpoint": (
-            Setting("at", Kind("an address", _one(span, "an address")), "its address"),
+            Setting("at", Kind("an address", _one_word(parse_address_range, "an address")), "its address"),
             Setting("zone", TEXT, "where it stands", "here"),
             Setting(
                 "state", _choice("ready", "draining"), "draining: finishes what it has, and gets nothing new", "ready"
@@ -383,9 +402,9 @@
             Setting("weight", SCORE, "as the sender's weights say", None, absent=""),
         ),
         "route": (
-            Setting("pool", NAMED, "where its messages go"),
-            Setting("policy", NAMED, "the rules for them", "default"),
-            Setting("classes", _list(text, "classes"), "what it carries; else every class", None, absent="every"),
+            Setting("pool", IDENTIFIER, "where its messages go"),
+            Setting("policy", IDENTIFIER, "the rules for them", "default"),
+            Setting("classes", _list(parse_text, "classes"), "what it carries; else every class", None, absent="every"),
             *POLICY,
         ),
     }.items()
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from scalefall.lang.model import Def, Endpoint, Site
+from scalefall.lang.model import Definition, Endpoint, Site
 from scalefall.lang.schema import BLOCKS
 from scalefall.lang.units import SECOND, Rate
 from scalefall.lang.wire import settings_table
@@ -19,8 +19,8 @@
 from scalefall.policy.pacing import BURST_US
 from scalefall.settings_reader import read_settings
 
-STATES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
-LIVE = {"pool", "policy", "route"}  # whatever changes in these takes effect at once
+STATUSES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
+RELOADABLE_BLOCKS = {"pool", "policy", "route"}  # whatever changes in these takes effect at once
 
 
 def config(site: Site, state: str, seed: int) -> Config:
@@ -48,14 +48,14 @@
 def entries(site: Site) -> list[Entry]:
     """The endpoints of all routes, in the file's order."""
     rows = []
-    for route in site.of("route").values():
+    for route in site.definitions("route").values():
         pool = site.pool_of(route)
-        dial = site.policy(route, "dial").value
+        dial = site.policy_value(route, "dial").value
         idle, limit = site.idle_close(pool).value, pool.get("limit")
-        most, weight = pool.get("connections") or 0, pace(limit) if limit is not None else 0.0
+        most, weight = pool.get("connections") or 0, calls_per_second(limit) if limit is not None else 0.0
         for each in site.endpoints.get(pool.name, ()):
             end = PolicyEndpoint(
-                endpoint_id(each), each.zone, pool.get("kind"), int(route.name), STATES[each.state], weight, most
+                endpoint_id(each), each.zone, pool.get("kind"), int(route.name), STATUSES[each.state], weight, most
             )
             host, _, port = each.address.rpartition(":")
             rows.append(Entry(end, (host, int(port)), each.address, dial, idle))
@@ -69,26 +69,28 @@
 def routes(site: Site) -> dict[int, RouteRules]:
     return {
         int(route.name): RouteRules(
-            frozenset(site.classes_of(route)), site.policy(route, "attempts").value, site.policy(route, "wait").value
+            frozenset(site.classes_of(route)),
+            site.policy_value(route, "attempts").value,
+            site.policy_value(route, "wait").value,
         )
-        for route in site.of("route").values()
+        for route in site.definitions("route").values()
     }
 
 
-def pace(limit: Rate) -> float:
+def calls_per_second(limit: Rate) -> float:
     """Calls a second that never make more than the limit's count in any of its spans: what the module lets through at
     once after a pause (one call, or what it gathers in BURST_US) comes on top of the pace."""
-    even, span = float(limit.a_second), limit.per_us / SECOND
+    even, span = float(limit.per_second), limit.per_us / SECOND
     depth = BURST_US / SECOND
     return even if even * depth <= 1 else max(1 / depth, limit.count / (span + depth))
 
 
-def fixed(site: Site) -> dict[str, Any]:
+def restart_only(site: Site) -> dict[str, Any]:
     """What a running sender cannot change, as plain values: all but pools, policies and routes."""
-    return {block: values for block, values in site.meaning().items() if block not in LIVE}
+    return {block: values for block, values in site.meaning().items() if block not in RELOADABLE_BLOCKS}
 
 
-def notes(config: Config, site: Site) -> list[str]:
+def start_warnings(config: Config, site: Site) -> list[str]:
     """What is worth a line in the log at a start."""
     rows = []
     if site.sender.get("discovery") is not None:
@@ -98,14 +100,14 @@
     return rows
 
 
-def cannot_change(was: dict[str, Any], new: Site) -> list[str]:
+def changes_needing_restart(was: dict[str, Any], new: Site) -> list[str]:
     """What differs from what is fixed in the running sender and takes a restart, a sentence each."""
-    will, rows = fixed(new), []
+    will, rows = restart_only(new), []
     for block in ("sender", "rules"):
         rows += _values(block, block, was[block], will[block], new)
     for block in ("class", "kind", "zone", "tenant"):
         for name in sorted(will[block].keys() - was[block].keys()):
-            rows.append(f"{_at(new.of(block)[name])}: {block} {name} is new")
+            rows.append(f"{_at(new.definitions(block)[name])}: {block} {name} is new")
         for name in sorted(was[block].keys() & will[block].keys()):
             rows += _values(block, f"{block} {name}", was[block][name], will[block][name], new, name)
         if block != "class":  # a class that goes is carried by no route any more, which takes effect
@@ -117,7 +119,7 @@
     rows = []
     for word, setting in BLOCKS[block].items():
         if was[word] != will[word]:
-            each: Def = getattr(new, block) if not name else new.of(block)[name]
+            each: Definition = getattr(new, block) if not name else new.definitions(block)[name]
             rows.append(
                 f"{_at(each, word)}: {word} of {title} is {setting.show(will[word])} in the file, and stays "
                 f"{setting.show(was[word])}"
@@ -125,6 +127,6 @@
     return rows
 
 
-def _at(each: Def, word: str = "") -> str:
+def _at(each: Definition, word: str = "") -> str:
     place = each.values[word].place if word in each.values else each.place
     return f"{place.file}:{place.line}"
--- a/scalefall/lang/suspicious.py
+++ b/scalefall/lang/suspicious.py
@@ -3,82 +3,82 @@
 from __future__ import annotations
 
 from scalefall.lang import units
-from scalefall.lang.model import DEFAULT, Def, Site
+from scalefall.lang.model import DEFAULT, Definition, Site
 from scalefall.lang.schema import BLOCKS, DURATION
-from scalefall.lang.text import Problems, count
+from scalefall.lang.text import Problems, pluralize
 
 SHORT_US = 50_000
 LONG_US = units.HOUR
 
 
-def look(site: Site, problems: Problems) -> None:
+def add_warnings(site: Site, problems: Problems) -> None:
     for each in (site.sender, site.rules, *(one for block in site.blocks.values() for one in block.values())):
         _durations(each, problems)
-    for cls in site.of("class").values():
+    for cls in site.definitions("class").values():
         _class(cls, problems)
     _policies(site, problems)
     used = site.pools_in_use()
-    for pool in site.of("pool").values():
+    for pool in site.definitions("pool").values():
         if pool.name not in used:
             problems.warn("unused", pool.place, f"no route uses pool {pool.name}", "write a route, or take it out")
-    for route in site.of("route").values():
+    for route in site.definitions("route").values():
         _route(site, route, problems)
     _classes_used(site, problems)
 
 
-def _durations(each: Def, problems: Problems) -> None:
+def _durations(each: Definition, problems: Problems) -> None:
     for word, (value, place) in each.values.items():
         setting = BLOCKS[each.block][word]
-        if setting.kind is not DURATION or setting.brief or place is None:
+        if setting.kind is not DURATION or setting.may_be_short or place is None:
             continue
         if value < SHORT_US:
             problems.warn(
                 "short",
                 place,
                 f"{setting.line(value)} is under 50 ms",
-                f"was {units.show_duration(value * 1000)} meant?" if value else "",
+                f"was {units.format_duration(value * 1000)} meant?" if value else "",
             )
         elif value > LONG_US:
             problems.warn("long", place, f"{setting.line(value)} is over an hour")
 
 
-def _class(cls: Def, problems: Problems) -> None:
+def _class(cls: Definition, problems: Problems) -> None:
     if cls.broken:
         return
-    aim, deadline = cls.own("aim"), cls.own("deadline")
+    aim, deadline = cls.lookup("aim"), cls.lookup("deadline")
     if deadline.value < aim.value:
         problems.warn(
             "deadline",
             deadline.place,
-            f"the deadline of {cls.name} ({units.say_duration(deadline.value)}) "
-            f"is shorter than its aim ({units.say_duration(aim.value)})",
+            f"the deadline of {cls.name} ({units.format_duration_spaced(deadline.value)}) "
+            f"is shorter than its aim ({units.format_duration_spaced(aim.value)})",
             "",
             [(aim.place, "its aim")],
         )
-    repeat = cls.own("repeat")
+    repeat = cls.lookup("repeat")
     if repeat.value.effect == "keyed" and repeat.value.ttl_us < SHORT_US:
         problems.warn(
             "short",
             repeat.place,
             f"keys of {cls.name} are known for under 50 ms",
-            f"was {units.show_duration(repeat.value.ttl_us * 1000)} meant?",
+            f"was {units.format_duration(repeat.value.ttl_us * 1000)} meant?",
         )
 
 
 def _policies(site: Site, problems: Problems) -> None:
-    named = {route.get("policy") for route in site.of("route").values()}
-    for policy in site.of("policy").values():
+    named = {route.get("policy") for route in site.definitions("route").values()}
+    for policy in site.definitions("policy").values():
         if policy.name not in named and policy.name != DEFAULT:
             problems.warn("unused", policy.place, f"no route uses policy {policy.name}")
 
 
-def _route(site: Site, route: Def, problems: Problems) -> None:
+def _route(site: Site, route: Definition, problems: Problems) -> None:
     pool = site.pool_of(route)
     if pool is None:
         return
     rows = site.endpoints.get(pool.name, [])
     if not any(row.ready for row in rows):
-        draining = f": {count(len(rows), 'endpoint')}, all draining" if rows else f": pool {pool.name} is empty"
+        draining = f": {pluralize(len(rows), 'endpoint')}, all draining" if rows else f": pool {pool.name} is empty"
         problems.warn(
             "empty",
             route.place,
@@ -91,8 +91,8 @@
 
 
 def _classes_used(site: Site, problems: Problems) -> None:
-    routes = list(site.of("route").values())
+    routes = list(site.definitions("route").values())
     used = {name for route in routes for name in site.classes_of(route)}
-    for cls in site.of("class").values():
+    for cls in site.definitions("class").values():
         if routes and cls.name not in used:
             problems.warn("unused", cls.place, f"no route carries class {cls.name}")
--- a/scalefall/lang/syntax.py
+++ b/scalefall/lang/syntax.py
@@ -15,9 +15,9 @@
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedInput
 
-from scalefall.lang.text import Place, Problems, count
+from scalefall.lang.text import Place, Problems, pluralize
 
-MOST_DEPTH = 16  # blocks within blocks: the language itself needs two
+MAX_BLOCK_DEPTH = 16  # blocks within blocks: the language itself needs two
 TOP_WORDS = ("class", "include", "kind", "policy", "pool", "route", "rules", "sender", "tenant", "zone")
 GRAMMAR = r"""
 start: _items? statement?
@@ -58,17 +58,17 @@
     def name(self) -> str:
         return value_of(self.words[0])
 
-    def same(self, other: Statement) -> bool:
+    def is_equivalent(self, other: Statement) -> bool:
         """The same words in the same blocks; places and layout do not count."""
         if [(word.type, _plain(word)) for word in self.words] != [(w.type, _plain(w)) for w in other.words]:
             return False
         if self.body is None or other.body is None:
             return self.body is other.body
-        return same_statements(self.body, other.body)
+        return equivalent_statements(self.body, other.body)
 
 
-def same_statements(one: list[Statement], other: list[Statement]) -> bool:
-    return len(one) == len(other) and all(a.same(b) for a, b in zip(one, other, strict=False))
+def equivalent_statements(one: list[Statement], other: list[Statement]) -> bool:
+    return len(one) == len(other) and all(a.is_equivalent(b) for a, b in zip(one, other, strict=False))
 
 
 @dataclass(slots=True)
@@ -181,11 +181,11 @@
             document.statements = _parser.feed(_mended(_parser.tokens(text), document, problems))
         document.comments = _parser.comments
     for statement in document.statements:
-        if statement.depth > MOST_DEPTH:
+        if statement.depth > MAX_BLOCK_DEPTH:
             problems.error(
                 "depth",
                 document.place(statement.words[0]),
-                f"blocks {count(statement.depth, 'level')} deep; {MOST_DEPTH} is the most",
+                f"blocks {pluralize(statement.depth, 'level')} deep; {MAX_BLOCK_DEPTH} is the most",
             )
             statement.body, statement.depth, document.broken = [], 1, True
     _strings(document, document.statements, problems)
@@ -253,18 +253,27 @@
         yield token
         last = token.type
     if opened:
-        _unclosed(opened[-1] if len(opened) <= MOST_DEPTH else opened[0], document, problems, "", len(opened) - 1)
+        _unclosed(opened[-1] if len(opened) <= MAX_BLOCK_DEPTH else opened[0], document, problems, "", len(opened) - 1)
     for _ in opened:
         yield _made("CLOSE", "}", tokens[-1])
 
 
 def _unclosed(brace: Token, document: Document, problems: Problems, where: str, around: int) -> None:
-    text = f"this block is never closed{where}" + (f", nor {count(around, 'block')} around it" if around else "")
+    text = f"this block is never closed{where}" + (f", nor {pluralize(around, 'block')} around it" if around else "")
     problems.error("unclosed", document.place(brace), text, "write its closing brace }")
 
 
-def _made(kind: str, text: str, near: Token) -> Token:
-    return Token(kind, text, near.start_pos, near.line, near.column, near.line, near.column + 1, near.start_pos)
+def _made(kind: str, text: str, position: Token) -> Token:
+    return Token(
+        kind,
+        text,
+        position.start_pos,
+        position.line,
+        position.column,
+        position.line,
+        position.column + 1,
+        position.start_pos,
+    )
 
 
 def _strings(document: Document, statements: list[Statement], problems: Problems) -> None:
--- a/scalefall/lang/text.py
+++ b/scalefall/lang/text.py
@@ -38,7 +38,7 @@
         return self.place.file, self.place.line, self.place.column, self.severity, self.text
 
 
-class Wrong(Exception):
+class InvalidValue(Exception):
     """A value that can't be used: what is wrong, what to write instead, and which of its words is at fault."""
 
     def __init__(self, text: str, instead: str = "", word: int = 0, code: str = "value") -> None:
@@ -75,15 +75,15 @@
         return sorted(self.found.values(), key=Problem.sort_key)
 
     @property
-    def errors(self) -> int:
+    def error_count(self) -> int:
         return sum(1 for problem in self.found.values() if problem.severity == ERROR)
 
     @property
-    def warnings(self) -> int:
-        return len(self.found) - self.errors
+    def warning_count(self) -> int:
+        return len(self.found) - self.error_count
 
 
-def near(word: str, known: Iterable[str]) -> str:
+def closest_match(word: str, known: Iterable[str]) -> str:
     """The known word that was probably meant; empty if none is near."""
     choices = list(known)
     lower = {choice.lower(): choice for choice in choices}
@@ -92,10 +92,10 @@
     return next(iter(difflib.get_close_matches(word, choices, 1, 0.6)), "")
 
 
-def meant(word: str, known: Iterable[str], what: str = "one of") -> str:
+def suggestion(word: str, known: Iterable[str], what: str = "one of") -> str:
     """Help on an unknown word: the near name if there is one, otherwise the choices."""
     choices = sorted(known)
-    found = near(word, choices)
+    found = closest_match(word, choices)
     if found:
         return f"did you mean {found}?"
     if not choices:
@@ -104,12 +104,12 @@
     return f"{what} {shown}"
 
 
-def listed(words: Iterable[str]) -> str:
+def join_words(words: Iterable[str]) -> str:
     """a, b and c"""
     rows = list(words)
     return rows[0] if len(rows) == 1 else f"{', '.join(rows[:-1])} and {rows[-1]}" if rows else ""
 
 
-def count(number: int, word: str) -> str:
+def pluralize(number: int, word: str) -> str:
     """1 endpoint, 2 endpoints"""
     return f"{number:,} {word}" + ("" if number == 1 else "s")
--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -12,9 +12,9 @@
 
 from scalefall.lang import syntax, units
 from scalefall.lang.format import layout
-from scalefall.lang.model import DEFAULT, Def, Endpoint, Site
+from scalefall.lang.model import DEFAULT, Definition, Endpoint, Site
 from scalefall.lang.schema import BLOCKS, NAME, POLICY, Repeat, Setting
-from scalefall.lang.text import Problems, listed
+from scalefall.lang.text import Problems, join_words
 from scalefall.net.config import read_address
 from scalefall.net.list_stream import ListUpdate, read_list
 from scalefall.policy.events import EndpointStatus
@@ -26,7 +26,7 @@
 KNOWN_KEYS = {"name", "listen", "discovery", "seed", "limits", "known", "settings"}
 
 
-def compiled(site: Site) -> tuple[dict[str, Any], list[str]]:
+def to_platform_json(site: Site) -> tuple[dict[str, Any], list[str]]:
     """The platform's configuration object, and what it cannot hold, a sentence each."""
     sender = site.sender
     table: dict[str, Any] = {"name": sender.get("name"), "listen": str(sender.get("listen"))}
@@ -90,13 +90,14 @@
             "fallMultiple": float(rules.get("fall-multiple")),
         },
         "tenants": [
-            {"name": each.name, "quotaPerS": float(each.get("quota").a_second)} for each in site.of("tenant").values()
+            {"name": each.name, "quotaPerS": float(each.get("quota").per_second)}
+            for each in site.definitions("tenant").values()
         ],
-        "grades": [_grade(each) for each in site.of("class").values()],
+        "grades": [_grade(each) for each in site.definitions("class").values()],
     }
 
 
-def _grade(each: Def) -> dict[str, Any]:
+def _grade(each: Definition) -> dict[str, Any]:
     repeat: Repeat = each.get("repeat")
     return {
         "name": each.name,
@@ -112,16 +113,16 @@
 
 
 def _default_policy(site: Site) -> dict[str, Any]:
-    each = site.of("policy").get(DEFAULT)
+    each = site.definitions("policy").get(DEFAULT)
     return {row.word: each.get(row.word) if each else row.built_in for row in POLICY}
 
 
 def _names(site: Site, block: str) -> list[str]:
     """Those that are defined, or else those in use."""
-    if site.of(block):
-        return list(site.of(block))
+    if site.definitions(block):
+        return list(site.definitions(block))
     used = (
-        [each.get("kind") for each in site.of("pool").values()]
+        [each.get("kind") for each in site.definitions("pool").values()]
         if block == "kind"
         else [each.zone for each in site.all_endpoints()]
     )
@@ -129,7 +130,7 @@
 
 
 def _setting(site: Site, block: str, name: str, word: str) -> Any:
-    each = site.of(block).get(name)
+    each = site.definitions(block).get(name)
     return each.get(word) if each else BLOCKS[block][word].built_in
 
 
@@ -150,7 +151,7 @@
 
 def _hosts(site: Site) -> Iterator[dict[str, Any]]:
     names, nominal = host_names(site), site.sender.get("weights") in ("nominal", "rough")
-    for route in site.of("route").values():
+    for route in site.definitions("route").values():
         pool = site.pool_of(route)
         for each in site.endpoints.get(pool.name, ()) if pool else ():
             yield {
@@ -165,26 +166,26 @@
             }
 
 
-def weight(pool: Def, each: Endpoint, limited: bool) -> float:
+def weight(pool: Definition, each: Endpoint, limited: bool) -> float:
     """What the endpoint's row tells of its weight: its own word, else the pool's limit where limits are told so."""
     if each.weight is not None:
         return float(each.weight)
     limit = pool.get("limit")
-    return float(limit.a_second) if limited and limit is not None else 1.0
+    return float(limit.per_second) if limited and limit is not None else 1.0
 
 
 def _lost(site: Site) -> Iterator[str]:
     if site.sender.get("reports") is not None:
         yield "reports of sender: the platform's are at its discovery"
     default = _default_policy(site)
-    for route in site.of("route").values():
-        words = [row.word for row in POLICY if site.policy(route, row.word).value != default[row.word]]
+    for route in site.definitions("route").values():
+        words = [row.word for row in POLICY if site.policy_value(route, row.word).value != default[row.word]]
         if words:
-            yield f"{listed(words)} of route {route.name}: the platform's settings hold one policy, the default one"
-        if route.get("classes") is not None and set(route.get("classes")) != set(site.of("class")):
+            yield f"{join_words(words)} of route {route.name}: the platform's settings hold one policy, the default one"
+        if route.get("classes") is not None and set(route.get("classes")) != set(site.definitions("class")):
             yield f"classes of route {route.name}: the platform's routes carry every class"
     used = site.pools_in_use()
-    for pool in site.of("pool").values():
+    for pool in site.definitions("pool").values():
         if pool.name not in used:
             yield f"pool {pool.name}: no route leads there"
         if pool.get("limit") is not None and site.sender.get("weights") not in ("nominal", "rough"):
@@ -199,7 +200,7 @@
 # -- from the platform's JSON
 
 
-def imported(table: Any) -> tuple[str, list[str]]:
+def from_platform_json(table: Any) -> tuple[str, list[str]]:
     """The language's text for a configuration object, and what of it has no place there; ValueError says what is
     wrong with the object."""
     if not isinstance(table, dict):
@@ -304,7 +305,7 @@
         end = entry.endpoint
         if end.status not in states:
             continue
-        weight = "" if end.weight == 1 else f"weight {units.plain(_decimal(end.weight))}; "
+        weight = "" if end.weight == 1 else f"weight {units.format_decimal(_decimal(end.weight))}; "
         state = "" if end.status is EndpointStatus.READY else "state draining; "
         host, port = entry.address
         pools.setdefault((end.destination, end.kind), []).append(
@@ -353,10 +354,10 @@
 
 def _written(text: str) -> str:
     """A value as it is written: in quotes unless it is one word."""
-    return text if _one_word(text) else syntax.quoted(text)
+    return text if _is_one_word(text) else syntax.quoted(text)
 
 
-def _one_word(text: str) -> bool:
+def _is_one_word(text: str) -> bool:
     """Whether a text is one word of the language as it stands."""
     return bool(text) and text.isprintable() and not any(char.isspace() or char in ';,{}"#' for char in text)
 
@@ -367,10 +368,10 @@
     return Decimal(repr(value)) if isinstance(value, float) else Decimal(value)
 
 
-def _rate(a_second: float) -> units.Rate:
+def _rate(per_second: float) -> units.Rate:
     """A rate of whole counts: the span grows until it is one."""
-    value = _decimal(a_second)
+    value = _decimal(per_second)
     for span in (1, 10, 60, 100, 1000, 3600, 10_000, 1_000_000):
         if value * span == int(value * span) and value > 0:
             return units.Rate(int(value * span), span * units.SECOND)
-    raise ValueError(f"a quota of {a_second!r} a second is no whole number in any span")
+    raise ValueError(f"a quota of {per_second!r} a second is no whole number in any span")
--- a/tests/lang/test_broken.py
+++ b/tests/lang/test_broken.py
@@ -51,7 +51,7 @@
 
 
 def test_all_files_together_are_bounded_too(tmp_path, monkeypatch):
-    monkeypatch.setattr("scalefall.lang.include.MOST_TOTAL", 100)
+    monkeypatch.setattr("scalefall.lang.include.MAX_TOTAL_BYTES", 100)
     _, found = only(tmp_path, site='include "a.scale"\ninclude "b.scale"\n', a="#" * 60, b="#" * 60)
     assert found == [("site.scale:2:9", "large")]
 
@@ -72,10 +72,10 @@
 class Refusing(files.Disk):
     """A folder in which one file may not be read, whoever asks."""
 
-    def read(self, path, most):
+    def read(self, path, max_bytes):
         if path == "secret.scale":
             raise PermissionError(13, "Permission denied")
-        return super().read(path, most)
+        return super().read(path, max_bytes)
 
 
 @pytest.mark.parametrize("first", ["site.scale", "secret.scale"])
@@ -113,7 +113,7 @@
     for name in ("b", "a", "c", ".hidden"):
         (tmp_path / "p" / f"{name}.scale").write_text(f"zone {name.strip('.')} {{ }}")
     loaded, _ = only(tmp_path, site='include "*/*.scale"\n')
-    assert list(loaded.site.of("zone")) == ["a", "b", "c"]
+    assert list(loaded.site.definitions("zone")) == ["a", "b", "c"]
 
 
 if __name__ == "__main__":
--- a/tests/lang/test_meaning.py
+++ b/tests/lang/test_meaning.py
@@ -30,7 +30,7 @@
 
 
 def site(text):
-    loaded = load.text(text.encode(), "site.scale")
+    loaded = load.load_text(text.encode(), "site.scale")
     assert loaded.usable, render.text(loaded.problems, loaded.source())
     return loaded.site
 
@@ -184,7 +184,7 @@
     ],
 )
 def test_a_pace_never_makes_more_than_the_limit_in_one_span(limit):
-    pace, span = sender.pace(limit), limit.per_us / 1e6
+    pace, span = sender.calls_per_second(limit), limit.per_us / 1e6
     at_once = max(1.0, pace * BURST_US / 1e6)
     if at_once == 1:
         assert pace <= limit.count / span  # spaced evenly: a span holds the count and no more
@@ -193,11 +193,11 @@
 
 
 def test_what_a_running_sender_cannot_take_is_named_and_the_rest_is_not():
-    now = sender.fixed(site(SITE))
+    now = sender.restart_only(site(SITE))
     live = SITE.replace("4 per 1s", "5 per 1s").replace("attempts 4", "attempts 3")
-    assert sender.cannot_change(now, site(live)) == []
+    assert sender.changes_needing_restart(now, site(live)) == []
     new = SITE.replace("deadline 24s; repeat never", "deadline 20s; repeat never") + "sender { slots 3 }\nzone b { }\n"
-    assert sender.cannot_change(now, site(new)) == [
+    assert sender.changes_needing_restart(now, site(new)) == [
         "site.scale:15: slots of sender is 3 in the file, and stays 12",
         "site.scale:2: deadline of class fee-order is 20s in the file, and stays 24s",
         "site.scale:16: zone b is new",
@@ -220,9 +220,9 @@
         for n in (1, 2, 3)
     ]
     table["known"] = {"seq": 1, "whole": True, "hosts": hosts}
-    text, dropped = wire.imported(table | {"peers": []})
+    text, dropped = wire.from_platform_json(table | {"peers": []})
     assert dropped == ["peers: no word of the language"]
-    again, lost = wire.compiled(site(text))
+    again, lost = wire.to_platform_json(site(text))
     assert lost == []
     assert read_settings(again["settings"]) == read_settings(table["settings"])
     assert {key: again[key] for key in ("name", "listen", "discovery", "seed", "limits")} == {
@@ -232,7 +232,7 @@
 
 
 def test_what_the_json_cannot_hold_is_named():
-    _, lost = wire.compiled(site(SITE))
+    _, lost = wire.to_platform_json(site(SITE))
     assert lost == [
         "attempts of route 7: the platform's settings hold one policy, the default one",
         "classes of route 9: the platform's routes carry every class",
--- a/tests/lang/test_properties.py
+++ b/tests/lang/test_properties.py
@@ -5,7 +5,7 @@
 
 from scalefall.lang import explain, format, load, render, wire
 from scalefall.lang.diff import as_json, as_text, compare
-from scalefall.lang.syntax import parse, same_statements
+from scalefall.lang.syntax import parse, equivalent_statements
 from scalefall.lang.text import Problems
 
 some = settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
@@ -40,7 +40,7 @@
 def parsed(text):
     problems = Problems()
     document = parse(text, "f", problems)
-    assert not problems.errors, problems.sorted()
+    assert not problems.error_count, problems.sorted()
     return document
 
 
@@ -50,7 +50,7 @@
     document = parsed(text)
     out = format.layout(document)
     again = parsed(out)
-    assert same_statements(document.statements, again.statements)
+    assert equivalent_statements(document.statements, again.statements)
     assert [c.rstrip() for c in document.comments] == [c.rstrip() for c in again.comments]
     assert format.layout(again) == out
 
@@ -119,7 +119,7 @@
 
 
 def site(text):
-    loaded = load.text(text.encode(), "f")
+    loaded = load.load_text(text.encode(), "f")
     assert loaded.usable, render.text(loaded.problems, loaded.source())
     return loaded.site
 
@@ -145,8 +145,8 @@
 @some
 @given(sites())
 def test_the_platforms_json_holds_the_same_settings_both_ways(text):
-    table, _ = wire.compiled(site(text))
-    again, _ = wire.compiled(site(wire.imported(table)[0]))
+    table, _ = wire.to_platform_json(site(text))
+    again, _ = wire.to_platform_json(site(wire.from_platform_json(table)[0]))
     assert again["settings"] == table["settings"]
     assert again["limits"] == table["limits"]
 
@@ -155,7 +155,7 @@
 @given(sites())
 def test_every_route_can_be_explained(text):
     read = site(text)
-    for name in read.of("route"):
+    for name in read.definitions("route"):
         rows = explain.explain(read, name)
         assert all(row.place or row.origin == "built in" for row in rows)
         assert explain.as_text(name, rows)
@@ -213,7 +213,7 @@
 @some
 @given(st.one_of(st.binary(max_size=200), SOUP.map(str.encode)))
 def test_nothing_that_is_read_raises(data):
-    loaded = load.text(data, "f")
+    loaded = load.load_text(data, "f")
     assert render.text(loaded.problems, loaded.source())
     assert render.as_json(loaded.problems)
     assert all(problem.place.line >= 1 and problem.place.column >= 1 for problem in loaded.problems)
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -91,7 +91,7 @@
 def read(text, tmp_path, seed=1):
     from scalefall.lang import load, render, sender
 
-    loaded = load.text(text, "site.scale")
+    loaded = load.load_text(text, "site.scale")
     assert loaded.usable, render.text(loaded.problems, loaded.source())
     return sender.config(loaded.site, str(tmp_path), seed)
 
