--- a/scalefall/lang/__init__.py
+++ b/scalefall/lang/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration language: parse, meaning, format, diff (pure); files reads."""
+"""The configuration language: parsing, analysis, layout and comparison without I/O; `files` does the reading."""
--- a/scalefall/lang/explain.py
+++ b/scalefall/lang/explain.py
@@ -1,4 +1,4 @@
-"""What is in force on one route, each value with the place that it comes from. No I/O."""
+"""The values in force on one route, each with the place that it comes from. No I/O."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 
 
 class Row(NamedTuple):
+    """One line of the explanation."""
+
     part: str  # route, policy, pool, endpoint, class, rules
     text: str  # as it would be written
     origin: str
@@ -19,7 +21,7 @@
 
 
 def explain(site: Site, name: str) -> list[Row]:
-    """Rows for the route; KeyError if there is none."""
+    """Return the rows for a route; raise KeyError if the route does not exist."""
     return list(_rows(site, site.definitions("route")[name]))
 
 
@@ -66,7 +68,7 @@
 
 
 def as_text(name: str, rows: list[Row]) -> str:
-    wide = min(60, max(len(row.text) for row in rows) + 2)
+    width = min(60, max(len(row.text) for row in rows) + 2)
     lines, part = [f"route {name}"], ""
     for row in rows:
         if row.part != part and row.part != "route":
@@ -74,7 +76,7 @@
         part = row.part
         where = f"{row.place.file}:{row.place.line}" if row.place else "built in"
         origin = f"  ({row.origin})" if row.place else ""
-        lines.append(f"  {row.text:<{wide}} {where}{origin}")
+        lines.append(f"  {row.text:<{width}} {where}{origin}")
     return "\n".join(lines) + "\n"
 
 
--- a/scalefall/lang/files.py
+++ b/scalefall/lang/files.py
@@ -1,4 +1,4 @@
-"""The one module of the language that reads files: folders on disk, and revisions in a git repository."""
+"""Reads and writes files for the language: folders on disk and revisions of a git repository."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 import stat
 import subprocess
 
-ROOT_FILE = "site.scale"  # what is read where a folder is named
+ROOT_FILE = "site.scale"  # the file that a folder stands for
 GIT_TIMEOUT_S = 60
 
 
 class Disk:
-    """Files below a folder on disk. Opening never waits (a pipe is refused), and links out of the folder are seen."""
+    """Files below a folder on disk. Opening never blocks (pipes are rejected); links out of the folder are detected."""
 
     def __init__(self, root: str, shown: str | None = None) -> None:
         self._root, self._shown = root or ".", root if shown is None else shown
         self._real = os.path.realpath(self._root)
 
     def read(self, path: str, max_bytes: int) -> bytes:
-        number = os.open(os.path.join(self._root, path), os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+        descriptor = os.open(os.path.join(self._root, path), os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         try:
-            mode = os.fstat(number).st_mode
+            mode = os.fstat(descriptor).st_mode
             if not stat.S_ISREG(mode):
                 raise OSError(0, "it is a folder" if stat.S_ISDIR(mode) else "it is not a file")
-            with open(number, "rb", closefd=False) as file:
+            with open(descriptor, "rb", closefd=False) as file:
                 return file.read(max_bytes + 1)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
     def names(self, folder: str) -> list[str]:
         try:
@@ -43,7 +43,7 @@
 
 
 class Git:
-    """Files below a folder as a revision has them; a link is not followed, its text is no configuration."""
+    """Files below a folder in a git revision. Links are not followed, as their content is only a path."""
 
     def __init__(self, revision: str, root: str) -> None:
         self._revision, self._folder = revision, root or "."
@@ -59,19 +59,19 @@
         self._folders: dict[str, set[str]] = {}
         for path in self._kinds:
             while path:
-                above, _, name = path.rpartition("/")
-                self._folders.setdefault(above, set()).add(name)
-                path = above
+                parent, _, name = path.rpartition("/")
+                self._folders.setdefault(parent, set()).add(name)
+                path = parent
 
     def _git(self, *words: str) -> bytes:
         try:
-            done = subprocess.run(["git", "-C", self._folder, *words], capture_output=True, timeout=GIT_TIMEOUT_S)
+            completed = subprocess.run(["git", "-C", self._folder, *words], capture_output=True, timeout=GIT_TIMEOUT_S)
         except (OSError, subprocess.SubprocessError) as error:
             raise OSError(0, f"git cannot be run: {error}") from error
-        if done.returncode:
-            lines = done.stderr.decode(errors="replace").strip().splitlines()
+        if completed.returncode:
+            lines = completed.stderr.decode(errors="replace").strip().splitlines()
             raise OSError(0, lines[-1] if lines else f"git knows no revision {self._revision}")
-        return done.stdout
+        return completed.stdout
 
     def read(self, path: str, max_bytes: int) -> bytes:
         if path in self._folders:
@@ -93,7 +93,7 @@
 
 
 def find_files(path: str) -> list[str]:
-    """The file itself, or every .scale file below a folder, in the order of their names."""
+    """Return the file itself, or every .scale file below a folder, sorted by name."""
     if not os.path.isdir(path):
         return [path]
     found = []
@@ -104,13 +104,13 @@
 
 
 def read(path: str) -> bytes:
-    """A whole file of whatever kind."""
+    """Return the content of any file, also of a pipe."""
     with open(path, "rb") as file:
         return file.read()
 
 
 def locate(path: str, revision: str = "") -> tuple[Disk | Git, str]:
-    """Where a configuration named by its file or folder is, and its first file there; OSError if git can't say."""
+    """Return the source of a configuration's files and the name of its first file; OSError if git fails."""
     folder, name = (path, ROOT_FILE) if not os.path.basename(path) or os.path.isdir(path) else os.path.split(path)
     if revision:
         return Git(revision, folder), name
@@ -118,7 +118,7 @@
 
 
 def write(path: str, text: str) -> None:
-    """Replace a file whole: a reader sees the old text or the new one. It keeps its mode, and a link its target."""
+    """Replace a file atomically: a reader sees the old text or the new one. Its mode and links stay."""
     path = os.path.realpath(path)
     new = f"{path}.new"
     with open(new, "w", encoding="utf-8", newline="\n") as file:
--- a/scalefall/lang/include.py
+++ b/scalefall/lang/include.py
@@ -1,6 +1,7 @@
-"""Includes: which files belong to a configuration, and in which order. The files themselves come from a Files.
+"""Includes: which files belong to a configuration, and in which order. A `Files` object provides the files.
 
-Paths are relative to the folder of the first file, the root, and never lead out of it. Each file is read once.
+Each path is relative to the folder of the including file and never leads out of the root, the folder of the first
+file. Each file is read once.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from scalefall.lang.syntax import Document, Statement, parse, value_of
 from scalefall.lang.text import Place, Problems, closest_match
 
-MAX_INCLUDE_DEPTH = 16  # files that include files
+MAX_INCLUDE_DEPTH = 16  # of nested includes
 MAX_FILE_BYTES = 4 * 1024 * 1024
 MAX_TOTAL_BYTES = 32 * 1024 * 1024
 MAX_FILES = 10_000
@@ -22,36 +23,36 @@
 
 
 class Files(Protocol):
-    """Where files come from; paths are relative to the root, with slashes. Errors are OSErrors with a plain text."""
+    """A source of files. Paths are relative to the root, with slashes; errors are OSErrors with a readable text."""
 
     def read(self, path: str, max_bytes: int) -> bytes:
-        """At most `most` bytes and one more of a regular file."""
+        """Return the content of a regular file, cut after `max_bytes` and one more byte."""
 
     def names(self, folder: str) -> list[str]:
-        """What stands in a folder; none where there is no such folder."""
+        """Return the names in a folder; none if there is no such folder."""
 
     def inside(self, path: str) -> bool:
-        """False if the path leads out of the root, over links."""
+        """Return whether the path, with its links resolved, is below the root."""
 
     def shown(self, path: str) -> str:
-        """The path as the user is to see it."""
+        """Return the path as messages show it."""
 
 
 @dataclass(slots=True, frozen=True)
 class _Step:
-    """One file on the way to the one being read, and where it was included."""
+    """One file of an include chain, and the place of the include; None for the first file."""
 
     path: str
     place: Place | None
 
 
 class Loader:
-    """Reads a file and all that it includes into documents, in order; problems are gathered, none is raised."""
+    """Reads a file and all that it includes into documents, in order; problems are collected and never raised."""
 
     def __init__(self, files: Files, problems: Problems, follow: bool = True) -> None:
         self._files, self._problems, self._follow = files, problems, follow
         self._read: dict[str, Place | None] = {}
-        self._total = 0
+        self._total_bytes = 0
         self.documents: list[Document] = []
         self.raw = b""  # of the file read last
 
@@ -82,12 +83,16 @@
         try:
             data = self._files.read(step.path, MAX_FILE_BYTES)
         except OSError as error:
-            why = error.strerror or str(error)
+            fault = error.strerror or str(error)
             self._problems.error(
-                "unreadable", place, f"{shown} cannot be read: {why}", self._neighbour(step), fatal=step.place is None
+                "unreadable",
+                place,
+                f"{shown} cannot be read: {fault}",
+                self._suggest_name(step),
+                fatal=step.place is None,
             )
             return None
-        self._total += len(data)
+        self._total_bytes += len(data)
         if len(data) > MAX_FILE_BYTES:
             self._problems.error(
                 "large",
@@ -97,7 +102,7 @@
                 fatal=step.place is None,
             )
             return None
-        if self._total > MAX_TOTAL_BYTES:
+        if self._total_bytes > MAX_TOTAL_BYTES:
             self._problems.error(
                 "large",
                 place,
@@ -107,7 +112,7 @@
             return None
         return data
 
-    def _neighbour(self, step: _Step) -> str:
+    def _suggest_name(self, step: _Step) -> str:
         folder, name = posixpath.split(step.path)
         others = [each for each in self._files.names(folder) if posixpath.join(folder, each) not in self._read]
         found = closest_match(name, others)
@@ -130,42 +135,42 @@
     def _include(self, document: Document, statement: Statement, chain: list[_Step]) -> None:
         words = statement.words[1:]
         if len(words) != 1 or words[0].type not in ("STRING", "WORD"):
-            at = words[1] if len(words) > 1 else statement.words[0]
+            faulty = words[1] if len(words) > 1 else statement.words[0]
             if not words or words[0].type != "BADSTRING":
                 self._problems.error(
-                    "include", document.place(at), "include takes one path", 'write include "partners/*.scale"'
+                    "include", document.place(faulty), "include takes one path", 'write include "partners/*.scale"'
                 )
             return
-        place, wanted = document.place(words[0]), value_of(words[0])
-        why = _leads_out(wanted)
-        if why:
+        place, include_path = document.place(words[0]), value_of(words[0])
+        fault = _path_fault(include_path)
+        if fault:
             self._problems.error(
                 "include",
                 place,
-                f"{wanted!r} {why}",
+                f"{include_path!r} {fault}",
                 "includes are relative and stay below the folder of the first file",
             )
             return
         if len(chain) >= MAX_INCLUDE_DEPTH:
             self._problems.error("include", place, f"includes more than {MAX_INCLUDE_DEPTH} deep")
             return
-        path = posixpath.normpath(posixpath.join(posixpath.dirname(chain[-1].path), wanted))
-        found = self._matching(path) if GLOB.search(wanted) else [path]
+        path = posixpath.normpath(posixpath.join(posixpath.dirname(chain[-1].path), include_path))
+        found = self._matching(path) if GLOB.search(include_path) else [path]
         if not found:
-            self._problems.warn("include", place, f"no file matches {wanted}")
+            self._problems.warn("include", place, f"no file matches {include_path}")
         for each in found:
-            self._one(each, place, chain)
+            self._include_one(each, place, chain)
 
-    def _one(self, path: str, place: Place, chain: list[_Step]) -> None:
+    def _include_one(self, path: str, place: Place, chain: list[_Step]) -> None:
         if not self._files.inside(path):
             self._problems.error(
                 "include", place, f"{self._files.shown(path)} leads out of the configuration's folder over a link"
             )
             return
         step = _Step(path, place)
-        at = next((n for n, one in enumerate(chain) if one.path == path), None)
-        if at is not None:
-            self._loop([*chain[at:], step])
+        loop_start = next((index for index, one in enumerate(chain) if one.path == path), None)
+        if loop_start is not None:
+            self._report_loop([*chain[loop_start:], step])
         elif path in self._read:
             first = self._read[path]
             self._problems.warn(
@@ -178,8 +183,8 @@
         else:
             self._load([*chain, step])
 
-    def _loop(self, chain: list[_Step]) -> None:
-        """The whole way round, each step with the line that takes it."""
+    def _report_loop(self, chain: list[_Step]) -> None:
+        """Report an include loop: each of its steps with its line."""
         steps = [f"{step.place.file}:{step.place.line} includes {self._files.shown(step.path)}" for step in chain[1:]]
         self._problems.error(
             "loop",
@@ -190,10 +195,10 @@
         )
 
     def _matching(self, pattern: str) -> list[str]:
-        """Paths that match, in the order of their names, folder by folder."""
+        """Return the paths that match, sorted by name within each folder."""
         found = [""]
         parts = pattern.split("/")
-        for n, part in enumerate(parts):
+        for index, part in enumerate(parts):
             if not GLOB.search(part):
                 found = [posixpath.join(folder, part) for folder in found]
                 continue
@@ -203,20 +208,20 @@
                 for name in sorted(self._files.names(folder))
                 if fnmatch.fnmatchcase(name, part) and not name.startswith(".")
             ]
-            if n < len(parts) - 1:
+            if index < len(parts) - 1:
                 found = [folder for folder in found if self._files.names(folder)]
         return found
 
 
-def _leads_out(wanted: str) -> str:
-    if not wanted:
+def _path_fault(include_path: str) -> str:
+    if not include_path:
         return "is empty"
-    if wanted.startswith(("/", "~")) or re.match(r"[A-Za-z]:", wanted):
+    if include_path.startswith(("/", "~")) or re.match(r"[A-Za-z]:", include_path):
         return "is not a relative path"
-    if "\\" in wanted:
+    if "\\" in include_path:
         return "has a backslash; paths have slashes"
-    if ".." in wanted.split("/"):
+    if ".." in include_path.split("/"):
         return "leads upwards"
-    if "\0" in wanted or not wanted.isprintable():
+    if "\0" in include_path or not include_path.isprintable():
         return "has characters that a path cannot have"
     return ""
--- a/scalefall/lang/load.py
+++ b/scalefall/lang/load.py
@@ -1,4 +1,4 @@
-"""A configuration from its files to its meaning, in one call. The files come from whoever calls."""
+"""Loads a configuration from its files and analyzes it, in one call. The caller provides the files."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """site is whole and may be used only where usable is true."""
+    """A loaded configuration. `site` is complete, and may be used, only if `usable` is true."""
 
     site: Site
     documents: list[Document]
     problems: list[Problem]
     error_count: int
-    raw: bytes = b""  # as it was read, where it is a single file
+    raw: bytes = b""  # the bytes of the file read last
 
     @property
     def usable(self) -> bool:
@@ -27,20 +27,21 @@
 
     @property
     def error_problems(self) -> list[Problem]:
-        """The errors alone, for who has no use for warnings."""
+        """Return the errors without the warnings."""
         return [problem for problem in self.problems if problem.severity == ERROR]
 
     @property
     def fatal(self) -> bool:
-        """The first file could not be read, so nothing was checked."""
+        """Return whether the first file could not be read, so that nothing was checked."""
         return any(problem.fatal for problem in self.problems)
 
     def source(self) -> dict[str, list[str]]:
-        """The lines of each file, for messages."""
+        """Return the lines of each file, for messages."""
         return {document.file: document.lines for document in self.documents}
 
 
 def load(files: Files, path: str) -> LoadResult:
+    """Load and analyze a file and all that it includes."""
     problems = Problems()
     documents = Loader(files, problems).load(path)
     site = analyze(files.shown(path), documents, problems)
@@ -48,7 +49,7 @@
 
 
 def load_syntax(files: Files, path: str) -> LoadResult:
-    """One file's shape alone: what it includes is not read, and what it says is not understood."""
+    """Parse one file only: its includes are not read, and its statements are not analyzed."""
     problems = Problems()
     loader = Loader(files, problems, follow=False)
     documents, nowhere = loader.load(path), Place(files.shown(path), 1)
@@ -56,8 +57,8 @@
     return LoadResult(site, documents, problems.sorted(), problems.error_count, loader.raw)
 
 
-class _Given:
-    """A text that is there already, as the only file."""
+class _InMemoryFile:
+    """A text in memory, as the only file."""
 
     def __init__(self, data: bytes, name: str) -> None:
         self._data, self._name = data, name
@@ -78,9 +79,10 @@
 
 
 def load_syntax_text(data: bytes, name: str) -> LoadResult:
-    return load_syntax(_Given(data, name), name)
+    """Parse one text only, as `load_syntax` does for a file."""
+    return load_syntax(_InMemoryFile(data, name), name)
 
 
 def load_text(data: bytes, name: str) -> LoadResult:
-    """A configuration that is one text, with its meaning; an include in it finds nothing."""
-    return load(_Given(data, name), name)
+    """Load a configuration from one text; an include in it finds no file."""
+    return load(_InMemoryFile(data, name), name)
--- a/scalefall/lang/meaning.py
+++ b/scalefall/lang/meaning.py
@@ -1,8 +1,8 @@
-"""Statements to a Site: every word checked, every error in one run. No I/O.
+"""Semantic analysis: turns statements into a Site, checks every word and reports all errors in one run. No I/O.
 
-In three steps: definitions are gathered by name, their settings are read one by one as the schema says, and then they
-are held against each other (addresses, references). What could not be read is left out of the later steps, so that one
-mistake is one error.
+It has three steps: collect definitions by name, read their settings according to the schema, and check them against
+each other (addresses, references). What could not be read is left out of the later steps, so that one mistake gives
+one error.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 ROUTE_NUMBER = re.compile(r"(0|[1-9][0-9]{0,8})\Z")
 MAX_ENDPOINTS = 200_000
-ALREADY_REPORTED = "reported"  # of a value whose shape has its error already
+ALREADY_REPORTED = "reported"  # code of a value whose syntax error is reported already
 
 
 def analyze(file: str, documents: list[Document], problems: Problems) -> Site:
-    """The meaning of the documents together; it is complete only if no error was added to problems."""
+    """Return the Site of all documents; it is complete only if no error was added to `problems`."""
     reader = _Reader(file, problems)
     reader.incomplete = any(document.broken for document in documents)
     for document in documents:
         for statement in document.statements:
-            reader.top(document, statement)
-    reader.endpoints_apart()
-    reader.addresses()
-    reader.references()
+            reader.define(document, statement)
+    reader.read_endpoints()
+    reader.check_addresses()
+    reader.check_references()
     if not reader.incomplete:
         suspicious.add_warnings(reader.site, problems)
     return reader.site
@@ -48,20 +48,20 @@
             Definition("rules", "", nowhere),
             {block: {} for block in TOP if block not in SINGLE},
         )
-        self.incomplete = False  # a definition is missing or in part: what seems unused or empty may not be
+        self.incomplete = False  # a definition is missing or incomplete, so "unused" and "empty" cannot be judged
         self._seen: dict[tuple[str, str], Place] = {}
-        self._spans: list[tuple[Definition, str, AddressRange, Place]] = []
+        self._ranges: list[tuple[Definition, str, AddressRange, Place]] = []
         self._pools: list[tuple[Definition, Document, list[Statement]]] = []
-        self._number = 0  # of endpoints
+        self._endpoint_count = 0
 
     # -- definitions
 
-    def top(self, document: Document, statement: Statement) -> None:
+    def define(self, document: Document, statement: Statement) -> None:
         block, place = statement.name, document.place(statement.words[0])
         if block == "include":
             if statement.body is not None:
                 self._error("block", place, "include has no block")
-            return  # done by whoever loads the files
+            return  # the loader of the files handles it
         if block not in TOP:
             self.incomplete = True
             if block in ("endpoint", "endpoints"):
@@ -69,28 +69,28 @@
             elif block != "?":
                 self._error("unknown", place, f"{block} is no definition", suggestion(block, (*TOP, "include")))
             return
-        name = self._head(document, statement, block)
+        name = self._definition_name(document, statement, block)
         if name is None:
             self.incomplete = True
             return
-        each = Definition(block, name, place)
-        if not self._first(block, name, place):
+        definition = Definition(block, name, place)
+        if not self._is_first(block, name, place):
             self.incomplete = True
             return
-        endpoints = self._settings(document, statement.body or [], each, block == "pool")
+        endpoints = self._read_settings(document, statement.body or [], definition, block == "pool")
         if block in SINGLE:
-            setattr(self.site, block, each)
+            setattr(self.site, block, definition)
         else:
-            self.site.blocks[block][name] = each
+            self.site.blocks[block][name] = definition
         if block == "pool":
-            self._pools.append((each, document, endpoints))
+            self._pools.append((definition, document, endpoints))
 
-    def endpoints_apart(self) -> None:
+    def read_endpoints(self) -> None:
         for pool, document, statements in self._pools:
-            self._endpoints(pool, document, statements)
+            self._read_endpoints(pool, document, statements)
 
-    def _head(self, document: Document, statement: Statement, block: str) -> str | None:
-        """The definition's name; empty for those that have none; None if it can't be had."""
+    def _definition_name(self, document: Document, statement: Statement, block: str) -> str | None:
+        """Return the definition's name, empty for blocks without a name; None, with an error, if it is invalid."""
         place, words = document.place(statement.words[0]), statement.words[1:]
         if statement.body is None:
             self._error(
@@ -105,8 +105,8 @@
                 self._error("head", document.place(words[0]), f"{block} has no name", f"write {block} {{ ... }}")
             return ""
         if len(words) != 1 or words[0].type not in ("WORD", "STRING"):
-            at = words[1] if len(words) > 1 else statement.words[0]
-            self._error("head", document.place(at), f"{block} needs one name", f"write {block} NAME {{ ... }}")
+            faulty = words[1] if len(words) > 1 else statement.words[0]
+            self._error("head", document.place(faulty), f"{block} needs one name", f"write {block} NAME {{ ... }}")
             return None
         name = value_of(words[0])
         if block == "route" and not ROUTE_NUMBER.match(name):
@@ -116,9 +116,11 @@
                 f"{name!r} is not a route: routes are numbers of up to nine digits, as X-Route-To names them",
             )
             return None
-        free = block in ("class", "kind", "zone", "tenant")  # named by others: any text, in quotes
+        # These names come from outside the language, so they may be any text, in quotes.
+        any_text_allowed = block in ("class", "kind", "zone", "tenant")
         if not (
-            NAME.match(name) or (free and words[0].type == "STRING" and name.isprintable() and 0 < len(name) <= 200)
+            NAME.match(name)
+            or (any_text_allowed and words[0].type == "STRING" and name.isprintable() and 0 < len(name) <= 200)
         ):
             self._error(
                 "name",
@@ -129,7 +131,7 @@
             return None
         return name
 
-    def _first(self, block: str, name: str, place: Place) -> bool:
+    def _is_first(self, block: str, name: str, place: Place) -> bool:
         first = self._seen.setdefault((block, name), place)
         if first is not place:
             self._error(
@@ -143,63 +145,63 @@
 
     # -- settings
 
-    def _settings(
-        self, document: Document, body: list[Statement], each: Definition, with_endpoints: bool
+    def _read_settings(
+        self, document: Document, body: list[Statement], definition: Definition, with_endpoints: bool
     ) -> list[Statement]:
-        """Reads the block's settings into each; gives back the endpoints that stand in it."""
-        table, endpoints = BLOCKS[each.block], []
+        """Read the block's settings into `definition`; return the endpoint statements in it."""
+        table, endpoints = BLOCKS[definition.block], []
         for statement in body:
             word, place = statement.name, document.place(statement.words[0])
             if with_endpoints and word in ("endpoint", "endpoints"):
                 endpoints.append(statement)
             elif word not in table:
-                each.broken = True
-                self._unknown(document, statement, each)
+                definition.broken = True
+                self._report_unknown(document, statement, definition)
             elif statement.body is not None:
-                each.broken = True
+                definition.broken = True
                 self._error("block", place, f"{word} has no block", f"write {word} and its value")
-            elif word in each.values:
+            elif word in definition.values:
                 self._error(
                     "twice",
                     place,
-                    f"{word} stands twice in this {each.block}",
+                    f"{word} stands twice in this {definition.block}",
                     "keep one of them",
-                    [(each.values[word].place, "first here")],
+                    [(definition.values[word].place, "first here")],
                 )
             else:
-                self._setting(document, statement, table[word], each)
+                self._read_setting(document, statement, table[word], definition)
         for word, setting in table.items():
-            if setting.default == "" and word not in each.values and not each.broken:
-                each.broken = True
+            if setting.default == "" and word not in definition.values and not definition.broken:
+                definition.broken = True
                 self._error(
                     "missing",
-                    each.place,
-                    f"{each.block} {each.name} has no {word}",
+                    definition.place,
+                    f"{definition.block} {definition.name} has no {word}",
                     f"write {word} {setting.lead} and {setting.kind.name} ({setting.doc})".replace("  ", " "),
                 )
-        if each.broken:
+        if definition.broken:
             self.incomplete = True
         return endpoints
 
-    def _unknown(self, document: Document, statement: Statement, each: Definition) -> None:
+    def _report_unknown(self, document: Document, statement: Statement, definition: Definition) -> None:
         word, place = statement.name, document.place(statement.words[0])
         if statement.body is not None and word in TOP:
             self._error(
                 "misplaced",
                 place,
-                f"{word} inside {each.block} {each.name}".rstrip(),
-                f"is the closing brace of the {each.block} at line {each.place.line} missing?",
+                f"{word} inside {definition.block} {definition.name}".rstrip(),
+                f"is the closing brace of the {definition.block} at line {definition.place.line} missing?",
             )
             return
         homes = [block for block in (*TOP, "endpoint") if word in BLOCKS[block]]
         if word in ("endpoint", "endpoints"):
             homes = ["pool"]
-        help_text = suggestion(word, BLOCKS[each.block])
-        if homes and not help_text.startswith("did"):
-            help_text = f"it belongs in {join_words(homes).replace(' and ', ' or ')}"
-        self._error("unknown", place, f"{each.block} has no setting {word}", help_text)
+        hint = suggestion(word, BLOCKS[definition.block])
+        if homes and not hint.startswith("did"):
+            hint = f"it belongs in {join_words(homes).replace(' and ', ' or ')}"
+        self._error("unknown", place, f"{definition.block} has no setting {word}", hint)
 
-    def _setting(self, document: Document, statement: Statement, setting: Setting, each: Definition) -> None:
+    def _read_setting(self, document: Document, statement: Statement, setting: Setting, definition: Definition) -> None:
         words = statement.words[1:]
         try:
             if setting.lead:
@@ -210,13 +212,13 @@
                         code="lead",
                     )
                 words = words[1:]
-            value = self._read(setting, words)
-            each.values[setting.word] = Value(value, document.place(statement.words[0]))
-        except InvalidValue as wrong:
-            each.broken = True
-            self._wrong(document, statement, words, wrong)
+            value = self._read_value(setting, words)
+            definition.values[setting.word] = Value(value, document.place(statement.words[0]))
+        except InvalidValue as error:
+            definition.broken = True
+            self._report(document, statement, words, error)
 
-    def _read(self, setting: Setting, words: list[Token]) -> object:
+    def _read_value(self, setting: Setting, words: list[Token]) -> object:
         if setting.default is None and setting.absent and [str(word) for word in words] == [setting.absent]:
             return None
         if any(word.type == "BADSTRING" for word in words):
@@ -226,89 +228,91 @@
                 f"{setting.word} has no value", f"write {setting.word} and {setting.kind.name}", code="missing"
             )
         if not setting.kind.is_list:
-            comma = next((at for at, word in enumerate(words) if word.type == "COMMA"), None)
+            comma = next((index for index, word in enumerate(words) if word.type == "COMMA"), None)
             if comma is not None:
                 raise InvalidValue(f"{setting.word} takes one value, not a list", "", comma)
             return setting.kind.read([value_of(word) for word in words])
-        for at, word in enumerate(words):
-            if (word.type == "COMMA") != bool(at % 2):
+        for index, word in enumerate(words):
+            if (word.type == "COMMA") != bool(index % 2):
                 raise InvalidValue(
                     "a comma with nothing before it" if word.type == "COMMA" else f"a comma is missing before {word}",
                     "write a, b, c",
-                    at,
+                    index,
                 )
         if words[-1].type == "COMMA":
             raise InvalidValue("a comma with nothing after it", "take it out", len(words) - 1)
         try:
             return setting.kind.read([value_of(word) for word in words[::2]])
-        except InvalidValue as wrong:
-            raise InvalidValue(wrong.text, wrong.instead, 2 * wrong.word, wrong.code) from None
+        except InvalidValue as error:
+            raise InvalidValue(error.text, error.instead, 2 * error.word, error.code) from None
 
-    def _wrong(self, document: Document, statement: Statement, words: list[Token], wrong: InvalidValue) -> None:
-        if wrong.code == ALREADY_REPORTED:
+    def _report(self, document: Document, statement: Statement, words: list[Token], error: InvalidValue) -> None:
+        if error.code == ALREADY_REPORTED:
             return
-        at = words[min(wrong.word, len(words) - 1)] if words else statement.words[0]
-        self._error(wrong.code, document.place(at), wrong.text, wrong.instead)
+        faulty = words[min(error.word, len(words) - 1)] if words else statement.words[0]
+        self._error(error.code, document.place(faulty), error.text, error.instead)
 
     # -- endpoints
 
-    def _endpoints(self, pool: Definition, document: Document, statements: list[Statement]) -> None:
+    def _read_endpoints(self, pool: Definition, document: Document, statements: list[Statement]) -> None:
         found, names = [], {}
         for statement in statements:
-            each = self._endpoint(pool, document, statement)
-            if each is None:
+            definition = self._read_endpoint(pool, document, statement)
+            if definition is None:
                 self.incomplete = True
                 continue
-            span: AddressRange = each.get("at")
-            self._number += span.last - span.first + 1
-            if self._number > MAX_ENDPOINTS:
-                self._error("many", each.place, f"more than {pluralize(MAX_ENDPOINTS, 'endpoint')} in all")
+            addresses: AddressRange = definition.get("at")
+            self._endpoint_count += addresses.last - addresses.first + 1
+            if self._endpoint_count > MAX_ENDPOINTS:
+                self._error("many", definition.place, f"more than {pluralize(MAX_ENDPOINTS, 'endpoint')} in all")
                 return
-            zone, state, weight = each.get("zone"), each.get("state"), each.get("weight")
-            self._spans.append((pool, each.name, span, each.values["at"].place))
-            for number, host in enumerate(range(span.first, span.last + 1), 1):
-                name = each.name if each.block == "endpoint" else f"{each.name}-{number}"
-                first = names.setdefault(name, each.place)
-                if first is not each.place:
+            zone, state, weight = definition.get("zone"), definition.get("state"), definition.get("weight")
+            self._ranges.append((pool, definition.name, addresses, definition.values["at"].place))
+            for number, host in enumerate(range(addresses.first, addresses.last + 1), 1):
+                name = definition.name if definition.block == "endpoint" else f"{definition.name}-{number}"
+                first = names.setdefault(name, definition.place)
+                if first is not definition.place:
                     self._error(
                         "twice",
-                        each.place,
+                        definition.place,
                         f"endpoint {name} of {pool.name} is defined twice",
                         "give one of them another name",
                         [(first, "first here")],
                     )
                     break
-                found.append(Endpoint(name, pool.name, host, span.port, zone, state, weight, each.place))
+                found.append(Endpoint(name, pool.name, host, addresses.port, zone, state, weight, definition.place))
         self.site.endpoints[pool.name] = found
 
-    def _endpoint(self, pool: Definition, document: Document, statement: Statement) -> Definition | None:
-        name = self._head(document, statement, statement.name)
+    def _read_endpoint(self, pool: Definition, document: Document, statement: Statement) -> Definition | None:
+        name = self._definition_name(document, statement, statement.name)
         if name is None:
             return None
-        each = Definition(statement.name, name, document.place(statement.words[0]))
-        self._settings(document, statement.body or [], each, False)
-        if each.broken or "at" not in each.values:
+        definition = Definition(statement.name, name, document.place(statement.words[0]))
+        self._read_settings(document, statement.body or [], definition, False)
+        if definition.broken or "at" not in definition.values:
             return None
-        span, place = each.values["at"]
-        if each.block == "endpoint" and span.first != span.last:
+        addresses, place = definition.values["at"]
+        if definition.block == "endpoint" and addresses.first != addresses.last:
             self._error(
                 "range",
                 place,
-                f"endpoint {name} has one address, not {span.last - span.first + 1}",
+                f"endpoint {name} has one address, not {addresses.last - addresses.first + 1}",
                 f"write endpoints {name} for a range",
             )
             return None
         within = pool.values.get("dial-within")
         networks = within.value if within is not None and within.value is not None else None
-        if networks is not None and not any(net.first <= span.first and span.last <= net.last for net in networks):
+        if networks is not None and not any(
+            net.first <= addresses.first and addresses.last <= net.last for net in networks
+        ):
             outside = (
                 next(
-                    h
-                    for h in range(span.first, span.last + 1)
-                    if not any(net.first <= h <= net.last for net in networks)
+                    number
+                    for number in range(addresses.first, addresses.last + 1)
+                    if not any(net.first <= number <= net.last for net in networks)
                 )
                 if len(networks) == 1
-                else span.first
+                else addresses.first
             )
             self._error(
                 "outside",
@@ -317,28 +321,28 @@
                 "move it, or widen dial-within",
                 [(within.place, f"dial-within of pool {pool.name}")],
             )
-        return each
+        return definition
 
-    def addresses(self) -> None:
-        """One address belongs to one endpoint: spans at each port are laid beside each other."""
+    def check_addresses(self) -> None:
+        """Check that no two endpoints have the same address: sort the ranges of each port and report overlaps."""
         ports: dict[int, list[tuple[Definition, str, AddressRange, Place]]] = {}
-        for row in self._spans:
+        for row in self._ranges:
             ports.setdefault(row[2].port, []).append(row)
         for rows in ports.values():
-            order = sorted(range(len(rows)), key=lambda at: rows[at][2].first)
-            reach: tuple[int, int] | None = None  # the furthest end so far, and whose it is
-            for at in order:
-                span = rows[at][2]
-                if reach is not None and span.first <= reach[0]:
-                    self._overlap(*sorted((rows[at], rows[reach[1]]), key=lambda row: row[3]))
-                if reach is None or span.last > reach[0]:
-                    reach = span.last, at
-
-    def _overlap(
+            order = sorted(range(len(rows)), key=lambda index: rows[index][2].first)
+            furthest: tuple[int, int] | None = None  # the highest end so far, and the index of its range
+            for index in order:
+                addresses = rows[index][2]
+                if furthest is not None and addresses.first <= furthest[0]:
+                    self._report_overlap(*sorted((rows[index], rows[furthest[1]]), key=lambda row: row[3]))
+                if furthest is None or addresses.last > furthest[0]:
+                    furthest = addresses.last, index
+
+    def _report_overlap(
         self, first: tuple[Definition, str, AddressRange, Place], second: tuple[Definition, str, AddressRange, Place]
     ) -> None:
-        (pool, name, span, place), (other_pool, other_name, other, other_place) = first, second
-        both = AddressRange(max(span.first, other.first), min(span.last, other.last), span.port)
+        (pool, name, addresses, place), (other_pool, other_name, other, other_place) = first, second
+        both = AddressRange(max(addresses.first, other.first), min(addresses.last, other.last), addresses.port)
         word = "is" if both.first == both.last else "are"
         where = (
             f"in two pools, {pool.name} and {other_pool.name}"
@@ -355,21 +359,21 @@
 
     # -- references
 
-    def references(self) -> None:
+    def check_references(self) -> None:
         site = self.site
         for pool in site.definitions("pool").values():
-            self._declared(pool, "kind", pool.values.get("kind"))
+            self._warn_undeclared(pool, "kind", pool.values.get("kind"))
         checked: set[str] = set()
         for endpoint in site.all_endpoints() if site.definitions("zone") else ():
             if endpoint.zone not in checked:
                 checked.add(endpoint.zone)
-                self._declared(None, "zone", Value(endpoint.zone, endpoint.place))
+                self._warn_undeclared(None, "zone", Value(endpoint.zone, endpoint.place))
         carried: dict[str, Definition] = {}
         for route in site.definitions("route").values():
-            self._refers(route, "pool")
-            self._refers(route, "policy")
+            self._check_reference(route, "pool")
+            self._check_reference(route, "policy")
             for name in route.get("classes") or ():
-                if name not in site.definitions("class") and not self._was_tried("class", name):
+                if name not in site.definitions("class") and not self._is_attempted("class", name):
                     self._error(
                         "reference",
                         route.values["classes"].place,
@@ -388,12 +392,12 @@
                         [(first.values["pool"].place, f"route {first.name}")],
                     )
 
-    def _was_tried(self, block: str, name: str) -> bool:
+    def _is_attempted(self, block: str, name: str) -> bool:
         return (block, name) in self._seen
 
-    def _refers(self, route: Definition, block: str) -> None:
+    def _check_reference(self, route: Definition, block: str) -> None:
         value = route.values.get(block)
-        if value is None or value.value in self.site.definitions(block) or self._was_tried(block, value.value):
+        if value is None or value.value in self.site.definitions(block) or self._is_attempted(block, value.value):
             return
         if block == "policy" and value.value == DEFAULT:
             return
@@ -404,10 +408,10 @@
             suggestion(value.value, self.site.definitions(block), "defined are"),
         )
 
-    def _declared(self, pool: Definition | None, block: str, value: Value | None) -> None:
-        """Kinds and zones need no definition; but where some are defined, an unknown one may be a slip."""
+    def _warn_undeclared(self, pool: Definition | None, block: str, value: Value | None) -> None:
+        """Warn of an undefined kind or zone where others are defined: it may be a typing error."""
         known = self.site.definitions(block)
-        if value is None or not known or value.value in known or self._was_tried(block, value.value):
+        if value is None or not known or value.value in known or self._is_attempted(block, value.value):
             return
         self.problems.warn(
             "undeclared",
--- a/scalefall/lang/model.py
+++ b/scalefall/lang/model.py
@@ -1,6 +1,6 @@
-"""What a configuration means, once read: a Site of definitions whose every value knows its place. No I/O.
+"""The model of an analyzed configuration: a Site of definitions, each value with its place in the source. No I/O.
 
-`meaning` gives the same as plain values without places: two configurations mean the same if these are equal.
+`Site.meaning` returns the same as plain values without places: two configurations are equivalent if these are equal.
 """
 
 from __future__ import annotations
@@ -18,22 +18,24 @@
 
 
 class Value(NamedTuple):
+    """A value and where it is written."""
+
     value: Any
-    place: Place | None  # None: built in
+    place: Place | None  # None: built-in default
 
 
 @dataclass(slots=True)
 class Definition:
-    """One definition; values hold what is written in it."""
+    """One definition; `values` holds the settings written in it."""
 
     block: str
     name: str
     place: Place
     values: dict[str, Value] = field(default_factory=dict)
-    broken: bool = False  # a value of it could not be read, so what is missing says nothing
+    broken: bool = False  # some of its statements could not be read, so a missing setting is not reported
 
     def lookup(self, word: str) -> Value:
-        """What is written, or else the built-in default."""
+        """Return the setting as written, or else its built-in default."""
         return self.values.get(word) or Value(BLOCKS[self.block][word].built_in, None)
 
     def get(self, word: str) -> Any:
@@ -41,7 +43,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One endpoint; those of a range are numbered from 1."""
+    """One endpoint; the endpoints of a range are numbered from 1."""
 
     name: str
     pool: str
@@ -49,7 +51,7 @@
     port: int
     zone: str
     state: str
-    weight: Any  # None: not said
+    weight: Any  # None: not given
     place: Place
 
     @property
@@ -62,7 +64,7 @@
 
 
 class EffectiveValue(NamedTuple):
-    """A value in force on a route, and whose it is."""
+    """A value in force on a route, and the definition that it comes from."""
 
     word: str
     value: Any
@@ -72,17 +74,19 @@
 
 @dataclass(slots=True)
 class Site:
+    """A whole configuration: its definitions by block and name, and the endpoints of its pools."""
+
     file: str
     sender: Definition
     rules: Definition
     blocks: dict[str, dict[str, Definition]] = field(default_factory=dict)  # by block, then by name
-    endpoints: dict[str, list[Endpoint]] = field(default_factory=dict)  # by pool, in the file's order
+    endpoints: dict[str, list[Endpoint]] = field(default_factory=dict)  # by pool, in the order of the file
 
     def definitions(self, block: str) -> dict[str, Definition]:
         return self.blocks.setdefault(block, {})
 
     def policy_value(self, route: Definition, word: str) -> EffectiveValue:
-        """A policy's setting on a route: the route's own word, its policy's, the default policy's, the built-in."""
+        """Return a setting in force on a route: the route's, its policy's, the default policy's or the built-in one."""
         if word in route.values:
             return EffectiveValue(word, *route.values[word], f"route {route.name}")
         policies, named = self.definitions("policy"), route.get("policy")
@@ -116,16 +120,16 @@
             yield from rows
 
     def meaning(self) -> dict[str, Any]:
-        """Plain values without places, defaults filled in. Names and addresses are what things are known by."""
-        result: dict[str, Any] = {"sender": _filled(self.sender), "rules": _filled(self.rules)}
+        """Return plain values without places, with defaults filled in; names and addresses are the identities."""
+        result: dict[str, Any] = {"sender": _with_defaults(self.sender), "rules": _with_defaults(self.rules)}
         for block in ("class", "kind", "zone", "tenant"):
-            result[block] = {name: _filled(each) for name, each in self.definitions(block).items()}
+            result[block] = {name: _with_defaults(each) for name, each in self.definitions(block).items()}
         result["policy"] = {
-            name: {row.word: self._of_policy(name, row.word) for row in POLICY}
+            name: {row.word: self._policy_with_default(name, row.word) for row in POLICY}
             for name in {DEFAULT, *self.definitions("policy")}
         }
         result["pool"] = {
-            name: _filled(each) | {"idle-close": self.idle_close(each).value}
+            name: _with_defaults(each) | {"idle-close": self.idle_close(each).value}
             for name, each in self.definitions("pool").items()
         }
         for name, pool in result["pool"].items():
@@ -134,16 +138,16 @@
                 each.name: {"address": each.address, "zone": each.zone, "state": each.state, "weight": each.weight}
                 for each in self.endpoints.get(name, ())
             }
-        result["route"] = {name: self._of_route(each) for name, each in self.definitions("route").items()}
+        result["route"] = {name: self._route_meaning(each) for name, each in self.definitions("route").items()}
         return result
 
-    def _of_policy(self, name: str, word: str) -> Any:
+    def _policy_with_default(self, name: str, word: str) -> Any:
         for each in dict.fromkeys((name, DEFAULT)):
             if each in self.definitions("policy") and word in self.definitions("policy")[each].values:
                 return self.definitions("policy")[each].values[word].value
         return BLOCKS["policy"][word].built_in
 
-    def _of_route(self, route: Definition) -> dict[str, Any]:
+    def _route_meaning(self, route: Definition) -> dict[str, Any]:
         return {
             "pool": route.get("pool"),
             "policy": route.get("policy"),
@@ -151,5 +155,5 @@
         } | {row.word: self.policy_value(route, row.word).value for row in POLICY}
 
 
-def _filled(each: Definition) -> dict[str, Any]:
+def _with_defaults(each: Definition) -> dict[str, Any]:
     return {word: each.get(word) for word in BLOCKS[each.block]}
--- a/scalefall/lang/schema.py
+++ b/scalefall/lang/schema.py
@@ -1,7 +1,7 @@
-"""The words of the language: which settings each block has, of which kind, with which default. Data, and no I/O.
+"""The schema of the language: the settings of each block with their kinds and defaults. No I/O.
 
-Everything that needs to know a setting (reading, explaining, comparing, writing one from JSON) reads it off BLOCKS, so
-a new setting is one row here and one line where it takes effect.
+Analysis, `explain`, `diff` and the import from JSON all use the table BLOCKS, so a new setting takes one row here and
+one line where it takes effect.
 """
 
 from __future__ import annotations
@@ -19,11 +19,13 @@
 from scalefall.lang.text import InvalidValue, join_words, suggestion
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z")
-MAX_RANGE_ADDRESSES = 4096  # addresses that one range may hold
+MAX_RANGE_ADDRESSES = 4096  # bounds the endpoints that one statement can define
 MAX_SCORE = 1_000_000
 
 
 class Address(NamedTuple):
+    """An IPv4 address and a port."""
+
     host: str
     port: int
 
@@ -32,7 +34,7 @@
 
 
 class AddressRange(NamedTuple):
-    """Addresses from first to last, as numbers, at one port; a single one where both are the same."""
+    """IPv4 addresses from `first` to `last`, as numbers, at one port; both are equal for a single address."""
 
     first: int
     last: int
@@ -44,7 +46,10 @@
 
 
 class Repeat(NamedTuple):
-    """What repeating a message of a class may do; keyed: dropped by its key for ttl_us, in one zone or everywhere."""
+    """Whether a message of a class may be repeated.
+
+    keyed: the destination drops a repetition by its key for `ttl_us`, within one zone or everywhere.
+    """
 
     effect: str
     ttl_us: int = 0
@@ -58,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """How a setting's words are read (they raise Wrong) and shown; a list is words between commas."""
+    """How the words of a setting are read (raising InvalidValue) and shown; a list has commas between its words."""
 
     name: str
     read: Callable[[list[str]], Any]
@@ -68,13 +73,15 @@
 
 @dataclass(frozen=True)
 class Setting:
+    """One setting of a block."""
+
     word: str
     kind: Kind
     doc: str
-    default: str | None = ""  # in the language; "": the block must have it; None: it has none and needs none
-    lead: str = ""  # a word that stands between the setting's name and its value
-    may_be_short: bool = False  # a duration that may well be under 50 ms
-    absent: str = "none"  # how to write that there is none, where the default is None; "": not at all
+    default: str | None = ""  # in the language; "": required; None: optional without a default
+    lead: str = ""  # a word between the setting's name and its value
+    may_be_short: bool = False  # a duration under 50 ms is not suspicious
+    absent: str = "none"  # the word for "no value" where the default is None; "": there is no such word
 
     @functools.cached_property
     def built_in(self) -> Any:
@@ -84,17 +91,18 @@
         return self.kind.read(words)
 
     def show(self, value: Any) -> str:
-        """The value as it is written behind the setting's word."""
+        """Return the value as it is written after the setting's word."""
         if value is None:
             return self.absent or "not said"
         return f"{self.lead} {self.kind.show(value)}".strip()
 
     def line(self, value: Any) -> str:
+        """Return the whole setting as it is written."""
         return f"{self.word} {self.show(value)}"
 
 
 def _one_word(read: Callable[[str], Any], dimension: str = "") -> Callable[[list[str]], Any]:
-    """A reader of exactly one word."""
+    """Return a reader of exactly one word; `dimension` names the kind of a value with a unit."""
 
     def reader(words: list[str]) -> Any:
         if len(words) == 1:
@@ -156,7 +164,7 @@
 
 
 def parse_address_range(value: str) -> AddressRange:
-    """An address or a range of addresses with its port."""
+    """Return an address, or a range of addresses, with its port."""
     hosts, colon, port = value.rpartition(":")
     if not colon:
         kind = units.kind_of(value)
@@ -193,7 +201,7 @@
 
 
 def parse_address(value: str) -> Address:
-    """An address to listen at or to dial; port 0 picks a free one."""
+    """Return an address to listen on or to dial; port 0 means any free port."""
     host, colon, port = value.rpartition(":")
     if not colon:
         raise InvalidValue(f"{value} is not an address with a port", "write it like 127.0.0.1:8080", code="address")
@@ -221,8 +229,8 @@
             raise InvalidValue(f"{' '.join(words)!r} does not say for how long", "write keyed for 6s")
         try:
             return Repeat("keyed", units.parse_duration(words[2]), len(words) > 3)
-        except InvalidValue as wrong:
-            raise InvalidValue(wrong.text, wrong.instead, 2, wrong.code) from None
+        except InvalidValue as error:
+            raise InvalidValue(error.text, error.instead, 2, error.code) from None
     raise InvalidValue(
         f"{' '.join(words) or 'nothing'} is not a way to repeat", "write never, freely or keyed for 6s", code="choice"
     )
@@ -282,13 +290,13 @@
 def _items(read: Callable[[str], Any]) -> Callable[[list[str]], tuple[Any, ...]]:
     def reader(words: list[str]) -> tuple[Any, ...]:
         values = []
-        for at, word in enumerate(words):
+        for index, word in enumerate(words):
             try:
                 values.append(read(word))
-            except InvalidValue as wrong:
-                raise InvalidValue(wrong.text, wrong.instead, at, wrong.code) from None
+            except InvalidValue as error:
+                raise InvalidValue(error.text, error.instead, index, error.code) from None
             if values[-1] in values[:-1]:
-                raise InvalidValue(f"{word} stands here twice", "", at, "twice")
+                raise InvalidValue(f"{word} stands here twice", "", index, "twice")
         return tuple(values)
 
     return reader
@@ -309,106 +317,116 @@
 REPEAT = Kind("a way to repeat", _repeat)
 
 POLICY = (
-    Setting("attempts", _count(1, 1000), "how often a message may be sent at most", "6"),
-    Setting("wait", DURATION, "the longest time after which a refused client is told to come back", "3s", "at-most"),
-    Setting("dial", DURATION, "how long a connection may take to come up", "1500ms", "within"),
+    Setting("attempts", _count(1, 1000), "the most attempts for a message", "6"),
+    Setting("wait", DURATION, "the longest Retry-After that a refused client receives", "3s", "at-most"),
+    Setting("dial", DURATION, "how long a connection may take to be established", "1500ms", "within"),
 )
 BLOCKS: dict[str, dict[str, Setting]] = {
     block: {row.word: row for row in rows}
     for block, rows in {
         "sender": (
-            Setting("name", TEXT, "what it calls itself in its log", "scalefall"),
+            Setting("name", TEXT, "its name in the log", "scalefall"),
             Setting("listen", SOCKET_ADDRESS, "where clients connect", "127.0.0.1:8080"),
-            Setting("discovery", SOCKET_ADDRESS, "the platform's discovery; `run` has none", None),
+            Setting("discovery", SOCKET_ADDRESS, "the platform's discovery; `run` does not use it", None),
             Setting(
                 "reports",
                 SOCKET_ADDRESS,
-                "where the ends of messages that were given up are told; else in the log",
+                "where delivery reports of messages given up are posted; else they are logged",
                 None,
             ),
-            Setting("seed", Kind("a hexadecimal number", _one_word(_seed)), "for random numbers", "0"),
+            Setting("seed", Kind("a hexadecimal number", _one_word(_seed)), "seed of the random numbers", "0"),
             Setting(
                 "number",
-                Kind("a place in a row", _number_of, lambda v: f"{v[0]} of {v[1]}"),
-                "which of how many senders this is; they share the limits",
+                Kind("a place in a row", _number_of, lambda value: f"{value[0]} of {value[1]}"),
+                "the index of this sender among how many; they share the limits",
                 "0 of 1",
             ),
-            Setting("cores", SCORE, "what it may use of the processor", "1"),
-            Setting("memory", _size(16 * 10**6), "what it may use of the memory", "192MB"),
-            Setting("sockets", _count(64, 1_000_000), "descriptors it may hold", "1024"),
-            Setting("disk", _size(100_000), "how large its folder may grow", "3MB"),
-            Setting("slots", _count(1, 100_000), "calls that may be out at once", "12"),
-            Setting("hold", _count(1, 1_000_000), "messages that may be open at once", "200"),
+            Setting("cores", SCORE, "processor cores that it may use", "1"),
+            Setting("memory", _size(16 * 10**6), "memory that it may use", "192MB"),
+            Setting("sockets", _count(64, 1_000_000), "file descriptors that it may open", "1024"),
+            Setting("disk", _size(100_000), "the largest size of its folder", "3MB"),
+            Setting("slots", _count(1, 100_000), "calls in flight at once", "12"),
+            Setting("hold", _count(1, 1_000_000), "messages pending at once", "200"),
             Setting("idle-close", DURATION, "an idle connection is closed before this", "10s"),
             Setting(
-                "tick", DURATION, "events are gathered for so long before they are decided on", "5ms", may_be_short=True
+                "tick",
+                DURATION,
+                "how long events are gathered before the engine decides on them",
+                "5ms",
+                may_be_short=True,
             ),
             Setting("late", _choice("linear", "line", "halving"), "how a message loses worth after its aim", "linear"),
-            Setting("cancel", FLAG, "calls may be given up", "yes"),
-            Setting("probe", FLAG, "endpoints may be asked how they are", "no"),
-            Setting("tell-wait", FLAG, "refused clients may be told when to come back", "yes"),
-            Setting("streams", _count(1, 1000), "calls at once on a connection", "1"),
-            Setting("list", _choice("ask", "push"), "how discovery's list comes", "ask"),
+            Setting("cancel", FLAG, "calls in flight may be cancelled", "yes"),
+            Setting("probe", FLAG, "health checks may be sent to endpoints", "no"),
+            Setting("tell-wait", FLAG, "refused clients may receive a Retry-After", "yes"),
+            Setting("streams", _count(1, 1000), "concurrent calls on a connection", "1"),
+            Setting("list", _choice("ask", "push"), "whether discovery's list is polled or pushed", "ask"),
             Setting("weights", _choice("none", "nominal", "rough", "live"), "what discovery's weights mean", "none"),
-            Setting(
-                "load-report", _list(parse_text, "names"), "fields of the load reports that answers carry", "x0, x1"
-            ),
-            Setting("over-share", SHARE, "what a message beyond its tenant's share is worth", "10%"),
-            Setting("turn-gap", DURATION, "between two messages of one key", "0s", may_be_short=True),
+            Setting("load-report", _list(parse_text, "names"), "fields of the load reports in answers", "x0, x1"),
+            Setting("over-share", SHARE, "the part of its worth that a message beyond its tenant's quota keeps", "10%"),
+            Setting("turn-gap", DURATION, "the gap between two messages of one key", "0s", may_be_short=True),
         ),
         "rules": (
             Setting("drain-grace", DURATION, "no fresh work for a draining endpoint later than this", "1s"),
-            Setting("cold", DURATION, "how long a partner that comes back stays cold", "10s"),
-            Setting("cold-from", SHARE, "what a cold partner takes at first", "20%"),
-            Setting("fall", DURATION, "a cold partner that is flooded for so long falls over", "2s"),
-            Setting("fall-multiple", SCORE, "flooded: so many times what it takes", "2"),
-            Setting("ask-within", DURATION, "discovery is asked again within this", "10s"),
+            Setting("cold", DURATION, "how long a destination stays cold after it comes back", "10s"),
+            Setting("cold-from", SHARE, "the part of its capacity that a cold destination has at first", "20%"),
+            Setting("fall", DURATION, "a cold destination fails after so long an overload", "2s"),
+            Setting("fall-multiple", SCORE, "overload: this many times its capacity", "2"),
+            Setting("ask-within", DURATION, "discovery is polled again within this", "10s"),
             Setting("answer-slack", DURATION, "by how much a final answer may be late", "20ms", may_be_short=True),
         ),
         "class": (
-            Setting("aim", DURATION, "a delivery within it keeps its whole worth"),
+            Setting("aim", DURATION, "a delivery within it keeps its full worth"),
             Setting("deadline", DURATION, "when its final answer is due"),
             Setting("repeat", REPEAT, "whether a message that may have run may be sent again"),
-            Setting("worth", SCORE, "against other classes", "1"),
-            Setting("late-worth", SHARE, "what of it is left at the deadline", "0%"),
-            Setting("in-order", FLAG, "messages of one key go one after the other", "no"),
+            Setting("worth", SCORE, "relative to other classes", "1"),
+            Setting("late-worth", SHARE, "the part of it that is left at the deadline", "0%"),
+            Setting("in-order", FLAG, "messages of one key are delivered one after the other", "no"),
         ),
         "kind": (
             Setting("per-call", _count(1, 10_000), "messages that one call may carry", "1"),
-            Setting("limits", _choice("together", "apart"), "whether endpoints share their pool's limit", "together"),
+            Setting(
+                "limits", _choice("together", "apart"), "whether endpoints share the limit of their pool", "together"
+            ),
         ),
-        "zone": (Setting("fee", SCORE, "what sending there costs, against other zones", "0"),),
+        "zone": (Setting("fee", SCORE, "the cost of sending there, relative to other zones", "0"),),
         "tenant": (Setting("quota", RATE, "its share"),),
         "policy": POLICY,
         "pool": (
             Setting("kind", TEXT, "the kind of its endpoints", "partner"),
-            Setting("limit", RATE, "what all senders together may send there", None),
-            Setting("connections", _count(1, 100_000), "calls at once to each endpoint", None),
+            Setting("limit", RATE, "the most that all senders together may send there", None),
+            Setting("connections", _count(1, 100_000), "concurrent calls to each endpoint", None),
             Setting(
                 "idle-close",
                 DURATION,
-                "an idle connection is closed before this; else as the sender says",
+                "an idle connection is closed before this; else the sender's value",
                 None,
                 absent="",
             ),
-            Setting("dial-within", _list(parse_network, "networks"), "networks that its endpoints must lie in", None),
+            Setting("dial-within", _list(parse_network, "networks"), "networks that contain its endpoints", None),
         ),
         "endpoint": (
             Setting("at", Kind("an address", _one_word(parse_address_range, "an address")), "its address"),
-            Setting("zone", TEXT, "where it stands", "here"),
+            Setting("zone", TEXT, "where it is", "here"),
             Setting(
-                "state", _choice("ready", "draining"), "draining: finishes what it has, and gets nothing new", "ready"
+                "state", _choice("ready", "draining"), "draining: finishes its calls and gets no new ones", "ready"
             ),
-            Setting("weight", SCORE, "as the sender's weights say", None, absent=""),
+            Setting("weight", SCORE, "its weight, in the meaning of the sender's weights", None, absent=""),
         ),
         "route": (
             Setting("pool", IDENTIFIER, "where its messages go"),
-            Setting("policy", IDENTIFIER, "the rules for them", "default"),
-            Setting("classes", _list(parse_text, "classes"), "what it carries; else every class", None, absent="every"),
+            Setting("policy", IDENTIFIER, "the policy for them", "default"),
+            Setting(
+                "classes",
+                _list(parse_text, "classes"),
+                "the classes that it carries; else every class",
+                None,
+                absent="every",
+            ),
             *POLICY,
         ),
     }.items()
 }
 BLOCKS["endpoints"] = BLOCKS["endpoint"]
-SINGLE = ("sender", "rules")  # blocks with no name, at most one each
+SINGLE = ("sender", "rules")  # blocks without a name, at most one each
 TOP = tuple(block for block in BLOCKS if block not in ("endpoint", "endpoints"))
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -1,7 +1,7 @@
-"""A Site as what the sender is started with, and what of an edit a running one can take. No I/O.
+"""The Config of a sender from a Site, and which changes a running sender cannot apply. No I/O.
 
-Endpoints are known to the module by name, pool and address together: one that moves is another endpoint, whose guards,
-waits and figures start anew, and one that comes back where it was is the one it was.
+The engine identifies an endpoint by name, pool and address together: one with a new address is a new endpoint, whose
+failure state, waits and statistics start fresh; one that returns at its old address is the same endpoint as before.
 """
 
 from __future__ import annotations
@@ -20,11 +20,14 @@
 from scalefall.settings_reader import read_settings
 
 STATUSES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
-RELOADABLE_BLOCKS = {"pool", "policy", "route"}  # whatever changes in these takes effect at once
+RELOADABLE_BLOCKS = {"pool", "policy", "route"}  # changes in these take effect at once, without a restart
 
 
 def config(site: Site, state: str, seed: int) -> Config:
-    """A complete sender, with no platform: its list of endpoints is the file's. The seed counts if it has none."""
+    """Return the Config of a sender without the platform, its endpoint list from the file.
+
+    `seed` is used if the file has none.
+    """
     sender, settings = site.sender, read_settings(settings_table(site))
     seed = int(sender.get("seed"), 16) if "seed" in sender.values else seed
     settings.polls_endpoint_list, settings.weights = False, "told"
@@ -46,19 +49,25 @@
 
 
 def entries(site: Site) -> list[Entry]:
-    """The endpoints of all routes, in the file's order."""
+    """Return the endpoints of all routes, in the order of the file."""
     rows = []
     for route in site.definitions("route").values():
         pool = site.pool_of(route)
         dial = site.policy_value(route, "dial").value
         idle, limit = site.idle_close(pool).value, pool.get("limit")
-        most, weight = pool.get("connections") or 0, calls_per_second(limit) if limit is not None else 0.0
+        max_connections, weight = pool.get("connections") or 0, calls_per_second(limit) if limit is not None else 0.0
         for each in site.endpoints.get(pool.name, ()):
-            end = PolicyEndpoint(
-                endpoint_id(each), each.zone, pool.get("kind"), int(route.name), STATUSES[each.state], weight, most
+            endpoint = PolicyEndpoint(
+                endpoint_id(each),
+                each.zone,
+                pool.get("kind"),
+                int(route.name),
+                STATUSES[each.state],
+                weight,
+                max_connections,
             )
             host, _, port = each.address.rpartition(":")
-            rows.append(Entry(end, (host, int(port)), each.address, dial, idle))
+            rows.append(Entry(endpoint, (host, int(port)), each.address, dial, idle))
     return rows
 
 
@@ -78,55 +87,59 @@
 
 
 def calls_per_second(limit: Rate) -> float:
-    """Calls a second that never make more than the limit's count in any of its spans: what the module lets through at
-    once after a pause (one call, or what it gathers in BURST_US) comes on top of the pace."""
-    even, span = float(limit.per_second), limit.per_us / SECOND
-    depth = BURST_US / SECOND
-    return even if even * depth <= 1 else max(1 / depth, limit.count / (span + depth))
+    """Return a rate in calls per second that never exceeds the limit's count in any of its spans.
+
+    The engine's burst after a pause (one call, or what accumulates in BURST_US) comes on top of the rate.
+    """
+    even_rate, span_s = float(limit.per_second), limit.per_us / SECOND
+    burst_s = BURST_US / SECOND
+    return even_rate if even_rate * burst_s <= 1 else max(1 / burst_s, limit.count / (span_s + burst_s))
 
 
 def restart_only(site: Site) -> dict[str, Any]:
-    """What a running sender cannot change, as plain values: all but pools, policies and routes."""
+    """Return what a running sender cannot change, as plain values: all but pools, policies and routes."""
     return {block: values for block, values in site.meaning().items() if block not in RELOADABLE_BLOCKS}
 
 
 def start_warnings(config: Config, site: Site) -> list[str]:
-    """What is worth a line in the log at a start."""
+    """Return the warnings to log at a start, a line each."""
     rows = []
     if site.sender.get("discovery") is not None:
-        rows.append("discovery of the sender is not asked: the endpoints are the file's")
+        rows.append("discovery of the sender is not used: the endpoints come from the file")
     if config.reports is None:
-        rows.append("no reports address: ends of messages that are given up are told in this log only")
+        rows.append("no reports address: delivery reports of messages given up are only logged")
     return rows
 
 
-def changes_needing_restart(was: dict[str, Any], new: Site) -> list[str]:
-    """What differs from what is fixed in the running sender and takes a restart, a sentence each."""
-    will, rows = restart_only(new), []
+def changes_needing_restart(before: dict[str, Any], new: Site) -> list[str]:
+    """Return the changes that a running sender cannot apply without a restart, a sentence each."""
+    after, rows = restart_only(new), []
     for block in ("sender", "rules"):
-        rows += _values(block, block, was[block], will[block], new)
+        rows += _changed_settings(block, block, before[block], after[block], new)
     for block in ("class", "kind", "zone", "tenant"):
-        for name in sorted(will[block].keys() - was[block].keys()):
-            rows.append(f"{_at(new.definitions(block)[name])}: {block} {name} is new")
-        for name in sorted(was[block].keys() & will[block].keys()):
-            rows += _values(block, f"{block} {name}", was[block][name], will[block][name], new, name)
-        if block != "class":  # a class that goes is carried by no route any more, which takes effect
-            rows += [f"{new.file}: {block} {name} is gone" for name in sorted(was[block].keys() - will[block].keys())]
+        for name in sorted(after[block].keys() - before[block].keys()):
+            rows.append(f"{_location(new.definitions(block)[name])}: {block} {name} is new")
+        for name in sorted(before[block].keys() & after[block].keys()):
+            rows += _changed_settings(block, f"{block} {name}", before[block][name], after[block][name], new, name)
+        if block != "class":  # the routes stop carrying a removed class at once
+            rows += [
+                f"{new.file}: {block} {name} is gone" for name in sorted(before[block].keys() - after[block].keys())
+            ]
     return rows
 
 
-def _values(block: str, title: str, was: dict, will: dict, new: Site, name: str = "") -> list[str]:
+def _changed_settings(block: str, title: str, before: dict, after: dict, new: Site, name: str = "") -> list[str]:
     rows = []
     for word, setting in BLOCKS[block].items():
-        if was[word] != will[word]:
+        if before[word] != after[word]:
             each: Definition = getattr(new, block) if not name else new.definitions(block)[name]
             rows.append(
-                f"{_at(each, word)}: {word} of {title} is {setting.show(will[word])} in the file, and stays "
-                f"{setting.show(was[word])}"
+                f"{_location(each, word)}: {word} of {title} is {setting.show(after[word])} in the file, and stays "
+                f"{setting.show(before[word])}"
             )
     return rows
 
 
-def _at(each: Definition, word: str = "") -> str:
+def _location(each: Definition, word: str = "") -> str:
     place = each.values[word].place if word in each.values else each.place
     return f"{place.file}:{place.line}"
--- a/scalefall/lang/suspicious.py
+++ b/scalefall/lang/suspicious.py
@@ -1,4 +1,4 @@
-"""What is legal but suspicious: warnings on a Site that has been read whole. No I/O."""
+"""Warnings about valid but suspicious settings of a complete Site. No I/O."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
 
 def add_warnings(site: Site, problems: Problems) -> None:
+    """Report everything suspicious in a complete configuration."""
     for each in (site.sender, site.rules, *(one for block in site.blocks.values() for one in block.values())):
-        _durations(each, problems)
+        _check_durations(each, problems)
     for cls in site.definitions("class").values():
-        _class(cls, problems)
-    _policies(site, problems)
+        _check_class(cls, problems)
+    _check_policies(site, problems)
     used = site.pools_in_use()
     for pool in site.definitions("pool").values():
         if pool.name not in used:
             problems.warn("unused", pool.place, f"no route uses pool {pool.name}", "write a route, or take it out")
     for route in site.definitions("route").values():
-        _route(site, route, problems)
-    _classes_used(site, problems)
+        _check_route(site, route, problems)
+    _check_classes_used(site, problems)
 
 
-def _durations(each: Definition, problems: Problems) -> None:
+def _check_durations(each: Definition, problems: Problems) -> None:
     for word, (value, place) in each.values.items():
         setting = BLOCKS[each.block][word]
         if setting.kind is not DURATION or setting.may_be_short or place is None:
@@ -42,7 +43,7 @@
             problems.warn("long", place, f"{setting.line(value)} is over an hour")
 
 
-def _class(cls: Definition, problems: Problems) -> None:
+def _check_class(cls: Definition, problems: Problems) -> None:
     if cls.broken:
         return
     aim, deadline = cls.lookup("aim"), cls.lookup("deadline")
@@ -65,14 +66,14 @@
         )
 
 
-def _policies(site: Site, problems: Problems) -> None:
+def _check_policies(site: Site, problems: Problems) -> None:
     named = {route.get("policy") for route in site.definitions("route").values()}
     for policy in site.definitions("policy").values():
         if policy.name not in named and policy.name != DEFAULT:
             problems.warn("unused", policy.place, f"no route uses policy {policy.name}")
 
 
-def _route(site: Site, route: Definition, problems: Problems) -> None:
+def _check_route(site: Site, route: Definition, problems: Problems) -> None:
     pool = site.pool_of(route)
     if pool is None:
         return
@@ -90,7 +91,7 @@
         problems.warn("empty", route.place, f"route {route.name} carries no class")
 
 
-def _classes_used(site: Site, problems: Problems) -> None:
+def _check_classes_used(site: Site, problems: Problems) -> None:
     routes = list(site.definitions("route").values())
     used = {name for route in routes for name in site.classes_of(route)}
     for cls in site.definitions("class").values():
--- a/scalefall/lang/syntax.py
+++ b/scalefall/lang/syntax.py
@@ -1,9 +1,9 @@
-"""The shape of the language: text to statements with their places, and every error of shape in one run. No I/O.
+"""The syntax of the language: parses text into statements with their places and reports all syntax errors. No I/O.
 
-A document is statements. A statement is words, ended by `;`, the end of its line or the end of its block; or words and
-a block in braces. What the words mean is not known here. The grammar is LALR(1) (lark); the lexer has a terminal for
-every text, so that only braces can go wrong. A text that does so is taken apart again token by token and mended: a
-missing brace is put in where the next definition starts, and an idle one is left out, each with its error.
+A document is a list of statements. A statement is words, ended by `;`, the end of its line or the end of its block; or
+words and a block in braces. The parser does not interpret the words. The grammar is LALR(1) (lark); the lexer has a
+terminal for every text, so parsing fails only on braces. Such a text is parsed again from its tokens with the braces
+repaired: a missing one is inserted before the next definition and a surplus one dropped, each with its error.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from scalefall.lang.text import Place, Problems, pluralize
 
-MAX_BLOCK_DEPTH = 16  # blocks within blocks: the language itself needs two
+MAX_BLOCK_DEPTH = 16  # of nested blocks; the language itself needs two
 TOP_WORDS = ("class", "include", "kind", "policy", "pool", "route", "rules", "sender", "tenant", "zone")
 GRAMMAR = r"""
 start: _items? statement?
@@ -43,12 +43,12 @@
 
 @dataclass(slots=True)
 class Statement:
-    """Words as tokens of the kinds WORD, STRING and COMMA; body is None where there is no block."""
+    """Words as tokens of the types WORD, STRING, COMMA and BADSTRING; `body` is None where there is no block."""
 
     words: list[Token]
     body: list[Statement] | None = None
     end_line: int = 0  # of the closing brace, or of the last word
-    depth: int = 0  # levels of blocks within it
+    depth: int = 0  # levels of blocks nested in it
 
     @property
     def line(self) -> int:
@@ -59,8 +59,10 @@
         return value_of(self.words[0])
 
     def is_equivalent(self, other: Statement) -> bool:
-        """The same words in the same blocks; places and layout do not count."""
-        if [(word.type, _plain(word)) for word in self.words] != [(w.type, _plain(w)) for w in other.words]:
+        """Return whether both have the same words in the same blocks, whatever their places and layout."""
+        if [(word.type, _canonical(word)) for word in self.words] != [
+            (word.type, _canonical(word)) for word in other.words
+        ]:
             return False
         if self.body is None or other.body is None:
             return self.body is other.body
@@ -73,20 +75,20 @@
 
 @dataclass(slots=True)
 class Document:
-    """One file, taken apart."""
+    """One parsed file."""
 
     file: str
     lines: list[str]
     statements: list[Statement] = field(default_factory=list)
     comments: list[Token] = field(default_factory=list)
-    broken: bool = False  # its shape had to be mended
+    broken: bool = False  # it has syntax errors, so statements may be missing or repaired
 
     def place(self, word: Token) -> Place:
         return Place(self.file, word.line, word.column, max(1, len(word.rstrip())))
 
 
 def value_of(word: Token) -> str:
-    """The text that a word stands for: a string without its quotes and escapes."""
+    """Return the text of a word: a string without its quotes and escapes."""
     if word.type != "STRING" or word[:1] != '"':
         return str(word)
     if "\\" not in word:
@@ -102,18 +104,18 @@
 
 
 def quoted(text: str) -> str:
-    """A text as a string of the language."""
+    """Return a text as a string literal of the language."""
     for char, escape in (("\\", "\\\\"), ('"', '\\"'), ("\n", "\\n"), ("\t", "\\t")):
         text = text.replace(char, escape)
     return f'"{text}"'
 
 
-def _plain(word: Token) -> str:
+def _canonical(word: Token) -> str:
     return "," if word.type == "COMMA" else str(word)
 
 
-class _Build(Transformer):
-    """Called for each rule as it is reduced; no tree is kept besides the statements."""
+class _StatementBuilder(Transformer):
+    """Builds statements as the rules are reduced, without a parse tree beside them."""
 
     def head(self, children: list[Token]) -> list[Token]:
         return children
@@ -131,7 +133,7 @@
 
 
 class _Parser:
-    """lark's parser, made once when first needed; comments are collected on the side."""
+    """The parser of lark, built on first use; the lexer's callback collects the comments."""
 
     def __init__(self) -> None:
         self.comments: list[Token] = []
@@ -139,12 +141,12 @@
             GRAMMAR,
             parser="lalr",
             lexer="basic",
-            transformer=_Build(),
+            transformer=_StatementBuilder(),
             maybe_placeholders=False,
-            lexer_callbacks={"COMMENT": self._comment},
+            lexer_callbacks={"COMMENT": self._record_comment},
         )
 
-    def _comment(self, token: Token) -> Token:
+    def _record_comment(self, token: Token) -> Token:
         self.comments.append(token)
         return token
 
@@ -164,13 +166,13 @@
 
 
 _parser: _Parser | None = None
-_lock = threading.Lock()  # a reload may be read in a thread of its own
+_lock = threading.Lock()  # a reload may parse in a thread of its own
 
 
 def parse(text: str, file: str, problems: Problems) -> Document:
-    """The text as a Document; what is wrong with its shape goes to problems, and the rest is there all the same."""
+    """Parse a text; syntax errors go to `problems`, and the document still holds the rest."""
     global _parser
-    text = _clean(text, file, problems)
+    text = _normalize(text, file, problems)
     document = Document(file, text.split("\n"))
     with _lock:
         _parser = _parser or _Parser()
@@ -178,7 +180,7 @@
             document.statements = _parser.parse(text)
         except UnexpectedInput:
             document.broken = True
-            document.statements = _parser.feed(_mended(_parser.tokens(text), document, problems))
+            document.statements = _parser.feed(_balance_braces(_parser.tokens(text), document, problems))
         document.comments = _parser.comments
     for statement in document.statements:
         if statement.depth > MAX_BLOCK_DEPTH:
@@ -188,12 +190,12 @@
                 f"blocks {pluralize(statement.depth, 'level')} deep; {MAX_BLOCK_DEPTH} is the most",
             )
             statement.body, statement.depth, document.broken = [], 1, True
-    _strings(document, document.statements, problems)
+    _check_strings(document, document.statements, problems)
     return document
 
 
-def _clean(text: str, file: str, problems: Problems) -> str:
-    """Without what editors leave in a file; each kind is reported once."""
+def _normalize(text: str, file: str, problems: Problems) -> str:
+    """Return the text without byte order mark, CR, tabs and control characters; each kind is reported once."""
     if text.startswith("\ufeff"):
         text = text[1:]
         problems.warn("bom", Place(file, 1), "the file starts with a byte order mark", "`scalefall fmt` takes it out")
@@ -204,66 +206,78 @@
         )
         text = text.replace("\r\n", "\n").replace("\r", "\n")
     if "\t" in text:
-        line, column = _at(text, text.index("\t"))
+        line, column = _line_and_column(text, text.index("\t"))
         problems.warn("tab", Place(file, line, column), "a tab", "`scalefall fmt` indents with blanks")
         text = text.replace("\t", " ")
-    bad = (
+    control_at = (
         next((at for at, char in enumerate(text) if char < " " and char != "\n"), -1) if not text.isprintable() else -1
     )
-    if bad >= 0:
-        line, column = _at(text, bad)
-        what = "a NUL byte" if text[bad] == "\0" else f"a control character (code {ord(text[bad])})"
+    if control_at >= 0:
+        line, column = _line_and_column(text, control_at)
+        what = "a NUL byte" if text[control_at] == "\0" else f"a control character (code {ord(text[control_at])})"
         problems.error("control", Place(file, line, column), f"{what} in the text", "take it out")
         text = "".join(char if char >= " " or char == "\n" else "\ufffd" for char in text)
     return text
 
 
-def _at(text: str, offset: int) -> tuple[int, int]:
+def _line_and_column(text: str, offset: int) -> tuple[int, int]:
     return text.count("\n", 0, offset) + 1, offset - (text.rfind("\n", 0, offset) + 1) + 1
 
 
-def _mended(tokens: list[Token], document: Document, problems: Problems) -> Iterator[Token]:
-    """The tokens with the braces put right, and an error for each that was wrong."""
-    never_closed = sum(t.type == "OPEN" for t in tokens) > sum(t.type == "CLOSE" for t in tokens)
-    opened: list[Token] = []
-    last = "_SEP"
+def _balance_braces(tokens: list[Token], document: Document, problems: Problems) -> Iterator[Token]:
+    """Yield the tokens with balanced braces, and report an error for each repair."""
+    never_closed = sum(token.type == "OPEN" for token in tokens) > sum(token.type == "CLOSE" for token in tokens)
+    open_braces: list[Token] = []
+    last_type = "_SEP"
     for token in tokens:
         if token.type == "OPEN":
-            if last not in ("WORD", "STRING", "COMMA", "BADSTRING"):
+            if last_type not in ("WORD", "STRING", "COMMA", "BADSTRING"):
                 problems.error(
                     "brace",
                     document.place(token),
                     "a block with no name before its brace",
                     "write what it is first, like pool name {",
                 )
-                yield _made("WORD", "?", token)
-            opened.append(token)
+                yield _synthetic_token("WORD", "?", token)
+            open_braces.append(token)
         elif token.type == "CLOSE":
-            if not opened:
+            if not open_braces:
                 problems.error(
                     "brace", document.place(token), "a closing brace that no block is open for", "take it out"
                 )
                 continue
-            opened.pop()
-        elif never_closed and opened and token in TOP_WORDS and token.column == 1 and last in ("_SEP", "CLOSE"):
-            _unclosed(opened[-1], document, problems, f" before {token} at line {token.line}", len(opened) - 1)
-            for _ in opened:
-                yield _made("CLOSE", "}", token)
-            opened = []
+            open_braces.pop()
+        elif (
+            never_closed and open_braces and token in TOP_WORDS and token.column == 1 and last_type in ("_SEP", "CLOSE")
+        ):
+            _report_unclosed(
+                open_braces[-1], document, problems, f" before {token} at line {token.line}", len(open_braces) - 1
+            )
+            for _ in open_braces:
+                yield _synthetic_token("CLOSE", "}", token)
+            open_braces = []
         yield token
-        last = token.type
-    if opened:
-        _unclosed(opened[-1] if len(opened) <= MAX_BLOCK_DEPTH else opened[0], document, problems, "", len(opened) - 1)
-    for _ in opened:
-        yield _made("CLOSE", "}", tokens[-1])
+        last_type = token.type
+    if open_braces:
+        _report_unclosed(
+            open_braces[-1] if len(open_braces) <= MAX_BLOCK_DEPTH else open_braces[0],
+            document,
+            problems,
+            "",
+            len(open_braces) - 1,
+        )
+    for _ in open_braces:
+        yield _synthetic_token("CLOSE", "}", tokens[-1])
 
 
-def _unclosed(brace: Token, document: Document, problems: Problems, where: str, around: int) -> None:
-    text = f"this block is never closed{where}" + (f", nor {pluralize(around, 'block')} around it" if around else "")
+def _report_unclosed(brace: Token, document: Document, problems: Problems, where: str, outer_count: int) -> None:
+    text = f"this block is never closed{where}" + (
+        f", nor {pluralize(outer_count, 'block')} around it" if outer_count else ""
+    )
     problems.error("unclosed", document.place(brace), text, "write its closing brace }")
 
 
-def _made(kind: str, text: str, position: Token) -> Token:
+def _synthetic_token(kind: str, text: str, position: Token) -> Token:
     return Token(
         kind,
         text,
@@ -276,8 +290,8 @@
     )
 
 
-def _strings(document: Document, statements: list[Statement], problems: Problems) -> None:
-    """Strings that do not end on their line, and escapes that do not exist."""
+def _check_strings(document: Document, statements: list[Statement], problems: Problems) -> None:
+    """Report strings that do not end on their line, and unknown escapes."""
     if not any('"' in line for line in document.lines):
         return
     for statement in statements:
@@ -288,12 +302,12 @@
                 )
                 document.broken = True
             elif word.type == "STRING":
-                _escapes(document, word, problems)
-        _strings(document, statement.body or [], problems)
+                _check_escapes(document, word, problems)
+        _check_strings(document, statement.body or [], problems)
 
 
-def _escapes(document: Document, word: Token, problems: Problems) -> None:
+def _check_escapes(document: Document, word: Token, problems: Problems) -> None:
     rest = iter(word[1:-1])
     for char in rest:
-        if char == "\\" and (follows := next(rest)) not in ESCAPES:
-            problems.error("escape", document.place(word), f"\\{follows} is no escape", 'write \\n, \\t, \\" or \\\\')
+        if char == "\\" and (escape := next(rest)) not in ESCAPES:
+            problems.error("escape", document.place(word), f"\\{escape} is no escape", 'write \\n, \\t, \\" or \\\\')
--- a/scalefall/lang/text.py
+++ b/scalefall/lang/text.py
@@ -1,4 +1,4 @@
-"""Places in files and problems found there: what every other part of the language reports with. No I/O."""
+"""Places in files and the problems found there, as every other module of the language reports them. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Place(NamedTuple):
-    """Where something stands: lines and columns count from 1, length is in characters."""
+    """A position in a file: line and column count from 1, length is in characters."""
 
     file: str
     line: int
@@ -24,22 +24,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """One thing that is wrong (ERROR) or legal but suspicious (WARNING)."""
+    """One fault (ERROR), or one construct that is valid but suspicious (WARNING)."""
 
     severity: str
-    code: str  # a stable word for editors and tests
+    code: str  # stable identifier for editors and tests
     place: Place
     text: str  # what is wrong
     instead: str = ""  # what to write instead
-    also: tuple[tuple[Place, str], ...] = ()  # other places that belong to it, each with a word on its part
-    fatal: bool = False  # the file asked for itself cannot be read: nothing was checked
+    also: tuple[tuple[Place, str], ...] = ()  # related places, each with its role
+    fatal: bool = False  # the first file cannot be read, so nothing was checked
 
     def sort_key(self) -> tuple[str, int, int, str, str]:
         return self.place.file, self.place.line, self.place.column, self.severity, self.text
 
 
 class InvalidValue(Exception):
-    """A value that can't be used: what is wrong, what to write instead, and which of its words is at fault."""
+    """Raised for an invalid value: what is wrong, what to write instead, and the index of the faulty word."""
 
     def __init__(self, text: str, instead: str = "", word: int = 0, code: str = "value") -> None:
         super().__init__(text)
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Problems:
-    """Gathers problems; the same one at the same place is kept once."""
+    """Collects problems; a repeated problem at the same place is recorded once."""
 
     found: dict[tuple[str, Place, str], Problem] = field(default_factory=dict)
 
@@ -84,7 +84,7 @@
 
 
 def closest_match(word: str, known: Iterable[str]) -> str:
-    """The known word that was probably meant; empty if none is near."""
+    """Return the known word closest to the given one; empty if none is close."""
     choices = list(known)
     lower = {choice.lower(): choice for choice in choices}
     if word.lower() in lower:
@@ -93,7 +93,7 @@
 
 
 def suggestion(word: str, known: Iterable[str], what: str = "one of") -> str:
-    """Help on an unknown word: the near name if there is one, otherwise the choices."""
+    """Return a hint for an unknown word: the closest known word if there is one, otherwise the choices."""
     choices = sorted(known)
     found = closest_match(word, choices)
     if found:
@@ -105,11 +105,11 @@
 
 
 def join_words(words: Iterable[str]) -> str:
-    """a, b and c"""
-    rows = list(words)
-    return rows[0] if len(rows) == 1 else f"{', '.join(rows[:-1])} and {rows[-1]}" if rows else ""
+    """Return the words as one phrase: `a, b and c`."""
+    items = list(words)
+    return items[0] if len(items) == 1 else f"{', '.join(items[:-1])} and {items[-1]}" if items else ""
 
 
 def pluralize(number: int, word: str) -> str:
-    """1 endpoint, 2 endpoints"""
+    """Return the number with its noun: `1 endpoint`, `2 endpoints`."""
     return f"{number:,} {word}" + ("" if number == 1 else "s")
--- a/scalefall/lang/units.py
+++ b/scalefall/lang/units.py
@@ -1,7 +1,7 @@
-"""Literals with their units: text to values and back. A unit is part of the type, so a bare number is never a time.
+"""Literals with units, parsed and formatted. A unit is part of the type, so a bare number is never a duration.
 
 Durations are whole microseconds, sizes whole bytes, shares and plain numbers Decimals, rates a count per duration.
-Every reader raises Wrong, which says what is wrong and what to write instead.
+Every parser raises InvalidValue, which holds what is wrong and what to write instead.
 """
 
 from __future__ import annotations
@@ -12,7 +12,11 @@
 
 from scalefall.lang.text import InvalidValue
 
-US, MS, SECOND, MINUTE, HOUR = 1, 1000, 1_000_000, 60_000_000, 3_600_000_000
+US = 1
+MS = 1000
+SECOND = 1_000_000
+MINUTE = 60_000_000
+HOUR = 3_600_000_000
 DURATION_UNITS_US = {"us": US, "ms": MS, "s": SECOND, "min": MINUTE, "h": HOUR}
 SIZE_UNITS_BYTES = {"B": 1, "kB": 10**3, "MB": 10**6, "GB": 10**9, "KiB": 2**10, "MiB": 2**20, "GiB": 2**30}
 MAX_DURATION_US = 366 * 24 * HOUR
@@ -45,7 +49,7 @@
 
 
 class Rate(NamedTuple):
-    """count calls in each span of per_us microseconds."""
+    """`count` calls in each span of `per_us` microseconds."""
 
     count: int
     per_us: int
@@ -59,7 +63,7 @@
 
 
 def kind_of(text: str) -> str:
-    """What kind of value a text is, for "X is a rate where a duration belongs"; empty if it's none."""
+    """Return the kind of value that a text is, for "X is a rate where a duration belongs"; empty if it is none."""
     parts = QUANTITY.match(text)
     if " per " in f" {text} ":
         return "a rate"
@@ -89,7 +93,10 @@
 def _quantity(
     text: str, what: str, example: str, units: dict[str, int], likely_units: tuple[str, ...]
 ) -> tuple[str, str]:
-    """The number and the unit of a text, which may be none of the units yet; meant are the likely ones."""
+    """Return the number and the unit of a text; the unit may still be unknown.
+
+    `likely_units` are those to suggest where the text has none.
+    """
     parts = QUANTITY.match(text)
     if parts is None:
         raise _other_kind(text, what, example)
@@ -107,18 +114,18 @@
 
 
 def parse_duration(text: str) -> int:
-    """A duration in whole microseconds."""
+    """Return a duration in whole microseconds."""
     example = "write a number with its unit, like 3s, 1500ms or 2min"
     number, unit = _quantity(text, "a duration", example, DURATION_UNITS_US, ("ms", "s", "min"))
     if unit in ("m", "M"):
         raise InvalidValue(f"{text} could be minutes or milliseconds", f"write {number}min or {number}ms", code="unit")
-    right = unit if unit in DURATION_UNITS_US else UNIT_ALIASES.get(unit.lower(), unit.lower())
-    if right not in DURATION_UNITS_US:
+    canonical = unit if unit in DURATION_UNITS_US else UNIT_ALIASES.get(unit.lower(), unit.lower())
+    if canonical not in DURATION_UNITS_US:
         raise _other_kind(text, "a duration", example)
-    if right != unit:
+    if canonical != unit:
         raise InvalidValue(
             f"{unit} is not how a unit is written (us, ms, s, min, h; lower case)",
-            f"write {number}{right}",
+            f"write {number}{canonical}",
             code="unit",
         )
     value = Decimal(number) * DURATION_UNITS_US[unit]
@@ -130,7 +137,7 @@
 
 
 def format_duration(us: int) -> str:
-    """The shortest exact form: 1500ms, 3s, 2min."""
+    """Return the shortest exact form: 1500ms, 3s, 2min."""
     for unit in ("h", "min", "s", "ms"):
         if us and us % DURATION_UNITS_US[unit] == 0:
             return f"{us // DURATION_UNITS_US[unit]}{unit}"
@@ -138,21 +145,23 @@
 
 
 def format_duration_spaced(us: int) -> str:
-    """For sentences: 3 s, 1500 ms."""
+    """Return a duration for sentences: 3 s, 1500 ms."""
     text = format_duration(us)
     return re.sub(r"([0-9])([a-z])", r"\1 \2", text, count=1)
 
 
 def parse_rate(words: list[str]) -> Rate:
-    """`4 per 1s`: three words."""
+    """Return a rate from its three words, such as `4 per 1s`."""
     example = "write a count and a span, like 4 per 1s"
     joined = " ".join(words)
     if len(words) == 1:
-        slash = re.match(r"([0-9]+)/(?:([0-9]*)(s|sec|min|h))\Z", words[0])
-        if slash:
-            unit = UNIT_ALIASES.get(slash[3], slash[3])
+        slashed = re.match(r"([0-9]+)/(?:([0-9]*)(s|sec|min|h))\Z", words[0])
+        if slashed:
+            unit = UNIT_ALIASES.get(slashed[3], slashed[3])
             raise InvalidValue(
-                f"{words[0]} is not how a rate is written", f"write {slash[1]} per {slash[2] or 1}{unit}", code="unit"
+                f"{words[0]} is not how a rate is written",
+                f"write {slashed[1]} per {slashed[2] or 1}{unit}",
+                code="unit",
             )
         if kind_of(words[0]) == "a bare number":
             raise InvalidValue(
@@ -166,23 +175,25 @@
     number = parse_count(words[0], 1)
     try:
         span = parse_duration(words[2])
-    except InvalidValue as wrong:
-        raise InvalidValue(wrong.text, wrong.instead, 2, wrong.code) from None
+    except InvalidValue as error:
+        raise InvalidValue(error.text, error.instead, 2, error.code) from None
     if not span:
         raise InvalidValue("a rate needs a span longer than nothing", example, 2)
     return Rate(number, span)
 
 
 def parse_size(text: str) -> int:
-    """A size in bytes."""
+    """Return a size in bytes."""
     example = "write a number with its unit, like 64KiB or 192MB"
     number, unit = _quantity(text, "a size", example, SIZE_UNITS_BYTES, ("MB", "MiB"))
     if unit not in SIZE_UNITS_BYTES:
-        right = next((known for known in SIZE_UNITS_BYTES if known.lower() in (unit.lower(), unit.lower() + "b")), "")
-        if right:
+        canonical = next(
+            (known for known in SIZE_UNITS_BYTES if known.lower() in (unit.lower(), unit.lower() + "b")), ""
+        )
+        if canonical:
             raise InvalidValue(
                 f"{unit} is not how a unit is written ({', '.join(SIZE_UNITS_BYTES)})",
-                f"write {number}{right}",
+                f"write {number}{canonical}",
                 code="unit",
             )
         raise _other_kind(text, "a size", example)
@@ -193,6 +204,7 @@
 
 
 def format_size(number: int) -> str:
+    """Return the shortest exact form: 64KiB, 192MB."""
     for unit in ("GiB", "GB", "MiB", "MB", "KiB", "kB"):
         if number and number % SIZE_UNITS_BYTES[unit] == 0:
             return f"{number // SIZE_UNITS_BYTES[unit]}{unit}"
@@ -200,7 +212,7 @@
 
 
 def parse_share(text: str) -> Decimal:
-    """A share as a fraction: 40% is 0.4."""
+    """Return a share as a fraction: 40% is 0.4."""
     parts = QUANTITY.match(text)
     if parts is None or parts[3] != "%" or parts[1]:
         if PLAIN_NUMBER.match(text):
@@ -239,6 +251,6 @@
 
 
 def format_decimal(value: Decimal) -> str:
-    """A Decimal without exponent or closing zeros."""
+    """Return a Decimal without exponent or trailing zeros."""
     text = f"{value:f}"
     return text.rstrip("0").rstrip(".") if "." in text else text
--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -1,7 +1,7 @@
-"""The platform's JSON and the language, both ways. No I/O.
+"""Conversion between the language and the platform's JSON, both ways. No I/O.
 
-The two forms hold the same Settings. What only the language can say (per-route policies, connection caps, networks)
-has no place in the JSON; `compiled` names it, so that nothing is lost in silence.
+Both forms hold the same Settings. The JSON cannot represent per-route policies, connection limits and networks;
+`to_platform_json` lists what it leaves out.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def to_platform_json(site: Site) -> tuple[dict[str, Any], list[str]]:
-    """The platform's configuration object, and what it cannot hold, a sentence each."""
+    """Return the platform's configuration object, and what it cannot represent, a sentence each."""
     sender = site.sender
     table: dict[str, Any] = {"name": sender.get("name"), "listen": str(sender.get("listen"))}
     if sender.get("discovery") is not None:
@@ -43,11 +43,11 @@
         "known": {"seq": 1, "whole": True, "hosts": list(_hosts(site))},
         "settings": settings_table(site),
     }
-    return table, list(_lost(site))
+    return table, list(_not_representable(site))
 
 
 def settings_table(site: Site) -> dict[str, Any]:
-    """The settings object, as scalefall.settings_reader reads it."""
+    """Return the settings object, as scalefall.settings_reader reads it."""
     sender, rules, policy = site.sender, site.rules, _default_policy(site)
     kinds, zones = _names(site, "kind"), _names(site, "zone")
     index, siblings = sender.get("number")
@@ -93,11 +93,11 @@
             {"name": each.name, "quotaPerS": float(each.get("quota").per_second)}
             for each in site.definitions("tenant").values()
         ],
-        "grades": [_grade(each) for each in site.definitions("class").values()],
+        "grades": [_class_row(each) for each in site.definitions("class").values()],
     }
 
 
-def _grade(each: Definition) -> dict[str, Any]:
+def _class_row(each: Definition) -> dict[str, Any]:
     repeat: Repeat = each.get("repeat")
     return {
         "name": each.name,
@@ -118,7 +118,7 @@
 
 
 def _names(site: Site, block: str) -> list[str]:
-    """Those that are defined, or else those in use."""
+    """Return the defined names, or else the names in use."""
     if site.definitions(block):
         return list(site.definitions(block))
     used = (
@@ -139,7 +139,7 @@
 
 
 def host_names(site: Site) -> dict[tuple[str, str], str]:
-    """A name for each endpoint, by pool and name: its own where no other pool has it too."""
+    """Return a name for each endpoint by pool and name: its own unless another pool has the same name."""
     seen: dict[str, int] = {}
     for each in site.all_endpoints():
         seen[each.name] = seen.get(each.name, 0) + 1
@@ -167,16 +167,16 @@
 
 
 def weight(pool: Definition, each: Endpoint, limited: bool) -> float:
-    """What the endpoint's row tells of its weight: its own word, else the pool's limit where limits are told so."""
+    """Return the weight in the endpoint's row: its own, else the pool's limit if `limited`, else 1."""
     if each.weight is not None:
         return float(each.weight)
     limit = pool.get("limit")
     return float(limit.per_second) if limited and limit is not None else 1.0
 
 
-def _lost(site: Site) -> Iterator[str]:
+def _not_representable(site: Site) -> Iterator[str]:
     if site.sender.get("reports") is not None:
-        yield "reports of sender: the platform's are at its discovery"
+        yield "reports of sender: the platform receives delivery reports at its discovery"
     default = _default_policy(site)
     for route in site.definitions("route").values():
         words = [row.word for row in POLICY if site.policy_value(route, row.word).value != default[row.word]]
@@ -201,8 +201,11 @@
 
 
 def from_platform_json(table: Any) -> tuple[str, list[str]]:
-    """The language's text for a configuration object, and what of it has no place there; ValueError says what is
-    wrong with the object."""
+    """Return the text in the language for a configuration object, and what the text cannot represent.
+
+    Raises:
+        ValueError: The object is invalid.
+    """
     if not isinstance(table, dict):
         raise ValueError("the configuration must be an object")
     settings = read_settings(table.get("settings"))
@@ -239,7 +242,7 @@
     return layout(syntax.parse("\n".join(rows), "imported", Problems())), dropped
 
 
-def _sender(table: dict[str, Any], limits: dict[str, Any], s: Settings) -> dict[str, Any]:
+def _sender(table: dict[str, Any], limits: dict[str, Any], settings: Settings) -> dict[str, Any]:
     values: dict[str, Any] = {}
     if table.get("name"):
         values["name"] = str(table["name"])
@@ -248,7 +251,7 @@
             host, port = read_address(table[word], word)
             values[word] = f"{host}:{port}"
     values["seed"] = str(table.get("seed", "0"))
-    values["number"] = (s.replica_index, s.replica_count)
+    values["number"] = (settings.replica_index, settings.replica_count)
     for word, key in (("cores", "cores"), ("sockets", "sockets")):
         if key in limits:
             values[word] = _decimal(limits[key]) if word == "cores" else int(limits[key])
@@ -256,32 +259,32 @@
         if key in limits:
             values[word] = int(_decimal(limits[key]) * 10**6)
     return values | {
-        "slots": s.call_slots,
-        "hold": s.max_queued,
-        "idle-close": s.idle_close_us,
-        "tick": s.tick_us,
-        "late": "halving" if s.halves_after_objective else "linear",
-        "cancel": s.cancelling,
-        "probe": s.probes,
-        "tell-wait": s.retry_after,
-        "streams": s.streams,
-        "list": "ask" if s.polls_endpoint_list else "push",
-        "weights": s.weights,
-        "load-report": tuple(s.report_fields),
-        "over-share": _decimal(s.over_quota_priority_weight),
-        "turn-gap": s.ordering_gap_us,
+        "slots": settings.call_slots,
+        "hold": settings.max_queued,
+        "idle-close": settings.idle_close_us,
+        "tick": settings.tick_us,
+        "late": "halving" if settings.halves_after_objective else "linear",
+        "cancel": settings.cancelling,
+        "probe": settings.probes,
+        "tell-wait": settings.retry_after,
+        "streams": settings.streams,
+        "list": "ask" if settings.polls_endpoint_list else "push",
+        "weights": settings.weights,
+        "load-report": tuple(settings.report_fields),
+        "over-share": _decimal(settings.over_quota_priority_weight),
+        "turn-gap": settings.ordering_gap_us,
     }
 
 
-def _rules(s: Settings) -> dict[str, Any]:
+def _rules(settings: Settings) -> dict[str, Any]:
     return {
-        "drain-grace": s.drain_grace_us,
-        "cold": s.slow_start_us,
-        "cold-from": _decimal(s.slow_start_from),
-        "fall": s.overload_window_us,
-        "fall-multiple": _decimal(s.overload_multiple),
-        "ask-within": s.poll_within_us,
-        "answer-slack": s.answer_slack_us,
+        "drain-grace": settings.drain_grace_us,
+        "cold": settings.slow_start_us,
+        "cold-from": _decimal(settings.slow_start_from),
+        "fall": settings.overload_window_us,
+        "fall-multiple": _decimal(settings.overload_multiple),
+        "ask-within": settings.poll_within_us,
+        "answer-slack": settings.answer_slack_us,
     }
 
 
@@ -298,18 +301,19 @@
 
 
 def _pools(known: ListUpdate) -> Iterator[str]:
-    """A pool and a route for each destination that the list names."""
+    """Yield a pool and a route for each destination in the list."""
     states = {EndpointStatus.READY: "ready", EndpointStatus.DRAINING: "draining"}
     pools: dict[tuple[int, str], list[str]] = {}
     for entry in known.entries:
-        end = entry.endpoint
-        if end.status not in states:
+        endpoint = entry.endpoint
+        if endpoint.status not in states:
             continue
-        weight = "" if end.weight == 1 else f"weight {units.format_decimal(_decimal(end.weight))}; "
-        state = "" if end.status is EndpointStatus.READY else "state draining; "
+        weight = "" if endpoint.weight == 1 else f"weight {units.format_decimal(_decimal(endpoint.weight))}; "
+        state = "" if endpoint.status is EndpointStatus.READY else "state draining; "
         host, port = entry.address
-        pools.setdefault((end.destination, end.kind), []).append(
-            f"endpoint {_named(end.id)} {{ at {host}:{port}; {weight}{state}zone {_named(end.zone)} }}"
+        pools.setdefault((endpoint.destination, endpoint.kind), []).append(
+            f"endpoint {_name_literal(endpoint.id)} "
+            f"{{ at {host}:{port}; {weight}{state}zone {_name_literal(endpoint.zone)} }}"
         )
     kinds: dict[int, str] = {}
     for (number, kind), rows in sorted(pools.items()):
@@ -317,7 +321,7 @@
             raise ValueError(f"destination {number} has endpoints of two kinds, {kinds[number]} and {kind}")
         yield from (
             f"pool dest-{number} {{",
-            f"kind {_named(kind)}",
+            f"kind {_name_literal(kind)}",
             *rows,
             "}",
             f"route {number} {{ pool dest-{number} }}",
@@ -326,14 +330,14 @@
 
 
 def _block(block: str, name: str, values: dict[str, Any]) -> Iterator[str]:
-    """A definition with those values that are not the built-in ones."""
+    """Yield a definition with the values that differ from the built-in defaults."""
     settings = BLOCKS[block]
     rows = [
         _line(settings[word], value)
         for word, value in values.items()
         if value != settings[word].built_in or settings[word].default == ""
     ]
-    head = f"{block} {_named(name)}".strip() if name else block
+    head = f"{block} {_name_literal(name)}".strip() if name else block
     if block in ("sender", "rules", "policy"):
         if rows:
             yield from (f"{head} {{", *rows, "}")
@@ -343,22 +347,22 @@
 
 def _line(setting: Setting, value: Any) -> str:
     if setting.kind.is_list:
-        return f"{setting.word} {', '.join(map(_written, value))}"
-    return f"{setting.word} {_written(value)}" if isinstance(value, str) else setting.line(value)
+        return f"{setting.word} {', '.join(map(_value_literal, value))}"
+    return f"{setting.word} {_value_literal(value)}" if isinstance(value, str) else setting.line(value)
 
 
-def _named(text: str) -> str:
-    """A name as it is written: in quotes unless it is one of the language's own."""
+def _name_literal(text: str) -> str:
+    """Return a name as it is written: in quotes unless it is a plain name of the language."""
     return text if NAME.match(text) else syntax.quoted(text)
 
 
-def _written(text: str) -> str:
-    """A value as it is written: in quotes unless it is one word."""
+def _value_literal(text: str) -> str:
+    """Return a value as it is written: in quotes unless it is one word."""
     return text if _is_one_word(text) else syntax.quoted(text)
 
 
 def _is_one_word(text: str) -> bool:
-    """Whether a text is one word of the language as it stands."""
+    """Return whether a text is one word of the language without quotes."""
     return bool(text) and text.isprintable() and not any(char.isspace() or char in ';,{}"#' for char in text)
 
 
@@ -369,7 +373,7 @@
 
 
 def _rate(per_second: float) -> units.Rate:
-    """A rate of whole counts: the span grows until it is one."""
+    """Return a rate with a whole count, in the shortest span that has one."""
     value = _decimal(per_second)
     for span in (1, 10, 60, 100, 1000, 3600, 10_000, 1_000_000):
         if value * span == int(value * span) and value > 0:
