--- a/scalefall/cli/control.py
+++ b/scalefall/cli/control.py
@@ -194,7 +194,7 @@
 )
 @click.argument("logs_", metavar="LOG...", nargs=-1, required=True, type=click.Path())
 def audit_command(logs_: tuple[str, ...]) -> None:
-    """Check the rules of operation in JSON logs. Read those of control (--log-level debug), proxies and destinations."""
+    """Check the rules of operation in JSON logs of control (--log-level debug), proxies and destinations."""
     lines: list[str] = []
     for path in logs_:
         try:
--- a/scalefall/lang/explain.py
+++ b/scalefall/lang/explain.py
@@ -15,9 +15,9 @@
     """One line of the explanation."""
 
     part: str  # route, policy, pool, endpoint, class, rules
-    text: str  # as it would be written
+    text: str  # as it is written in the language
     origin: str
-    place: Place | None  # None: built in
+    place: Place | None  # None: built-in default
 
 
 def explain(site: Site, name: str) -> list[Row]:
--- a/scalefall/lang/files.py
+++ b/scalefall/lang/files.py
@@ -6,7 +6,7 @@
 import stat
 import subprocess
 
-ROOT_FILE = "site.scale"  # the file that a folder stands for
+ROOT_FILE = "site.scale"  # the first file of a configuration given as a folder
 GIT_TIMEOUT_S = 60
 
 
--- a/scalefall/lang/render.py
+++ b/scalefall/lang/render.py
@@ -8,7 +8,7 @@
 from scalefall.lang.text import ERROR, Place, Problem, pluralize
 
 Paint = Callable[[str, str], str]  # takes a text and its style: error, warning, place, help
-MAX_EXCERPT_COLUMNS = 160  # columns of a source line
+MAX_EXCERPT_COLUMNS = 160  # of a longer source line, only the part around the fault is shown
 
 
 def no_paint(text: str, _style: str) -> str:
--- a/scalefall/lang/schema.py
+++ b/scalefall/lang/schema.py
@@ -19,7 +19,7 @@
 from scalefall.lang.text import InvalidValue, join_words, suggestion
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z")
-MAX_RANGE_ADDRESSES = 4096  # bounds the endpoints that one statement can define
+MAX_RANGE_ADDRESSES = 4096  # bounds the endpoints of one statement
 MAX_SCORE = 1_000_000
 
 
--- a/scalefall/lang/syntax.py
+++ b/scalefall/lang/syntax.py
@@ -70,7 +70,7 @@
 
 
 def equivalent_statements(one: list[Statement], other: list[Statement]) -> bool:
-    return len(one) == len(other) and all(a.is_equivalent(b) for a, b in zip(one, other, strict=False))
+    return len(one) == len(other) and all(left.is_equivalent(right) for left, right in zip(one, other, strict=False))
 
 
 @dataclass(slots=True)
@@ -210,7 +210,9 @@
         problems.warn("tab", Place(file, line, column), "a tab", "`scalefall fmt` indents with blanks")
         text = text.replace("\t", " ")
     control_at = (
-        next((at for at, char in enumerate(text) if char < " " and char != "\n"), -1) if not text.isprintable() else -1
+        next((offset for offset, char in enumerate(text) if char < " " and char != "\n"), -1)
+        if not text.isprintable()
+        else -1
     )
     if control_at >= 0:
         line, column = _line_and_column(text, control_at)
--- a/scalefall/lang/wire.py
+++ b/scalefall/lang/wire.py
@@ -189,7 +189,7 @@
         if pool.name not in used:
             yield f"pool {pool.name}: no route leads there"
         if pool.get("limit") is not None and site.sender.get("weights") not in ("nominal", "rough"):
-            yield f"limit of pool {pool.name}: with weights {site.sender.get('weights')} answers tell limits"
+            yield f"limit of pool {pool.name}: with weights {site.sender.get('weights')} answers report the limits"
         if site.idle_close(pool).value != site.sender.get("idle-close"):
             yield f"idle-close of pool {pool.name}: the platform's settings hold one for all"
         for word in ("connections", "dial-within"):
@@ -238,7 +238,7 @@
     for tenant in settings.tenants.values():
         rows += _block("tenant", tenant.name, {"quota": _rate(tenant.quota_per_s)})
     rows += ["", *_pools(known)]
-    dropped = [f"{key}: no word of the language" for key in sorted(table.keys() - KNOWN_KEYS)]
+    dropped = [f"{key}: the language has no word for it" for key in sorted(table.keys() - KNOWN_KEYS)]
     return layout(syntax.parse("\n".join(rows), "imported", Problems())), dropped
 
 
--- a/tests/lang/test_layout.py
+++ b/tests/lang/test_layout.py
@@ -1,4 +1,4 @@
-"""One text laid out, as a golden copy; the properties stand in test_properties."""
+"""The format of one text as a golden copy; test_properties.py checks general properties of the formatter."""
 
 from scalefall.lang import format
 from scalefall.lang.syntax import parse
@@ -54,6 +54,6 @@
 """
 
 
-def test_the_one_way_to_lay_out():
+def test_an_unformatted_and_a_formatted_text_have_the_same_layout():
     for text in (MESSY, TIDY):
         assert format.layout(parse(text, "f", Problems())) == TIDY
--- a/tests/lang/test_meaning.py
+++ b/tests/lang/test_meaning.py
@@ -1,4 +1,4 @@
-"""Sentences of the difference, whose value is in force, and what the sender is started with."""
+"""The sentences of `diff`, the precedence of values, the Config of a sender, and the conversion to and from JSON."""
 
 import json
 import pathlib
@@ -35,10 +35,10 @@
     return loaded.site
 
 
-def told(old, new, text=SITE):
-    """What is told of an edit: the level's first letter and the sentence."""
+def describe_changes(old, new, text=SITE):
+    """Return the changes that an edit makes: the first letter of the level and the sentence."""
     assert text.count(old) == 1
-    return [f"{c.level[0]} {c.text}" for c in diff.compare(site(text), site(text.replace(old, new)))]
+    return [f"{change.level[0]} {change.text}" for change in diff.compare(site(text), site(text.replace(old, new)))]
 
 
 B = "endpoints b { at 10.3.0.20-10.3.0.22:8081; zone brno }"
@@ -123,22 +123,22 @@
 
 
 @pytest.mark.parametrize(("old", "new", "sentences"), SENTENCES)
-def test_the_difference_says_so_plainly_and_worst_first(old, new, sentences):
-    assert told(old, new) == sentences
+def test_diff_describes_each_change_in_a_sentence_worst_first(old, new, sentences):
+    assert describe_changes(old, new) == sentences
 
 
-def test_an_endpoint_that_changes_its_pool_is_told_as_such():
+def test_the_sentence_for_an_endpoint_that_changes_its_pool_names_the_new_pool():
     was = SITE.replace("dial-within 10.3.0.0/16", "")
     moved = was.replace("endpoint a { at 10.3.0.18:8081; zone praha }", "").replace(
         "endpoint z {", "endpoint y { at 10.3.0.18:8081 }\n endpoint z {"
     )
-    assert [c.text for c in diff.compare(site(was), site(moved))] == [
+    assert [change.text for change in diff.compare(site(was), site(moved))] == [
         "endpoint a of pojistovna (10.3.0.18:8081) changes to pool other, as y: no fresh work 1 s after it is applied",
         "endpoint y of other appears at 10.3.0.18:8081",
     ]
 
 
-def test_an_endpoint_that_comes_back_is_the_one_it_was_and_one_that_moves_is_another():
+def test_an_endpoint_that_returns_keeps_its_id_and_one_with_a_new_address_gets_a_new_id():
     was, moved = site(SITE), site(SITE.replace("10.3.0.18", "10.3.0.19"))
     ids = [[entry.endpoint.id for entry in sender.entries(one)] for one in (was, moved, site(SITE))]
     assert ids[0] == ids[2]
@@ -147,7 +147,7 @@
     assert ids[1][1:] == ids[0][1:]
 
 
-def test_a_routes_word_goes_before_its_policys_and_that_before_the_default():
+def test_a_routes_value_precedes_its_policys_and_the_default_policys():
     rows = {row.text: (row.origin, row.place and row.place.line) for row in explain.explain(site(SITE), "7")}
     assert rows["attempts 5"] == ("route 7", 13)
     assert rows["wait at-most 3s"] == ("policy careful", 5)
@@ -156,7 +156,7 @@
     assert rows["limit 4 per 1s"] == ("pool pojistovna", 7)
 
 
-def test_the_sender_is_started_with_what_is_in_force():
+def test_the_config_of_a_sender_holds_the_values_in_force():
     config = sender.config(site(SITE), "state", 5)
     assert config.settings.attempts == {}
     assert config.fleet.routes[7].attempts == 5
@@ -183,16 +183,16 @@
         Rate(7, 300_000),
     ],
 )
-def test_a_pace_never_makes_more_than_the_limit_in_one_span(limit):
-    pace, span = sender.calls_per_second(limit), limit.per_us / 1e6
-    at_once = max(1.0, pace * BURST_US / 1e6)
-    if at_once == 1:
-        assert pace <= limit.count / span  # spaced evenly: a span holds the count and no more
+def test_the_calls_of_one_span_with_the_burst_never_exceed_the_limit(limit):
+    rate, span = sender.calls_per_second(limit), limit.per_us / 1e6
+    burst = max(1.0, rate * BURST_US / 1e6)
+    if burst == 1:
+        assert rate <= limit.count / span  # evenly spaced calls: a span holds at most the count
     else:
-        assert at_once + pace * span <= limit.count + 1e-9
+        assert burst + rate * span <= limit.count + 1e-9
 
 
-def test_what_a_running_sender_cannot_take_is_named_and_the_rest_is_not():
+def test_only_changes_that_need_a_restart_are_listed():
     now = sender.restart_only(site(SITE))
     live = SITE.replace("4 per 1s", "5 per 1s").replace("attempts 4", "attempts 3")
     assert sender.changes_needing_restart(now, site(live)) == []
@@ -204,7 +204,7 @@
     ]
 
 
-def test_the_example_of_the_platforms_json_goes_there_and_back():
+def test_the_example_json_survives_import_and_compile():
     table = json.loads((ROOT / "example" / "config.json").read_text())
     hosts = [
         {
@@ -221,7 +221,7 @@
     ]
     table["known"] = {"seq": 1, "whole": True, "hosts": hosts}
     text, dropped = wire.from_platform_json(table | {"peers": []})
-    assert dropped == ["peers: no word of the language"]
+    assert dropped == ["peers: the language has no word for it"]
     again, lost = wire.to_platform_json(site(text))
     assert lost == []
     assert read_settings(again["settings"]) == read_settings(table["settings"])
@@ -231,11 +231,11 @@
     assert sorted(again["known"]["hosts"], key=lambda row: row["host"]) == hosts
 
 
-def test_what_the_json_cannot_hold_is_named():
+def test_compile_lists_what_the_json_cannot_represent():
     _, lost = wire.to_platform_json(site(SITE))
     assert lost == [
         "attempts of route 7: the platform's settings hold one policy, the default one",
         "classes of route 9: the platform's routes carry every class",
-        "limit of pool pojistovna: with weights none answers tell limits",
+        "limit of pool pojistovna: with weights none answers report the limits",
         "dial-within of pool pojistovna: the platform's settings have no place for it",
     ]
--- a/tests/lang/test_properties.py
+++ b/tests/lang/test_properties.py
@@ -1,16 +1,18 @@
-"""What holds for every text: laying out keeps it, comparing knows equals, and nothing that is read raises."""
+"""Properties of every text: formatting keeps it, `diff` is empty only for equal meanings, and reading never raises."""
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
 from scalefall.lang import explain, format, load, render, wire
 from scalefall.lang.diff import as_json, as_text, compare
-from scalefall.lang.syntax import parse, equivalent_statements
+from scalefall.lang.syntax import equivalent_statements, parse
 from scalefall.lang.text import Problems
 
-some = settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
+some_examples = settings(
+    max_examples=150, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
 
-# -- texts of any shape, laid out in any way
+# -- texts of any structure, in any layout
 
 WORDS = st.sampled_from(["pool", "a", "3s", "10.3.0.1:80", '"x y"', '"q\\"z"', "-", "\u0159\u00edz", "x" * 60])
 GAPS = st.sampled_from([" ", "   ", ", ", ",\n  ", " ,"])
@@ -44,14 +46,14 @@
     return document
 
 
-@some
+@some_examples
 @given(TEXTS)
-def test_laying_out_keeps_statements_and_comments_and_is_done_once(text):
+def test_formatting_keeps_statements_and_comments_and_is_idempotent(text):
     document = parsed(text)
     out = format.layout(document)
     again = parsed(out)
     assert equivalent_statements(document.statements, again.statements)
-    assert [c.rstrip() for c in document.comments] == [c.rstrip() for c in again.comments]
+    assert [comment.rstrip() for comment in document.comments] == [comment.rstrip() for comment in again.comments]
     assert format.layout(again) == out
 
 
@@ -59,7 +61,7 @@
 
 
 def lines(**choices):
-    """One line for each word, or none."""
+    """Return a strategy for at most one line per word."""
     return st.tuples(
         *(
             st.sampled_from(["", *(f"{word.replace('_', '-')} {value}\n" for value in values)])
@@ -124,9 +126,9 @@
     return loaded.site
 
 
-@some
+@some_examples
 @given(sites(), sites())
-def test_no_difference_is_told_exactly_where_the_meanings_are_equal(one, other):
+def test_diff_is_empty_exactly_if_the_meanings_are_equal(one, other):
     old, new = site(one), site(other)
     assert compare(old, old) == compare(new, site(one if one == other else other)) == []
     changes = compare(old, new)
@@ -136,22 +138,22 @@
     assert as_json(changes)
 
 
-@some
+@some_examples
 @given(sites())
-def test_laying_out_keeps_the_meaning(text):
+def test_formatting_keeps_the_meaning(text):
     assert site(format.layout(parsed(text))).meaning() == site(text).meaning()
 
 
-@some
+@some_examples
 @given(sites())
-def test_the_platforms_json_holds_the_same_settings_both_ways(text):
+def test_import_of_the_compiled_json_gives_the_same_settings_and_limits(text):
     table, _ = wire.to_platform_json(site(text))
     again, _ = wire.to_platform_json(site(wire.from_platform_json(table)[0]))
     assert again["settings"] == table["settings"]
     assert again["limits"] == table["limits"]
 
 
-@some
+@some_examples
 @given(sites())
 def test_every_route_can_be_explained(text):
     read = site(text)
@@ -162,7 +164,7 @@
         assert explain.as_json(name, rows)
 
 
-# -- anything at all
+# -- arbitrary input
 
 SOUP = st.lists(
     st.sampled_from(
@@ -210,9 +212,9 @@
 ).map("".join)
 
 
-@some
+@some_examples
 @given(st.one_of(st.binary(max_size=200), SOUP.map(str.encode)))
-def test_nothing_that_is_read_raises(data):
+def test_reading_arbitrary_input_never_raises(data):
     loaded = load.load_text(data, "f")
     assert render.text(loaded.problems, loaded.source())
     assert render.as_json(loaded.problems)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The commands as they are called: exit codes, both forms, and that the sender loads nothing of them."""
+"""The commands: exit codes and both output formats; and that the platform's sender imports none of them."""
 
 import json
 import pathlib
@@ -30,7 +30,7 @@
     return tmp_path / "site" / "site.scale"
 
 
-def test_check_tells_by_its_code_whether_it_is_clean_wrong_or_could_not_run(tmp_path):
+def test_check_exits_with_0_if_valid_1_on_errors_and_2_if_it_cannot_run(tmp_path):
     assert call("check", EXAMPLE).output.endswith("0 errors, 0 warnings\n")
     assert "3ms, 3s or 3min" in call("check", BROKEN / "duration-without-unit", code=1).output
     assert "No such file" in call("check", tmp_path / "none.scale", code=2).output
@@ -40,7 +40,7 @@
     call("check", "--strict", BROKEN / "suspicious", code=1)
 
 
-def test_check_speaks_json_for_editors():
+def test_check_prints_json_for_editors():
     table = json.loads(call("check", "--format", "json", BROKEN / "same-name-twice", code=1).output)
     first = table["problems"][0]
     assert (table["errors"], first["code"], first["line"], first["column"]) == (5, "twice", 1, 1)
@@ -48,12 +48,12 @@
     assert first["file"].endswith("more.scale")
 
 
-def test_colours_come_only_where_they_are_asked_for():
+def test_colours_are_printed_only_on_request():
     assert "\x1b[" not in call("check", BROKEN / "crlf", code=1).output
     assert "\x1b[" in call("check", "--color", "always", BROKEN / "crlf", code=1).output
 
 
-def test_fmt_lays_out_in_place_and_only_tells_when_asked_to(site):
+def test_fmt_formats_in_place_and_changes_nothing_with_check_or_diff(site):
     text = site.read_text()
     site.write_text(text.replace("  name demo", "\tname    demo;;"))
     assert "would change" in call("fmt", "--check", site.parent, code=1).output
@@ -68,7 +68,7 @@
     call("fmt", site.parent / "none.scale", code=2)
 
 
-def test_diff_tells_by_its_code_whether_an_edit_is_none_some_or_dangerous(site):
+def test_diff_exits_with_0_if_equal_1_on_changes_2_if_it_cannot_run_and_3_if_dangerous(site):
     assert call("diff", EXAMPLE, site).output == "no change of meaning\n"
     text = site.read_text()
     site.write_text(text.replace("attempts 4", "attempts 5"))
@@ -76,14 +76,14 @@
     site.write_text(text.replace("at-most 3s", "at-most 3ms"))
     table = json.loads(call("diff", "--format", "json", EXAMPLE, site, code=3).output)
     assert table["dangerous"]
-    assert [c["old"] for c in table["changes"]] == ["at-most 3s", "at-most 3s"]
+    assert [change["old"] for change in table["changes"]] == ["at-most 3s", "at-most 3s"]
     site.write_text("pool {")
     assert "no meaning to compare" in call("diff", EXAMPLE, site, code=2).output
     call("diff", EXAMPLE, code=2)
     call("diff", EXAMPLE, EXAMPLE, EXAMPLE, code=2)
 
 
-def test_diff_compares_revisions_of_a_repository(site):
+def test_diff_compares_git_revisions(site):
     def git(*words):
         subprocess.run(
             ["git", "-C", site.parent, "-c", "user.name=t", "-c", "user.email=t@t", *words],
@@ -113,7 +113,7 @@
     assert "has no route 8; it has 7, 9" in call("explain", "8", "--config", site, code=2).output
 
 
-def test_the_platforms_json_goes_out_and_comes_in(tmp_path):
+def test_import_and_compile_keep_the_settings_of_the_platforms_json(tmp_path):
     text, out = tmp_path / "site.scale", tmp_path / "config.json"
     call("import", EXAMPLE / "config.json", "-o", text)
     call("check", "--strict", text)
@@ -132,7 +132,7 @@
     call("import", tmp_path / "none.json", code=2)
 
 
-def test_the_deployments_file_is_clean_and_has_the_classes_of_the_platforms_settings(tmp_path):
+def test_the_deployment_file_is_valid_and_has_the_classes_of_the_platforms_settings(tmp_path):
     call("check", "--strict", ROOT / "deploy" / "site.scale")
     call("compile", ROOT / "deploy" / "site.scale", "-o", tmp_path / "config.json")
     from scalefall.settings_reader import read_settings
@@ -146,7 +146,7 @@
     assert now.slow_start_us == was.slow_start_us
 
 
-def test_run_names_what_it_cannot_start_with(tmp_path):
+def test_run_names_the_option_or_setting_that_prevents_a_start(tmp_path):
     assert (
         "3ms, 3s or 3min"
         in call("run", "--config", BROKEN / "duration-without-unit", "--state", tmp_path, code=1).output
@@ -158,17 +158,17 @@
     assert "--state" in call("run", "--config", EXAMPLE, code=2).output
 
 
-def test_every_command_has_a_help_with_an_example_and_the_shells_can_complete():
+def test_every_command_has_help_with_an_example_and_every_shell_a_completion_script():
     for name, command in main.commands.items():
         text = call(name, "--help").output
         assert "Example" in text
         assert f"scalefall {name}" in text
-        assert all(f"SCALEFALL_{p.name.upper()}" or p.envvar for p in command.params)
+        assert all(f"SCALEFALL_{parameter.name.upper()}" or parameter.envvar for parameter in command.params)
     for shell in ("bash", "zsh", "fish"):
         assert "_SCALEFALL_COMPLETE" in call("completion", shell).output
 
 
-def test_event_names_are_what_a_line_begins_with():
+def test_the_event_name_is_the_constant_start_of_a_log_line():
     assert [
         logs.event_name(text)
         for text in (
@@ -189,7 +189,7 @@
     ]
 
 
-def test_the_platforms_sender_loads_neither_parser_nor_command_line():
+def test_the_platforms_sender_imports_neither_parser_nor_command_line():
     code = (
         "import sys, scalefall.__main__, scalefall.net.sender; "
         "print([m for m in ('lark', 'click', 'structlog', 'netaddr', 'scalefall.lang', 'scalefall.cli') "
