--- a/scalefall/lang/diff.py
+++ b/scalefall/lang/diff.py
@@ -17,7 +17,9 @@
 from scalefall.lang.schema import BLOCKS, DURATION, POLICY, RATE, Repeat
 from scalefall.lang.text import Place, join_words
 
-DANGEROUS, NOTABLE, PLAIN = "dangerous", "notable", "plain"
+DANGEROUS = "dangerous"
+NOTABLE = "notable"
+PLAIN = "plain"
 LEVELS = (DANGEROUS, NOTABLE, PLAIN)
 MAX_SAFE_FACTOR = 2  # a limit raised by a larger factor is dangerous
 WRONG_UNIT_FACTOR = 50  # a duration changed by this factor probably has a wrong unit
--- a/scalefall/lang/text.py
+++ b/scalefall/lang/text.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-ERROR, WARNING = "error", "warning"
+ERROR = "error"
+WARNING = "warning"
 
 
 class Place(NamedTuple):
