--- a/scalefall/cli/reader.py
+++ b/scalefall/cli/reader.py
@@ -1,9 +1,9 @@
-"""Reads a configuration for a sender in a process of its own, as reading a large one takes seconds of a processor.
+"""Reads a configuration for a sender in a separate process, as a large one takes seconds of processor time.
 
-Read in a thread of the sender, 20,000 endpoints made hand-ins wait 133 ms in the middle and 435 ms at the worst
-hundredth, for the interpreter's lock; the sender needs neither the parser nor its memory otherwise. The two processes
-speak over pipes, in pickles: a request; then a Read, or a Wrong, and the endpoints in pieces, so that taking them in
-holds the sender up for a few milliseconds at a time.
+In a thread of the sender, reading 20,000 endpoints delayed requests by 133 ms at the median and 435 ms at the 99th
+percentile because of the interpreter's lock; the sender also has no other use for the parser and its memory. The
+processes exchange pickles over pipes: a Request; then ConfigurationErrors, or a ReadResult and the endpoints in chunks,
+so that decoding them blocks the sender for only a few milliseconds at a time.
 """
 
 from __future__ import annotations
@@ -18,85 +18,98 @@
 from scalefall.net.config import Config, ConfigError, Fleet
 from scalefall.net.list_stream import Entry, ListUpdate
 
-PIECE = 200  # endpoints
-MOST_SECONDS = 120
+ENDPOINTS_PER_CHUNK = 200
+TIMEOUT_S = 120
 
 
 @dataclass(slots=True)
 class Request:
+    """What to read, and for which sender."""
+
     path: str
     state: str
-    seed: int  # where the file has none
-    flags: dict[str, Any]  # values of the Config that go before the file's
-    fixed: dict[str, Any] | None  # what the running sender cannot change, where there is one
+    seed: int  # used if the file has none
+    flags: dict[str, Any]  # values of the Config that override the file's
+    restart_only: dict[str, Any] | None  # what the running sender cannot change; None at a start
 
 
 @dataclass(slots=True)
-class Read:
+class ReadResult:
+    """A valid configuration."""
+
     config: Config  # without its endpoints
-    fixed: dict[str, Any]
-    notes: list[str]  # worth a line in the log at the start
+    restart_only: dict[str, Any]
+    start_warnings: list[str]  # logged at the start, a line each
 
 
 @dataclass(slots=True)
-class Wrong:
-    text: str  # as `scalefall check` prints it
-    lines: list[str]  # for a log
+class ConfigurationErrors:
+    """The errors of an invalid or unreadable configuration."""
+
+    text: str  # as `scalefall check` prints them
+    lines: list[str]  # one per error, for a log
     fatal: bool  # the file itself could not be read
 
 
-class Unusable(ConfigError):
-    """The configuration has errors."""
+class InvalidConfigurationError(ConfigError):
+    """Raised when the configuration has errors."""
 
-    def __init__(self, wrong: Wrong) -> None:
-        super().__init__("\n".join(wrong.lines))
-        self.wrong = wrong
+    def __init__(self, errors: ConfigurationErrors) -> None:
+        super().__init__("\n".join(errors.lines))
+        self.errors = errors
 
 
 # -- the sender's side
 
 
-def read(request: Request) -> Read:
-    """The configuration, read elsewhere; Unusable if it has errors, ConfigError if it could not be read at all."""
+def read(request: Request) -> ReadResult:
+    """Read a configuration in a separate process.
+
+    Raises:
+        InvalidConfigurationError: The configuration has errors.
+        ConfigError: The process failed.
+    """
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "scalefall.cli.reader"],
             input=pickle.dumps(request),
             capture_output=True,
-            timeout=MOST_SECONDS,
+            timeout=TIMEOUT_S,
             start_new_session=True,
         )
     except (OSError, subprocess.SubprocessError) as error:
         raise ConfigError(f"{request.path} cannot be read: {error}") from error
-    if done.returncode:
-        last = done.stderr.decode(errors="replace").strip().splitlines()[-1:] or [f"exit code {done.returncode}"]
-        raise ConfigError(f"{request.path} cannot be read: {last[0]}")
-    return _taken(memoryview(done.stdout))
-
-
-def _taken(data: memoryview) -> Read:
-    first, at = _next(data, 0)
-    if isinstance(first, Wrong):
-        raise Unusable(first)
+    if completed.returncode:
+        last_line = completed.stderr.decode(errors="replace").strip().splitlines()[-1:] or [
+            f"exit code {completed.returncode}"
+        ]
+        raise ConfigError(f"{request.path} cannot be read: {last_line[0]}")
+    return _decode_response(memoryview(completed.stdout))
+
+
+def _decode_response(data: memoryview) -> ReadResult:
+    head, offset = _decode_part(data, 0)
+    if isinstance(head, ConfigurationErrors):
+        raise InvalidConfigurationError(head)
     entries: list[Entry] = []
-    while at < len(data):
-        piece, at = _next(data, at)
-        entries += piece
-    config: Config = first.config
-    first.config = replace(config, known=ListUpdate(1, True, entries), fleet=Fleet(entries, config.fleet.routes))
-    return first
+    while offset < len(data):
+        chunk, offset = _decode_part(data, offset)
+        entries += chunk
+    config: Config = head.config
+    head.config = replace(config, known=ListUpdate(1, True, entries), fleet=Fleet(entries, config.fleet.routes))
+    return head
 
 
-def _next(data: memoryview, at: int) -> tuple[Any, int]:
-    length = int.from_bytes(data[at : at + 8], "big")
-    return pickle.loads(data[at + 8 : at + 8 + length]), at + 8 + length
+def _decode_part(data: memoryview, offset: int) -> tuple[Any, int]:
+    length = int.from_bytes(data[offset : offset + 8], "big")
+    return pickle.loads(data[offset + 8 : offset + 8 + length]), offset + 8 + length
 
 
 # -- the reading process
 
 
-def answer(request: Request, put: Callable[[Any], None]) -> None:
-    """Read what is asked for, and hand the answer's parts to put."""
+def respond(request: Request, put: Callable[[Any], None]) -> None:
+    """Read the requested configuration, and pass each part of the response to `put`."""
     import gc
 
     from scalefall.lang import files, load, render, sender
@@ -106,23 +119,25 @@
         loaded = load.load(*files.locate(request.path))
     except OSError as error:
         line = f"{request.path}: {error.strerror or error}"
-        put(Wrong(f"scalefall: {line}\n", [line], True))
+        put(ConfigurationErrors(f"scalefall: {line}\n", [line], True))
         return
     if not loaded.usable:
         put(
-            Wrong(
-                render.text(loaded.wrong, loaded.source()), [render.line(each) for each in loaded.wrong], loaded.fatal
+            ConfigurationErrors(
+                render.text(loaded.error_problems, loaded.source()),
+                [render.line(each) for each in loaded.error_problems],
+                loaded.fatal,
             )
         )
         return
     config = replace(sender.config(loaded.site, request.state, request.seed), **request.flags)
-    left = sender.cannot_change(request.fixed, loaded.site) if request.fixed else []
-    bare = replace(
-        config, known=ListUpdate(1, True, []), fleet=Fleet([], config.fleet.routes), needs_restart=tuple(left)
+    needs_restart = sender.changes_needing_restart(request.restart_only, loaded.site) if request.restart_only else []
+    without_endpoints = replace(
+        config, known=ListUpdate(1, True, []), fleet=Fleet([], config.fleet.routes), needs_restart=tuple(needs_restart)
     )
-    put(Read(bare, sender.fixed(loaded.site), sender.notes(config, loaded.site)))
-    for at in range(0, len(config.fleet.entries), PIECE):
-        put(config.fleet.entries[at : at + PIECE])
+    put(ReadResult(without_endpoints, sender.restart_only(loaded.site), sender.start_warnings(config, loaded.site)))
+    for offset in range(0, len(config.fleet.entries), ENDPOINTS_PER_CHUNK):
+        put(config.fleet.entries[offset : offset + ENDPOINTS_PER_CHUNK])
 
 
 def main() -> None:
@@ -130,11 +145,11 @@
         data = pickle.dumps(part, pickle.HIGHEST_PROTOCOL)
         sys.stdout.buffer.write(len(data).to_bytes(8, "big") + data)
 
-    answer(pickle.load(sys.stdin.buffer), put)
+    respond(pickle.load(sys.stdin.buffer), put)
     sys.stdout.buffer.flush()
 
 
 if __name__ == "__main__":
-    from scalefall.cli import reader  # under its own name, so that both sides mean the same classes
+    from scalefall.cli import reader  # imported by its own name, so that pickles name the same classes on both sides
 
     reader.main()
