--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -16,14 +16,14 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 from scalefall.control import audit
-from scalefall.lab.world import SECOND, Plan, World, returning
+from scalefall.lab.world import SECOND, Plan, World, world_with_outage
 
 RETURNS = {
     "whole": {},
-    "one proxy cut off over the return": {"cuts": ((0, 15 * SECOND, 30 * SECOND),)},
-    "cut off from before the outage to its end": {"cuts": ((1, 11 * SECOND, 20 * SECOND),)},
-    "control restarted at the return": {"restarts": ((21 * SECOND, 22 * SECOND),)},
-    "control restarted in the ramp": {"restarts": ((26 * SECOND, 27 * SECOND),)},
+    "one proxy cut off over the return": {"disconnections": ((0, 15 * SECOND, 30 * SECOND),)},
+    "cut off from before the outage to its end": {"disconnections": ((1, 11 * SECOND, 20 * SECOND),)},
+    "control restarted at the return": {"control_restarts": ((21 * SECOND, 22 * SECOND),)},
+    "control restarted in the ramp": {"control_restarts": ((26 * SECOND, 27 * SECOND),)},
 }
 
 
@@ -38,7 +38,7 @@
     number = fell = 0
     for seed, world in worlds:
         _, findings = judged(world)
-        number, fell = number + 1, fell + world.partner.fell
+        number, fell = number + 1, fell + world.destination.overload_failures
         for proxy in world.proxies:
             counts.update(proxy.counts)
         for found in findings:
@@ -57,7 +57,7 @@
 
 def ramp(seed):
     """The cold return, second by second: what was sent, and what the partner takes."""
-    world = returning(seed)
+    world = world_with_outage(seed)
     rows, _ = judged(world)
     sent = Counter(row.at // SECOND for row in rows if row.event == "took")
     takes = {row.at // SECOND: row.fields["a_second"] for row in rows if row.event == "capacity"}
@@ -77,7 +77,7 @@
     seeds = range(options.first, options.first + options.runs)
     broken = many("failing links", ((seed, World(Plan(seconds=options.seconds), seed)) for seed in seeds))
     for title, more in RETURNS.items():
-        broken += many(f"cold return, {title}", ((seed, returning(seed, **more)) for seed in list(seeds)[:20]))
+        broken += many(f"cold return, {title}", ((seed, world_with_outage(seed, **more)) for seed in list(seeds)[:20]))
     for choice in ("fallback", "stop", "floor"):
         plan = Plan(seconds=options.seconds, at_end=choice)
         broken_here = many(f"at the lease's end: {choice}", ((seed, World(plan, seed)) for seed in list(seeds)[:50]))
--- a/scalefall/lab/classes.py
+++ b/scalefall/lab/classes.py
@@ -7,23 +7,23 @@
 from scalefall.policy.settings import Idempotency, MessageClass
 
 SECOND = 1_000_000
-REPEAT = {Idempotency.NOT_IDEMPOTENT: "never", Idempotency.WITH_KEY: "keyed", Idempotency.IDEMPOTENT: "freely"}
-EFFECT = {word: effect for effect, word in REPEAT.items()}
-WINDOW_S = 6  # for which a partner knows a repeat, where the word does not say
+REPEAT_WORDS = {Idempotency.NOT_IDEMPOTENT: "never", Idempotency.WITH_KEY: "keyed", Idempotency.IDEMPOTENT: "freely"}
+IDEMPOTENCY_BY_WORD = {word: effect for effect, word in REPEAT_WORDS.items()}
+DEFAULT_KEY_TTL_S = 6  # for which a partner knows a repeat, where the word does not say
 
 
 def read_class(word: str) -> MessageClass:
     """A ValueError, which argparse tells, for what is no such word."""
     name, _, rest = word.partition("=")
     repeat, _, window = rest.partition(":")
-    if not name or repeat not in EFFECT:
+    if not name or repeat not in IDEMPOTENCY_BY_WORD:
         raise ValueError(word)
-    effect = EFFECT[repeat]
-    span = int(float(window or WINDOW_S) * SECOND) if effect is Idempotency.WITH_KEY else 0
+    effect = IDEMPOTENCY_BY_WORD[repeat]
+    span = int(float(window or DEFAULT_KEY_TTL_S) * SECOND) if effect is Idempotency.WITH_KEY else 0
     return MessageClass(name, 3 * SECOND, 24 * SECOND, 1.0, 0.3, effect, False, span, False)
 
 
-ANY = {cls.name: cls for cls in map(read_class, ("once=never", "keyed=keyed", "often=freely"))}
+DEFAULT_CLASSES = {cls.name: cls for cls in map(read_class, ("once=never", "keyed=keyed", "often=freely"))}
 
 
 def add_classes(parser: argparse.ArgumentParser) -> None:
@@ -38,4 +38,4 @@
 
 
 def classes_of(options: argparse.Namespace) -> dict[str, MessageClass]:
-    return {cls.name: cls for cls in options.classes} if options.classes else ANY
+    return {cls.name: cls for cls in options.classes} if options.classes else DEFAULT_CLASSES
--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from scalefall.lab.classes import ANY
+from scalefall.lab.classes import DEFAULT_CLASSES
 from scalefall.lab.world import settings as world_settings
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.list_stream import Entry
@@ -15,11 +15,11 @@
 DOWN_FIRST = 2  # and it is not the one that Zipf traffic has the most of
 ZONE, KIND, PORT = "a", "one", 80
 ATTEMPTS, MOST_WAIT_US = 6, 2_000_000
-RULES = RouteRules(frozenset(ANY), ATTEMPTS, MOST_WAIT_US)
+RULES = RouteRules(frozenset(DEFAULT_CLASSES), ATTEMPTS, MOST_WAIT_US)
 
 
 def settings() -> Settings:
-    return world_settings(ANY)
+    return world_settings(DEFAULT_CLASSES)
 
 
 def is_down(destination: int) -> bool:
--- a/scalefall/lab/partner/__main__.py
+++ b/scalefall/lab/partner/__main__.py
@@ -12,8 +12,8 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-from scalefall.lab.classes import REPEAT, add_classes, classes_of
-from scalefall.lab.partner.model import SECOND, Partner, Shape
+from scalefall.lab.classes import REPEAT_WORDS, add_classes, classes_of
+from scalefall.lab.partner.model import SECOND, DestinationModel, DestinationProfile
 from scalefall.policy.events import Outcome
 
 LOOK_S = 0.1
@@ -33,8 +33,8 @@
     away = tuple(
         (int(float(a) * SECOND), int(float(b) * SECOND)) for a, _, b in (span.partition("-") for span in options.away)
     )
-    shape = Shape(options.limit, away=away, resets=options.resets)
-    partner, lock, began = Partner(shape, options.seed), threading.Lock(), time.monotonic_ns()
+    shape = DestinationProfile(options.limit, outages=away, reset_ratio=options.resets)
+    partner, lock, began = DestinationModel(shape, options.seed), threading.Lock(), time.monotonic_ns()
 
     def now() -> int:
         return (time.monotonic_ns() - began) // 1000
@@ -58,20 +58,20 @@
             name, cls = self.headers.get("X-Request-Id", ""), self.path.strip("/").partition("/")[0]
             with lock:
                 say("took", id=name)
-                before, fell = partner.effects[name], partner.fell
+                before, fell = partner.effects[name], partner.overload_failures
                 answer = partner.call(name, now())
-                if partner.fell > fell:
+                if partner.overload_failures > fell:
                     say("fell")
                 if partner.effects[name] > before:
-                    say("effect", id=name, repeat=REPEAT[classes[cls].idempotency] if cls in classes else "never")
-            time.sleep(answer.after_us / SECOND)
+                    say("effect", id=name, repeat=REPEAT_WORDS[classes[cls].idempotency] if cls in classes else "never")
+            time.sleep(answer.delay_us / SECOND)
             if answer.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
                 self.close_connection = True
                 return
             self.send_response(429 if answer.outcome is Outcome.OVERLOADED else 200)
-            if answer.wait_us:
-                self.send_header("Retry-After", f"{answer.wait_us / SECOND:.3f}")
-            self.send_header("X-Load", json.dumps(answer.report))
+            if answer.retry_after_us:
+                self.send_header("Retry-After", f"{answer.retry_after_us / SECOND:.3f}")
+            self.send_header("X-Load", json.dumps(answer.load_report))
             self.send_header("Content-Length", "0")
             self.end_headers()
 
@@ -93,7 +93,7 @@
     while True:
         time.sleep(LOOK_S)
         with lock:
-            gone, capacity, since = partner.away(now()), partner.capacity(now()), partner.cold_since
+            gone, capacity, since = partner.is_unavailable(now()), partner.capacity(now()), partner.slow_start_since
         if gone and server is not None:
             server.shutdown()
             server.server_close()
@@ -104,9 +104,9 @@
             say(
                 "capacity",
                 a_second=capacity,
-                cold=now() < since + shape.cold_us,
-                fall=shape.fall,
-                fall_ms=shape.fall_us // 1000,
+                cold=now() < since + shape.slow_start_us,
+                fall=shape.overload_multiple,
+                fall_ms=shape.overload_window_us // 1000,
                 since=time.time_ns() // 1000 - now() + since,
             )
 
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -22,8 +22,8 @@
 from scalefall.control.members import Joined
 from scalefall.control.service import ControlService, ResourceBuilder
 from scalefall.control.streams import Request, Response
-from scalefall.lab.classes import ANY, REPEAT
-from scalefall.lab.partner.model import Partner, Shape
+from scalefall.lab.classes import DEFAULT_CLASSES, REPEAT_WORDS
+from scalefall.lab.partner.model import DestinationModel, DestinationProfile
 from scalefall.lab.proxy.contract import ASK_US, ATTEMPTS, Contract, Fall, Refuse, Send, given_up, may_repeat
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.list_stream import Entry
@@ -46,18 +46,18 @@
     proxies: int = 3
     endpoints: int = 3
     load: float = 10.0  # messages a second at each proxy
-    shape: Shape = field(default_factory=lambda: Shape(30.0))
+    destination: DestinationProfile = field(default_factory=lambda: DestinationProfile(30.0))
     lease_us: int = 2 * SECOND
     delay_us: int = SECOND // 2
     ttl_us: int = 900 * MS
-    faults: float = 0.15  # link faults a second and proxy
-    drains: float = 0.3  # a second
-    cuts: tuple[tuple[int, int, int], ...] = ()  # proxy, from, to: silent
-    restarts: tuple[tuple[int, int], ...] = ()  # of control: from, to
+    link_fault_rate: float = 0.15  # link faults a second and proxy
+    drain_rate: float = 0.3  # a second
+    disconnections: tuple[tuple[int, int, int], ...] = ()  # proxy, from, to: silent
+    control_restarts: tuple[tuple[int, int], ...] = ()  # of control: from, to
     at_end: str = "fallback"
-    forget: bool = False  # a restart that forgets what the module knew, as a fault to be caught
-    mistakes: frozenset[str] = frozenset()  # that the proxies make, to be caught: see _Proxy
-    classes: dict[str, MessageClass] = field(default_factory=lambda: ANY)
+    loses_state: bool = False  # a restart that forgets what the module knew, as a fault to be caught
+    proxy_faults: frozenset[str] = frozenset()  # that the proxies make, to be caught: see _Proxy
+    classes: dict[str, MessageClass] = field(default_factory=lambda: DEFAULT_CLASSES)
 
 
 def settings(classes: dict[str, MessageClass]) -> Settings:
@@ -100,7 +100,7 @@
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan, self.random, self.now = plan, random.Random(seed), 0
         self.rows: list[dict[str, Any]] = []
-        self.partner = Partner(plan.shape, seed)
+        self.destination = DestinationModel(plan.destination, seed)
         self.states = {f"e{n}": EndpointStatus.READY for n in range(plan.endpoints)}
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._count = self.ids = 0
@@ -112,10 +112,10 @@
     def run(self) -> list[dict[str, Any]]:
         for proxy in self.proxies:
             proxy.start()
-        for start, end in self.plan.restarts:
-            self.at(start, self.control_dies)
-            self.at(end, self.control_returns)
-        for number, start, end in self.plan.cuts:
+        for start, end in self.plan.control_restarts:
+            self.at(start, self.stop_control)
+            self.at(end, self.restart_control)
+        for number, start, end in self.plan.disconnections:
             self.at(start, self.proxies[number].link.silence)
             self.at(end, self.proxies[number].link.heal)
         self._next_drain()
@@ -139,8 +139,8 @@
     # -- what the operator and the partner do
 
     def _next_drain(self) -> None:
-        if self.plan.drains:
-            self.after(self.random.expovariate(self.plan.drains) * SECOND, self._drain)
+        if self.plan.drain_rate:
+            self.after(self.random.expovariate(self.plan.drain_rate) * SECOND, self._drain)
 
     def _drain(self) -> None:
         """An endpoint drains, or is back; often a link fails within the same instants."""
@@ -150,39 +150,39 @@
         if ready and self.random.random() < 0.7:
             proxy = self.random.choice(self.proxies)
             self.after(self.random.choice([0, 0, 1, 20 * MS, 60 * MS]), proxy.link.fail)
-        self.after(self.random.choice([0, 1, 30 * MS]), self.tell_fleet)
+        self.after(self.random.choice([0, 1, 30 * MS]), self.configure_control)
         self._next_drain()
 
-    def tell_fleet(self) -> None:
+    def configure_control(self) -> None:
         if self.control is not None:
             self.control.configure()
 
     def _capacity(self) -> None:
-        shape, cold = self.plan.shape, self.partner.cold_since
+        shape, cold = self.plan.destination, self.destination.slow_start_since
         if cold >= 0:
             self.log(
                 "partner",
                 "capacity",
                 partner="p",
-                a_second=self.partner.capacity(self.now),
+                a_second=self.destination.capacity(self.now),
                 since=cold,
-                cold=self.now < cold + shape.cold_us,
-                fall=shape.fall,
-                fall_ms=shape.fall_us // 1000,
+                cold=self.now < cold + shape.slow_start_us,
+                fall=shape.overload_multiple,
+                fall_ms=shape.overload_window_us // 1000,
             )
         self.after(100 * MS, self._capacity)
 
     # -- control's life
 
-    def control_dies(self) -> None:
+    def stop_control(self) -> None:
         dead, self.control = self.control, None
         self._kept = dead.keep()
         for proxy in self.proxies:
             if proxy.link.state != "silent":
                 proxy.ended()
 
-    def control_returns(self) -> None:
-        self.control = _Control(self, self._kept[0], None if self.plan.forget else self._kept[1])
+    def restart_control(self) -> None:
+        self.control = _Control(self, self._kept[0], None if self.plan.loses_state else self._kept[1])
         self.control.configure()
 
 
@@ -308,8 +308,8 @@
         self._world.at(at, what)
 
     def next_fault(self) -> None:
-        if self._world.plan.faults:
-            self._world.after(self._world.random.expovariate(self._world.plan.faults) * SECOND, self._fault)
+        if self._world.plan.link_fault_rate:
+            self._world.after(self._world.random.expovariate(self._world.plan.link_fault_rate) * SECOND, self._fault)
 
     def _fault(self) -> None:
         self.fail()
@@ -363,8 +363,14 @@
 
 
 class _Proxy:
-    """mistakes: "late" (heartbeats prove what is answered only now, so lists are trusted too long), "unleased" (lists
-    are trusted for good), "deaf" (told waits bind nothing), "greedy" (grants don't end), "eager" (all is repeated)."""
+    """Follows the contract, except for the plan's proxy_faults:
+
+    lease_from_arrival      a heartbeat proves the acknowledgement that follows it, so lists are trusted too long
+    keeps_expired_lists     lists are trusted without end
+    ignores_retry_after     a Retry-After does not stop calls
+    keeps_expired_grants    grants do not expire
+    repeats_everything      every failed message is repeated
+    """
 
     def __init__(self, world: World, number: int) -> None:
         self._world, self.name = world, f"proxy-{number}"
@@ -426,15 +432,15 @@
         now, plan = self._world.now, self._world.plan
         if isinstance(action, Grant) and stream == self._quota:
             heard = self.heard.get((stream, action.destination), 0)
-            lease = 1 << 40 if "greedy" in plan.mistakes else action.lease_us
+            lease = 1 << 40 if "keeps_expired_grants" in plan.proxy_faults else action.lease_us
             self.contract.granted(action.destination, action.amount, action.number, heard, lease)
         elif isinstance(action, Response) and stream == self._ads:
-            if "late" in plan.mistakes:
+            if "lease_from_arrival" in plan.proxy_faults:
                 self.contract.answered(now)
             if action.is_heartbeat:
                 self.contract.beaten()
             for resource in action.resources if not action.is_heartbeat else ():
-                ttl = 1 << 40 if "unleased" in plan.mistakes else resource.ttl_us
+                ttl = 1 << 40 if "keeps_expired_lists" in plan.proxy_faults else resource.ttl_us
                 self.contract.listed(ROUTE, resource.body[0], resource.body[1], ttl, self._first)
                 self._first = False
             self.contract.answered(now)
@@ -462,15 +468,15 @@
             self.counts["sent"] += 1
             world.log(self.name, "sent", proxy=self.name, route=ROUTE, endpoint=chosen.endpoint, id=name)
             world.log("partner", "took", partner="p", id=name)
-            before, fell = world.partner.effects[name], world.partner.fell
-            answer = world.partner.call(name, now)
-            if world.partner.fell > fell:
+            before, fell = world.destination.effects[name], world.destination.overload_failures
+            answer = world.destination.call(name, now)
+            if world.destination.overload_failures > fell:
                 world.log("partner", "fell", partner="p")
-            if world.partner.effects[name] > before:
-                world.log("partner", "effect", id=name, repeat=REPEAT[cls.idempotency])
+            if world.destination.effects[name] > before:
+                world.log("partner", "effect", id=name, repeat=REPEAT_WORDS[cls.idempotency])
             first = now if first < 0 else first
             world.after(
-                answer.after_us, lambda: self._answered(name, cls, tries + 1, first, chosen.endpoint, now, answer)
+                answer.delay_us, lambda: self._answered(name, cls, tries + 1, first, chosen.endpoint, now, answer)
             )
         elif isinstance(chosen, Fall):
             self._end(name, "fallback")
@@ -481,9 +487,9 @@
         self, name: str, cls: MessageClass, tries: int, first: int, endpoint: str, sent: int, answer: Any
     ) -> None:
         world = self._world
-        self._reports.append(EndpointReport(endpoint, sent, answer.outcome, answer.wait_us, answer.report))
-        if answer.wait_us and "deaf" not in world.plan.mistakes:
-            self.contract.told_wait(ROUTE, world.now + answer.wait_us)
+        self._reports.append(EndpointReport(endpoint, sent, answer.outcome, answer.retry_after_us, answer.load_report))
+        if answer.retry_after_us and "ignores_retry_after" not in world.plan.proxy_faults:
+            self.contract.told_wait(ROUTE, world.now + answer.retry_after_us)
         world.log(
             self.name,
             "answered",
@@ -492,11 +498,11 @@
             endpoint=endpoint,
             id=name,
             outcome=answer.outcome.value,
-            wait_ms=answer.wait_us / 1000,
+            wait_ms=answer.retry_after_us / 1000,
         )
         if answer.outcome is Outcome.OK:
             self._end(name, "ok")
-        elif ("eager" in world.plan.mistakes and tries < ATTEMPTS) or may_repeat(
+        elif ("repeats_everything" in world.plan.proxy_faults and tries < ATTEMPTS) or may_repeat(
             cls, answer.outcome, first, world.now, tries
         ):
             world.after(world.random.uniform(25, 100) * MS, lambda: self._try(name, cls, tries, first))
@@ -508,7 +514,9 @@
         self._world.log(self.name, "ended", id=name, how=how, proxy=self.name)
 
 
-def returning(seed: int, **more: Any) -> World:
+def world_with_outage(seed: int, **more: Any) -> World:
     """A partner of 30 calls a second that is away from 12 s to 20 s and comes back cold, with all proxies waiting."""
-    shape = Shape(30.0, away=((12 * SECOND, 20 * SECOND),))
-    return World(replace(Plan(seconds=50, load=30.0, shape=shape, faults=0.0, drains=0.0), **more), seed)
+    shape = DestinationProfile(30.0, outages=((12 * SECOND, 20 * SECOND),))
+    return World(
+        replace(Plan(seconds=50, load=30.0, destination=shape, link_fault_rate=0.0, drain_rate=0.0), **more), seed
+    )
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -5,8 +5,8 @@
 import pytest
 
 from scalefall.control import audit
-from scalefall.lab.partner.model import Shape
-from scalefall.lab.world import SECOND, Plan, World, returning
+from scalefall.lab.partner.model import DestinationProfile
+from scalefall.lab.world import SECOND, Plan, World, world_with_outage
 
 
 def verdicts(world):
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("seed", [*range(8), 5116])  # 5116: the allowance decreases twice within one lease
 def test_every_rule_is_kept_while_links_fail_and_endpoints_drain(seed):
     """The rules on drains, grants, repeats and final answers are exercised in each run."""
-    findings = verdicts(World(Plan(shape=Shape(30.0, resets=0.1)), seed))
+    findings = verdicts(World(Plan(destination=DestinationProfile(30.0, reset_ratio=0.1)), seed))
     assert not broken(findings)
     assert all(findings[rule].checked for rule in ("drain", "grants", "twice", "answer"))
 
@@ -33,31 +33,39 @@
     "changes",
     [
         {},
-        {"cuts": ((0, 15 * SECOND, 30 * SECOND),)},
-        {"restarts": ((21 * SECOND, 22 * SECOND),)},
-        {"restarts": ((26 * SECOND, 27 * SECOND),)},
+        {"disconnections": ((0, 15 * SECOND, 30 * SECOND),)},
+        {"control_restarts": ((21 * SECOND, 22 * SECOND),)},
+        {"control_restarts": ((26 * SECOND, 27 * SECOND),)},
     ],
     ids=["undisturbed", "proxy disconnected", "restart", "restart in slow start"],
 )
 def test_a_destination_that_returns_cold_is_not_overloaded_and_is_used_again(changes):
     """Also with a proxy disconnected, and with control restarted at the return or during the slow start."""
-    world = returning(1, **changes)
+    world = world_with_outage(1, **changes)
     findings = verdicts(world)
     assert not broken(findings)
     assert findings["fall"].checked > 50
-    assert not world.partner.fell
+    assert not world.destination.overload_failures
     assert sum(row["event"] == "took" and row["at"] > 40 * SECOND for row in world.rows) > 50
 
 
-DISCONNECTION = {"cuts": ((0, 5 * SECOND, 29 * SECOND),), "faults": 0.0}
+DISCONNECTION = {"disconnections": ((0, 5 * SECOND, 29 * SECOND),), "link_fault_rate": 0.0}
 
 
 @pytest.mark.parametrize(
     ("rule", "plan"),
     [
-        ("drain", Plan(mistakes=frozenset({"unleased", "greedy"}), drains=1.0, **DISCONNECTION)),
-        ("wait", Plan(mistakes=frozenset({"deaf"}), load=40.0, shape=Shape(8.0))),
-        ("twice", Plan(mistakes=frozenset({"eager"}), shape=Shape(30.0, resets=0.3))),
+        (
+            "drain",
+            Plan(
+                proxy_faults=frozenset({"keeps_expired_lists", "keeps_expired_grants"}), drain_rate=1.0, **DISCONNECTION
+            ),
+        ),
+        ("wait", Plan(proxy_faults=frozenset({"ignores_retry_after"}), load=40.0, destination=DestinationProfile(8.0))),
+        (
+            "twice",
+            Plan(proxy_faults=frozenset({"repeats_everything"}), destination=DestinationProfile(30.0, reset_ratio=0.3)),
+        ),
     ],
 )
 def test_a_faulty_proxy_breaks_the_rule_that_covers_its_fault(rule, plan):
@@ -68,7 +76,10 @@
 def test_a_lease_that_counts_from_the_arrival_breaks_the_drain_rule_on_slow_links():
     """A lease therefore counts from the last answer that control has proved to have received."""
     findings = [
-        verdicts(World(Plan(mistakes=frozenset({"late"}), drains=1.0, faults=0.5), seed))["drain"] for seed in range(20)
+        verdicts(
+            World(Plan(proxy_faults=frozenset({"lease_from_arrival"}), drain_rate=1.0, link_fault_rate=0.5), seed)
+        )["drain"]
+        for seed in range(20)
     ]
     assert any(finding.violations for finding in findings)
 
@@ -76,10 +87,10 @@
 def test_proxies_whose_grants_do_not_expire_overload_a_destination_that_returns_cold():
     """Grants are therefore leases: a disconnected proxy has to stop by itself."""
     changes = {
-        "mistakes": frozenset({"greedy", "unleased", "deaf"}),
-        "cuts": ((0, 10 * SECOND, 45 * SECOND), (1, 10 * SECOND, 45 * SECOND)),
+        "proxy_faults": frozenset({"keeps_expired_grants", "keeps_expired_lists", "ignores_retry_after"}),
+        "disconnections": ((0, 10 * SECOND, 45 * SECOND), (1, 10 * SECOND, 45 * SECOND)),
     }
-    assert any(verdicts(returning(seed, **changes))["fall"].violations for seed in range(5))
+    assert any(verdicts(world_with_outage(seed, **changes))["fall"].violations for seed in range(5))
 
 
 BROKEN_ROWS = {  # for each rule, rows that just break it
--- a/tests/stored_data/write.py
+++ b/tests/stored_data/write.py
@@ -17,8 +17,8 @@
 sys.path[:0] = [str(ROOT), str(HERE), str(ROOT / "tests"), str(ROOT / "tests" / "transport")]
 
 import mapping  # noqa: E402
-from scalefall.lab.partner.model import Shape  # noqa: E402
-from scalefall.lab.world import SECOND, Plan, World, returning  # noqa: E402
+from scalefall.lab.partner.model import DestinationProfile  # noqa: E402
+from scalefall.lab.world import SECOND, Plan, World, world_with_outage  # noqa: E402
 
 WALL_US = 1_800_000_000_000_000
 LOGS = {  # name: the logs that one audit reads together
@@ -187,16 +187,24 @@
     def lines(name, rows):
         (to / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
 
-    world = list(World(Plan(seconds=12, load=2.0, shape=Shape(30.0, resets=0.1)), 1).run())
+    world = list(World(Plan(seconds=12, load=2.0, destination=DestinationProfile(30.0, reset_ratio=0.1)), 1).run())
     lines("world.jsonl", world)
-    crowded = Plan(seconds=8, load=3.0, shape=Shape(3.0))
+    crowded = Plan(seconds=8, load=3.0, destination=DestinationProfile(3.0))
     lines("crowded.jsonl", World(crowded, 1).run())
-    cold = [row for row in returning(1).run() if row["event"] in ("took", "capacity", "fell")]
+    cold = [row for row in world_with_outage(1).run() if row["event"] in ("took", "capacity", "fell")]
     cold = [row for row in cold if 20 * SECOND < row["at"] < 28 * SECOND]
     lines("cold_start.jsonl", cold)
-    mistakes = frozenset({"unleased", "greedy", "deaf", "eager"})
+    mistakes = frozenset({"keeps_expired_lists", "keeps_expired_grants", "ignores_retry_after", "repeats_everything"})
     cuts = ((0, 2 * SECOND, 11 * SECOND),)
-    plan = Plan(seconds=12, load=3.0, shape=Shape(3.0), mistakes=mistakes, drains=1.0, faults=0.0, cuts=cuts)
+    plan = Plan(
+        seconds=12,
+        load=3.0,
+        destination=DestinationProfile(3.0),
+        proxy_faults=mistakes,
+        drain_rate=1.0,
+        link_fault_rate=0.0,
+        disconnections=cuts,
+    )
     lines("mistakes.jsonl", World(plan, 0).run())
     lines("altered.jsonl", altered(world) + cold + [{"event": "fell", "partner": "p", "at": 28 * SECOND}])
     (to / "foreign.txt").write_text('Traceback\n\n[1]\n{"at": 1}\n')
