--- a/benchmarks/scaling/calibrate.py
+++ b/benchmarks/scaling/calibrate.py
@@ -222,7 +222,7 @@
         control.configure(site(number + 1).fleet)
     clock.run_until(opened + schedule.end)
     outcomes = sender.outcomes
-    fallen = outcomes.fallen / max(1, outcomes.sent + outcomes.refused + outcomes.fallen)
+    fallen = outcomes.fell_back / max(1, outcomes.sent + outcomes.refused + outcomes.fell_back)
     return Side(meter.table(), deep_size(sender.contract), fallen)
 
 
--- a/benchmarks/scaling/divided.py
+++ b/benchmarks/scaling/divided.py
@@ -28,9 +28,9 @@
 from scalefall.assignment.assembly import AssignmentSettings
 from scalefall.lab.hollow import configuration
 from scalefall.lab.hollow.control import ControlOptions
-from scalefall.lab.hollow.fleet import START_US, FleetPlan
+from scalefall.lab.hollow.fleet import RESTART_DELAY_US, FleetPlan
 from scalefall.lab.sizes import deep_size
-from scalefall.lab.hollow.sharded import Division, ShardedFleet, sharded_fleet
+from scalefall.lab.hollow.sharded import ShardedFleet, ShardingPlan, sharded_fleet
 
 SECOND = 1_000_000
 SEED = 20
@@ -111,11 +111,11 @@
             size.senders,
             lambda _number: [],
             is_down=configuration.is_down,
-            options=ControlOptions(report_us=REPORT_US, with_fixed=False, most_reported=1),
+            options=ControlOptions(report_us=REPORT_US, with_static_resources=False, max_reported_calls=1),
             timer=time.process_time_ns,
         )
         self._demand: Demand | None = None
-        division = Division(self.assignment, lambda shares, span: self._demand.counts(shares, span))
+        division = ShardingPlan(self.assignment, lambda shares, span: self._demand.counts(shares, span))
         self.fleet: ShardedFleet = sharded_fleet(plan, division, SEED)
         self._demand = Demand(self.fleet.clock, size.destinations, exponent, RATE * size.senders, SEED)
         self._sizes: tuple[int, dict[int, int]] = (-1, {})
@@ -239,7 +239,7 @@
 
     failures["zone"] = play.play(1, zone, AFTER_US, 0)
 
-    failures["control restarted"] = play.play(1, lambda _: fleet.restart_control(START_US), AFTER_US, 0)
+    failures["control restarted"] = play.play(1, lambda _: fleet.restart_control(RESTART_DELAY_US), AFTER_US, 0)
     result.process_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     result.steps_s = time.monotonic() - real
     return result
--- a/benchmarks/scaling/failures.py
+++ b/benchmarks/scaling/failures.py
@@ -151,7 +151,7 @@
 
 
 def _unsent(fleet: Fleet) -> int:
-    return sum(outcomes.refused + outcomes.fallen for outcomes in fleet.outcomes)
+    return sum(outcomes.refused + outcomes.fell_back for outcomes in fleet.outcomes)
 
 
 def _resource_bytes(fleet: Fleet) -> int:
--- a/benchmarks/scaling/reckoning.py
+++ b/benchmarks/scaling/reckoning.py
@@ -15,7 +15,7 @@
 from scalefall.control.transport.stream_reader import BYTES_PER_REQUEST, REQUEST_RATE
 from scalefall.control.service import UNSETTLED_STEP_US
 from scalefall.control.streams import MAX_NAMES
-from scalefall.lab.proxy.contract import ASK_US, SECOND
+from scalefall.lab.proxy.contract import SECOND, USAGE_REPORT_INTERVAL_US
 
 NS = 1e9
 TURN_S = UNSETTLED_STEP_US / 1e6  # between turns while something is down, as something always is at this size
@@ -118,7 +118,7 @@
 
 def _report_cost(size: float) -> float:
     """What reports of so many bytes a second count as, in requests a second that one stream may make."""
-    reports = SECOND / ASK_US
+    reports = SECOND / USAGE_REPORT_INTERVAL_US
     return reports * (1 + size / reports // BYTES_PER_REQUEST)
 
 
--- a/benchmarks/scaling/sample.py
+++ b/benchmarks/scaling/sample.py
@@ -98,4 +98,4 @@
 def _outcomes(fleet: Fleet) -> tuple[int, int]:
     """Messages that went out, and that did not."""
     sent = sum(each.sent for each in fleet.outcomes)
-    return sent, sum(each.refused + each.fallen for each in fleet.outcomes)
+    return sent, sum(each.refused + each.fell_back for each in fleet.outcomes)
--- a/benchmarks/scaling/touched.py
+++ b/benchmarks/scaling/touched.py
@@ -7,7 +7,7 @@
 from benchmarks.scaling.target import DESTINATIONS, EVENTS_A_SENDER, USED_S
 from scalefall.lab.hollow.clock import SECOND
 from scalefall.lab.hollow.control import ControlOptions
-from scalefall.lab.hollow.traffic import AliasTable, clumped, distinct, independent, zipf_weights
+from scalefall.lab.hollow.traffic import AliasTable, bursty, distinct, independent, zipf_weights
 
 SEED = 20
 EXPONENTS = {"uniform": 0.0, "Zipf 0.8": 0.8, "Zipf 1.1": 1.1}
@@ -25,7 +25,7 @@
             for word, span in SPANS.items()
         }
         found[f"{name}, clumped"] = {
-            word: distinct(clumped(table, EVENTS_A_SENDER, random.Random(SEED), CLUMP, CLUMP_US), span)
+            word: distinct(bursty(table, EVENTS_A_SENDER, random.Random(SEED), CLUMP, CLUMP_US), span)
             for word, span in SPANS.items()
         }
     return found
--- a/benchmarks/scaling/watch.py
+++ b/benchmarks/scaling/watch.py
@@ -58,7 +58,7 @@
     now = fleet.clock.now
     held: set[int] = set()
     for sender in fleet.senders:
-        if not sender.is_over:
+        if not sender.has_ended:
             held |= sender.contract.holder.leased_shards(now)
     return held
 
--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -12,10 +12,10 @@
 from scalefall.policy.settings import Settings
 
 DOWN_EVERY = 91  # one destination of so many is down: 1.1%
-DOWN_FIRST = 2  # and it is not the one that Zipf traffic has the most of
-ZONE, KIND, PORT = "a", "one", 80
-ATTEMPTS, MOST_WAIT_US = 6, 2_000_000
-RULES = RouteRules(frozenset(DEFAULT_CLASSES), ATTEMPTS, MOST_WAIT_US)
+DOWN_REMAINDER = 2  # and it is not the one that Zipf traffic has the most of
+ZONE, ENDPOINT_KIND, ENDPOINT_PORT = "a", "one", 80
+MAX_ATTEMPTS, MAX_RETRY_AFTER_US = 6, 2_000_000
+RULES = RouteRules(frozenset(DEFAULT_CLASSES), MAX_ATTEMPTS, MAX_RETRY_AFTER_US)
 
 
 def settings() -> Settings:
@@ -23,11 +23,11 @@
 
 
 def is_down(destination: int) -> bool:
-    return destination % DOWN_EVERY == DOWN_FIRST
+    return destination % DOWN_EVERY == DOWN_REMAINDER
 
 
 def entry(destination: int, status: EndpointStatus = EndpointStatus.READY) -> Entry:
-    endpoint = Endpoint(endpoint_id(destination), ZONE, KIND, destination, status, 0.0)
+    endpoint = Endpoint(endpoint_id(destination), ZONE, ENDPOINT_KIND, destination, status, 0.0)
     return Entry(endpoint, address(destination))
 
 
@@ -37,7 +37,7 @@
 
 def address(destination: int) -> tuple[str, int]:
     """Another one for each destination below 2 ** 24."""
-    return f"10.{destination >> 16 & 255}.{destination >> 8 & 255}.{destination & 255}", PORT
+    return f"10.{destination >> 16 & 255}.{destination >> 8 & 255}.{destination & 255}", ENDPOINT_PORT
 
 
 def configuration(destinations: int, drained: Collection[int] = ()) -> Fleet:
--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -28,7 +28,7 @@
 from scalefall.policy.actions import RouteAllowance
 from scalefall.policy.settings import Settings
 
-TIMER_LATE_US = 500  # by which an event loop's timer comes late: epoll waits in whole milliseconds, rounded up
+TIMER_DELAY_US = 500  # by which an event loop's timer comes late: epoll waits in whole milliseconds, rounded up
 
 Send = Callable[[Kind, bytes], None]
 
@@ -41,9 +41,9 @@
     delay_us: int = 500_000
     endpoint_lease_us: int = 900_000
     report_us: int = 1_000_000
-    divided: bool = False  # destinations among senders: the factory makes a ShardedService
-    with_fixed: bool = True  # listeners, routes and clusters are built too
-    most_reported: int = (
+    sharded: bool = False  # destinations among senders: the factory makes a ShardedService
+    with_static_resources: bool = True  # listeners, routes and clusters are built too
+    max_reported_calls: int = (
         reports.MAX_REPORTED_CALLS
     )  # calls of one endpoint and report that the module is told one by one
 
@@ -110,16 +110,16 @@
 
         def endpoints(number: int, rows: list, allowed: list[RouteAllowance], now: int) -> object:
             return resources.endpoint_resource(
-                number, rows, allowed, now, 0 if options.divided else options.endpoint_lease_us
+                number, rows, allowed, now, 0 if options.sharded else options.endpoint_lease_us
             )
 
         def fixed(rows: RouteEntries, routes: dict[int, RouteRules]) -> list:
-            made = resources.static_resources(rows, routes, settings) if options.with_fixed else []
-            return [*made, resources.lease_resource(options.endpoint_lease_us)] if options.divided else made
+            made = resources.static_resources(rows, routes, settings) if options.with_static_resources else []
+            return [*made, resources.lease_resource(options.endpoint_lease_us)] if options.sharded else made
 
         self.service = factory(clock.now, settings, ResourceBuilder(fixed, endpoints), options)
-        self._quotas: Quotas = ShardQuotas(self.service) if options.divided else RouteQuotas(self.service)
-        if options.divided:
+        self._quotas: Quotas = ShardQuotas(self.service) if options.sharded else RouteQuotas(self.service)
+        if options.sharded:
             self.service.become_leader(clock.now, first_grant, snapshot)
         else:
             self.service.ledger.resume(first_grant)
@@ -127,7 +127,7 @@
 
     def configure(self, fleet: Fleet) -> None:
         self.stopwatch.start()
-        self._index = reports.LoadReportIndex(fleet.entries, self._options.most_reported)
+        self._index = reports.LoadReportIndex(fleet.entries, self._options.max_reported_calls)
         self._send(self.service.configure(fleet, self._clock.now))
         self._plan()
         self.stopwatch.stop()
@@ -161,7 +161,7 @@
         cost = 1 + len(data) // (BYTES_PER_REPEATED_REQUEST if self._repeats(peer) else BYTES_PER_REQUEST)
         peer.ready_at = max(peer.ready_at, self._clock.now + peer.pace.consume(self._clock.now, cost))
 
-    def closed(self, number: int) -> None:
+    def stream_closed(self, number: int) -> None:
         """The sender's end is gone."""
         if self._peers.pop(number, None) is not None:
             self.stopwatch.start()
@@ -223,7 +223,7 @@
             answer.load_reporting_interval.FromMicroseconds(self._options.report_us)
             peer.send(Kind.LOADS, answer.SerializeToString())
         now = self._clock.now
-        if self._options.divided:
+        if self._options.sharded:
             self.service.calls_counted(self._index.loads(message.cluster_stats))
         calls = list(self._index.events(message.cluster_stats, now))
         if calls:
@@ -238,7 +238,7 @@
                 return
             self._timer.cancel()
         self._armed = at
-        self._timer = self._clock.at(at + TIMER_LATE_US, self._step)
+        self._timer = self._clock.at(at + TIMER_DELAY_US, self._step)
 
     def _step(self) -> None:
         self._timer = None
--- a/scalefall/lab/hollow/fleet.py
+++ b/scalefall/lab/hollow/fleet.py
@@ -19,9 +19,9 @@
 from scalefall.net.config import Fleet as Configuration
 from scalefall.policy.settings import Settings
 
-REGIONS, ZONES = 2, 4  # zones of each region
-MACHINE, RACK = 2, 10  # senders of a machine, of a rack
-START_US = 500_000  # from a process's end to the next one's first word
+REGIONS, ZONES_PER_REGION = 2, 4  # zones of each region
+SENDERS_PER_MACHINE, SENDERS_PER_RACK = 2, 10  # senders of a machine, of a rack
+RESTART_DELAY_US = 500_000  # from a process's end to the next one's first word
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,11 +34,18 @@
 
 def places(count: int) -> list[Place]:
     """Zones are filled evenly; within one, machines and racks in order."""
-    zones = REGIONS * ZONES
+    zones = REGIONS * ZONES_PER_REGION
     rows = []
     for number in range(count):
         zone, within = number % zones, number // zones
-        rows.append(Place(zone // ZONES, zone, zone + zones * (within // RACK), zone + zones * (within // MACHINE)))
+        rows.append(
+            Place(
+                zone // ZONES_PER_REGION,
+                zone,
+                zone + zones * (within // SENDERS_PER_RACK),
+                zone + zones * (within // SENDERS_PER_MACHINE),
+            )
+        )
     return rows
 
 
@@ -94,12 +101,12 @@
     def restart(self, number: int) -> None:
         """The process ends and another one takes its node id."""
         self.senders[number].end(silently=False)
-        self._start_later(number, self.senders[number].node, START_US)
+        self._start_later(number, self.senders[number].node, RESTART_DELAY_US)
 
     def replace(self, number: int) -> None:
         """The process ends and another one comes under a new node id."""
         self.senders[number].end(silently=False)
-        self._start_later(number, f"n{number}-{self._instances[number]}", START_US)
+        self._start_later(number, f"n{number}-{self._instances[number]}", RESTART_DELAY_US)
 
     def lose(self, numbers: Iterable[int], return_us: int) -> None:
         """Machines, a rack or a zone are gone without a word; new processes start return_us later."""
--- a/scalefall/lab/hollow/grants.py
+++ b/scalefall/lab/hollow/grants.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from scalefall.lab.proxy import messages
-from scalefall.lab.proxy.contract import ASK_US, Contract
+from scalefall.lab.proxy.contract import USAGE_REPORT_INTERVAL_US, Contract
 
 
 class DestinationGrants:
-    interval_us = ASK_US  # between reports
+    interval_us = USAGE_REPORT_INTERVAL_US  # between reports
 
     def __init__(self, node: str, contract: Contract) -> None:
         self._node, self._contract = node, contract
@@ -19,10 +19,10 @@
 
     def report(self, now: int) -> bytes:
         """The next report of use, serialized."""
-        return messages.usage_report(self._node, self._contract.usage(now)).SerializeToString()
+        return messages.usage_report(self._node, self._contract.usage_rows(now)).SerializeToString()
 
     def receive(self, data: bytes, now: int) -> None:
         """A message of the quota stream."""
         for given in messages.received_grants(messages.QuotaResponse.FromString(data)):
             self.received += 1
-            self._contract.granted(given.route, given.amount, given.number, given.heard, given.lease_us)
+            self._contract.grant_received(given.route, given.amount, given.number, given.last_report, given.lease_us)
--- a/scalefall/lab/hollow/link.py
+++ b/scalefall/lab/hollow/link.py
@@ -16,7 +16,7 @@
 from scalefall.lab.proxy.meter import Direction, Kind, Meter
 
 KEEPALIVE_US = 15_000_000  # keepalive time and timeout of control/transport/server.py and lab/proxy/__main__.py
-LEAST_DELAY_US, MOST_DELAY_US = 200, 3_000  # of one message, as in lab/world.py
+MIN_DELAY_US, MAX_DELAY_US = 200, 3_000  # of one message, as in lab/world.py
 
 Deliver = Callable[[bytes], None]
 
@@ -86,7 +86,7 @@
             meter.add(message.direction, message.kind, len(message.data))
 
     def _send(self, message: _Message) -> None:
-        delay = self._random.randint(LEAST_DELAY_US, MOST_DELAY_US)
+        delay = self._random.randint(MIN_DELAY_US, MAX_DELAY_US)
         at = self._last[message.direction] = max(self._last[message.direction], self._clock.now + delay)
         epoch = self._epoch
         self._clock.at(at, lambda: self._arrive(epoch, message))
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -19,11 +19,14 @@
 from scalefall.lab.hollow.link import Link
 from scalefall.lab.hollow.stopwatch import Stopwatch
 from scalefall.lab.proxy import messages
-from scalefall.lab.proxy.contract import Contract, Fall, Send
+from scalefall.lab.proxy.contract import Contract, Fallback, Send
 from scalefall.lab.proxy.meter import Direction, Kind
 from scalefall.policy.events import Outcome
 
-AGAIN_US, AGAIN_SPREAD_US = 300_000, 700_000  # until a stream is opened anew: the stand-in's pause and its backoff
+RECONNECT_DELAY_US, RECONNECT_JITTER_US = (
+    300_000,
+    700_000,
+)  # until a stream is opened anew: the stand-in's pause and its backoff
 
 Traffic = Iterator[tuple[int, int]]  # (us since the event before, destination)
 
@@ -34,7 +37,7 @@
 
     sent: int = 0
     refused: int = 0
-    fallen: int = 0  # handed to the sender's own way of sending
+    fell_back: int = 0  # handed to the sender's own way of sending
 
 
 class HollowSender:
@@ -82,11 +85,11 @@
         self._link.on_reset = self._close_streams  # control's keepalive ends
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """The process is gone."""
         return self._ended
 
-    def closed(self) -> None:
+    def stream_closed(self) -> None:
         """Control has ended a stream, or is gone."""
         if not self._ended:
             self._reset()
@@ -101,11 +104,11 @@
     def _close_streams(self) -> None:
         streams, self._streams = self._streams, []
         for control, number in streams:
-            control.closed(number)
+            control.stream_closed(number)
 
     def _again(self) -> None:
         session = self._session
-        pause = AGAIN_US + self._random.randint(0, AGAIN_SPREAD_US)
+        pause = RECONNECT_DELAY_US + self._random.randint(0, RECONNECT_JITTER_US)
         self._clock.after(pause, lambda: self._connect() if session == self._session else None)
 
     def _connect(self) -> None:
@@ -115,7 +118,7 @@
             return
         self._session += 1
         self._first = set(self._routes)
-        self.contract.opened(self._clock.now)
+        self.contract.stream_opened(self._clock.now)
         self._stopwatch.start()
         subscription = messages.subscription(self.node, self._names())
         self._stopwatch.stop()
@@ -123,7 +126,7 @@
         send(Kind.RESOURCES, subscription.SerializeToString())
         self._report_use(self._open(control, StreamKind.QUOTA, self._on_grants))
         self._loads = self._open(control, StreamKind.LOADS, self._on_loads)
-        self._loads(Kind.LOADS, messages.load_introduction(self.node).SerializeToString())
+        self._loads(Kind.LOADS, messages.initial_load_request(self.node).SerializeToString())
 
     def _opening(self, kind: StreamKind) -> Opening:
         return Opening(kind, self.node, self.instance)
@@ -147,7 +150,7 @@
         def down(kind: Kind, data: bytes) -> None:
             self._link.carry(Direction.DOWN, kind, data, deliver)
 
-        number = control.accept(self._opening(kind), down, self.closed)
+        number = control.accept(self._opening(kind), down, self.stream_closed)
         self._streams.append((control, number))
 
         def up(kind: Kind, data: bytes) -> None:
@@ -163,13 +166,13 @@
         for row in response.resources:
             listed = messages.endpoint_states(row)
             if listed is None:
-                self.contract.beaten()
+                self.contract.heartbeat_received()
                 continue
             route = resources.destination_of(row.name)
-            self.contract.listed(route, listed.states, listed.blocked, listed.ttl_us, route in self._first)
+            self.contract.list_received(route, listed.states, listed.blocked, listed.ttl_us, route in self._first)
             self._first.discard(route)
             self.last_change = self._clock.now
-        self.contract.answered(self._clock.now)
+        self.contract.acknowledged(self._clock.now)
         self._acknowledge(kind, messages.acknowledgement(response).SerializeToString())
 
     def _on_grants(self, data: bytes) -> None:
@@ -226,8 +229,8 @@
             outcome = Outcome.CONNECT_FAILED if self._is_down(destination) else Outcome.OK
             self._calls[destination, chosen.endpoint].append(messages.Call(outcome, now))
             self.outcomes.sent += 1
-        elif isinstance(chosen, Fall):
-            self.outcomes.fallen += 1
+        elif isinstance(chosen, Fallback):
+            self.outcomes.fell_back += 1
         else:
             self.outcomes.refused += 1
         self._plan_message()
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -24,13 +24,13 @@
 from scalefall.policy.events import Outcome
 from scalefall.policy.settings import Settings
 
-REPORT_US = 500_000  # between reports of use: four in a lease of 2 s
-ALL = "*"  # every list that this node is to have
+SHARD_REPORT_INTERVAL_US = 500_000  # between reports of use: four in a lease of 2 s
+ALL_LISTS = "*"  # every list that this node is to have
 
-Counts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # share of each destination, span in us -> calls
+CallCounts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # share of each destination, span in us -> calls
 
 
-def factory(
+def sharded_service_factory(
     assignment: AssignmentSettings,
 ) -> Callable[[int, Settings, ResourceBuilder, ControlOptions], ShardedService]:
     """Makes the service of a hollow control instance."""
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class Locality:
     """Where a process stands."""
 
     region: str
@@ -54,7 +54,7 @@
 class ShardGrantsClient:
     """A sender's side of the quota stream: one short report for all shards, grants of shards in."""
 
-    interval_us = REPORT_US
+    interval_us = SHARD_REPORT_INTERVAL_US
 
     def __init__(self, node: str, contract: ShardedContract) -> None:
         self._node, self._contract = node, contract
@@ -62,7 +62,7 @@
 
     def report(self, now: int) -> bytes:
         """The next report, serialized."""
-        said, had = self._contract.report(now)
+        said, had = self._contract.next_report(now)
         message = messages.QuotaReport(domain=self._node)
         message.bucket_quota_usages.add().bucket_id.bucket.update(
             {quota_wire.REPORT_NUMBER: f"{said}", quota_wire.ACKNOWLEDGED_GRANT: f"{had}"}
@@ -73,7 +73,7 @@
         """A message of the quota stream."""
         grants, heard = quota_wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
         self.received += len(grants)
-        self._contract.shards_granted(grants, heard if heard is not None else 0)
+        self._contract.shard_grants_received(grants, heard if heard is not None else 0)
 
 
 class ShardedSender(HollowSender):
@@ -86,11 +86,11 @@
         link: Link,
         node: str,
         instance: str,
-        standing: Standing,
+        standing: Locality,
         shards: int,
         random_: random.Random,
         stopwatch: Stopwatch,
-        counts: Counts = lambda _held, _span_us: {},
+        counts: CallCounts = lambda _held, _span_us: {},
         is_down: Callable[[int], bool] = lambda _destination: False,
     ) -> None:
         super().__init__(clock, control, link, node, instance, [], random_, stopwatch, is_down=is_down)
@@ -107,8 +107,8 @@
     def _names(self) -> list[str]:
         """A new stream begins with nothing: what is held is sent anew."""
         self._first_lease = True
-        self.contract.quota_opened()
-        return [ALL]
+        self.contract.quota_stream_opened()
+        return [ALL_LISTS]
 
     def _on_resources(self, data: bytes) -> None:
         response = messages.DeltaResponse.FromString(data)
@@ -117,21 +117,21 @@
             self._on_row(row)
         for name in response.removed_resources:
             route = resources.destination_of(name)
-            self.contract.removed(route)
+            self.contract.list_removed(route)
             self.addresses.pop(route, None)
-        self.contract.answered(self._clock.now)
+        self.contract.acknowledged(self._clock.now)
         self._acknowledge(kind, messages.acknowledgement(response).SerializeToString())
 
     def _on_row(self, row: object) -> None:
         listed = messages.endpoint_states(row)
         if listed is None:
-            self.contract.beaten()
+            self.contract.heartbeat_received()
         elif row.name == resources.LEASE_NAME:
-            self.contract.leased(listed.ttl_us, self._first_lease)
+            self.contract.lease_received(listed.ttl_us, self._first_lease)
             self._first_lease = False
         else:
             route = resources.destination_of(row.name)
-            self.contract.listed(route, listed.states, listed.blocked, listed.ttl_us, False)
+            self.contract.list_received(route, listed.states, listed.blocked, listed.ttl_us, False)
             self.addresses[route] = next(iter(listed.states), "")
             self.last_change = self._clock.now
 
@@ -149,17 +149,17 @@
 
 
 @dataclass(slots=True)
-class Division:
+class ShardingPlan:
     """How destinations are divided in a fleet of hollow senders, and what they are called with."""
 
     assignment: AssignmentSettings
-    counts: Counts = lambda _held, _span_us: {}
+    counts: CallCounts = lambda _held, _span_us: {}
 
 
 class ShardedFleet(Fleet):
     """A fleet whose senders have what is assigned to them."""
 
-    def __init__(self, plan: FleetPlan, division: Division, seed: int) -> None:
+    def __init__(self, plan: FleetPlan, division: ShardingPlan, seed: int) -> None:
         self._division = division
         super().__init__(plan, seed)
 
@@ -171,7 +171,7 @@
             link,
             node,
             f"i{self._instances[number]}",
-            Standing(f"r{place.region}", f"z{place.zone}"),
+            Locality(f"r{place.region}", f"z{place.zone}"),
             self._division.assignment.shards,
             random_,
             self.sender_time,
@@ -180,7 +180,9 @@
         )
 
 
-def sharded_fleet(plan: FleetPlan, division: Division, seed: int) -> ShardedFleet:
+def sharded_fleet(plan: FleetPlan, division: ShardingPlan, seed: int) -> ShardedFleet:
     """The plan with a service and options that divide."""
-    options = replace(plan.options, divided=True)
-    return ShardedFleet(replace(plan, options=options, factory=factory(division.assignment)), division, seed)
+    options = replace(plan.options, sharded=True)
+    return ShardedFleet(
+        replace(plan, options=options, factory=sharded_service_factory(division.assignment)), division, seed
+    )
--- a/scalefall/lab/hollow/traffic.py
+++ b/scalefall/lab/hollow/traffic.py
@@ -45,7 +45,7 @@
         yield int(random_.expovariate(rate) * SECOND), table.draw(random_)
 
 
-def clumped(
+def bursty(
     table: AliasTable, rate: float, random_: random.Random, size: float, span_us: int
 ) -> Iterator[tuple[int, int]]:
     """rate events a second on average, in clumps of one destination each: size events on average (geometric), spread
--- a/scalefall/lab/proxy/__main__.py
+++ b/scalefall/lab/proxy/__main__.py
@@ -27,7 +27,16 @@
 from scalefall.control.transport import resources
 from scalefall.lab.classes import add_classes, classes_of
 from scalefall.lab.proxy import messages
-from scalefall.lab.proxy.contract import ASK_US, SECOND, Contract, Fall, Refuse, Send, given_up, may_repeat
+from scalefall.lab.proxy.contract import (
+    SECOND,
+    USAGE_REPORT_INTERVAL_US,
+    Contract,
+    Fallback,
+    Refuse,
+    Send,
+    final_answer,
+    may_repeat,
+)
 from scalefall.lab.proxy.meter import Direction, Kind, Meter
 from scalefall.lab.sizes import deep_size
 from scalefall.net import http
@@ -104,11 +113,11 @@
             for row in response.resources:
                 route, listed = resources.destination_of(row.name), messages.endpoint_states(row)
                 if listed is None:
-                    self._contract.beaten()
+                    self._contract.heartbeat_received()
                     continue
-                self._contract.listed(route, listed.states, listed.blocked, listed.ttl_us, route in first)
+                self._contract.list_received(route, listed.states, listed.blocked, listed.ttl_us, route in first)
                 first.discard(route)
-            self._contract.answered(_now())
+            self._contract.acknowledged(_now())
             await self._write(call, kind, messages.acknowledgement(response))
 
     async def _quota(self, channel: grpc.aio.Channel) -> None:
@@ -120,19 +129,21 @@
             async for response in call:
                 self._read(Kind.GRANTS, response)
                 for given in messages.received_grants(response):
-                    self._contract.granted(given.route, given.amount, given.number, given.heard, given.lease_us)
+                    self._contract.grant_received(
+                        given.route, given.amount, given.number, given.last_report, given.lease_us
+                    )
         finally:
             asking.cancel()
 
     async def _use(self, call: grpc.aio.StreamStreamCall) -> None:
         while True:
-            message = messages.usage_report(self._options.node, self._contract.usage(_now()))
+            message = messages.usage_report(self._options.node, self._contract.usage_rows(_now()))
             await self._write(call, Kind.USAGE, message)
-            await asyncio.sleep(ASK_US / SECOND)
+            await asyncio.sleep(USAGE_REPORT_INTERVAL_US / SECOND)
 
     async def _loads(self, channel: grpc.aio.Channel) -> None:
         call = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
-        await self._write(call, Kind.LOADS, messages.load_introduction(self._options.node))
+        await self._write(call, Kind.LOADS, messages.initial_load_request(self._options.node))
         answer = await call.read()
         self._read(Kind.LOADS, answer)
         every_us = answer.load_reporting_interval.ToMicroseconds()
@@ -171,7 +182,7 @@
         how, tries, first = "", 0, _now()
         while not how:
             chosen = self._contract.choose(route, _now())
-            if isinstance(chosen, Fall):
+            if isinstance(chosen, Fallback):
                 how = "fallback"  # to the sender's own front, where one is told
                 if self._options.sender:
                     how = f"fallback {await self._hand_over(name, cls, route)}"
@@ -185,7 +196,7 @@
                 elif may_repeat(cls, outcome, first, _now(), tries):
                     await asyncio.sleep(self._random.uniform(0.025, 0.1))
                 else:
-                    how = given_up(outcome)
+                    how = final_answer(outcome)
         self._open -= 1
         self.say("ended", id=name, how=how)
 
@@ -204,7 +215,7 @@
         except (OSError, ValueError):
             pass
         if wait:
-            self._contract.told_wait(route, _now() + int(wait * SECOND))
+            self._contract.retry_after_received(route, _now() + int(wait * SECOND))
         self._calls[route, place].append(messages.Call(outcome, _now() + int(wait * SECOND), report))
         self.say("answered", id=name, route=route, endpoint=place, outcome=outcome.value, wait_ms=wait * 1000)
         return outcome
--- a/scalefall/lab/proxy/contract.py
+++ b/scalefall/lab/proxy/contract.py
@@ -20,11 +20,11 @@
 from scalefall.policy.settings import Idempotency, MessageClass
 
 SECOND = 1_000_000
-CALLS = 1000
-KEPT = 64  # reports whose times are remembered
-FLOOR = 0.1  # of the last grant, where at_end is floor
-ATTEMPTS = 3  # of one message
-ASK_US = 250_000  # between reports of use
+UNITS_PER_CALL = 1000
+MAX_REPORT_TIMES = 64  # reports whose times are remembered
+FLOOR_RATIO = 0.1  # of the last grant, where at_end is floor
+MAX_ATTEMPTS = 3  # of one message
+USAGE_REPORT_INTERVAL_US = 250_000  # between reports of use
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fall:
+class Fallback:
     """To the sender itself."""
 
 
@@ -62,10 +62,10 @@
     def __init__(self, routes: list[int], at_end: str = "fallback") -> None:
         self._at_end = at_end
         self._routes = {number: _Route() for number in routes}
-        self._said = 0  # the number of the last report of use
-        self._times: OrderedDict[int, int] = OrderedDict()  # when each went out
-        self._word = -1  # when it last answered a list, on this stream
-        self._proved = -1  # what it said at that time has been heard
+        self._report_number = 0  # the number of the last report of use
+        self._report_times: OrderedDict[int, int] = OrderedDict()  # when each went out
+        self._acknowledged_at = -1  # when it last answered a list, on this stream
+        self._proved_at = -1  # what it said at that time has been heard
 
     # -- resources
 
@@ -73,58 +73,58 @@
         """A route that was not named at the start."""
         self._routes.setdefault(route, _Route())
 
-    def opened(self, now: int) -> None:
+    def stream_opened(self, now: int) -> None:
         """A new stream to the service: what is asked on it now counts once it is answered."""
-        self._word = now
+        self._acknowledged_at = now
 
-    def listed(self, route: int, endpoints: dict[str, str], blocked: bool, ttl: int, first: bool) -> None:
+    def list_received(self, route: int, endpoints: dict[str, str], blocked: bool, ttl: int, first: bool) -> None:
         """A list of endpoints; first: the answer to this stream's question."""
         place = self._routes.get(route)
         if place is not None:
             place.endpoints, place.blocked, place.ttl = endpoints, blocked, ttl
             if first:
-                self._proved = max(self._proved, self._word)
+                self._proved_at = max(self._proved_at, self._acknowledged_at)
 
-    def beaten(self) -> None:
+    def heartbeat_received(self) -> None:
         """A heartbeat: all that was answered before it has been heard."""
-        self._proved = max(self._proved, self._word)
+        self._proved_at = max(self._proved_at, self._acknowledged_at)
 
-    def answered(self, now: int) -> None:
+    def acknowledged(self, now: int) -> None:
         """It acknowledges a list or a heartbeat."""
-        self._word = now
+        self._acknowledged_at = now
 
     # -- grants
 
-    def usage(self, now: int) -> list[tuple[int, float, int, int]]:
+    def usage_rows(self, now: int) -> list[tuple[int, float, int, int]]:
         """(route, calls a second asked for, highest grant had, number of this report) of each route."""
-        self._next_report(now)
+        self._number_report(now)
         rows = []
         for number, place in self._routes.items():
             elapsed = max(1, now - place.reported)
-            rows.append((number, (place.allowed + place.denied) * SECOND / elapsed, place.number, self._said))
+            rows.append((number, (place.allowed + place.denied) * SECOND / elapsed, place.number, self._report_number))
             place.allowed = place.denied = 0
             place.reported = now
         return rows
 
-    def _next_report(self, now: int) -> int:
+    def _number_report(self, now: int) -> int:
         """The number of a report that goes out now."""
-        self._said += 1
-        self._times[self._said] = now
-        if len(self._times) > KEPT:
-            self._times.popitem(last=False)
-        return self._said
-
-    def granted(self, route: int, amount: int, number: int, heard: int, lease: int) -> None:
-        place, at = self._routes.get(route), self._times.get(heard)
+        self._report_number += 1
+        self._report_times[self._report_number] = now
+        if len(self._report_times) > MAX_REPORT_TIMES:
+            self._report_times.popitem(last=False)
+        return self._report_number
+
+    def grant_received(self, route: int, amount: int, number: int, heard: int, lease: int) -> None:
+        place, at = self._routes.get(route), self._report_times.get(heard)
         if place is not None and at is not None and number > place.number:
             place.number, place.amount, place.until = number, amount, at + lease
 
-    def told_wait(self, route: int, until: int) -> None:
+    def retry_after_received(self, route: int, until: int) -> None:
         self._routes[route].silent = max(self._routes[route].silent, until)
 
     # -- what may go out
 
-    def choose(self, route: int, now: int) -> Send | Fall | Refuse:
+    def choose(self, route: int, now: int) -> Send | Fallback | Refuse:
         """Where a message may go now; a Send is used up."""
         place = self._routes.get(route)
         if place is None:
@@ -142,11 +142,11 @@
         if amount is None:
             if self._at_end != "floor":
                 return self._end(place, now)
-            amount = int(place.amount * FLOOR)
+            amount = int(place.amount * FLOOR_RATIO)
         if amount <= 0 or now < place.next:
             place.denied += 1
-            return Refuse(max(ASK_US, place.next - now if amount > 0 else SECOND))
-        place.next = max(place.next, now) + CALLS * SECOND // amount
+            return Refuse(max(USAGE_REPORT_INTERVAL_US, place.next - now if amount > 0 else SECOND))
+        place.next = max(place.next, now) + UNITS_PER_CALL * SECOND // amount
         place.allowed += 1
         place.at += 1
         return Send(ready[place.at % len(ready)])
@@ -159,22 +159,24 @@
     def trusts(self, route: int, now: int) -> bool:
         """Whether its endpoints are proved. At the floor they are, as that is what the choice means."""
         place = self._routes[route]
-        return self._proved >= 0 and bool(place.ttl) and (now < self._proved + place.ttl or self._at_end == "floor")
+        return (
+            self._proved_at >= 0 and bool(place.ttl) and (now < self._proved_at + place.ttl or self._at_end == "floor")
+        )
 
-    def _end(self, place: _Route, now: int) -> Fall | Refuse:
+    def _end(self, place: _Route, now: int) -> Fallback | Refuse:
         place.denied += 1
-        return Fall() if self._at_end == "fallback" else Refuse(SECOND)
+        return Fallback() if self._at_end == "fallback" else Refuse(SECOND)
 
 
 def may_repeat(cls: MessageClass, outcome: Outcome, first_us: int, now: int, tries: int) -> bool:
     """Whether a message goes out again after a call that ended so. first_us: when its first call began."""
-    if tries >= ATTEMPTS:
+    if tries >= MAX_ATTEMPTS:
         return False
     if outcome in NEVER_RAN or cls.idempotency is Idempotency.IDEMPOTENT:
         return True
     return cls.idempotency is Idempotency.WITH_KEY and not cls.key_scope_zone and now < first_us + cls.key_ttl_us
 
 
-def given_up(outcome: Outcome) -> str:
+def final_answer(outcome: Outcome) -> str:
     """The final answer of a message whose last call ended so: it has not run and may come again, or no promise."""
     return "refused" if outcome in NEVER_RAN else "failed"
--- a/scalefall/lab/proxy/messages.py
+++ b/scalefall/lab/proxy/messages.py
@@ -42,7 +42,7 @@
     route: int
     amount: int  # thousandths of a call a second
     number: int
-    heard: int  # the last report of use that the service had heard
+    last_report: int  # the last report of use that the service had heard
     lease_us: int
 
 
@@ -52,7 +52,7 @@
 
     outcome: Outcome
     wait_until_us: int  # until when its answer told to wait, or when it ended
-    figures: dict[str, float] = field(default_factory=dict)
+    load_report: dict[str, float] = field(default_factory=dict)
 
 
 # -- resources
@@ -121,7 +121,7 @@
 # -- load reports
 
 
-def load_introduction(node: str) -> LoadRequest:
+def initial_load_request(node: str) -> LoadRequest:
     """The first request of a load stream."""
     return LoadRequest(node={"id": node})
 
@@ -148,7 +148,7 @@
         for word, outcome in reports.OUTCOME_METRICS.items()
     }
     for word in reports.NAMED_METRICS:
-        metrics[word] = [row.figures[word] for row in rows if word in row.figures]
+        metrics[word] = [row.load_report[word] for row in rows if word in row.load_report]
     metrics[reports.METRIC_PREFIX + "wait_ms"] = [max(0.0, max((row.wait_until_us - now) / 1000 for row in rows))]
     for word, values in metrics.items():
         if values and (sum(values) or word in reports.NAMED_METRICS):
--- a/scalefall/lab/proxy/sharded.py
+++ b/scalefall/lab/proxy/sharded.py
@@ -14,9 +14,9 @@
 
 from scalefall.assignment.holder import ShardHolder
 from scalefall.assignment.model import ShardGrant
-from scalefall.lab.proxy.contract import SECOND, Contract, Fall, Refuse, Send
+from scalefall.lab.proxy.contract import SECOND, Contract, Fallback, Refuse, Send
 
-RETRY_US = SECOND  # when a message for a destination that is held elsewhere may be tried again
+UNASSIGNED_RETRY_US = SECOND  # when a message for a destination that is held elsewhere may be tried again
 
 
 class ShardedContract(Contract):
@@ -28,39 +28,39 @@
 
     # -- resources
 
-    def leased(self, ttl_us: int, first: bool) -> None:
+    def lease_received(self, ttl_us: int, first: bool) -> None:
         """The resource whose heartbeats stand for those of all lists; first: the answer to this stream's question."""
         self._lease_ttl = ttl_us
         if first:
-            self._proved = max(self._proved, self._word)
+            self._proved_at = max(self._proved_at, self._acknowledged_at)
 
-    def listed(self, route: int, endpoints: dict[str, str], blocked: bool, ttl: int, first: bool) -> None:
+    def list_received(self, route: int, endpoints: dict[str, str], blocked: bool, ttl: int, first: bool) -> None:
         """A list of a destination that is held, or will be."""
         self._add(route)
-        super().listed(route, endpoints, blocked, ttl, first)
+        super().list_received(route, endpoints, blocked, ttl, first)
 
-    def removed(self, route: int) -> None:
+    def list_removed(self, route: int) -> None:
         """The destination is another's now."""
         self._routes.pop(route, None)
 
     def trusts(self, route: int, now: int) -> bool:
         """Whether its endpoints are proved."""
-        return self._proved >= 0 and now < self._proved + self._lease_ttl
+        return self._proved_at >= 0 and now < self._proved_at + self._lease_ttl
 
     # -- grants
 
-    def quota_opened(self) -> None:
+    def quota_stream_opened(self) -> None:
         """A new quota stream: what came on the one before is vouched for no more."""
         self._had = 0
 
-    def report(self, now: int) -> tuple[int, int]:
+    def next_report(self, now: int) -> tuple[int, int]:
         """The number of this report, and the highest grant had on this stream."""
-        return self._next_report(now), self._had
+        return self._number_report(now), self._had
 
-    def shards_granted(self, grants: Iterable[ShardGrant], heard: int) -> None:
+    def shard_grants_received(self, grants: Iterable[ShardGrant], heard: int) -> None:
         """Grants that were sent upon a report of this process. Where that is too long ago to be known, they count as
         had, and nothing may be used."""
-        since = self._times.get(heard, -(1 << 62))
+        since = self._report_times.get(heard, -(1 << 62))
         for grant in grants:
             self.holder.granted(grant, since)
             self._had = max(self._had, grant.number)
@@ -70,8 +70,8 @@
 
     # -- what may go out
 
-    def choose(self, route: int, now: int) -> Send | Fall | Refuse:
+    def choose(self, route: int, now: int) -> Send | Fallback | Refuse:
         """Where a message may go now; a Send is used up."""
         if route not in self._routes:
-            return Fall() if self._at_end == "fallback" else Refuse(RETRY_US)
+            return Fallback() if self._at_end == "fallback" else Refuse(UNASSIGNED_RETRY_US)
         return super().choose(route, now)
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -24,7 +24,16 @@
 from scalefall.control.streams import Request, Response
 from scalefall.lab.classes import DEFAULT_CLASSES, REPEAT_WORDS
 from scalefall.lab.partner.model import DestinationModel, DestinationProfile
-from scalefall.lab.proxy.contract import ASK_US, ATTEMPTS, Contract, Fall, Refuse, Send, given_up, may_repeat
+from scalefall.lab.proxy.contract import (
+    MAX_ATTEMPTS,
+    USAGE_REPORT_INTERVAL_US,
+    Contract,
+    Fallback,
+    Refuse,
+    Send,
+    final_answer,
+    may_repeat,
+)
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.list_stream import Entry
 from scalefall.policy.actions import RouteAllowance
@@ -387,7 +396,7 @@
         self._connect()
         self.link.next_fault()
         self._next_message()
-        self._world.after(self._world.random.randint(0, ASK_US), self._use)
+        self._world.after(self._world.random.randint(0, USAGE_REPORT_INTERVAL_US), self._use)
         self._world.after(self._world.random.randint(0, REPORT_US), self._report)
 
     # -- towards control
@@ -396,7 +405,7 @@
         world = self._world
         world.ids += 2
         self._ads, self._quota, self._first = world.ids, world.ids + 1, True
-        self.contract.opened(world.now)
+        self.contract.stream_opened(world.now)
         self._ask(Request(EDS, names=(f"route-{ROUTE}",)))
 
     def _ask(self, request: Request) -> None:
@@ -416,11 +425,11 @@
                 self._connect()
 
     def _use(self) -> None:
-        rows = self.contract.usage(self._world.now)
+        rows = self.contract.usage_rows(self._world.now)
         if self._quota != -1:
             stream, link, world = self._quota, self.link.number, self._world
             self.link.up(stream, lambda: world.control and world.control.used(self, stream, link, rows))
-        self._world.after(ASK_US, self._use)
+        self._world.after(USAGE_REPORT_INTERVAL_US, self._use)
 
     def _report(self) -> None:
         if self._quota != -1 and self._reports and self.link.state == "fine":
@@ -433,17 +442,17 @@
         if isinstance(action, Grant) and stream == self._quota:
             heard = self.heard.get((stream, action.destination), 0)
             lease = 1 << 40 if "keeps_expired_grants" in plan.proxy_faults else action.lease_us
-            self.contract.granted(action.destination, action.amount, action.number, heard, lease)
+            self.contract.grant_received(action.destination, action.amount, action.number, heard, lease)
         elif isinstance(action, Response) and stream == self._ads:
             if "lease_from_arrival" in plan.proxy_faults:
-                self.contract.answered(now)
+                self.contract.acknowledged(now)
             if action.is_heartbeat:
-                self.contract.beaten()
+                self.contract.heartbeat_received()
             for resource in action.resources if not action.is_heartbeat else ():
                 ttl = 1 << 40 if "keeps_expired_lists" in plan.proxy_faults else resource.ttl_us
-                self.contract.listed(ROUTE, resource.body[0], resource.body[1], ttl, self._first)
+                self.contract.list_received(ROUTE, resource.body[0], resource.body[1], ttl, self._first)
                 self._first = False
-            self.contract.answered(now)
+            self.contract.acknowledged(now)
             self._ask(Request(EDS, action.nonce))
 
     # -- messages
@@ -478,7 +487,7 @@
             world.after(
                 answer.delay_us, lambda: self._answered(name, cls, tries + 1, first, chosen.endpoint, now, answer)
             )
-        elif isinstance(chosen, Fall):
+        elif isinstance(chosen, Fallback):
             self._end(name, "fallback")
         elif isinstance(chosen, Refuse):
             self._end(name, "refused")
@@ -489,7 +498,7 @@
         world = self._world
         self._reports.append(EndpointReport(endpoint, sent, answer.outcome, answer.retry_after_us, answer.load_report))
         if answer.retry_after_us and "ignores_retry_after" not in world.plan.proxy_faults:
-            self.contract.told_wait(ROUTE, world.now + answer.retry_after_us)
+            self.contract.retry_after_received(ROUTE, world.now + answer.retry_after_us)
         world.log(
             self.name,
             "answered",
@@ -502,12 +511,12 @@
         )
         if answer.outcome is Outcome.OK:
             self._end(name, "ok")
-        elif ("repeats_everything" in world.plan.proxy_faults and tries < ATTEMPTS) or may_repeat(
+        elif ("repeats_everything" in world.plan.proxy_faults and tries < MAX_ATTEMPTS) or may_repeat(
             cls, answer.outcome, first, world.now, tries
         ):
             world.after(world.random.uniform(25, 100) * MS, lambda: self._try(name, cls, tries, first))
         else:
-            self._end(name, given_up(answer.outcome))
+            self._end(name, final_answer(answer.outcome))
 
     def _end(self, name: str, how: str) -> None:
         self.counts[how] += 1
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -13,7 +13,7 @@
 from scalefall.control.service import ResourceBuilder
 from scalefall.control.streams import Request, Response
 from scalefall.control.transport import quota_wire, resources
-from scalefall.lab.proxy.contract import Fall, Refuse, Send
+from scalefall.lab.proxy.contract import Fallback, Refuse, Send
 from scalefall.lab.proxy.sharded import ShardedContract
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.list_stream import Entry
@@ -52,7 +52,7 @@
     def start(self):
         """Open both streams."""
         simulation = self.simulation
-        self.contract.opened(simulation.now)
+        self.contract.stream_opened(simulation.now)
         simulation.service.resource_stream_opened(self.ads, self.node, True, True)
         simulation.carry(simulation.service.request(self.ads, Request(EDS, names=("*",)), simulation.now))
         simulation.service.quota_stream_joined(self.quota, self.node, self.instance, simulation.now, self.region, "z")
@@ -65,32 +65,32 @@
                 quota_wire.shard_grants(action.grants, 1), f"{self.node}/{self.instance}"
             )
             assert tuple(grants) == action.grants
-            self.contract.shards_granted(grants, self.heard)
+            self.contract.shard_grants_received(grants, self.heard)
         elif isinstance(action, Response):
             self.listed(action)
 
     def listed(self, response):
         """Process resources and acknowledge them."""
         if response.is_heartbeat:
-            self.contract.beaten()
+            self.contract.heartbeat_received()
         for resource in () if response.is_heartbeat else response.resources:
             if resource.name == resources.LEASE_NAME:
-                self.contract.leased(resource.ttl_us, self.first)
+                self.contract.lease_received(resource.ttl_us, self.first)
                 self.first = False
             else:
                 self.lists.add(resource.destination)
-                self.contract.listed(resource.destination, resource.body, False, 0, False)
+                self.contract.list_received(resource.destination, resource.body, False, 0, False)
         for name in response.removed:
             self.lists.discard(resources.destination_of(name))
-            self.contract.removed(resources.destination_of(name))
-        self.contract.answered(self.simulation.now)
+            self.contract.list_removed(resources.destination_of(name))
+        self.contract.acknowledged(self.simulation.now)
         self.simulation.carry(
             self.simulation.service.request(self.ads, Request(EDS, response.nonce), self.simulation.now)
         )
 
     def report(self):
         """Send a report, which acknowledges grants."""
-        self.heard, had = self.contract.report(self.simulation.now)
+        self.heard, had = self.contract.next_report(self.simulation.now)
         self.simulation.service.acknowledged(self.quota, had, self.simulation.now)
 
     def try_all(self):
@@ -177,7 +177,7 @@
         found = sender.try_all()
         others = [found[number] for number in DESTINATIONS if number not in sender.lists]
         assert others
-        assert all(isinstance(each, Fall) for each in others)
+        assert all(isinstance(each, Fallback) for each in others)
 
 
 def test_a_lost_sender_s_shards_go_on_after_its_lease_and_a_restart_moves_nothing(simulation):
@@ -249,7 +249,7 @@
     old, simulation.service = simulation.service, Simulation().service
     simulation.service.become_leader(simulation.now, old.ledger.number, text)
     for sender in simulation.senders:
-        sender.contract.quota_opened()
+        sender.contract.quota_stream_opened()
         sender.first = True
         sender.start()
     simulation.run(8)
--- a/tests/scaling/test_traffic.py
+++ b/tests/scaling/test_traffic.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scalefall.lab.hollow.traffic import SECOND, AliasTable, clumped, distinct, independent, zipf_weights
+from scalefall.lab.hollow.traffic import SECOND, AliasTable, bursty, distinct, independent, zipf_weights
 
 DRAWS = 40_000
 
@@ -30,7 +30,7 @@
     table = AliasTable(zipf_weights(1000, 0))
     span, even = span_and_count(independent(table, 100, random.Random(1)), 10_000)
     assert abs(span / SECOND - 100) < 5
-    span, clumps = span_and_count(clumped(table, 100, random.Random(1), 20, SECOND), 10_000)
+    span, clumps = span_and_count(bursty(table, 100, random.Random(1), 20, SECOND), 10_000)
     assert abs(span / SECOND - 100) < 10
     within = [sum(len(set(row[at : at + 100])) for at in range(0, 10_000, 100)) for row in (even, clumps)]
     assert within[1] < within[0] / 2
