--- a/scalefall/lab/proxy/__init__.py
+++ b/scalefall/lab/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in proxy: xDS on one side, calls on the other, and the contract of a proxy that holds grants."""
+"""A stand-in proxy: xDS on one side, calls on the other, and the contract that a proxy with grants keeps."""
--- a/scalefall/lab/proxy/meter.py
+++ b/scalefall/lab/proxy/meter.py
@@ -1,4 +1,4 @@
-"""Messages and bytes between senders and control, counted by direction and kind. No I/O, no clock.
+"""Messages and bytes between senders and the control service, counted by direction and kind. No I/O, no clock.
 
 Bytes are those of the serialized protobuf messages; what gRPC and TCP add to them is not counted.
 """
@@ -10,16 +10,20 @@
 
 
 class Direction(Enum):
-    UP = "up"  # to control
+    """The way of a message."""
+
+    UP = "up"  # to the control service
     DOWN = "down"
 
 
 class Kind(Enum):
+    """What a message is about."""
+
     RESOURCES = "resources"  # subscriptions, lists and their acknowledgements
     HEARTBEATS = "heartbeats"  # and their acknowledgements
     GRANTS = "grants"
-    USAGE = "usage"
-    LOADS = "loads"
+    USAGE = "usage"  # usage reports
+    LOADS = "loads"  # load reports
 
 
 @dataclass(slots=True)
@@ -38,12 +42,12 @@
         count.bytes += size
 
     def count(self, direction: Direction, kind: Kind) -> Count:
-        """So far."""
+        """Return what was counted so far."""
         count = self._counts[direction, kind]
         return Count(count.messages, count.bytes)
 
     def table(self) -> dict[str, dict[str, list[int]]]:
-        """For a log: messages and bytes by direction and kind."""
+        """Return messages and bytes by direction and kind, for a log."""
         return {
             direction.value: {
                 kind.value: [self._counts[direction, kind].messages, self._counts[direction, kind].bytes]
