--- a/scalefall/lab/hollow/__init__.py
+++ b/scalefall/lab/hollow/__init__.py
@@ -1,1 +1,1 @@
-"""Hollow senders: the control side's real code with sockets, clock and message traffic replaced by a model."""
+"""Hollow senders: the real code of a sender's control side, with sockets, clock and traffic replaced by a model."""
--- a/scalefall/lab/hollow/clock.py
+++ b/scalefall/lab/hollow/clock.py
@@ -5,11 +5,11 @@
 import heapq
 from collections.abc import Callable
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 
 
 class Timer:
-    """A function that is called once, unless it is cancelled before."""
+    """A function that is called once, unless it is cancelled first."""
 
     __slots__ = ("function",)
 
@@ -21,23 +21,25 @@
 
 
 class VirtualClock:
+    """A clock that moves to the time of each timer in turn."""
+
     def __init__(self) -> None:
         self.now = 0
         self._queue: list[tuple[int, int, Timer]] = []
-        self._count = 0  # keeps the order of what is due at one time
+        self._sequence = 0  # orders timers that are due at the same time
 
     def at(self, when: int, function: Callable[[], None]) -> Timer:
-        """Calls function at that time, or at once if it has passed."""
+        """Call a function at a time, or as soon as possible if it has passed."""
         timer = Timer(function)
-        self._count += 1
-        heapq.heappush(self._queue, (max(when, self.now), self._count, timer))
+        self._sequence += 1
+        heapq.heappush(self._queue, (max(when, self.now), self._sequence, timer))
         return timer
 
     def after(self, span: int, function: Callable[[], None]) -> Timer:
         return self.at(self.now + span, function)
 
     def run_until(self, end: int) -> None:
-        """Plays everything that is due by then; the clock stands there afterwards."""
+        """Run all timers that are due by `end`, and set the clock to it."""
         while self._queue and self._queue[0][0] <= end:
             self.now, _, timer = heapq.heappop(self._queue)
             if timer.function is not None:
--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -1,4 +1,4 @@
-"""Configurations of many destinations for the model: one endpoint each, and changes that drain one."""
+"""Configurations of many destinations for the model, with one endpoint each, some of them draining."""
 
 from __future__ import annotations
 
@@ -11,18 +11,23 @@
 from scalefall.policy.events import Endpoint, EndpointStatus
 from scalefall.policy.settings import Settings
 
-DOWN_EVERY = 91  # one destination of so many is down: 1.1%
-DOWN_REMAINDER = 2  # and it is not the one that Zipf traffic has the most of
-ZONE, ENDPOINT_KIND, ENDPOINT_PORT = "a", "one", 80
-MAX_ATTEMPTS, MAX_RETRY_AFTER_US = 6, 2_000_000
+DOWN_EVERY = 91  # one destination in 91 is down: 1.1%
+DOWN_REMAINDER = 2  # 0 would put the destination with the most Zipf traffic down
+ZONE = "a"
+ENDPOINT_KIND = "one"
+ENDPOINT_PORT = 80
+MAX_ATTEMPTS = 6
+MAX_RETRY_AFTER_US = 2_000_000
 RULES = RouteRules(frozenset(DEFAULT_CLASSES), MAX_ATTEMPTS, MAX_RETRY_AFTER_US)
 
 
 def settings() -> Settings:
+    """Return the settings of lab/world.py with its default classes."""
     return world_settings(DEFAULT_CLASSES)
 
 
 def is_down(destination: int) -> bool:
+    """Return whether calls to a destination fail."""
     return destination % DOWN_EVERY == DOWN_REMAINDER
 
 
@@ -36,12 +41,12 @@
 
 
 def address(destination: int) -> tuple[str, int]:
-    """Another one for each destination below 2 ** 24."""
+    """Return the address of a destination's endpoint; unique below 2 ** 24."""
     return f"10.{destination >> 16 & 255}.{destination >> 8 & 255}.{destination & 255}", ENDPOINT_PORT
 
 
 def configuration(destinations: int, drained: Collection[int] = ()) -> Fleet:
-    """Destinations from 0, each with one endpoint; those of drained drain."""
+    """Return destinations from 0 up, each with one endpoint; those in `drained` are draining."""
     entries = [
         entry(number, EndpointStatus.DRAINING if number in drained else EndpointStatus.READY)
         for number in range(destinations)
--- a/scalefall/lab/hollow/fleet.py
+++ b/scalefall/lab/hollow/fleet.py
@@ -1,7 +1,7 @@
-"""Many hollow senders, one control instance and the failures that meet them, on one virtual clock from one seed.
+"""Many hollow senders, one control instance and injected failures, on one virtual clock and from one seed.
 
-The place of a sender is a machine in a rack in a zone in a region. A failure may end a process with notice (its
-connections are closed), end it without (its machine is gone), or cut links.
+A sender runs on a machine in a rack in a zone in a region. A failure ends a process and closes its connections, ends it
+silently (its machine is lost), or cuts links.
 """
 
 from __future__ import annotations
@@ -19,21 +19,25 @@
 from scalefall.net.config import Fleet as Configuration
 from scalefall.policy.settings import Settings
 
-REGIONS, ZONES_PER_REGION = 2, 4  # zones of each region
-SENDERS_PER_MACHINE, SENDERS_PER_RACK = 2, 10  # senders of a machine, of a rack
-RESTART_DELAY_US = 500_000  # from a process's end to the next one's first word
+REGIONS = 2
+ZONES_PER_REGION = 4
+SENDERS_PER_MACHINE = 2
+SENDERS_PER_RACK = 10
+RESTART_DELAY_US = 500_000  # from a process's end to the first message of its successor
 
 
 @dataclass(slots=True, frozen=True)
 class Place:
+    """Where a sender runs; zones, racks and machines are numbered over the whole fleet."""
+
     region: int
-    zone: int  # of all regions
-    rack: int  # of all zones
-    machine: int  # of all racks
+    zone: int
+    rack: int
+    machine: int
 
 
 def places(count: int) -> list[Place]:
-    """Zones are filled evenly; within one, machines and racks in order."""
+    """Return the places of `count` senders, spread evenly over zones; machines and racks of a zone fill in order."""
     zones = REGIONS * ZONES_PER_REGION
     rows = []
     for number in range(count):
@@ -51,18 +55,22 @@
 
 @dataclass(slots=True)
 class FleetPlan:
+    """A fleet of hollow senders and their traffic."""
+
     settings: Settings
     configuration: Configuration
     senders: int
-    routes: Callable[[int], list[int]]  # destinations that the sender of this number asks for
+    routes: Callable[[int], list[int]]  # destinations that the sender with this number subscribes to
     traffic: Callable[[int, random.Random], Traffic] = lambda _number, _random: iter(())
     is_down: Callable[[int], bool] = lambda _destination: False
     options: ControlOptions = ControlOptions()
     factory: ServiceFactory = make_service
-    timer: Callable[[], int] = no_timer  # processor time, where a benchmark wants it
+    timer: Callable[[], int] = no_timer  # processor time, passed by benchmarks
 
 
 class Fleet:
+    """The senders, their links, and the control instance, which is None while it is down."""
+
     def __init__(self, plan: FleetPlan, seed: int) -> None:
         self.plan, self.clock, self.meter = plan, VirtualClock(), Meter()
         self._random = random.Random(seed)
@@ -70,7 +78,7 @@
         self.configuration = plan.configuration
         self.control: Control | None = self._new_control(0)
         self.places = places(plan.senders)
-        self.meters = [Meter() for _ in range(plan.senders)]  # of each sender's place, over all its processes
+        self.meters = [Meter() for _ in range(plan.senders)]  # by sender, over all processes in its place
         self.outcomes = [Outcomes() for _ in range(plan.senders)]  # likewise
         self._instances = [0] * plan.senders
         self.links: list[Link] = [None] * plan.senders
@@ -82,7 +90,7 @@
         self.clock.run_for(span_us)
 
     def configure(self, configuration: Configuration) -> None:
-        """A change of the configuration, in force from now on."""
+        """Change the configuration."""
         self.configuration = configuration
         if self.control is not None:
             self.control.configure(configuration)
@@ -99,17 +107,17 @@
     # -- failures
 
     def restart(self, number: int) -> None:
-        """The process ends and another one takes its node id."""
+        """End a process; another one starts with its node id."""
         self.senders[number].end(silently=False)
         self._start_later(number, self.senders[number].node, RESTART_DELAY_US)
 
     def replace(self, number: int) -> None:
-        """The process ends and another one comes under a new node id."""
+        """End a process; another one starts with a new node id."""
         self.senders[number].end(silently=False)
         self._start_later(number, f"n{number}-{self._instances[number]}", RESTART_DELAY_US)
 
     def lose(self, numbers: Iterable[int], return_us: int) -> None:
-        """Machines, a rack or a zone are gone without a word; new processes start return_us later."""
+        """Lose machines, a rack or a zone without closing connections; new processes start return_us later."""
         for number in numbers:
             self.senders[number].end(silently=True)
             self.links[number].cut()
@@ -124,13 +132,13 @@
             self.links[number].heal()
 
     def restart_control(self, down_us: int) -> None:
-        """Control ends and comes back with the epoch of its grants and no memory of its streams."""
-        last, self.control = self.control, None
-        number, snapshot = last.service.ledger.number, last.service.snapshot()
-        last.stop()
-        self.clock.after(down_us, lambda: self._return_control(number, snapshot))
+        """Restart the control service; it keeps the number of its last grant and its snapshot, but no streams."""
+        stopped, self.control = self.control, None
+        number, snapshot = stopped.service.ledger.number, stopped.service.snapshot()
+        stopped.stop()
+        self.clock.after(down_us, lambda: self._start_control(number, snapshot))
 
-    def _return_control(self, last_grant: int, snapshot: str | None) -> None:
+    def _start_control(self, last_grant: int, snapshot: str | None) -> None:
         self.control = self._new_control(last_grant, snapshot)
 
     def _new_control(self, first_grant: int, snapshot: str | None = None) -> Control:
--- a/scalefall/lab/hollow/grants.py
+++ b/scalefall/lab/hollow/grants.py
@@ -1,7 +1,7 @@
-"""A hollow sender's side of the quota stream: reports of use out, grants in, by destination.
+"""A hollow sender's side of the quota stream: usage reports out, grants in, by destination.
 
-It is the one place of the model that knows how grants are cut; where they go by shard, another class of this shape is
-handed to the sender.
+Only this class depends on grants being by destination; for grants by shard, the sender gets another class with the same
+interface.
 """
 
 from __future__ import annotations
@@ -11,18 +11,20 @@
 
 
 class DestinationGrants:
-    interval_us = USAGE_REPORT_INTERVAL_US  # between reports
+    """The quota stream of one sender, with grants by destination."""
+
+    interval_us = USAGE_REPORT_INTERVAL_US
 
     def __init__(self, node: str, contract: Contract) -> None:
         self._node, self._contract = node, contract
-        self.received = 0  # grants so far
+        self.received = 0  # number of grants so far
 
     def report(self, now: int) -> bytes:
-        """The next report of use, serialized."""
+        """Return the next usage report, serialized."""
         return messages.usage_report(self._node, self._contract.usage_rows(now)).SerializeToString()
 
     def receive(self, data: bytes, now: int) -> None:
-        """A message of the quota stream."""
-        for given in messages.received_grants(messages.QuotaResponse.FromString(data)):
+        """Process a message of the quota stream."""
+        for grant in messages.received_grants(messages.QuotaResponse.FromString(data)):
             self.received += 1
-            self._contract.grant_received(given.route, given.amount, given.number, given.last_report, given.lease_us)
+            self._contract.grant_received(grant.route, grant.amount, grant.number, grant.last_report, grant.lease_us)
--- a/scalefall/lab/hollow/link.py
+++ b/scalefall/lab/hollow/link.py
@@ -1,9 +1,9 @@
-"""The connection of one process to control in the model: bytes with a seeded delay, counted.
+"""The connection of one process to the control service in the model: bytes with a seeded delay, counted.
 
-Theory of operation. A link keeps the order of the messages of one direction. While it is cut, what is sent is held, as
-TCP would send it again; if it is healed in time, all of it arrives. A link that is still cut KEEPALIVE_US after the cut
-is reset: what was held is lost and both ends are told. What is under way when a link is closed or reset is lost.
-Bytes are counted when they go out on a link that stands.
+A link preserves the order of the messages of one direction. While it is cut, messages are buffered, as TCP would
+retransmit them; if it heals in time, all of them arrive. A link that is still cut after KEEPALIVE_US is reset: buffered
+messages are lost, and both ends are notified. Messages in transit when a link is closed or reset are lost. A message
+counts when it is sent on a link that is not cut.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 from scalefall.lab.hollow.clock import Timer, VirtualClock
 from scalefall.lab.proxy.meter import Direction, Kind, Meter
 
-KEEPALIVE_US = 15_000_000  # keepalive time and timeout of control/transport/server.py and lab/proxy/__main__.py
-MIN_DELAY_US, MAX_DELAY_US = 200, 3_000  # of one message, as in lab/world.py
+KEEPALIVE_US = 15_000_000  # keepalive time plus timeout of control/transport/server.py and lab/proxy/__main__.py
+MIN_DELAY_US = 200  # of one message, as in lab/world.py
+MAX_DELAY_US = 3_000
 
 Deliver = Callable[[bytes], None]
 
 
 @dataclass(slots=True, frozen=True)
 class _Message:
-    number: int  # in the order of sending
+    number: int  # in sending order
     direction: Direction
     kind: Kind
     data: bytes
@@ -31,14 +32,16 @@
 
 
 class Link:
+    """One connection to the control service."""
+
     def __init__(self, clock: VirtualClock, random_: random.Random, meters: tuple[Meter, ...]) -> None:
-        """Each of the meters counts what goes over it."""
+        """Start connected; each of the meters counts the messages sent on it."""
         self._clock, self._random, self._meters = clock, random_, meters
-        self._last = {Direction.UP: 0, Direction.DOWN: 0}  # when the last message of a direction arrives
-        self._epoch = 0  # of the connection: what is under way from an earlier one is lost
+        self._last_arrival = {Direction.UP: 0, Direction.DOWN: 0}  # arrival of the last message in each direction
+        self._epoch = 0  # of the connection: messages of an earlier one are lost
         self._sent = 0
-        self._held: list[_Message] = []
-        self._counted: set[int] = set()  # numbers of those held that went out before the cut
+        self._buffered: list[_Message] = []
+        self._counted: set[int] = set()  # numbers of buffered messages that were sent before the cut
         self._keepalive: Timer | None = None
         self.is_cut = False
         self.on_reset: Callable[[], None] = lambda: None
@@ -47,13 +50,13 @@
         self._sent += 1
         message = _Message(self._sent, direction, kind, data, deliver)
         if self.is_cut:
-            self._held.append(message)
+            self._buffered.append(message)
         else:
             self._count(message)
             self._send(message)
 
     def cut(self) -> None:
-        """Silence in both directions; neither end is told until its keepalive ends."""
+        """Stop delivery in both directions; neither end is notified until the keepalive expires."""
         if not self.is_cut:
             self.is_cut = True
             self._keepalive = self._clock.after(KEEPALIVE_US, self.reset)
@@ -63,22 +66,22 @@
             return
         self.is_cut = False
         self._keepalive.cancel()
-        held, self._held = sorted(self._held, key=lambda message: message.number), []
-        for message in held:
+        buffered, self._buffered = sorted(self._buffered, key=lambda message: message.number), []
+        for message in buffered:
             if message.number not in self._counted:
                 self._count(message)
             self._send(message)
         self._counted.clear()
 
     def reset(self) -> None:
-        """Both ends are told that the connection is gone. The link may still be cut."""
+        """Close the connection and notify both ends. The link may still be cut."""
         self.close()
         self.on_reset()
 
     def close(self) -> None:
-        """What is under way or held is lost, and nobody is told."""
+        """Drop messages in transit and buffered ones; neither end is notified."""
         self._epoch += 1
-        self._held.clear()
+        self._buffered.clear()
         self._counted.clear()
 
     def _count(self, message: _Message) -> None:
@@ -87,15 +90,17 @@
 
     def _send(self, message: _Message) -> None:
         delay = self._random.randint(MIN_DELAY_US, MAX_DELAY_US)
-        at = self._last[message.direction] = max(self._last[message.direction], self._clock.now + delay)
+        arrival = self._last_arrival[message.direction] = max(
+            self._last_arrival[message.direction], self._clock.now + delay
+        )
         epoch = self._epoch
-        self._clock.at(at, lambda: self._arrive(epoch, message))
+        self._clock.at(arrival, lambda: self._arrive(epoch, message))
 
     def _arrive(self, epoch: int, message: _Message) -> None:
         if epoch != self._epoch:
             return
         if self.is_cut:
-            self._held.append(message)
+            self._buffered.append(message)
             self._counted.add(message.number)
         else:
             message.deliver(message.data)
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -1,8 +1,8 @@
-"""A hollow sender: the real contract and its messages; its sockets, clock and traffic are the model's.
+"""A hollow sender: the real contract and its messages, with the model's links, clock and traffic.
 
-Three streams go over one link, as in lab/proxy/__main__.py: resources, quota and load reports. When the link is reset
-or control is gone, all three are opened anew after a pause. A message of its traffic asks the contract whether it may
-go out; a call ends at once, with success unless its destination is down, and goes into the next load report.
+Three streams use one link, as in lab/proxy/__main__.py: resources, quota and load reports. When the link is reset or
+the control service ends, all three are reopened after a pause. For each message of its traffic the contract decides
+whether it is sent; a call ends at once, successfully unless its destination is down, and is in the next load report.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 from scalefall.lab.proxy.meter import Direction, Kind
 from scalefall.policy.events import Outcome
 
-RECONNECT_DELAY_US, RECONNECT_JITTER_US = (
-    300_000,
-    700_000,
-)  # until a stream is opened anew: the stand-in's pause and its backoff
+RECONNECT_DELAY_US = 300_000  # as the stand-in on sockets
+RECONNECT_JITTER_US = 700_000  # as that one's backoff
 
 Traffic = Iterator[tuple[int, int]]  # (us since the event before, destination)
 
 
 @dataclass(slots=True)
 class Outcomes:
-    """Of a sender's messages so far."""
+    """The messages of a sender so far."""
 
     sent: int = 0
     refused: int = 0
-    fell_back: int = 0  # handed to the sender's own way of sending
+    fell_back: int = 0  # handed to the sender's ingress
 
 
 class HollowSender:
+    """One process of a sender."""
+
     def __init__(
         self,
         clock: VirtualClock,
@@ -55,42 +55,46 @@
         is_down: Callable[[int], bool] = lambda _destination: False,
         outcomes: Outcomes | None = None,
     ) -> None:
-        """control: the instance that can be reached now, if any. is_down: whether a call to a destination fails.
-        outcomes: counted on, where an earlier process of this place has begun."""
+        """Make a process that has not connected yet.
+
+        control: returns the control instance, or None while it is down.
+        is_down: returns whether calls to a destination fail.
+        outcomes: counters that continue those of an earlier process in the same place.
+        """
         self._clock, self._control, self._link = clock, control, link
         self.node, self.instance, self._routes = node, instance, routes
         self._random, self._stopwatch, self._traffic, self._is_down = random_, stopwatch, traffic or iter(()), is_down
         self.contract = Contract(routes)
         self.grants = DestinationGrants(node, self.contract)
         self.outcomes = outcomes or Outcomes()
-        self.last_change = -1  # when a list last arrived
+        self.last_change = -1  # arrival of the last list
         self._calls: dict[tuple[int, str], list[messages.Call]] = defaultdict(list)
-        self._first: set[int] = set()  # routes whose list has not come on this stream
-        self._session = 0  # of the streams: timers and messages of an earlier one are dropped
+        self._without_list: set[int] = set()  # routes whose list has not arrived on this stream
+        self._session = 0  # generation of the streams: timers and messages of earlier ones are dropped
         self._streams: list[tuple[Control, int]] = []
         self._ended = False
         link.on_reset = self._reset
 
     def start(self) -> None:
         self._connect()
-        self._plan_message()
+        self._schedule_message()
 
     def end(self, silently: bool) -> None:
-        """The process is gone. silently: as with its machine, so that nobody tells control."""
+        """End the process. silently: as with its machine, without closing its streams."""
         self._ended = True
         self._session += 1
         if not silently:
             self._close_streams()
         self._link.close()
-        self._link.on_reset = self._close_streams  # control's keepalive ends
+        self._link.on_reset = self._close_streams  # once the service's keepalive expires
 
     @property
     def has_ended(self) -> bool:
-        """The process is gone."""
+        """Return whether the process has ended."""
         return self._ended
 
     def stream_closed(self) -> None:
-        """Control has ended a stream, or is gone."""
+        """Reconnect: the control service has ended a stream, or has ended itself."""
         if not self._ended:
             self._reset()
 
@@ -99,14 +103,14 @@
     def _reset(self) -> None:
         self._close_streams()
         self._session += 1
-        self._again()
+        self._schedule_reconnect()
 
     def _close_streams(self) -> None:
         streams, self._streams = self._streams, []
         for control, number in streams:
             control.stream_closed(number)
 
-    def _again(self) -> None:
+    def _schedule_reconnect(self) -> None:
         session = self._session
         pause = RECONNECT_DELAY_US + self._random.randint(0, RECONNECT_JITTER_US)
         self._clock.after(pause, lambda: self._connect() if session == self._session else None)
@@ -114,17 +118,17 @@
     def _connect(self) -> None:
         control = self._control()
         if control is None or self._link.is_cut:
-            self._again()
+            self._schedule_reconnect()
             return
         self._session += 1
-        self._first = set(self._routes)
+        self._without_list = set(self._routes)
         self.contract.stream_opened(self._clock.now)
         self._stopwatch.start()
         subscription = messages.subscription(self.node, self._names())
         self._stopwatch.stop()
         send = self._open(control, StreamKind.RESOURCES, self._on_resources)
         send(Kind.RESOURCES, subscription.SerializeToString())
-        self._report_use(self._open(control, StreamKind.QUOTA, self._on_grants))
+        self._start_usage_reports(self._open(control, StreamKind.QUOTA, self._on_grants))
         self._loads = self._open(control, StreamKind.LOADS, self._on_loads)
         self._loads(Kind.LOADS, messages.initial_load_request(self.node).SerializeToString())
 
@@ -132,13 +136,13 @@
         return Opening(kind, self.node, self.instance)
 
     def _names(self) -> list[str]:
-        """What a new stream of resources asks for."""
+        """Return the names that a new resource stream subscribes to."""
         return [resources.resource_name(route) for route in self._routes]
 
     def _open(
         self, control: Control, kind: StreamKind, receive: Callable[[bytes], None]
     ) -> Callable[[Kind, bytes], None]:
-        """Opens a stream; gives what sends on it."""
+        """Open a stream; return the function that sends on it."""
         session = self._session
 
         def deliver(data: bytes) -> None:
@@ -169,8 +173,10 @@
                 self.contract.heartbeat_received()
                 continue
             route = resources.destination_of(row.name)
-            self.contract.list_received(route, listed.states, listed.blocked, listed.ttl_us, route in self._first)
-            self._first.discard(route)
+            self.contract.list_received(
+                route, listed.states, listed.blocked, listed.ttl_us, route in self._without_list
+            )
+            self._without_list.discard(route)
             self.last_change = self._clock.now
         self.contract.acknowledged(self._clock.now)
         self._acknowledge(kind, messages.acknowledgement(response).SerializeToString())
@@ -178,7 +184,7 @@
     def _on_grants(self, data: bytes) -> None:
         self.grants.receive(data, self._clock.now)
 
-    def _report_use(self, send: Callable[[Kind, bytes], None]) -> None:
+    def _start_usage_reports(self, send: Callable[[Kind, bytes], None]) -> None:
         session = self._session
 
         def report() -> None:
@@ -193,28 +199,28 @@
         report()
 
     def _on_loads(self, data: bytes) -> None:
-        every = messages.LoadResponse.FromString(data).load_reporting_interval.ToMicroseconds()
+        interval_us = messages.LoadResponse.FromString(data).load_reporting_interval.ToMicroseconds()
         session = self._session
 
         def report() -> None:
             if session != self._session:
                 return
             self._stopwatch.start()
-            message = messages.load_report(self._take_calls(), every, self._clock.now).SerializeToString()
+            message = messages.load_report(self._take_calls(), interval_us, self._clock.now).SerializeToString()
             self._stopwatch.stop()
             self._loads(Kind.LOADS, message)
-            self._clock.after(every, report)
+            self._clock.after(interval_us, report)
 
-        self._clock.after(every, report)
+        self._clock.after(interval_us, report)
 
     def _take_calls(self) -> dict[tuple[int, str], list[messages.Call]]:
-        """The calls since the last report."""
+        """Return the calls since the last load report."""
         calls, self._calls = self._calls, defaultdict(list)
         return calls
 
     # -- traffic
 
-    def _plan_message(self) -> None:
+    def _schedule_message(self) -> None:
         event = next(self._traffic, None)
         if event is not None:
             gap, destination = event
@@ -224,13 +230,13 @@
         if self._ended:
             return
         now = self._clock.now
-        chosen = self.contract.choose(destination, now)
-        if isinstance(chosen, Send):
+        decision = self.contract.choose(destination, now)
+        if isinstance(decision, Send):
             outcome = Outcome.CONNECT_FAILED if self._is_down(destination) else Outcome.OK
-            self._calls[destination, chosen.endpoint].append(messages.Call(outcome, now))
+            self._calls[destination, decision.endpoint].append(messages.Call(outcome, now))
             self.outcomes.sent += 1
-        elif isinstance(chosen, Fallback):
+        elif isinstance(decision, Fallback):
             self.outcomes.fell_back += 1
         else:
             self.outcomes.refused += 1
-        self._plan_message()
+        self._schedule_message()
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -1,4 +1,4 @@
-"""Hollow senders where destinations are divided among them: the contract of lab/proxy/sharded.py on a model's links."""
+"""Hollow senders with destinations divided among them: the contract of lab/proxy/sharded.py on the model's links."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from scalefall.policy.events import Outcome
 from scalefall.policy.settings import Settings
 
-SHARD_REPORT_INTERVAL_US = 500_000  # between reports of use: four in a lease of 2 s
-ALL_LISTS = "*"  # every list that this node is to have
+SHARD_REPORT_INTERVAL_US = 500_000  # between usage reports: four in a lease of 2 s
+ALL_LISTS = "*"  # subscribes to every list that is assigned to the node
 
-CallCounts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # share of each destination, span in us -> calls
+CallCounts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # (quota of each destination, span in us) -> calls
 
 
 def sharded_service_factory(
     assignment: AssignmentSettings,
 ) -> Callable[[int, Settings, ResourceBuilder, ControlOptions], ShardedService]:
-    """Makes the service of a hollow control instance."""
+    """Return a factory of the service of a hollow control instance."""
 
     def make(now: int, settings: Settings, builder: ResourceBuilder, options: ControlOptions) -> ShardedService:
         return ShardedService(
@@ -45,39 +45,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Locality:
-    """Where a process stands."""
+    """Region and zone of a process."""
 
     region: str
     zone: str
 
 
 class ShardGrantsClient:
-    """A sender's side of the quota stream: one short report for all shards, grants of shards in."""
+    """A sender's side of the quota stream: one short report for all shards out, grants of shards in."""
 
     interval_us = SHARD_REPORT_INTERVAL_US
 
     def __init__(self, node: str, contract: ShardedContract) -> None:
         self._node, self._contract = node, contract
-        self.received = 0  # grants so far
+        self.received = 0  # number of grants so far
 
     def report(self, now: int) -> bytes:
-        """The next report, serialized."""
-        said, had = self._contract.next_report(now)
+        """Return the next report, serialized."""
+        report_number, highest_grant = self._contract.next_report(now)
         message = messages.QuotaReport(domain=self._node)
         message.bucket_quota_usages.add().bucket_id.bucket.update(
-            {quota_wire.REPORT_NUMBER: f"{said}", quota_wire.ACKNOWLEDGED_GRANT: f"{had}"}
+            {quota_wire.REPORT_NUMBER: f"{report_number}", quota_wire.ACKNOWLEDGED_GRANT: f"{highest_grant}"}
         )
         return message.SerializeToString()
 
     def receive(self, data: bytes, now: int) -> None:
-        """A message of the quota stream."""
-        grants, heard = quota_wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
+        """Process a message of the quota stream."""
+        grants, last_report = quota_wire.read_shard_grants(messages.QuotaResponse.FromString(data), self._node)
         self.received += len(grants)
-        self._contract.shard_grants_received(grants, heard if heard is not None else 0)
+        self._contract.shard_grants_received(grants, last_report if last_report is not None else 0)
 
 
 class ShardedSender(HollowSender):
-    """What it calls is told by `counts` for all that it holds, once a load report: no message is played by itself."""
+    """A hollow sender without single messages: `counts` gives the calls to its destinations for each load report."""
 
     def __init__(
         self,
@@ -86,27 +86,27 @@
         link: Link,
         node: str,
         instance: str,
-        standing: Locality,
+        locality: Locality,
         shards: int,
         random_: random.Random,
         stopwatch: Stopwatch,
-        counts: CallCounts = lambda _held, _span_us: {},
+        counts: CallCounts = lambda _quotas, _span_us: {},
         is_down: Callable[[int], bool] = lambda _destination: False,
     ) -> None:
         super().__init__(clock, control, link, node, instance, [], random_, stopwatch, is_down=is_down)
         self.contract = ShardedContract(Sharding(shards).shard_of)
         self.grants = ShardGrantsClient(node, self.contract)
-        self.addresses: dict[int, str] = {}  # of each destination that it has a list of
-        self._standing, self._counts = standing, counts
-        self._first_lease = True
-        self._loads_at = clock.now
+        self.addresses: dict[int, str] = {}  # by destination that it has a list of
+        self._locality, self._counts = locality, counts
+        self._awaits_lease = True
+        self._loads_reported_at = clock.now
 
     def _opening(self, kind: StreamKind) -> Opening:
-        return Opening(kind, self.node, self.instance, self._standing.region, self._standing.zone)
+        return Opening(kind, self.node, self.instance, self._locality.region, self._locality.zone)
 
     def _names(self) -> list[str]:
-        """A new stream begins with nothing: what is held is sent anew."""
-        self._first_lease = True
+        """Subscribe to all lists; the service sends all that this node holds again on a new stream."""
+        self._awaits_lease = True
         self.contract.quota_stream_opened()
         return [ALL_LISTS]
 
@@ -127,8 +127,8 @@
         if listed is None:
             self.contract.heartbeat_received()
         elif row.name == resources.LEASE_NAME:
-            self.contract.lease_received(listed.ttl_us, self._first_lease)
-            self._first_lease = False
+            self.contract.lease_received(listed.ttl_us, self._awaits_lease)
+            self._awaits_lease = False
         else:
             route = resources.destination_of(row.name)
             self.contract.list_received(route, listed.states, listed.blocked, listed.ttl_us, False)
@@ -136,31 +136,31 @@
             self.last_change = self._clock.now
 
     def _take_calls(self) -> dict[tuple[int, str], list[messages.Call]]:
-        """The calls since the last report."""
-        now, span = self._clock.now, self._clock.now - self._loads_at
-        self._loads_at = now
+        """Return the calls since the last load report."""
+        now, span = self._clock.now, self._clock.now - self._loads_reported_at
+        self._loads_reported_at = now
         quotas = self.contract.holder.quotas(self.addresses, now)
-        held = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
-        served, failed = messages.Call(Outcome.OK, now), messages.Call(Outcome.CONNECT_FAILED, now)
+        shares = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
+        succeeded, failed = messages.Call(Outcome.OK, now), messages.Call(Outcome.CONNECT_FAILED, now)
         return {
-            (route, self.addresses[route]): [failed if self._is_down(route) else served] * count
-            for route, count in self._counts(held, span).items()
+            (route, self.addresses[route]): [failed if self._is_down(route) else succeeded] * count
+            for route, count in self._counts(shares, span).items()
         }
 
 
 @dataclass(slots=True)
 class ShardingPlan:
-    """How destinations are divided in a fleet of hollow senders, and what they are called with."""
+    """The assignment of destinations in a fleet of hollow senders, and the calls to them."""
 
     assignment: AssignmentSettings
-    counts: CallCounts = lambda _held, _span_us: {}
+    counts: CallCounts = lambda _quotas, _span_us: {}
 
 
 class ShardedFleet(Fleet):
-    """A fleet whose senders have what is assigned to them."""
+    """A fleet whose senders hold the destinations assigned to them."""
 
-    def __init__(self, plan: FleetPlan, division: ShardingPlan, seed: int) -> None:
-        self._division = division
+    def __init__(self, plan: FleetPlan, sharding: ShardingPlan, seed: int) -> None:
+        self._sharding = sharding
         super().__init__(plan, seed)
 
     def _new_sender(self, number: int, node: str, link: Link, random_: random.Random) -> ShardedSender:
@@ -172,17 +172,17 @@
             node,
             f"i{self._instances[number]}",
             Locality(f"r{place.region}", f"z{place.zone}"),
-            self._division.assignment.shards,
+            self._sharding.assignment.shards,
             random_,
             self.sender_time,
-            self._division.counts,
+            self._sharding.counts,
             self.plan.is_down,
         )
 
 
-def sharded_fleet(plan: FleetPlan, division: ShardingPlan, seed: int) -> ShardedFleet:
-    """The plan with a service and options that divide."""
+def sharded_fleet(plan: FleetPlan, sharding: ShardingPlan, seed: int) -> ShardedFleet:
+    """Return a fleet by this plan, with a service that divides destinations among senders."""
     options = replace(plan.options, sharded=True)
     return ShardedFleet(
-        replace(plan, options=options, factory=sharded_service_factory(division.assignment)), division, seed
+        replace(plan, options=options, factory=sharded_service_factory(sharding.assignment)), sharding, seed
     )
