--- a/scalefall/lab/link.py
+++ b/scalefall/lab/link.py
@@ -13,7 +13,7 @@
 import struct
 import sys
 
-READ = 65536
+READ_BYTES = 65536
 
 
 class Link:
@@ -29,7 +29,7 @@
         server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         return server.sockets[0].getsockname()[1]
 
-    def tell(self, words: list[str]) -> None:
+    def execute(self, words: list[str]) -> None:
         if words[:1] == ["silence"]:
             self._open.clear()
         elif words[:1] == ["heal"]:
@@ -56,7 +56,7 @@
 
     async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            while data := await reader.read(READ):
+            while data := await reader.read(READ_BYTES):
                 if self._delay:
                     await asyncio.sleep(self._delay)
                 await self._open.wait()
@@ -71,7 +71,7 @@
     link = Link(sys.argv[1])
     print(await link.serve(), flush=True)
     while words := await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline):
-        link.tell(words.split())
+        link.execute(words.split())
 
 
 if __name__ == "__main__":
