--- a/scalefall/lab/__init__.py
+++ b/scalefall/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins for what is outside, in virtual time and on sockets. Begun with proxies and partners."""
+"""Stand-ins for what is outside: proxies, destinations and links that fail, in virtual time and on sockets."""
--- a/scalefall/lab/classes.py
+++ b/scalefall/lab/classes.py
@@ -1,4 +1,4 @@
-"""The classes that stand-ins hand in and take: by a word each, `NAME=never`, `NAME=keyed:6` or `NAME=freely`."""
+"""The message classes of the stand-ins, one argument each: `NAME=never`, `NAME=keyed:6` or `NAME=freely`."""
 
 from __future__ import annotations
 
@@ -6,24 +6,27 @@
 
 from scalefall.policy.settings import Idempotency, MessageClass
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 REPEAT_WORDS = {Idempotency.NOT_IDEMPOTENT: "never", Idempotency.WITH_KEY: "keyed", Idempotency.IDEMPOTENT: "freely"}
-IDEMPOTENCY_BY_WORD = {word: effect for effect, word in REPEAT_WORDS.items()}
-DEFAULT_KEY_TTL_S = 6  # for which a partner knows a repeat, where the word does not say
+IDEMPOTENCY_BY_WORD = {word: idempotency for idempotency, word in REPEAT_WORDS.items()}
+DEFAULT_KEY_TTL_S = 6  # how long a destination recognizes a repeat by its key
 
 
 def read_class(word: str) -> MessageClass:
-    """A ValueError, which argparse tells, for what is no such word."""
-    name, _, rest = word.partition("=")
-    repeat, _, window = rest.partition(":")
+    """Parse a class; raise ValueError, which argparse reports, if the word is malformed."""
+    name, _, repeat_rule = word.partition("=")
+    repeat, _, key_ttl_s = repeat_rule.partition(":")
     if not name or repeat not in IDEMPOTENCY_BY_WORD:
         raise ValueError(word)
-    effect = IDEMPOTENCY_BY_WORD[repeat]
-    span = int(float(window or DEFAULT_KEY_TTL_S) * SECOND) if effect is Idempotency.WITH_KEY else 0
-    return MessageClass(name, 3 * SECOND, 24 * SECOND, 1.0, 0.3, effect, False, span, False)
+    idempotency = IDEMPOTENCY_BY_WORD[repeat]
+    key_ttl_us = int(float(key_ttl_s or DEFAULT_KEY_TTL_S) * SECOND) if idempotency is Idempotency.WITH_KEY else 0
+    return MessageClass(name, 3 * SECOND, 24 * SECOND, 1.0, 0.3, idempotency, False, key_ttl_us, False)
 
 
-DEFAULT_CLASSES = {cls.name: cls for cls in map(read_class, ("once=never", "keyed=keyed", "often=freely"))}
+DEFAULT_CLASSES = {
+    message_class.name: message_class
+    for message_class in map(read_class, ("once=never", "keyed=keyed", "often=freely"))
+}
 
 
 def add_classes(parser: argparse.ArgumentParser) -> None:
@@ -38,4 +41,6 @@
 
 
 def classes_of(options: argparse.Namespace) -> dict[str, MessageClass]:
-    return {cls.name: cls for cls in options.classes} if options.classes else DEFAULT_CLASSES
+    return (
+        {message_class.name: message_class for message_class in options.classes} if options.classes else DEFAULT_CLASSES
+    )
--- a/scalefall/lab/partner/__init__.py
+++ b/scalefall/lab/partner/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in partners: a limit, cold start with fall-over, drains, waits, and effects counted by id."""
+"""Stand-in destinations: a limit, slow start with failure on overload, Retry-After, effects counted by message id."""
--- a/scalefall/lab/partner/__main__.py
+++ b/scalefall/lab/partner/__main__.py
@@ -1,4 +1,4 @@
-"""A stand-in partner on a socket: `python -m scalefall.lab.partner --port P --limit N [--away FROM-TO]
+"""A stand-in destination on a socket: `python -m scalefall.lab.partner --port P --limit N [--away FROM-TO]
 [--class NAME=REPEAT]`.
 
 Times are seconds from its start. It logs JSON lines for the audit to standard output: took, effect, capacity, fell.
@@ -16,7 +16,7 @@
 from scalefall.lab.partner.model import SECOND, DestinationModel, DestinationProfile
 from scalefall.policy.events import Outcome
 
-LOOK_S = 0.1
+CAPACITY_LOG_INTERVAL_S = 0.1
 
 
 def main() -> None:
@@ -30,16 +30,17 @@
     add_classes(parser)
     options = parser.parse_args()
     classes = classes_of(options)
-    away = tuple(
-        (int(float(a) * SECOND), int(float(b) * SECOND)) for a, _, b in (span.partition("-") for span in options.away)
+    outages = tuple(
+        (int(float(start) * SECOND), int(float(end) * SECOND))
+        for start, _, end in (span.partition("-") for span in options.away)
     )
-    shape = DestinationProfile(options.limit, outages=away, reset_ratio=options.resets)
-    partner, lock, began = DestinationModel(shape, options.seed), threading.Lock(), time.monotonic_ns()
+    profile = DestinationProfile(options.limit, outages=outages, reset_ratio=options.resets)
+    destination, lock, started_at = DestinationModel(profile, options.seed), threading.Lock(), time.monotonic_ns()
 
     def now() -> int:
-        return (time.monotonic_ns() - began) // 1000
+        return (time.monotonic_ns() - started_at) // 1000
 
-    def say(event: str, **fields: object) -> None:
+    def log_event(event: str, **fields: object) -> None:
         print(
             json.dumps(
                 {"at": time.time_ns() // 1000, "who": options.name, "event": event, "partner": options.name, **fields}
@@ -55,15 +56,19 @@
 
         def do_POST(self) -> None:
             self.rfile.read(int(self.headers.get("Content-Length", 0)))
-            name, cls = self.headers.get("X-Request-Id", ""), self.path.strip("/").partition("/")[0]
+            name, class_name = self.headers.get("X-Request-Id", ""), self.path.strip("/").partition("/")[0]
             with lock:
-                say("took", id=name)
-                before, fell = partner.effects[name], partner.overload_failures
-                answer = partner.call(name, now())
-                if partner.overload_failures > fell:
-                    say("fell")
-                if partner.effects[name] > before:
-                    say("effect", id=name, repeat=REPEAT_WORDS[classes[cls].idempotency] if cls in classes else "never")
+                log_event("took", id=name)
+                effects, failures = destination.effects[name], destination.overload_failures
+                answer = destination.call(name, now())
+                if destination.overload_failures > failures:
+                    log_event("fell")
+                if destination.effects[name] > effects:
+                    log_event(
+                        "effect",
+                        id=name,
+                        repeat=REPEAT_WORDS[classes[class_name].idempotency] if class_name in classes else "never",
+                    )
             time.sleep(answer.delay_us / SECOND)
             if answer.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
                 self.close_connection = True
@@ -80,7 +85,7 @@
         request_queue_size = 128
 
         def handle_error(self, *_: object) -> None:
-            pass  # a proxy that has gone
+            pass  # a proxy closed its connection
 
     def serve(port: int) -> Server:
         server = Server(("127.0.0.1", port), Handler)
@@ -89,24 +94,28 @@
 
     server: Server | None = serve(options.port)
     port = server.server_address[1]
-    say("listening", port=port)
+    log_event("listening", port=port)
     while True:
-        time.sleep(LOOK_S)
+        time.sleep(CAPACITY_LOG_INTERVAL_S)
         with lock:
-            gone, capacity, since = partner.is_unavailable(now()), partner.capacity(now()), partner.slow_start_since
-        if gone and server is not None:
+            is_down, capacity, since = (
+                destination.is_unavailable(now()),
+                destination.capacity(now()),
+                destination.slow_start_since,
+            )
+        if is_down and server is not None:
             server.shutdown()
             server.server_close()
             server = None
-        elif not gone and server is None:
+        elif not is_down and server is None:
             server = serve(port)
         if since >= 0:
-            say(
+            log_event(
                 "capacity",
                 a_second=capacity,
-                cold=now() < since + shape.slow_start_us,
-                fall=shape.overload_multiple,
-                fall_ms=shape.overload_window_us // 1000,
+                cold=now() < since + profile.slow_start_us,
+                fall=profile.overload_multiple,
+                fall_ms=profile.overload_window_us // 1000,
                 since=time.time_ns() // 1000 - now() + since,
             )
 
--- a/scalefall/lab/sizes.py
+++ b/scalefall/lab/sizes.py
@@ -1,4 +1,4 @@
-"""How much memory a value takes with all that it refers to."""
+"""The memory that a value takes with everything it refers to."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from enum import Enum
 from types import BuiltinFunctionType, FunctionType, MethodType, ModuleType
 
-SHARED = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType, Enum)  # belong to the program
+SHARED = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType, Enum)  # parts of the program
 
 
 def deep_size(*roots: object) -> int:
-    """Bytes, each object counted once. What belongs to the program as a whole (classes, functions) is not counted, and
-    the allocator's rounding neither."""
+    """Return the bytes of all objects reachable from the roots, each counted once.
+
+    Parts of the program (classes, functions) and the allocator's rounding are not counted.
+    """
     seen: set[int] = set()
     queue: list[object] = list(roots)
     total = 0
