--- a/scalefall/lab/hollow/configuration.py
+++ b/scalefall/lab/hollow/configuration.py
@@ -1,33 +1,38 @@
-"""Configurations of many destinations for the model: one endpoint each, and changes that drain one."""
+"""Configurations of many destinations for the model, with one endpoint each, some of them draining."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-from scalefall.lab.classes import ANY
+from scalefall.lab.classes import DEFAULT_CLASSES
 from scalefall.lab.world import settings as world_settings
 from scalefall.net.config import Fleet, RouteRules
 from scalefall.net.list_stream import Entry
 from scalefall.policy.events import Endpoint, EndpointStatus
 from scalefall.policy.settings import Settings
 
-DOWN_EVERY = 91  # one destination of so many is down: 1.1%
-DOWN_FIRST = 2  # and it is not the one that Zipf traffic has the most of
-ZONE, KIND, PORT = "a", "one", 80
-ATTEMPTS, MOST_WAIT_US = 6, 2_000_000
-RULES = RouteRules(frozenset(ANY), ATTEMPTS, MOST_WAIT_US)
+DOWN_EVERY = 91  # one destination in 91 is down: 1.1%
+DOWN_REMAINDER = 2  # 0 would put the destination with the most Zipf traffic down
+ZONE = "a"
+ENDPOINT_KIND = "one"
+ENDPOINT_PORT = 80
+MAX_ATTEMPTS = 6
+MAX_RETRY_AFTER_US = 2_000_000
+RULES = RouteRules(frozenset(DEFAULT_CLASSES), MAX_ATTEMPTS, MAX_RETRY_AFTER_US)
 
 
 def settings() -> Settings:
-    return world_settings(ANY)
+    """Return the settings of lab/world.py with its default classes."""
+    return world_settings(DEFAULT_CLASSES)
 
 
 def is_down(destination: int) -> bool:
-    return destination % DOWN_EVERY == DOWN_FIRST
+    """Return whether calls to a destination fail."""
+    return destination % DOWN_EVERY == DOWN_REMAINDER
 
 
 def entry(destination: int, status: EndpointStatus = EndpointStatus.READY) -> Entry:
-    endpoint = Endpoint(endpoint_id(destination), ZONE, KIND, destination, status, 0.0)
+    endpoint = Endpoint(endpoint_id(destination), ZONE, ENDPOINT_KIND, destination, status, 0.0)
     return Entry(endpoint, address(destination))
 
 
@@ -36,12 +41,12 @@
 
 
 def address(destination: int) -> tuple[str, int]:
-    """Another one for each destination below 2 ** 24."""
-    return f"10.{destination >> 16 & 255}.{destination >> 8 & 255}.{destination & 255}", PORT
+    """Return the address of a destination's endpoint; unique below 2 ** 24."""
+    return f"10.{destination >> 16 & 255}.{destination >> 8 & 255}.{destination & 255}", ENDPOINT_PORT
 
 
 def configuration(destinations: int, drained: Collection[int] = ()) -> Fleet:
-    """Destinations from 0, each with one endpoint; those of drained drain."""
+    """Return destinations from 0 up, each with one endpoint; those in `drained` are draining."""
     entries = [
         entry(number, EndpointStatus.DRAINING if number in drained else EndpointStatus.READY)
         for number in range(destinations)
