--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -162,8 +162,8 @@
 
     def _subscribe_incrementally(self, watch: Watch, request: Request, is_first: bool) -> None:
         """Apply an incremental request; a resource that is subscribed again is sent again even if unchanged."""
-        is_older_wildcard = is_first and not request.names and watch.removable
-        wildcard = watch.wildcard or is_older_wildcard or WILDCARD in request.names
+        is_legacy_wildcard = is_first and not request.names and watch.removable
+        wildcard = watch.wildcard or is_legacy_wildcard or WILDCARD in request.names
         wildcard = wildcard and WILDCARD not in request.unsubscribed
         names = (watch.names | set(request.names)) - set(request.unsubscribed) - {WILDCARD}
         if is_first:
--- a/scalefall/control/transport/peers.py
+++ b/scalefall/control/transport/peers.py
@@ -53,7 +53,7 @@
         task: The task that reads the stream; cancelled to end it.
         certificate: The client's certificate; None on a plaintext connection.
         incremental: Whether it uses the incremental form of the discovery protocol.
-        understands_ttl: Whether the client supports times to live of resources.
+        supports_ttl: Whether the client supports times to live of resources.
         node: The node id; empty until its first message.
         repeats_names: Whether its last request had the same names as the previous one.
         outgoing: Messages not yet written.
@@ -67,7 +67,7 @@
     task: asyncio.Task[None]
     certificate: tls.ClientCertificate | None
     incremental: bool = False
-    understands_ttl: bool = False
+    supports_ttl: bool = False
     node: str = ""
     repeats_names: bool = False
     outgoing: deque[bytes] = field(default_factory=deque)
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -78,5 +78,5 @@
                 self._peers.identify(peer, message.node.id)
             return
         self._peers.identify(peer, message.node.id)
-        peer.understands_ttl = wire.TTL_FEATURE in message.node.client_features
-        self._service.resource_stream_opened(peer.number, peer.node, peer.incremental, peer.understands_ttl)
+        peer.supports_ttl = wire.TTL_FEATURE in message.node.client_features
+        self._service.resource_stream_opened(peer.number, peer.node, peer.incremental, peer.supports_ttl)
--- a/scalefall/control/transport/service_driver.py
+++ b/scalefall/control/transport/service_driver.py
@@ -92,7 +92,7 @@
     def _deliver(self, peer: Peer, action: StreamAction | QuotaAction) -> None:
         match action:
             case Response():
-                peer.send(self._encoder.encode(action, peer.incremental, peer.understands_ttl))
+                peer.send(self._encoder.encode(action, peer.incremental, peer.supports_ttl))
             case Grant() | ShardGrants():
                 data = self._quotas.grant_message(peer.quota, action)
                 if data is not None and self._leader_state.is_leader:
--- a/scalefall/control/transport/wire.py
+++ b/scalefall/control/transport/wire.py
@@ -52,7 +52,7 @@
 # -- responses
 
 
-# All that the serialized resources of a response depend on: incremental, understands_ttl, is_heartbeat, the type URL,
+# All that the serialized resources of a response depend on: incremental, supports_ttl, is_heartbeat, the type URL,
 # the resources and the removed names. A plain tuple for speed, as one is made for each response.
 _CacheKey: TypeAlias = tuple[bool, bool, bool, str, tuple[Resource, ...], tuple[str, ...]]
 
@@ -64,29 +64,29 @@
         """Start with an empty cache."""
         self._cache: OrderedDict[_CacheKey, bytes] = OrderedDict()
 
-    def encode(self, response: Response, incremental: bool, understands_ttl: bool) -> bytes:
+    def encode(self, response: Response, incremental: bool, supports_ttl: bool) -> bytes:
         """Return a response as bytes.
 
         Args:
             response: The response.
             incremental: Whether the stream is incremental.
-            understands_ttl: Whether the client supports times to live of resources.
+            supports_ttl: Whether the client supports times to live of resources.
         """
-        key = (incremental, understands_ttl, response.is_heartbeat, response.type, response.resources, response.removed)
+        key = (incremental, supports_ttl, response.is_heartbeat, response.type, response.resources, response.removed)
         encoded = self._cache.get(key)
         if encoded is None:
-            encoded = self._cache[key] = _encode_resources(response, incremental, understands_ttl)
+            encoded = self._cache[key] = _encode_resources(response, incremental, supports_ttl)
             if len(self._cache) > MAX_CACHED_RESOURCE_SETS:
                 self._cache.popitem(last=False)
         self._cache.move_to_end(key)
         return encoded + _encode_stream_fields(response, incremental)
 
 
-def _encode_resources(response: Response, incremental: bool, understands_ttl: bool) -> bytes:
+def _encode_resources(response: Response, incremental: bool, supports_ttl: bool) -> bytes:
     """Serialize the resources, which are the same for every client."""
     if incremental:
-        return serialize(_incremental_message(response, understands_ttl))
-    return serialize(_state_of_the_world_message(response, understands_ttl))
+        return serialize(_incremental_message(response, supports_ttl))
+    return serialize(_state_of_the_world_message(response, supports_ttl))
 
 
 def _encode_stream_fields(response: Response, incremental: bool) -> bytes:
@@ -98,30 +98,28 @@
     return serialize(discovery_pb2.DiscoveryResponse(nonce=response.nonce, version_info=response.version))
 
 
-def _state_of_the_world_message(response: Response, understands_ttl: bool) -> discovery_pb2.DiscoveryResponse:
+def _state_of_the_world_message(response: Response, supports_ttl: bool) -> discovery_pb2.DiscoveryResponse:
     message = discovery_pb2.DiscoveryResponse(type_url=response.type)
     message.control_plane.identifier = CONTROL_PLANE_ID
     for resource in response.resources:
-        if resource.ttl_us and understands_ttl:  # wrapped, as only the wrapper has a time to live
-            message.resources.add().Pack(_wrapped(resource, response.is_heartbeat, understands_ttl))
+        if resource.ttl_us and supports_ttl:  # wrapped, as only the wrapper has a time to live
+            message.resources.add().Pack(_wrapped(resource, response.is_heartbeat, supports_ttl))
         else:
             message.resources.append(resource.body)
     return message
 
 
-def _incremental_message(response: Response, understands_ttl: bool) -> discovery_pb2.DeltaDiscoveryResponse:
+def _incremental_message(response: Response, supports_ttl: bool) -> discovery_pb2.DeltaDiscoveryResponse:
     message = discovery_pb2.DeltaDiscoveryResponse(type_url=response.type, removed_resources=response.removed)
     message.control_plane.identifier = CONTROL_PLANE_ID
-    message.resources.extend(
-        _wrapped(resource, response.is_heartbeat, understands_ttl) for resource in response.resources
-    )
+    message.resources.extend(_wrapped(resource, response.is_heartbeat, supports_ttl) for resource in response.resources)
     return message
 
 
-def _wrapped(resource: Resource, is_heartbeat: bool, understands_ttl: bool) -> discovery_pb2.Resource:
+def _wrapped(resource: Resource, is_heartbeat: bool, supports_ttl: bool) -> discovery_pb2.Resource:
     """Return a resource with its name, version and time to live; a heartbeat has no body."""
     message = discovery_pb2.Resource(name=resource.name, version=resource.version)
-    if resource.ttl_us and understands_ttl:
+    if resource.ttl_us and supports_ttl:
         message.ttl.FromMicroseconds(resource.ttl_us)
     if not is_heartbeat:
         message.resource.CopyFrom(resource.body)
--- a/tests/transport/test_service_driver.py
+++ b/tests/transport/test_service_driver.py
@@ -123,7 +123,7 @@
 
 def test_actions_of_a_step_are_delivered_to_open_streams_only():
     async def scenario(harness):
-        harness.peer.incremental = harness.peer.understands_ttl = True
+        harness.peer.incremental = harness.peer.supports_ttl = True
         response = Response(CDS, "1", "v", ())
         grant, shards = Grant("h", 7, 1, 5, 6), ShardGrants(())
         harness.service.outgoing = [(1, response), (2, response), (1, grant), (1, Grant("h", 0, 1, 5, 6)), (1, shards)]
--- a/tests/transport/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -17,7 +17,7 @@
 SHARDS = 8
 ROUTES = range(1, 21)
 FLAGS = ("--plain-text", "--shards", str(SHARDS), "--lease", "0.6", "--delay", "0.2", "--move-after", "1")
-LONG = 30
+STREAM_TIMEOUT_S = 30
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
         self._report_requests: queue.SimpleQueue[bool] = queue.SimpleQueue()  # True: report now; False: end
         metadata = [("scalefall-node", node), ("scalefall-instance", instance), ("scalefall-zone", "z")]
         stub = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel)
-        self.call = stub.StreamRateLimitQuotas(self._reports(node), metadata=metadata, timeout=LONG)
+        self.call = stub.StreamRateLimitQuotas(self._reports(node), metadata=metadata, timeout=STREAM_TIMEOUT_S)
         self.node = node
 
     def _reports(self, node):
@@ -75,7 +75,7 @@
 
     def wait_for_shards(self, condition):
         """Receive grants until the held shards meet the condition."""
-        end = time.monotonic() + LONG
+        end = time.monotonic() + STREAM_TIMEOUT_S
         while not condition(self.held_shards()) and time.monotonic() < end:
             self.receive_and_acknowledge()
         assert condition(self.held_shards())
@@ -87,7 +87,7 @@
 
 def receive_routes(stream, wanted):
     """Return the routes whose lists the stream has received, once they are those wanted."""
-    routes, end = set(), time.monotonic() + LONG
+    routes, end = set(), time.monotonic() + STREAM_TIMEOUT_S
     while routes != wanted and time.monotonic() < end:
         response = stream.receive()
         routes |= {resources.destination_of(row.name) for row in response.resources if row.name != resources.LEASE_NAME}
@@ -142,7 +142,9 @@
     with running_control(folder, *FLAGS) as process, grpc.insecure_channel(process.address) as channel:
         message = rlqs_pb2.RateLimitQuotaUsageReports(domain="n")
         message.bucket_quota_usages.add().bucket_id.bucket.update({quota_wire.ROUTE: "1"})
-        call = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel).StreamRateLimitQuotas(iter([message]), timeout=LONG)
+        call = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel).StreamRateLimitQuotas(
+            iter([message]), timeout=STREAM_TIMEOUT_S
+        )
         assert next(call).bucket_action[0].HasField("abandon_action")
         call.cancel()
         standby = ControlProcess(folder, *FLAGS).wait_until_ready()
