--- a/scalefall/control/transport/peers.py
+++ b/scalefall/control/transport/peers.py
@@ -52,7 +52,7 @@
         context: gRPC's side of the stream.
         task: The task that reads the stream; cancelled to end it.
         certificate: The client's certificate; None on a plaintext connection.
-        incremental: Whether it uses the incremental form of the discovery protocol.
+        incremental: Whether it uses the incremental variant of the xDS protocol.
         supports_ttl: Whether the client supports times to live of resources.
         node: The node id; empty until its first message.
         repeats_names: Whether its last request had the same names as the previous one.
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -1,4 +1,4 @@
-"""Discovery streams: the aggregated discovery service (ADS), state-of-the-world and incremental.
+"""Resource streams: the aggregated discovery service (ADS), state-of-the-world and incremental.
 
 Source: envoy.service.discovery.v3.
 """
@@ -22,7 +22,7 @@
 
 
 class ResourceStreams:
-    """Serves discovery streams."""
+    """Serves resource streams."""
 
     def __init__(
         self,
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -183,7 +183,9 @@
     now, heartbeats = 0, []
     while now < 30:
         actions = stream.heartbeats(now)
-        heartbeats += [(now, [held.name for held in action.resources], action.is_heartbeat) for action in actions]
+        heartbeats += [
+            (now, [received.name for received in action.resources], action.is_heartbeat) for action in actions
+        ]
         if now < 12:
             ack(stream, actions)
         now = stream.next_heartbeat(now) if stream.next_heartbeat(now) > now else now + 1
--- a/tests/transport/test_certificates.py
+++ b/tests/transport/test_certificates.py
@@ -4,7 +4,7 @@
 import signal
 
 import grpc
-from transporthelp import Authority, DiscoveryStream, final_status, running_control
+from transporthelp import Authority, ResourceStream, final_status, running_control
 
 from scalefall.control.catalog import CDS
 
@@ -16,7 +16,7 @@
 
 def first_response(channel, node):
     with channel:
-        stream = DiscoveryStream(channel, node=node)
+        stream = ResourceStream(channel, node=node)
         stream.request(CDS)
         try:
             return stream.receive().type_url
@@ -37,7 +37,7 @@
             assert first_response(secure_channel(process, ours, pair), "n") == "UNAVAILABLE"
         assert first_response(grpc.insecure_channel(process.address), "n") == "UNAVAILABLE"
         channel = secure_channel(process, ours, valid)
-        open_stream = DiscoveryStream(channel, node="n")
+        open_stream = ResourceStream(channel, node="n")
         open_stream.request(CDS)
         assert open_stream.receive().resources
         theirs.issue("control", "control")  # the authority and the pair are replaced, the key last
--- a/tests/transport/test_discovery.py
+++ b/tests/transport/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery streams on sockets: gRPC's own client, both forms of the protocol, and clients that violate it."""
+"""Resource streams on sockets: gRPC's own client, both variants of the protocol, and clients that violate it."""
 
 import grpc
 import pytest
@@ -7,7 +7,7 @@
 from google.rpc import status_pb2
 from test_program import PROCESS_TIMEOUT_S
 from transporthelp import (
-    DiscoveryStream,
+    ResourceStream,
     GrpcXdsClient,
     backends,
     final_status,
@@ -51,9 +51,9 @@
             assert not [line for line in process.seen if "rejected" in line]
 
 
-def test_both_forms_of_streams_get_drains_and_heartbeats_with_nonces_of_their_own(folder):
+def test_both_variants_of_streams_get_drains_and_heartbeats_with_nonces_of_their_own(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
-        full, incremental = DiscoveryStream(channel), DiscoveryStream(channel, True, "m")
+        full, incremental = ResourceStream(channel), ResourceStream(channel, True, "m")
         for stream in (full, incremental):
             stream.request(EDS, "route-7")
         full_response, incremental_response = full.receive(), incremental.receive()
@@ -82,7 +82,7 @@
 
 def test_a_client_without_ttl_support_gets_neither_ttls_nor_heartbeats(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
-        plain, leased = DiscoveryStream(channel, node="a", features=()), DiscoveryStream(channel, node="b")
+        plain, leased = ResourceStream(channel, node="a", features=()), ResourceStream(channel, node="b")
         for stream in (plain, leased):
             stream.request(EDS, "route-7")
             stream.acknowledge(stream.receive(), "route-7")
@@ -95,7 +95,7 @@
 
 def test_a_rejection_is_logged_with_its_text_and_does_not_affect_other_clients(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
-        bad, good = DiscoveryStream(channel, node="bad"), DiscoveryStream(channel, node="good")
+        bad, good = ResourceStream(channel, node="bad"), ResourceStream(channel, node="good")
         for stream in (bad, good):
             stream.request(CDS)
             response = stream.receive()
@@ -130,7 +130,7 @@
 )
 def test_an_invalid_request_ends_its_stream_with_a_status_and_no_other_stream(folder, message, code):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
-        good = DiscoveryStream(channel, node="good")
+        good = ResourceStream(channel, node="good")
         good.request(EDS, "route-7")
         good.acknowledge(good.receive(), "route-7")
         path = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
@@ -145,7 +145,7 @@
 def test_streams_that_one_node_opens_too_often_are_rejected(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
         streams = [
-            DiscoveryStream(channel) for _ in range(100)
+            ResourceStream(channel) for _ in range(100)
         ]  # at once, so that the rate limit admits few after the burst
         codes = []
         for stream in streams:
@@ -159,7 +159,7 @@
             stream.end()
         assert codes.count("OK") >= 50
         assert codes.count("RESOURCE_EXHAUSTED") >= 10
-        other = DiscoveryStream(channel, node="other")
+        other = ResourceStream(channel, node="other")
         other.request(LDS)
         assert other.receive().type_url == LDS
 
@@ -167,7 +167,7 @@
 def test_many_large_requests_of_one_client_do_not_delay_another(folder):
     with running_control(folder) as process, grpc.insecure_channel(process.address) as channel:
         names = [[f"{word}-{n}" for n in range(15_000)] + ["route-7"] for word in "ab"]
-        flooding, good = DiscoveryStream(channel, node="flooding"), DiscoveryStream(channel, node="good")
+        flooding, good = ResourceStream(channel, node="flooding"), ResourceStream(channel, node="good")
         good.request(EDS, "route-7")
         for number in range(100):
             flooding.request(EDS, *names[number % 2])
--- a/tests/transport/test_quotas.py
+++ b/tests/transport/test_quotas.py
@@ -9,7 +9,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2, rlqs_pb2_grpc
 from test_program import PROCESS_TIMEOUT_S
-from transporthelp import DiscoveryStream, final_status, running_control, unwrap, write_configuration
+from transporthelp import ResourceStream, final_status, running_control, unwrap, write_configuration
 
 from scalefall.control.catalog import CDS, EDS
 from scalefall.control.transport import quota_wire
@@ -73,7 +73,7 @@
 
 def drop_category(channel):
     """Wait until the endpoint list of route 7 drops all calls, for clients without grants; return the reason."""
-    stream = DiscoveryStream(channel)
+    stream = ResourceStream(channel)
     stream.request(EDS, "route-7")
     while True:
         response, load = stream.receive(), endpoint_pb2.ClusterLoadAssignment()
@@ -118,7 +118,7 @@
     ):
         leader.event("granting")
         standby.line("standing by")
-        quota, stream = QuotaStream(channel), DiscoveryStream(channel)
+        quota, stream = QuotaStream(channel), ResourceStream(channel)
         quota.report(10)
         stream.request(CDS)
         assert stream.receive().resources  # a standby serves resources too
--- a/tests/transport/test_sharded.py
+++ b/tests/transport/test_sharded.py
@@ -7,7 +7,7 @@
 
 import grpc
 import pytest
-from transporthelp import DiscoveryStream, ControlProcess, running_control, final_status
+from transporthelp import ResourceStream, ControlProcess, running_control, final_status
 from envoy.service.rate_limit_quota.v3 import rlqs_pb2, rlqs_pb2_grpc
 
 from scalefall.assignment.sharding import Sharding
@@ -103,7 +103,7 @@
 def test_senders_get_half_the_shards_each_and_only_their_lists_and_keep_them_over_a_restart(folder):
     with running_control(folder, *FLAGS) as process:
         with grpc.insecure_channel(process.address) as channel:
-            stream = DiscoveryStream(channel, incremental=True, node="a")
+            stream = ResourceStream(channel, incremental=True, node="a")
             stream.request(EDS, "*")
             first, second = ShardHolder(channel, "a"), ShardHolder(channel, "b")
             first.wait_for_shards(lambda shards: len(shards) == SHARDS // 2)
@@ -138,7 +138,7 @@
         assert "Traceback" not in "".join(process.output)
 
 
-def test_a_bucket_of_a_route_is_abandoned_and_a_standby_rejects_discovery_streams(folder):
+def test_a_bucket_of_a_route_is_abandoned_and_a_standby_rejects_resource_streams(folder):
     with running_control(folder, *FLAGS) as process, grpc.insecure_channel(process.address) as channel:
         message = rlqs_pb2.RateLimitQuotaUsageReports(domain="n")
         message.bucket_quota_usages.add().bucket_id.bucket.update({quota_wire.ROUTE: "1"})
@@ -149,7 +149,7 @@
         call.cancel()
         standby = ControlProcess(folder, *FLAGS).wait_until_ready()
         with grpc.insecure_channel(standby.address) as channel:
-            stream = DiscoveryStream(channel, incremental=True)
+            stream = ResourceStream(channel, incremental=True)
             stream.request(EDS, "*")
             assert final_status(stream.call)[0] is grpc.StatusCode.UNAVAILABLE
         standby.end()
--- a/tests/transport/transporthelp.py
+++ b/tests/transport/transporthelp.py
@@ -1,4 +1,4 @@
-"""Control processes on sockets, clients of their discovery streams, certificates, and gRPC backends."""
+"""Control processes on sockets, clients of their resource streams, certificates, and gRPC backends."""
 
 import contextlib
 import datetime
@@ -122,7 +122,7 @@
     return packed, 0, ""
 
 
-class DiscoveryStream:
+class ResourceStream:
     """An incremental or state-of-the-world stream, with one call per message."""
 
     def __init__(self, channel, incremental=False, node="n", features=(TTL_FEATURE,)):
