--- a/scalefall/control/streams.py
+++ b/scalefall/control/streams.py
@@ -42,8 +42,8 @@
     "XdsStream",
 ]
 
-MAX_NAMES = 20_000  # subscriptions of one client, to bound its memory
-MAX_NAME_LENGTH = 512  # characters, to bound a client's memory
+MAX_NAMES = 20_000  # names in one client's subscription to one type, to bound the memory that a client can use here
+MAX_NAME_LENGTH = 512  # characters, to bound the memory that a client can use here
 WILDCARD = "*"  # the protocol's name for a subscription to all
 
 
@@ -162,8 +162,8 @@
 
     def _subscribe_incrementally(self, watch: Watch, request: Request, is_first: bool) -> None:
         """Apply an incremental request; a resource that is subscribed again is sent again even if unchanged."""
-        is_older_wildcard = is_first and not request.names and watch.removable
-        wildcard = watch.wildcard or is_older_wildcard or WILDCARD in request.names
+        is_legacy_wildcard = is_first and not request.names and watch.removable
+        wildcard = watch.wildcard or is_legacy_wildcard or WILDCARD in request.names
         wildcard = wildcard and WILDCARD not in request.unsubscribed
         names = (watch.names | set(request.names)) - set(request.unsubscribed) - {WILDCARD}
         if is_first:
--- a/scalefall/control/transport/resource_streams.py
+++ b/scalefall/control/transport/resource_streams.py
@@ -1,4 +1,4 @@
-"""Discovery streams: the aggregated discovery service (ADS), state-of-the-world and incremental.
+"""Resource streams: the aggregated discovery service (ADS), state-of-the-world and incremental.
 
 Source: envoy.service.discovery.v3.
 """
@@ -22,7 +22,7 @@
 
 
 class ResourceStreams:
-    """Serves discovery streams."""
+    """Serves resource streams."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
             service: Decides the responses.
             peers: The open streams.
             driver: Sends the responses.
-            leader_state: Tells whether this process leads.
-            leader_only: Whether only the leader serves resources; so where destinations are sharded, as only the leader
-                knows the assignment.
+            leader_state: This process's role.
+            leader_only: Whether only the leader serves resources, as where destinations are sharded: a standby does not
+                know the assignment.
         """
         self._service = service
         self._peers = peers
@@ -78,5 +78,5 @@
                 self._peers.identify(peer, message.node.id)
             return
         self._peers.identify(peer, message.node.id)
-        peer.understands_ttl = wire.TTL_FEATURE in message.node.client_features
-        self._service.resource_stream_opened(peer.number, peer.node, peer.incremental, peer.understands_ttl)
+        peer.supports_ttl = wire.TTL_FEATURE in message.node.client_features
+        self._service.resource_stream_opened(peer.number, peer.node, peer.incremental, peer.supports_ttl)
