--- a/benchmarks/assignment_options.py
+++ b/benchmarks/assignment_options.py
@@ -30,20 +30,20 @@
 from scalefall.assignment.sharding import Sharding, mix
 from scalefall.assignment.snapshot import TableState, encode
 
-BOUND = 1.25
-NOISE = 0.5  # sigma of the lognormal factor of a destination between two measurements
-POINTS = 100  # of a node on the ring
-RENEWAL = 90  # bytes of a renewal of one shard, as the control protocol writes it
-RENEWALS_A_SECOND = 1  # half of a lease is a second
-EXPONENTS = (0.8, 1.1)
-COUNTS = (1_024, 3_600, 7_200, 14_400, 28_800)
+LOAD_BOUND = 1.25
+NOISE_SIGMA = 0.5  # sigma of the lognormal factor of a destination between two measurements
+RING_POINTS_PER_NODE = 100  # of a node on the ring
+RENEWAL_BYTES = 90  # bytes of a renewal of one shard, as the control protocol writes it
+RENEWALS_PER_S = 1  # half of a lease is a second
+ZIPF_EXPONENTS = (0.8, 1.1)
+SHARD_COUNTS = (1_024, 3_600, 7_200, 14_400, 28_800)
 
 
 @dataclass(frozen=True)
 class Size:
     nodes: int
     destinations: int
-    events: float
+    events_per_s: float
     rack: int
 
 
@@ -55,15 +55,15 @@
     """Two measurements of every destination's rate, and their sums by shard."""
 
     def __init__(self, size: Size, exponent: float, seed: int) -> None:
-        draw = random.Random(seed)
+        generator = random.Random(seed)
         weights = [rank**-exponent for rank in range(1, size.destinations + 1)]
-        draw.shuffle(weights)
-        scale = size.events / sum(weights)
+        generator.shuffle(weights)
+        scale = size.events_per_s / sum(weights)
         self.first = [weight * scale for weight in weights]
-        noisy = [rate * draw.lognormvariate(0, NOISE) for rate in self.first]
-        scale = size.events / sum(noisy)
+        noisy = [rate * generator.lognormvariate(0, NOISE_SIGMA) for rate in self.first]
+        scale = size.events_per_s / sum(noisy)
         self.second = [rate * scale for rate in noisy]
-        self.node_load = size.events / size.nodes
+        self.node_load = size.events_per_s / size.nodes
 
     def isolate(self, sharding: Sharding) -> Sharding:
         return decide(dict(enumerate(self.first)), sharding, self.node_load, LowLoadStreaks()).apply(sharding)
@@ -82,7 +82,9 @@
 
 
 def fleet(size: Size) -> list[Node]:
-    return [Node(f"sender-{k:04}", f"region{k % 2}", f"zone{k // 2 % 4}") for k in range(size.nodes)]
+    return [
+        Node(f"sender-{number:04}", f"region{number % 2}", f"zone{number // 2 % 4}") for number in range(size.nodes)
+    ]
 
 
 # An option: (table before, loads, nodes, holder counts by shard, all shards) -> the next table
@@ -114,69 +116,71 @@
     return table
 
 
-def bounded(_before: Table, loads: dict, nodes: list[Node], counts: dict, shards: list[int]) -> Table:
+def bounded_loads(_before: Table, loads: dict, nodes: list[Node], counts: dict, shards: list[int]) -> Table:
     """Along the ring from the shard's point, to nodes that stay within the bound; the least loaded if there is none."""
-    ring = sorted((hash((mix(int(n.name[-4:])), point)), n.name) for n in nodes for point in range(POINTS))
+    ring = sorted(
+        (hash((mix(int(node.name[-4:])), point)), node.name) for node in nodes for point in range(RING_POINTS_PER_NODE)
+    )
     names, points = [name for _, name in ring], [point for point, _ in ring]
-    carried = dict.fromkeys((node.name for node in nodes), 0.0)
+    load_by_node = dict.fromkeys((node.name for node in nodes), 0.0)
     idle = sum(loads.values()) / len(shards) * IDLE_FRACTION
-    cap = BOUND * sum(loads.get(shard, idle) for shard in shards) / len(nodes)
+    cap = LOAD_BOUND * sum(loads.get(shard, idle) for shard in shards) / len(nodes)
     table = {}
     for shard in shards:
-        part = loads.get(shard, idle) / counts[shard]
-        at = bisect_left(points, hash((mix(shard), -1)))
+        load_per_holder = loads.get(shard, idle) / counts[shard]
+        start = bisect_left(points, hash((mix(shard), -1)))
         holders: list[str] = []
-        steps = len(ring) if part <= cap else 0
+        steps = len(ring) if load_per_holder <= cap else 0
         for step in range(steps):
-            name = names[(at + step) % len(ring)]
-            if carried[name] + part <= cap and name not in holders:
+            name = names[(start + step) % len(ring)]
+            if load_by_node[name] + load_per_holder <= cap and name not in holders:
                 holders.append(name)
-                carried[name] += part
+                load_by_node[name] += load_per_holder
                 if len(holders) == counts[shard]:
                     break
         while len(holders) < counts[shard]:
-            name = min((name for name in carried if name not in holders), key=carried.__getitem__)
+            name = min((name for name in load_by_node if name not in holders), key=load_by_node.__getitem__)
             holders.append(name)
-            carried[name] += part
+            load_by_node[name] += load_per_holder
         table[shard] = tuple(holders)
     return table
 
 
-def ratio(table: Table, loads: dict, nodes: list[Node]) -> float:
+def max_over_mean(table: Table, loads: dict, nodes: list[Node]) -> float:
     """The most loaded node over the mean."""
-    carried = dict.fromkeys((node.name for node in nodes), 0.0)
+    load_by_node = dict.fromkeys((node.name for node in nodes), 0.0)
     for shard, holders in table.items():
         for name in holders:
-            carried[name] += loads.get(shard, 0.0) / len(holders)
-    return max(carried.values()) * len(nodes) / sum(carried.values())
+            load_by_node[name] += loads.get(shard, 0.0) / len(holders)
+    return max(load_by_node.values()) * len(nodes) / sum(load_by_node.values())
 
 
 def changed(before: Table, after: Table) -> set[int]:
     return {shard for shard in after if set(before.get(shard, ())) != set(after[shard])}
 
 
-def compact(value: object) -> int:
+def compact_bytes(value: object) -> int:
     return len(json.dumps(value, separators=(",", ":")))
 
 
 def state_bytes(name: str, table: Table, loads: dict, nodes: list[Node], sharding: Sharding) -> tuple[int, int]:
     """What the sender with the most shards keeps, and what control keeps, as compact text."""
-    own = compact(sorted(sharding.isolated.items()))
-    listed = compact([node.name for node in nodes])
+    isolated_bytes = compact_bytes(sorted(sharding.isolated.items()))
+    node_list_bytes = compact_bytes([node.name for node in nodes])
     if name == "rendezvous":
-        return listed + own, listed + own
+        return node_list_bytes + isolated_bytes, node_list_bytes + isolated_bytes
     if name == "bounded loads":
-        measured = compact({shard: round(load, 1) for shard, load in loads.items()})
-        return listed + measured + own, listed + measured + own
+        measured = compact_bytes({shard: round(load, 1) for shard, load in loads.items()})
+        return node_list_bytes + measured + isolated_bytes, node_list_bytes + measured + isolated_bytes
     rows: dict[str, list] = {node.name: [] for node in nodes}
     for shard, holders in table.items():
         for holder in holders:
             rows[holder].append([shard, 1_000_000, 1_000_000, 2_000_000])  # shard, epoch, share, lease
-    sender = max(map(compact, rows.values()))
-    return sender + own, len(encode(TableState(table, dict(sharding.isolated), 1, tuple(nodes)), "f" * 32))
+    sender = max(map(compact_bytes, rows.values()))
+    return sender + isolated_bytes, len(encode(TableState(table, dict(sharding.isolated), 1, tuple(nodes)), "f" * 32))
 
 
-def events(size: Size, nodes: list[Node]) -> dict[str, list[Node]]:
+def nodes_after_events(size: Size, nodes: list[Node]) -> dict[str, list[Node]]:
     """The nodes after each event."""
     zone = [node for node in nodes if (node.region, node.zone) == (nodes[0].region, nodes[0].zone)]
     rack = set(zone[: size.rack])
@@ -195,9 +199,9 @@
     return decide_table
 
 
-def timed(option: Option, *given: object) -> tuple[Table, float]:
+def timed(option: Option, *arguments: object) -> tuple[Table, float]:
     start = time.process_time()
-    table = option(*given)  # type: ignore[arg-type]
+    table = option(*arguments)  # type: ignore[arg-type]
     return table, time.process_time() - start
 
 
@@ -219,11 +223,11 @@
     print("|" + " --- |" * 10)
     for isolated in (False, True):
         sharding = traffic.isolate(Sharding(count)) if isolated else Sharding(count)
-        limits = PlacementLimits(BOUND, ISOLATION_THRESHOLD * traffic.node_load if isolated else 0)
+        limits = PlacementLimits(LOAD_BOUND, ISOLATION_THRESHOLD * traffic.node_load if isolated else 0)
         loads, noisy, members = traffic.by_shard(sharding)
         shards = list(sharding.shards())
         table = table_option(limits, nodes)
-        options = {"rendezvous": rendezvous, "bounded loads": bounded, "table": table}
+        options = {"rendezvous": rendezvous, "bounded loads": bounded_loads, "table": table}
         # holder counts are the table's, for all options
         first_counts = {shard: len(holders) for shard, holders in table({}, loads, nodes, {}, shards).items()}
         after = table(table({}, loads, nodes, {}, shards), noisy, nodes, {}, shards)
@@ -235,16 +239,16 @@
         for name, option in options.items():
             first, first_time = timed(option, {}, loads, nodes, first_counts, shards)
             again, _ = timed(option, first, noisy, nodes, noisy_counts, shards)
-            noise = f"{ratio(first, noisy, nodes):.2f}, {ratio(again, noisy, nodes):.2f}"
-            row = [name, f"{ratio(first, loads, nodes):.2f}", noise, str(len(changed(first, again)))]
+            noise = f"{max_over_mean(first, noisy, nodes):.2f}, {max_over_mean(again, noisy, nodes):.2f}"
+            row = [name, f"{max_over_mean(first, loads, nodes):.2f}", noise, str(len(changed(first, again)))]
             times = {}
-            for event, left in events(size, nodes).items():
-                then, times[event] = timed(option, first, loads, left, first_counts, shards)
-                moved = changed(first, then)
-                share = sum(members[shard] for shard in moved) / size.destinations
-                least = least_moves(event, first, shards, left)
-                row.append(f"{len(moved)} of {least:.0f} ({share:.2%})")
-            row[-1] += f", {ratio(then, loads, left):.2f}"
+            for event, remaining in nodes_after_events(size, nodes).items():
+                after_event, times[event] = timed(option, first, loads, remaining, first_counts, shards)
+                moved = changed(first, after_event)
+                moved_share = sum(members[shard] for shard in moved) / size.destinations
+                least = least_moves(event, first, shards, remaining)
+                row.append(f"{len(moved)} of {least:.0f} ({moved_share:.2%})")
+            row[-1] += f", {max_over_mean(after_event, loads, remaining):.2f}"
             row.append("{:,}, {:,}".format(*state_bytes(name, first, loads, nodes, sharding)))
             spent = (first_time, times["node lost"], times["zone lost"])
             print("| " + " | ".join([*row, ", ".join(f"{1e3 * each:.0f}" for each in spent)]) + " |", flush=True)
@@ -253,7 +257,7 @@
 def sweep(size: Size, counts: tuple[int, ...], exponent: float, seed: int) -> None:
     """The table with isolation at several shard counts: balance against the cost of renewals."""
     traffic, nodes = Traffic(size, exponent, seed), fleet(size)
-    limits = PlacementLimits(BOUND, ISOLATION_THRESHOLD * traffic.node_load)
+    limits = PlacementLimits(LOAD_BOUND, ISOLATION_THRESHOLD * traffic.node_load)
     print(f"\nZipf {exponent}, the table with isolation, by shared shards\n")
     print(
         "| shards | isolated | grants | max/mean | after noise: as it was, anew | moved by noise "
@@ -265,14 +269,16 @@
         loads, noisy, _ = traffic.by_shard(sharding)
         shards = list(sharding.shards())
         table = place({}, loads, nodes, limits, shards).table
-        anew = place(table, noisy, nodes, limits, shards)
-        zone = place(table, loads, events(size, nodes)["zone lost"], limits, shards, former_nodes=nodes)
-        held = Counter(name for holders in table.values() for name in holders)
-        mean, most = sum(held.values()) / len(nodes), max(held.values())
-        cost = RENEWAL * RENEWALS_A_SECOND
+        rebalanced = place(table, noisy, nodes, limits, shards)
+        zone = place(table, loads, nodes_after_events(size, nodes)["zone lost"], limits, shards, former_nodes=nodes)
+        grants_by_node = Counter(name for holders in table.values() for name in holders)
+        mean, most = sum(grants_by_node.values()) / len(nodes), max(grants_by_node.values())
+        cost = RENEWAL_BYTES * RENEWALS_PER_S
         print(
-            f"| {count:,} | {len(sharding.isolated)} | {sum(held.values()):,} | {ratio(table, loads, nodes):.2f} "
-            f"| {ratio(table, noisy, nodes):.2f}, {anew.load_ratio:.2f} | {len(anew.moved)} | {mean:.1f}, {most} "
+            f"| {count:,} | {len(sharding.isolated)} | {sum(grants_by_node.values()):,} "
+            f"| {max_over_mean(table, loads, nodes):.2f} "
+            f"| {max_over_mean(table, noisy, nodes):.2f}, {rebalanced.load_ratio:.2f} "
+            f"| {len(rebalanced.moved)} | {mean:.1f}, {most} "
             f"| {mean * cost:,.0f}, {most * cost:,} | {zone.load_ratio:.2f} |",
             flush=True,
         )
@@ -283,14 +289,17 @@
     parser.add_argument("--quick", action="store_true", help="a tenth of the size")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--shards", type=int, default=None)
-    chosen = parser.parse_args()
-    size, scale = (QUICK, 10) if chosen.quick else (FULL, 1)
-    count = chosen.shards or 14_400 // scale
-    print(f"seed {chosen.seed}: {size.nodes} senders, {size.destinations:,} destinations, {size.events:,.0f} events/s")
-    for exponent in EXPONENTS:
-        compare(size, count, exponent, chosen.seed)
-    for exponent in EXPONENTS:
-        sweep(size, tuple(each // scale for each in COUNTS), exponent, chosen.seed)
+    options = parser.parse_args()
+    size, scale = (QUICK, 10) if options.quick else (FULL, 1)
+    count = options.shards or 14_400 // scale
+    print(
+        f"seed {options.seed}: {size.nodes} senders, {size.destinations:,} destinations, "
+        f"{size.events_per_s:,.0f} events/s"
+    )
+    for exponent in ZIPF_EXPONENTS:
+        compare(size, count, exponent, options.seed)
+    for exponent in ZIPF_EXPONENTS:
+        sweep(size, tuple(each // scale for each in SHARD_COUNTS), exponent, options.seed)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -25,32 +25,32 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-PER_ROUTE, PER_CHANNEL = 100, 50
-TICK = os.sysconf("SC_CLK_TCK")
+ENDPOINTS_PER_ROUTE, STREAMS_PER_CHANNEL = 100, 50
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def site(folder, endpoints, drained):
+def write_site(folder, endpoints, drained):
     """Endpoint 0 of route 0 is ready or drains."""
     rows = [
         "sender { name bench; listen 127.0.0.1:0 }",
         "class c { aim 3s; deadline 24s; repeat freely }",
         "kind one { per-call 1 }",
     ]
-    for route in range(max(1, endpoints // PER_ROUTE)):
+    for route in range(max(1, endpoints // ENDPOINTS_PER_ROUTE)):
         rows.append(f"pool p{route} {{ kind one")
         rows += [
-            f"  endpoint e{n} {{ at 10.{route // 250}.{route % 250}.{n + 1}:80"
-            f"{'; state draining' if drained and not route + n else ''} }}"
-            for n in range(PER_ROUTE)
+            f"  endpoint e{index} {{ at 10.{route // 250}.{route % 250}.{index + 1}:80"
+            f"{'; state draining' if drained and not route + index else ''} }}"
+            for index in range(ENDPOINTS_PER_ROUTE)
         ]
         rows += ["}", f"route {route + 1} {{ pool p{route} }}"]
     (folder / "site.scale").write_text("\n".join(rows) + "\n")
 
 
-def started(folder, endpoints, *flags):
+def start_control(folder, endpoints, *flags):
     """A control process on a site of so many endpoints in a new folder; its log is its standard error."""
     (folder / "state").mkdir()
-    site(folder, endpoints, False)
+    write_site(folder, endpoints, False)
     return subprocess.Popen(
         [
             sys.executable,
@@ -78,40 +78,44 @@
         self.incremental, self.names = incremental, names
         stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
         self.call = (stub.DeltaAggregatedResources if incremental else stub.StreamAggregatedResources)()
-        self.kind = discovery_pb2.DeltaDiscoveryRequest if incremental else discovery_pb2.DiscoveryRequest
+        self.request_type = discovery_pb2.DeltaDiscoveryRequest if incremental else discovery_pb2.DiscoveryRequest
         self.node = {"id": f"n{number}", "client_features": ["xds.config.supports-resource-ttl"]}
-        self.news, self.bytes, self.at, self.ready = 0, 0, 0.0, asyncio.Event()
+        self.update_count, self.bytes, self.received_at, self.ready = 0, 0, 0.0, asyncio.Event()
 
     async def run(self):
-        word = "resource_names_subscribe" if self.incremental else "resource_names"
-        await self.call.write(self.kind(node=self.node, type_url=EDS, **{word: self.names}))
-        more = {} if self.incremental else {"resource_names": self.names}
+        names_field = "resource_names_subscribe" if self.incremental else "resource_names"
+        await self.call.write(self.request_type(node=self.node, type_url=EDS, **{names_field: self.names}))
+        subscription = {} if self.incremental else {"resource_names": self.names}
         async for response in self.call:
             if self.incremental:
-                fresh = any(row.HasField("resource") for row in response.resources)
+                has_update = any(row.HasField("resource") for row in response.resources)
             else:
-                fresh = any(len(row.value) > 200 for row in response.resources)  # a heartbeat has no body
-            if fresh:
-                self.at, self.bytes, self.news = time.time(), response.ByteSize(), self.news + 1
+                has_update = any(len(row.value) > 200 for row in response.resources)  # a heartbeat has no body
+            if has_update:
+                self.received_at, self.bytes, self.update_count = (
+                    time.time(),
+                    response.ByteSize(),
+                    self.update_count + 1,
+                )
                 self.ready.set()
-            await self.call.write(self.kind(type_url=EDS, response_nonce=response.nonce, **more))
+            await self.call.write(self.request_type(type_url=EDS, response_nonce=response.nonce, **subscription))
 
 
-def used(pid):
+def process_usage(pid):
     """Seconds of CPU, and MB resident."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     rss = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
-    return (int(fields[11]) + int(fields[12])) / TICK, rss
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, rss
 
 
-def share(values, part):
-    return sorted(values)[min(len(values) - 1, int(len(values) * part))]
+def quantile(values, fraction):
+    return sorted(values)[min(len(values) - 1, int(len(values) * fraction))]
 
 
 async def measure(count, options):
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        child = started(folder, options.endpoints, "--log-format", "json")
+        child = start_control(folder, options.endpoints, "--log-format", "json")
         lines = asyncio.Queue()
         loop = asyncio.get_running_loop()
 
@@ -128,42 +132,47 @@
                     return row
 
         try:
-            at = (await event("ready"))["listen"]
-            empty = used(child.pid)[1]
+            address = (await event("ready"))["listen"]
+            empty = process_usage(child.pid)[1]
             channels = [
-                grpc.aio.insecure_channel(at, options=[("grpc.use_local_subchannel_pool", 1)])
-                for _ in range(-(-count // PER_CHANNEL))
+                grpc.aio.insecure_channel(address, options=[("grpc.use_local_subchannel_pool", 1)])
+                for _ in range(-(-count // STREAMS_PER_CHANNEL))
+            ]
+            names = [f"route-{index + 1}" for index in range(options.names)]
+            streams = [
+                Stream(channels[index // STREAMS_PER_CHANNEL], index, names, not options.whole)
+                for index in range(count)
             ]
-            names = [f"route-{n + 1}" for n in range(options.names)]
-            streams = [Stream(channels[n // PER_CHANNEL], n, names, not options.whole) for n in range(count)]
             tasks = [asyncio.create_task(stream.run()) for stream in streams]
             await asyncio.gather(*(asyncio.wait_for(stream.ready.wait(), 60) for stream in streams))
             await asyncio.sleep(2)
-            before, began = used(child.pid), time.time()
-            mine = time.process_time()
+            before, rest_started = process_usage(child.pid), time.time()
+            own_cpu_s = time.process_time()
             await asyncio.sleep(options.rest)
-            spent, rest = used(child.pid)[0] - before[0], time.time() - began
-            mine = time.process_time() - mine
-            delays, lasts = [], []
+            cpu_spent, rest_s = process_usage(child.pid)[0] - before[0], time.time() - rest_started
+            own_cpu_s = time.process_time() - own_cpu_s
+            delays, last_delays = [], []
             for drain in range(options.drains):
                 for stream in streams:
                     stream.ready.clear()
-                site(folder, options.endpoints, drain % 2 == 0)
+                write_site(folder, options.endpoints, drain % 2 == 0)
                 child.send_signal(signal.SIGHUP)
                 row = await event("endpoint")
-                told = datetime.fromisoformat(row["timestamp"].replace("Z", "+00:00")).timestamp()
+                changed_at = datetime.fromisoformat(row["timestamp"].replace("Z", "+00:00")).timestamp()
                 await asyncio.gather(*(asyncio.wait_for(stream.ready.wait(), 60) for stream in streams))
-                times = [stream.at - told for stream in streams]
+                times = [stream.received_at - changed_at for stream in streams]
                 delays += times
-                lasts.append(max(times))
+                last_delays.append(max(times))
                 await asyncio.sleep(1)
-            memory = used(child.pid)[1]
+            memory = process_usage(child.pid)[1]
             print(
-                f"{count:5} streams: told p50 {1000 * share(delays, 0.5):.1f} ms, "
-                f"p99 {1000 * share(delays, 0.99):.1f} ms, last "
-                f"{1000 * share(lasts, 0.5):.1f} ms in the middle and {1000 * max(lasts):.1f} ms at worst of "
-                f"{len(lasts)};\n      at rest {100 * spent / rest:.1f}% of a core (the streams here: "
-                f"{100 * mine / rest:.1f}%); {memory:.0f} MB, {(memory - empty) * 1000 / count:.0f} kB a stream;\n"
+                f"{count:5} streams: told p50 {1000 * quantile(delays, 0.5):.1f} ms, "
+                f"p99 {1000 * quantile(delays, 0.99):.1f} ms, last "
+                f"{1000 * quantile(last_delays, 0.5):.1f} ms in the middle and "
+                f"{1000 * max(last_delays):.1f} ms at worst of {len(last_delays)};\n"
+                f"      at rest {100 * cpu_spent / rest_s:.1f}% of a core (the streams here: "
+                f"{100 * own_cpu_s / rest_s:.1f}%); {memory:.0f} MB, "
+                f"{(memory - empty) * 1000 / count:.0f} kB a stream;\n"
                 f"      one change of {options.endpoints} endpoints: {streams[0].bytes} bytes",
                 flush=True,
             )
--- a/benchmarks/control_bad_peers.py
+++ b/benchmarks/control_bad_peers.py
@@ -18,35 +18,38 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
-from control import EDS, Stream, started, used
+from control import EDS, Stream, start_control, process_usage
 
-LEASE_S, MOST_MB = 0.9, 64
-LOCAL = [("grpc.use_local_subchannel_pool", 1)]
-PATH = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
+ENDPOINT_LEASE_S, MAX_MEMORY_GROWTH_MB = 0.9, 64
+LOCAL_CHANNEL_OPTIONS = [("grpc.use_local_subchannel_pool", 1)]
+STREAM_PATH = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 
 
-class Good(Stream):
+class GapStream(Stream):
     """Knows the longest time between two messages."""
 
-    gap, last = 0.0, 0.0
+    longest_gap, last_message = 0.0, 0.0
 
     async def run(self):
         names = {"resource_names_subscribe": self.names}
-        await self.call.write(self.kind(node=self.node, type_url=EDS, **names))
+        await self.call.write(self.request_type(node=self.node, type_url=EDS, **names))
         async for response in self.call:
             now = time.monotonic()
-            self.gap, self.last = max(self.gap, now - self.last if self.last else 0.0), now
-            await self.call.write(self.kind(type_url=EDS, response_nonce=response.nonce))
+            self.longest_gap, self.last_message = (
+                max(self.longest_gap, now - self.last_message if self.last_message else 0.0),
+                now,
+            )
+            await self.call.write(self.request_type(type_url=EDS, response_nonce=response.nonce))
 
 
-def first(number, names):
+def first_request(number, names):
     return discovery_pb2.DiscoveryRequest(node={"id": f"bad{number}"}, type_url=EDS, resource_names=names)
 
 
-async def garbage(at, until):
+async def garbage(address, deadline):
     """Random bytes on the socket, and frames that are none after a good preface."""
-    host, _, port = at.rpartition(":")
-    while time.monotonic() < until:
+    host, _, port = address.rpartition(":")
+    while time.monotonic() < deadline:
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 4096)
@@ -55,24 +58,27 @@
             writer.close()
 
 
-async def giant(at, until):
-    async with grpc.aio.insecure_channel(at, options=LOCAL) as channel:
-        while time.monotonic() < until:
-            call = channel.stream_stream(PATH)()
+async def giant(address, deadline):
+    async with grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS) as channel:
+        while time.monotonic() < deadline:
+            call = channel.stream_stream(STREAM_PATH)()
             with contextlib.suppress(grpc.RpcError, asyncio.InvalidStateError):
                 await call.write(b"x" * 20_000_000)
                 await call.read()
 
 
-async def subscriptions(at, until):
+async def subscriptions(address, deadline):
     """10,000 names, others each time, on ten streams."""
 
     async def one(number):
-        async with grpc.aio.insecure_channel(at, options=LOCAL) as channel:
-            call = channel.stream_stream(PATH)()
-            data = [first(number, [f"route-{part}-{n}" for n in range(10_000)]).SerializeToString() for part in "ab"]
+        async with grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS) as channel:
+            call = channel.stream_stream(STREAM_PATH)()
+            data = [
+                first_request(number, [f"route-{part}-{index}" for index in range(10_000)]).SerializeToString()
+                for part in "ab"
+            ]
             with contextlib.suppress(grpc.RpcError, asyncio.InvalidStateError):
-                while time.monotonic() < until:
+                while time.monotonic() < deadline:
                     data.reverse()
                     await call.write(data[0])
                     await asyncio.sleep(0.01)
@@ -80,50 +86,52 @@
     await asyncio.gather(*(one(number) for number in range(10)))
 
 
-async def no_nonce(at, until):
+async def no_nonce(address, deadline):
     """Asks for endpoints that change, and never answers."""
-    async with grpc.aio.insecure_channel(at, options=LOCAL) as channel:
+    async with grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS) as channel:
         calls = [ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources() for _ in range(50)]
         for number, call in enumerate(calls):
-            await call.write(first(number, ["route-1"]))
-        await asyncio.sleep(max(0, until - time.monotonic()))
+            await call.write(first_request(number, ["route-1"]))
+        await asyncio.sleep(max(0, deadline - time.monotonic()))
 
 
-async def openings(at, until):
+async def openings(address, deadline):
     """About a thousand streams a second."""
 
     async def one(channel, number):
         with contextlib.suppress(grpc.RpcError, asyncio.InvalidStateError):
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
-            await call.write(first(number, ["route-1"]))
+            await call.write(first_request(number, ["route-1"]))
             await call.read()
             call.cancel()
 
     opened = 0
-    async with grpc.aio.insecure_channel(at, options=LOCAL) as channel:
-        began = time.monotonic()
-        while time.monotonic() < until:
+    async with grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS) as channel:
+        started = time.monotonic()
+        while time.monotonic() < deadline:
             await asyncio.gather(*(one(channel, 0) for _ in range(20)))
             opened += 20
-            await asyncio.sleep(max(0, opened / 1000 - (time.monotonic() - began)))
-    return f"{opened / (time.monotonic() - began):.0f} a second"
+            await asyncio.sleep(max(0, opened / 1000 - (time.monotonic() - started)))
+    return f"{opened / (time.monotonic() - started):.0f} a second"
 
 
-async def no_reading(at, until):
+async def no_reading(address, deadline):
     """Answers and asks without ever reading: what it is sent stays on the way."""
 
     async def one(number):
-        async with grpc.aio.insecure_channel(at, options=[*LOCAL, ("grpc.http2.lookahead_bytes", 1024)]) as channel:
+        async with grpc.aio.insecure_channel(
+            address, options=[*LOCAL_CHANNEL_OPTIONS, ("grpc.http2.lookahead_bytes", 1024)]
+        ) as channel:
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
             with contextlib.suppress(grpc.RpcError, asyncio.InvalidStateError):
                 nonce = 0
-                while time.monotonic() < until:
+                while time.monotonic() < deadline:
                     nonce += 1
                     await call.write(
                         discovery_pb2.DiscoveryRequest(
                             node={"id": f"bad{number}"} if nonce == 1 else None,
                             type_url=EDS,
-                            resource_names=[f"route-{n + 1}" for n in range(nonce % 20 + 1)],
+                            resource_names=[f"route-{index + 1}" for index in range(nonce % 20 + 1)],
                             response_nonce=f"{nonce - 1}" if nonce > 1 else "",
                         )
                     )
@@ -134,25 +142,30 @@
 
 async def play(seconds):
     with tempfile.TemporaryDirectory() as name:
-        child = started(pathlib.Path(name), 2000)
+        child = start_control(pathlib.Path(name), 2000)
         while "ready: control" not in (line := child.stderr.readline()):
             pass
-        at, wrong = line.split()[-1], 0
+        address, failures = line.split()[-1], 0
         reading = asyncio.get_running_loop().run_in_executor(None, child.stderr.read)
-        channel = grpc.aio.insecure_channel(at, options=LOCAL)
-        goods = [Good(channel, number, ["route-1", "route-2"], True) for number in range(3)]
-        tasks = [asyncio.create_task(good.run()) for good in goods]
+        channel = grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS)
+        good_streams = [GapStream(channel, number, ["route-1", "route-2"], True) for number in range(3)]
+        tasks = [asyncio.create_task(stream.run()) for stream in good_streams]
         await asyncio.sleep(2)
-        for kind in (garbage, giant, subscriptions, no_nonce, openings, no_reading):
-            for good in goods:
-                good.gap = 0.0
-            before = used(child.pid)
-            note = await kind(at, time.monotonic() + seconds)
-            gap, after = max(good.gap for good in goods), used(child.pid)
-            bad = gap >= LEASE_S or after[1] - before[1] > MOST_MB or child.poll() is not None
-            wrong += bad
+        for misbehave in (garbage, giant, subscriptions, no_nonce, openings, no_reading):
+            for stream in good_streams:
+                stream.longest_gap = 0.0
+            before = process_usage(child.pid)
+            note = await misbehave(address, time.monotonic() + seconds)
+            longest_gap, after = max(stream.longest_gap for stream in good_streams), process_usage(child.pid)
+            is_bad = (
+                longest_gap >= ENDPOINT_LEASE_S
+                or after[1] - before[1] > MAX_MEMORY_GROWTH_MB
+                or child.poll() is not None
+            )
+            failures += is_bad
             print(
-                f"{kind.__name__:<14}{'BAD ' if bad else 'good'}  longest gap of good streams {1000 * gap:.0f} ms, "
+                f"{misbehave.__name__:<14}{'BAD ' if is_bad else 'good'}  "
+                f"longest gap of good streams {1000 * longest_gap:.0f} ms, "
                 f"CPU {100 * (after[0] - before[0]) / seconds:.0f}%, memory {before[1]:.0f} -> {after[1]:.0f} MB"
                 f"{'; ' + note if note else ''}",
                 flush=True,
@@ -163,9 +176,9 @@
         await channel.close()
         child.terminate()
         log = await reading
-        wrong += "Traceback" in log
+        failures += "Traceback" in log
         print(f"it ended with {child.wait(10)}; {log.count('Traceback')} tracebacks in its log")
-        return 1 if wrong else 0
+        return 1 if failures else 0
 
 
 def main():
--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -18,7 +18,7 @@
 from scalefall.control import audit
 from scalefall.lab.world import SECOND, Plan, World, returning
 
-RETURNS = {
+COLD_RETURNS = {
     "whole": {},
     "one proxy cut off over the return": {"cuts": ((0, 15 * SECOND, 30 * SECOND),)},
     "cut off from before the outage to its end": {"cuts": ((1, 11 * SECOND, 20 * SECOND),)},
@@ -27,27 +27,27 @@
 }
 
 
-def judged(world):
+def run_and_audit(world):
     rows, _ = audit.read_log(json.dumps(row) for row in world.run())
     return rows, audit.audit(rows)
 
 
-def many(title, worlds):
+def run_worlds(title, worlds):
     """Prints one line; how many rules were broken."""
-    counts, checked, broken, began = Counter(), Counter(), [], time.perf_counter()
-    number = fell = 0
+    counts, checked, broken, started = Counter(), Counter(), [], time.perf_counter()
+    number = overloads = 0
     for seed, world in worlds:
-        _, findings = judged(world)
-        number, fell = number + 1, fell + world.partner.fell
+        _, findings = run_and_audit(world)
+        number, overloads = number + 1, overloads + world.partner.fell
         for proxy in world.proxies:
             counts.update(proxy.counts)
-        for found in findings:
-            checked[found.rule] += found.checked
-            broken += [f"seed {seed}: {found.rule}: {line}" for line in found.violations]
+        for finding in findings:
+            checked[finding.rule] += finding.checked
+            broken += [f"seed {seed}: {finding.rule}: {line}" for line in finding.violations]
     print(
-        f"{title}: {number} runs in {time.perf_counter() - began:.0f} s; "
+        f"{title}: {number} runs in {time.perf_counter() - started:.0f} s; "
         f"{', '.join(f'{rule} {checked[rule]}' for rule in audit.RULE_NAMES)} checked, {len(broken)} broken; "
-        f"partner fell over {fell} times"
+        f"partner fell over {overloads} times"
     )
     print("    " + ", ".join(f"{how} {count}" for how, count in sorted(counts.items())))
     for line in broken[:10]:
@@ -58,7 +58,7 @@
 def ramp(seed):
     """The cold return, second by second: what was sent, and what the partner takes."""
     world = returning(seed)
-    rows, _ = judged(world)
+    rows, _ = run_and_audit(world)
     sent = Counter(row.at // SECOND for row in rows if row.event == "took")
     takes = {row.at // SECOND: row.fields["a_second"] for row in rows if row.event == "capacity"}
     print(f"ramp of seed {seed}: second, calls sent (#), what it takes (|)")
@@ -75,12 +75,16 @@
     parser.add_argument("--seconds", type=int, default=30)
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.runs)
-    broken = many("failing links", ((seed, World(Plan(seconds=options.seconds), seed)) for seed in seeds))
-    for title, more in RETURNS.items():
-        broken += many(f"cold return, {title}", ((seed, returning(seed, **more)) for seed in list(seeds)[:20]))
+    broken = run_worlds("failing links", ((seed, World(Plan(seconds=options.seconds), seed)) for seed in seeds))
+    for title, failures in COLD_RETURNS.items():
+        broken += run_worlds(
+            f"cold return, {title}", ((seed, returning(seed, **failures)) for seed in list(seeds)[:20])
+        )
     for choice in ("fallback", "stop", "floor"):
         plan = Plan(seconds=options.seconds, at_end=choice)
-        broken_here = many(f"at the lease's end: {choice}", ((seed, World(plan, seed)) for seed in list(seeds)[:50]))
+        broken_here = run_worlds(
+            f"at the lease's end: {choice}", ((seed, World(plan, seed)) for seed in list(seeds)[:50])
+        )
         broken += broken_here if choice != "floor" else 0
     ramp(options.first)
     return 1 if broken else 0
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -22,11 +22,11 @@
 from language import ROOT
 from reload import hand_in, serve
 
-RATE, SLICE = 200, 100
-DEST = 900000
+MESSAGES_PER_S, SLICE_MESSAGES = 200, 100
+DESTINATION = 900000
 
 
-def platform(tree, state, partner, **more):
+def start_platform(tree, state, address, **environment):
     """The platform's sender of a tree."""
     table = json.loads((ROOT / "example" / "config.json").read_text())
     table["known"] = {
@@ -35,10 +35,10 @@
         "hosts": [
             {
                 "host": "t",
-                "dial": "{}:{}".format(*partner),
+                "dial": "{}:{}".format(*address),
                 "site": "here",
                 "class": "toy",
-                "block": DEST,
+                "block": DESTINATION,
                 "health": "in_service",
                 "share": 1.0,
                 "born_ms": 0,
@@ -49,59 +49,59 @@
     table["settings"]["familyInfo"]["workers"] = 50
     path = pathlib.Path(state).with_suffix(".json")
     path.write_text(json.dumps(table))
-    return start(tree, "-m", "scalefall", RELAY_CONFIG=str(path), RELAY_STATE=str(state), **more)
+    return start_sender(tree, "-m", "scalefall", RELAY_CONFIG=str(path), RELAY_STATE=str(state), **environment)
 
 
-def on_file(tree, state, partner, *words):
+def start_on_file(tree, state, address, *words):
     path = pathlib.Path(state).with_suffix(".scale")
     path.write_text(
         f"sender {{ slots 50; listen 127.0.0.1:0 }}\nkind toy {{ per-call 10 }}\n"
         f"class fee-order {{ aim 3s; deadline 24s; repeat never; worth 3; late-worth 40% }}\n"
-        f"pool p {{ kind toy; endpoint t {{ at {partner[0]}:{partner[1]} }} }}\n"
-        f"route {DEST} {{ pool p }}\n"
+        f"pool p {{ kind toy; endpoint t {{ at {address[0]}:{address[1]} }} }}\n"
+        f"route {DESTINATION} {{ pool p }}\n"
     )
-    return start(tree, "-m", "scalefall", "run", "--config", str(path), "--state", str(state), *words)
+    return start_sender(tree, "-m", "scalefall", "run", "--config", str(path), "--state", str(state), *words)
 
 
-def start(tree, *words, **environ):
-    began = time.perf_counter()
+def start_sender(tree, *words, **environment):
+    started = time.perf_counter()
     child = subprocess.Popen(
         [sys.executable, "-O", "-B", *words],
         cwd=tree,
-        env=os.environ | environ,
+        env=os.environ | environment,
         text=True,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
     )
     for line in child.stderr:
         if "ready: " in line:
-            took = time.perf_counter() - began
+            start_s = time.perf_counter() - started
             text = json.loads(line)["text"] if line.startswith("{") else line
             host, _, port = text.split()[-1].rpartition(":")
             threading.Thread(target=child.stderr.read, daemon=True).start()
-            return child, (host, int(port)), took
+            return child, (host, int(port)), start_s
     sys.exit(f"{words} did not start")
 
 
-def peak(pid):
+def peak_mb(pid):
     with open(f"/proc/{pid}/status") as file:
         return next(int(line.split()[1]) for line in file if line.startswith("VmHWM")) / 1024
 
 
-def slices(running, rounds):
+def measure_slices(running, rounds):
     """CPU microseconds a message of each variant, slice by slice: all are up, and each has its turn in each round, so
     that whatever else the machine does meets all of them alike."""
-    found = {name: [] for name in running}
-    for n in range(rounds):
+    cpu_by_variant = {name: [] for name in running}
+    for number in range(rounds):
         for name, (child, address, _) in running.items():
-            before = cpu(child.pid)
-            hand_in(address, RATE, SLICE / RATE, f"m{n}")
+            before = cpu_s(child.pid)
+            hand_in(address, MESSAGES_PER_S, SLICE_MESSAGES / MESSAGES_PER_S, f"m{number}")
             time.sleep(0.1)
-            found[name].append((cpu(child.pid) - before) / SLICE * 1e6)
-    return found
+            cpu_by_variant[name].append((cpu_s(child.pid) - before) / SLICE_MESSAGES * 1e6)
+    return cpu_by_variant
 
 
-def cpu(pid):
+def cpu_s(pid):
     """Seconds on a processor; the sender has one thread."""
     with open(f"/proc/{pid}/schedstat") as file:
         return int(file.read().split()[0]) / 1e9
@@ -114,7 +114,7 @@
     options = parser.parse_args()
     listener = socket.create_server(("127.0.0.1", 0))
     threading.Thread(target=serve, args=(listener,), daemon=True).start()
-    partner = listener.getsockname()
+    address = listener.getsockname()
     with tempfile.TemporaryDirectory() as folder:
         old = pathlib.Path(folder, "old")
         if options.against:
@@ -122,40 +122,40 @@
                 ["git", "worktree", "add", "--detach", "-q", str(old), options.against], cwd=ROOT, check=True
             )
         variants = {
-            "platform": lambda state: platform(ROOT, state, partner),
-            "platform, debug": lambda state: platform(ROOT, state, partner, SCALEFALL_LOG="debug"),
-            "on a file": lambda state: on_file(ROOT, state, partner),
-            "on a file, JSON": lambda state: on_file(ROOT, state, partner, "--log-format", "json"),
-            "on a file, debug": lambda state: on_file(ROOT, state, partner, "--log-level", "debug"),
-            "on a file, JSON, debug": lambda state: on_file(
-                ROOT, state, partner, "--log-format", "json", "--log-level", "debug"
+            "platform": lambda state: start_platform(ROOT, state, address),
+            "platform, debug": lambda state: start_platform(ROOT, state, address, SCALEFALL_LOG="debug"),
+            "on a file": lambda state: start_on_file(ROOT, state, address),
+            "on a file, JSON": lambda state: start_on_file(ROOT, state, address, "--log-format", "json"),
+            "on a file, debug": lambda state: start_on_file(ROOT, state, address, "--log-level", "debug"),
+            "on a file, JSON, debug": lambda state: start_on_file(
+                ROOT, state, address, "--log-format", "json", "--log-level", "debug"
             ),
         }
         if options.against:
             variants = {
-                f"platform at {options.against}": lambda state: platform(old, state, partner),
-                f"the same, debug at {options.against}": lambda state: platform(
-                    old, state, partner, SCALEFALL_LOG="debug"
+                f"platform at {options.against}": lambda state: start_platform(old, state, address),
+                f"the same, debug at {options.against}": lambda state: start_platform(
+                    old, state, address, SCALEFALL_LOG="debug"
                 ),
             } | variants
         running = {}
         try:
-            for n, (name, begin) in enumerate(variants.items()):
-                state = pathlib.Path(folder, f"state{n}")
+            for number, (name, begin) in enumerate(variants.items()):
+                state = pathlib.Path(folder, f"state{number}")
                 state.mkdir()
                 running[name] = begin(state)
-            found = slices(running, options.rounds)
-            peaks = {name: peak(child.pid) for name, (child, _, _) in running.items()}
+            cpu_by_variant = measure_slices(running, options.rounds)
+            peaks = {name: peak_mb(child.pid) for name, (child, _, _) in running.items()}
         finally:
             for child, _, _ in running.values():
                 child.kill()
                 child.wait()
             if options.against:
                 subprocess.run(["git", "worktree", "remove", "--force", str(old)], cwd=ROOT, check=True)
-    first = next(iter(found))
+    first = next(iter(cpu_by_variant))
     print(f"{'':<34}{'CPU us/message':>15}{'ratio':>7}{'peak MB':>9}{'ratio':>7}{'start s':>9}")
-    for name, rows in found.items():
-        ratio = statistics.median(row / base for row, base in zip(rows, found[first], strict=False))
+    for name, rows in cpu_by_variant.items():
+        ratio = statistics.median(row / base for row, base in zip(rows, cpu_by_variant[first], strict=False))
         print(
             f"{name:<34}{statistics.median(rows):>15.0f}{ratio:>7.2f}{peaks[name]:>9.1f}"
             f"{peaks[name] / peaks[first]:>7.2f}{running[name][2]:>9.2f}"
--- a/benchmarks/reload.py
+++ b/benchmarks/reload.py
@@ -18,13 +18,13 @@
 import threading
 import time
 
-from language import ROOT, write
+from language import ROOT, write_site
 
 
 def serve(listener):
     """A partner that answers every call with 200 at once."""
 
-    def one(sock):
+    def serve_connection(sock):
         with sock, sock.makefile("rb") as file:
             while line := file.readline():
                 length = 0
@@ -36,34 +36,34 @@
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     while True:
-        threading.Thread(target=one, args=(listener.accept()[0],), daemon=True).start()
+        threading.Thread(target=serve_connection, args=(listener.accept()[0],), daemon=True).start()
 
 
 def hand_in(address, rate, seconds, tag):
     """Milliseconds from each message's intended time to its answer."""
     connection = http.client.HTTPConnection(*address, timeout=60)
-    times, began = [], time.perf_counter()
-    for n in range(int(rate * seconds)):
-        meant = began + n / rate
-        time.sleep(max(0, meant - time.perf_counter()))
+    times, started = [], time.perf_counter()
+    for number in range(int(rate * seconds)):
+        intended = started + number / rate
+        time.sleep(max(0, intended - time.perf_counter()))
         connection.request(
             "POST",
             "/fee-order",
             b"body",
-            {"X-Request-Id": f"{tag}-{n}", "X-Deadline": "20000m", "X-Route-To": "dest=900000"},
+            {"X-Request-Id": f"{tag}-{number}", "X-Deadline": "20000m", "X-Route-To": "dest=900000"},
         )
         answer = connection.getresponse()
         answer.read()
         assert answer.status == 202, answer.status
-        times.append((time.perf_counter() - meant) * 1000)
+        times.append((time.perf_counter() - intended) * 1000)
     return sorted(times)
 
 
-def show(title, times):
-    at = [times[min(len(times) - 1, int(len(times) * share))] for share in (0.5, 0.9, 0.99)]
+def print_quantiles(title, times):
+    quantiles = [times[min(len(times) - 1, int(len(times) * fraction))] for fraction in (0.5, 0.9, 0.99)]
     print(
-        f"{title:<28}{len(times):>6} messages  p50 {at[0]:6.1f}  p90 {at[1]:6.1f}  p99 {at[2]:6.1f}  "
-        f"max {times[-1]:6.1f} ms",
+        f"{title:<28}{len(times):>6} messages  p50 {quantiles[0]:6.1f}  p90 {quantiles[1]:6.1f}  "
+        f"p99 {quantiles[2]:6.1f}  max {times[-1]:6.1f} ms",
         flush=True,
     )
 
@@ -80,7 +80,7 @@
     with tempfile.TemporaryDirectory() as folder:
         site, state = pathlib.Path(folder, "site"), pathlib.Path(folder, "state")
         state.mkdir()
-        write(site, options.endpoints, options.files)
+        write_site(site, options.endpoints, options.files)
         with open(site / "site.scale", "a") as file:
             file.write(
                 "sender { slots 50; hold 1000 }\n"
@@ -107,29 +107,29 @@
         )
         lines = []
 
-        def until(part):
+        def wait_for_line(text):
             for line in child.stderr:
                 lines.append(line)
-                if part in line:
+                if text in line:
                     return line
             sys.exit("".join(lines))
 
-        host, _, port = until("ready: ").split()[-1].rpartition(":")
+        host, _, port = wait_for_line("ready: ").split()[-1].rpartition(":")
         reloads, stop = [], threading.Event()
 
         def reload():
             while not stop.is_set():
-                began = time.perf_counter()
+                started = time.perf_counter()
                 child.send_signal(signal.SIGHUP)
-                until("configuration read again")
-                reloads.append(time.perf_counter() - began)
+                wait_for_line("configuration read again")
+                reloads.append(time.perf_counter() - started)
 
         try:
             address = host, int(port)
-            show("nothing else going on", hand_in(address, options.rate, options.seconds, "a"))
+            print_quantiles("nothing else going on", hand_in(address, options.rate, options.seconds, "a"))
             thread = threading.Thread(target=reload, daemon=True)
             thread.start()
-            show("reload after reload", hand_in(address, options.rate, options.seconds, "b"))
+            print_quantiles("reload after reload", hand_in(address, options.rate, options.seconds, "b"))
             stop.set()
             thread.join(60)
             with open(f"/proc/{child.pid}/status") as file:
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -19,8 +19,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-READY_S = 10
-DECILE = 0.9
+MAX_READY_S = 10
+NINTH_DECILE = 0.9
 
 
 def main() -> int:
@@ -36,12 +36,15 @@
             state = Path(folder, str(number))
             state.mkdir()
             messages = fill_state(state)
-            done = start(config, state)
-            times.append(done.seconds)
-            print(f"{done.seconds:6.2f} s, {done.restored} of {messages} messages restored", flush=True)
-    ninth = sorted(times)[math.ceil(DECILE * len(times)) - 1]
-    print(f"ninth decile of {len(times)} starts: {ninth:.2f} s; longest {max(times):.2f} s; {os.cpu_count()} cores")
-    return int(ninth > READY_S)
+            result = start(config, state)
+            times.append(result.seconds)
+            print(f"{result.seconds:6.2f} s, {result.restored} of {messages} messages restored", flush=True)
+    ninth_decile_s = sorted(times)[math.ceil(NINTH_DECILE * len(times)) - 1]
+    print(
+        f"ninth decile of {len(times)} starts: {ninth_decile_s:.2f} s; longest {max(times):.2f} s; "
+        f"{os.cpu_count()} cores"
+    )
+    return int(ninth_decile_s > MAX_READY_S)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,57 +26,57 @@
 if str(ROOT) not in sys.path:
     sys.path.insert(0, str(ROOT))
 
-from benchmarks.scaling import calibrate, checks, divided, figures, known_red, output, reckoning, run  # noqa: E402
+from benchmarks.scaling import calibrate, checks, divided, estimate, figures, known_red, output, run  # noqa: E402
 
-KNOWN_RED = ROOT / "KNOWN-RED.txt"
-CAPACITY = ROOT / "docs" / "capacity"
-REFERENCE = CAPACITY / "reference.json"
-WORKERS = 2
+KNOWN_RED_PATH = ROOT / "KNOWN-RED.txt"
+CAPACITY_FOLDER = ROOT / "docs" / "capacity"
+REFERENCE_PATH = CAPACITY_FOLDER / "reference.json"
+DEFAULT_WORKERS = 2
 REFERENCE_ROUNDS = {"quick": 3, "full": 1}  # of timed measurements for a reference
-AGAIN = 2  # times that a measurement is done anew
+MAX_REMEASUREMENTS = 2  # times that a measurement is done anew
 
 
 def measure(options: argparse.Namespace, mode: str) -> list[checks.Check]:
     """All roles; their tables and plots are written, and the reference if that is asked for."""
     plays = [json.loads(path.read_text()) for path in options.plays] if options.plays is not None else None
     rounds = REFERENCE_ROUNDS[mode] if options.write_reference else 1
-    found = run.measured(mode, options.workers, rounds, plays)
-    reference = checks.read_reference(REFERENCE, mode)
-    step_ns = found.step_ns if options.write_reference else reference.step_ns or found.step_ns
-    judged = Judged(found, step_ns)
+    measurements = run.measure_all(mode, options.workers, rounds, plays)
+    reference = checks.read_reference(REFERENCE_PATH, mode)
+    step_ns = measurements.step_ns if options.write_reference else reference.step_ns or measurements.step_ns
+    evaluation = Evaluation(measurements, step_ns)
     if options.write_reference:
-        reference = checks.made_reference(step_ns, judged.figures, judged.budgets)
-        checks.write_reference(REFERENCE, mode, reference)
+        reference = checks.make_reference(step_ns, evaluation.figures, evaluation.budgets)
+        checks.write_reference(REFERENCE_PATH, mode, reference)
     else:
-        judged = _measured_again(judged, reference, mode, options.workers)
-    folder = _folder(options, mode)
-    same_size = reckoning.same_size(judged.slopes, found.sample)
-    facts = {"run": found.sample, "reckoned for the same size": same_size, "step_ns": step_ns}
-    output.write(folder, mode, judged.figures, judged.rows, facts)
-    output.write_divided(folder, mode, found.divided)
-    lines = output.figure_lines(judged.figures) + output.reckoned_lines(judged.rows)
-    lines += output.sample_lines(found.sample, same_size) + output.divided_lines(found.divided)
+        evaluation = _remeasure_slow(evaluation, reference, mode, options.workers)
+    folder = _output_folder(options, mode)
+    same_size = estimate.same_size(evaluation.slopes, measurements.sample)
+    facts = {"run": measurements.sample, "reckoned for the same size": same_size, "step_ns": step_ns}
+    output.write(folder, mode, evaluation.figures, evaluation.rows, facts)
+    output.write_divided(folder, mode, measurements.divided)
+    lines = output.figure_lines(evaluation.figures) + output.estimate_lines(evaluation.rows)
+    lines += output.sample_lines(measurements.sample, same_size) + output.divided_lines(measurements.divided)
     print("\n".join(lines))
     print(f"\nTables and plots: {folder}; processor times are told by a step of {step_ns:.1f} ns\n")
-    return judged.checks(reference)
+    return evaluation.checks(reference)
 
 
-class Judged:
+class Evaluation:
     """What follows from the runs so far."""
 
-    def __init__(self, found: run.Measured, step_ns: float) -> None:
-        self.found, self.step_ns = found, step_ns
-        self.figures = found.all_figures()
-        self.slopes = reckoning.Slopes(self.figures)
-        self.rows = reckoning.by_traffic(self.slopes, step_ns, found.touched)
-        self.budgets = reckoning.budgets(self.rows) + divided.budgets(found.divided)
+    def __init__(self, measurements: run.Measurements, step_ns: float) -> None:
+        self.measurements, self.step_ns = measurements, step_ns
+        self.figures = measurements.all_figures()
+        self.slopes = estimate.Slopes(self.figures)
+        self.rows = estimate.by_traffic(self.slopes, step_ns, measurements.touched)
+        self.budgets = estimate.budgets(self.rows) + divided.budgets(measurements.divided)
 
     def checks(self, reference: checks.Reference) -> list[checks.Check]:
         return [checks.check_figure(each, reference) for each in self.figures] + [
             checks.check_budget(each, reference) for each in self.budgets
         ]
 
-    def late(self, reference: checks.Reference) -> set[str]:
+    def failed_time_keys(self, reference: checks.Reference) -> set[str]:
         """Keys of the times that are above their bound, or that a budget of time which failed is reckoned from."""
         failed = {
             checks.key(each)
@@ -86,26 +86,26 @@
         for budget in self.budgets:
             fails = checks.check_budget(budget, reference).verdict is checks.Verdict.FAILED
             if fails and budget.quantity is figures.Quantity.TIME:
-                failed |= self.slopes.timed
+                failed |= self.slopes.used_times
         return failed
 
 
-def _measured_again(judged: Judged, reference: checks.Reference, mode: str, workers: int) -> Judged:
+def _remeasure_slow(evaluation: Evaluation, reference: checks.Reference, mode: str, workers: int) -> Evaluation:
     """Times above their bound are measured anew, and the median at each size is taken: other work on the machine
     disturbs a run, and a program that got slower is slower in most."""
-    for _ in range(AGAIN if reference.figures else 0):
-        names = run.measure_again(judged.found, judged.late(reference), mode, workers)
+    for _ in range(MAX_REMEASUREMENTS if reference.figures else 0):
+        names = run.remeasure(evaluation.measurements, evaluation.failed_time_keys(reference), mode, workers)
         if not names:
             break
         print(f"measured again, as a time was above its bound: {', '.join(names)}")
-        judged = Judged(judged.found, judged.step_ns)
-    return judged
+        evaluation = Evaluation(evaluation.measurements, evaluation.step_ns)
+    return evaluation
 
 
-def _folder(options: argparse.Namespace, mode: str) -> pathlib.Path:
+def _output_folder(options: argparse.Namespace, mode: str) -> pathlib.Path:
     if options.out is not None:
         return options.out
-    return pathlib.Path(tempfile.mkdtemp(prefix="scale-")) if mode == "quick" else CAPACITY
+    return pathlib.Path(tempfile.mkdtemp(prefix="scale-")) if mode == "quick" else CAPACITY_FOLDER
 
 
 def main() -> int:
@@ -115,26 +115,26 @@
     parser.add_argument("--write-reference", action="store_true")
     parser.add_argument("--out", type=pathlib.Path)
     parser.add_argument("--plays", type=pathlib.Path, nargs="*")
-    parser.add_argument("--workers", type=int, default=WORKERS, choices=range(1, run.MOST_WORKERS + 1))
+    parser.add_argument("--workers", type=int, default=DEFAULT_WORKERS, choices=range(1, run.MAX_WORKERS + 1))
     options = parser.parse_args()
-    made: list[checks.Check] = []
+    results: list[checks.Check] = []
     try:
         if options.quick or not options.calibrate:
-            made += measure(options, "quick" if options.quick else "full")
+            results += measure(options, "quick" if options.quick else "full")
         if options.calibrate or not options.quick:
-            made += calibrate.checked()
-    except (run.JobFailed, queue.Empty, subprocess.TimeoutExpired) as error:
+            results += calibrate.run_checks()
+    except (run.JobFailedError, queue.Empty, subprocess.TimeoutExpired) as error:
         print(f"{type(error).__name__}: {error}")
-        made.append(checks.Check("all is measured", 0, "every measurement ends", checks.Verdict.FAILED))
-    for check in made:
+        results.append(checks.Check("all is measured", 0, "every measurement ends", checks.Verdict.FAILED))
+    for check in results:
         print(check.line())
-    listed = known_red.read_known_red(KNOWN_RED)
-    for entry in listed:
+    entries = known_red.read_known_red(KNOWN_RED_PATH)
+    for entry in entries:
         print(f"known red: {entry.test}: {entry.cause} (issue {entry.issue})")
-    passed_over = known_red.checks_passed_over(listed)
-    failed = [check.name for check in made if check.verdict is checks.Verdict.FAILED]
+    passed_over = known_red.checks_passed_over(entries)
+    failed = [check.name for check in results if check.verdict is checks.Verdict.FAILED]
     counted = [name for name in failed if name not in passed_over]
-    print(f"scale: {len(made)} checks, {len(counted)} failed, {len(failed) - len(counted)} known red")
+    print(f"scale: {len(results)} checks, {len(counted)} failed, {len(failed) - len(counted)} known red")
     return 1 if counted else 0
 
 
--- a/benchmarks/scaling/calibrate.py
+++ b/benchmarks/scaling/calibrate.py
@@ -33,16 +33,16 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 ROUTES = 20
-CHANGES, SPAN_S = 25, 30.0
-LOAD = 400.0  # messages a second: each route is in nearly every load report
-QUIET_S = 3.5  # from control's start to the sender's: it grants from the beginning
-LONG_S = 30.0  # that anything may take
-WIRE, STATE = 0.05, 0.10
+CHANGE_COUNT, CHANGES_SPAN_S = 25, 30.0
+MESSAGES_PER_S = 400.0  # messages a second: each route is in nearly every load report
+START_DELAY_S = 3.5  # from control's start to the sender's: it grants from the beginning
+TIMEOUT_S = 30.0  # that anything may take
+WIRE_TOLERANCE, STATE_TOLERANCE = 0.05, 0.10
 SEED = 17
 
 
 @dataclass(slots=True, frozen=True)
-class Side:
+class SideCounts:
     """What one of the two has counted."""
 
     messages: dict[str, dict[str, list[int]]]  # by direction and kind: messages, bytes
@@ -58,22 +58,22 @@
     end: int
 
 
-def checked() -> list[Check]:
+def run_checks() -> list[Check]:
     """Both sides played, printed side by side and compared."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        ports = [_partner() for _ in range(ROUTES)]
-        real, schedule = _real(folder, ports)
-        hollow = _hollow(folder, ports, schedule)
-    found = []
+        ports = [_start_destination() for _ in range(ROUTES)]
+        real, schedule = _measure_processes(folder, ports)
+        hollow = _measure_hollow(folder, ports, schedule)
+    checks = []
     print(f"\n{'Calibration':<32}{'real':>12}{'hollow':>12}")
     for direction, kinds in real.messages.items():
         for kind, counted in kinds.items():
             for what, one, other in zip(("messages", "bytes"), counted, hollow.messages[direction][kind], strict=False):
-                found.append(_check(f"{kind} {direction}, {what}", one, other, WIRE))
+                checks.append(_check(f"{kind} {direction}, {what}", one, other, WIRE_TOLERANCE))
     print(f"{'messages fallen back':<32}{real.fallen:>12.1%}{hollow.fallen:>12.1%}  (told, not checked)")
-    found.append(_check("contract's state, bytes", real.state, hollow.state, STATE))
-    return found
+    checks.append(_check("contract's state, bytes", real.state, hollow.state, STATE_TOLERANCE))
+    return checks
 
 
 def _check(name: str, real: int, hollow: int, tolerance: float) -> Check:
@@ -97,7 +97,7 @@
         self.child = subprocess.Popen(
             [sys.executable, "-u", "-m", *words], cwd=ROOT, text=True, stdout=subprocess.PIPE, stderr=subprocess.STDOUT
         )
-        self._ended = self._fallen = 0  # messages of a sender that have ended, and that fell back
+        self._ended = self._fallbacks = 0  # messages of a sender that have ended, and that fell back
         self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         threading.Thread(target=self._read, daemon=True).start()
 
@@ -107,27 +107,27 @@
 
     def event(self, name: str) -> dict:
         """The next line of this event. queue.Empty if there is none within LONG_S."""
-        until = time.monotonic() + LONG_S
+        until = time.monotonic() + TIMEOUT_S
         while True:
             line = self._lines.get(timeout=max(0.0, until - time.monotonic()))
             row = json.loads(line) if line.startswith("{") else {}
             self._ended += row.get("event") == "ended"
-            self._fallen += row.get("how") == "fallback"
+            self._fallbacks += row.get("how") == "fallback"
             if row.get("event") == name:
                 return row
 
     @property
     def fallen(self) -> float:
-        return self._fallen / max(1, self._ended)
+        return self._fallbacks / max(1, self._ended)
 
     def end(self) -> None:
         if self.child.poll() is None:
             self.child.terminate()
-        self.child.wait(LONG_S)
+        self.child.wait(TIMEOUT_S)
 
 
-def _real(folder: pathlib.Path, ports: list[int]) -> tuple[Side, Schedule]:
-    _site(folder, ports, 0)
+def _measure_processes(folder: pathlib.Path, ports: list[int]) -> tuple[SideCounts, Schedule]:
+    _write_site(folder, ports, 0)
     (folder / "state").mkdir()
     control = _Process(
         *("scalefall", "control", "--config", str(folder), "--state", str(folder / "state")),
@@ -136,30 +136,30 @@
     sender = None
     try:
         at = control.event("ready")["listen"]
-        time.sleep(QUIET_S)
+        time.sleep(START_DELAY_S)
         routes = [str(route) for route in range(1, ROUTES + 1)]
         sender = _Process(
-            *("scalefall.lab.proxy", "--control", at, "--node", "n0", "--load", str(LOAD), "--count"),
+            *("scalefall.lab.proxy", "--control", at, "--node", "n0", "--load", str(MESSAGES_PER_S), "--count"),
             *("--routes", *routes, "--class", "often=freely"),
         )
         opened, changes = sender.event("opened")["at"], []
-        for number in range(CHANGES):
-            due = opened + int((number + 0.5) * SPAN_S / CHANGES * SECOND)
+        for number in range(CHANGE_COUNT):
+            due = opened + int((number + 0.5) * CHANGES_SPAN_S / CHANGE_COUNT * SECOND)
             time.sleep(max(0.0, due / SECOND - time.time()))
-            _site(folder, ports, number + 1)
+            _write_site(folder, ports, number + 1)
             control.child.send_signal(signal.SIGHUP)
             changes.append(time.time_ns() // 1000 - opened)
-        time.sleep(max(0.0, opened / SECOND + SPAN_S - time.time()))
+        time.sleep(max(0.0, opened / SECOND + CHANGES_SPAN_S - time.time()))
         sender.child.terminate()
         counted, fallen = sender.event("counted"), sender.fallen
     finally:
         control.end()
         if sender is not None:
             sender.end()
-    return Side(counted["messages"], counted["state"], fallen), Schedule(changes, counted["at"] - opened)
+    return SideCounts(counted["messages"], counted["state"], fallen), Schedule(changes, counted["at"] - opened)
 
 
-def _site(folder: pathlib.Path, ports: list[int], changes: int) -> None:
+def _write_site(folder: pathlib.Path, ports: list[int], changes: int) -> None:
     """After so many changes: with each another endpoint drains or is back. The file is put in place whole."""
     rows = [
         "sender { name t; listen 127.0.0.1:0 }",
@@ -167,15 +167,15 @@
         "kind one { per-call 1 }",
     ]
     for route in range(1, ROUTES + 1):
-        turns = (changes + ROUTES - route) // ROUTES  # how often it was this one's turn
-        state = "; state draining" if turns % 2 else ""
+        state_changes = (changes + ROUTES - route) // ROUTES  # how often it was this one's turn
+        state = "; state draining" if state_changes % 2 else ""
         rows.append(f"pool p{route} {{ kind one; endpoint e {{ at 127.0.0.1:{ports[route - 1]}{state} }} }}")
         rows.append(f"route {route} {{ pool p{route}; classes often }}")
     (folder / "new").write_text("\n".join(rows) + "\n")
     (folder / "new").replace(folder / "site.scale")
 
 
-def _partner() -> int:
+def _start_destination() -> int:
     """The port of one that answers every call."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
 
@@ -193,16 +193,16 @@
 # -- the model
 
 
-def _hollow(folder: pathlib.Path, ports: list[int], schedule: Schedule) -> Side:
+def _measure_hollow(folder: pathlib.Path, ports: list[int], schedule: Schedule) -> SideCounts:
     clock, meter, random_ = VirtualClock(), Meter(), random.Random(SEED)
 
     def site(changes: int) -> object:
-        _site(folder, ports, changes)
+        _write_site(folder, ports, changes)
         return configuration(str(folder), str(folder / "state"), {})[0].config
 
     first = site(0)
     control = Control(clock, first.settings, first.fleet, ControlOptions(), Stopwatch())
-    clock.run_for(int(QUIET_S * SECOND))
+    clock.run_for(int(START_DELAY_S * SECOND))
     routes = list(range(1, ROUTES + 1))
     sender = HollowSender(
         clock,
@@ -223,9 +223,9 @@
     clock.run_until(opened + schedule.end)
     outcomes = sender.outcomes
     fallen = outcomes.fallen / max(1, outcomes.sent + outcomes.refused + outcomes.fallen)
-    return Side(meter.table(), deep_size(sender.contract), fallen)
+    return SideCounts(meter.table(), deep_size(sender.contract), fallen)
 
 
 def _traffic(routes: list[int], random_: random.Random) -> Iterator[tuple[int, int]]:
     while True:
-        yield int(random_.expovariate(LOAD) * SECOND), random_.choice(routes)
+        yield int(random_.expovariate(MESSAGES_PER_S) * SECOND), random_.choice(routes)
--- a/benchmarks/scaling/checks.py
+++ b/benchmarks/scaling/checks.py
@@ -16,11 +16,15 @@
 
 from benchmarks.scaling.figures import Figure, Quantity
 
-EXACT = 0.10  # bytes and memory
-TIME = 0.50  # a ratio of processor times
-LEAST_STEPS = 1.0  # a slope of time below it is that of noise, and may come out negative
-NEARLY = 1 / (1 + TIME)  # of its budget
-TOLERANCE = {Quantity.BYTES: EXACT, Quantity.MEMORY: EXACT, Quantity.TIME: TIME}
+COUNT_TOLERANCE = 0.10  # bytes and memory
+TIME_TOLERANCE = 0.50  # a ratio of processor times
+MIN_SLOPE_STEPS = 1.0  # a slope of time below it is that of noise, and may come out negative
+NEAR_BUDGET_FRACTION = 1 / (1 + TIME_TOLERANCE)  # of its budget
+TOLERANCE_BY_QUANTITY = {
+    Quantity.BYTES: COUNT_TOLERANCE,
+    Quantity.MEMORY: COUNT_TOLERANCE,
+    Quantity.TIME: TIME_TOLERANCE,
+}
 
 
 class Verdict(Enum):
@@ -45,7 +49,7 @@
     name: str
     quantity: Quantity
     value: float
-    most: float
+    limit: float
     unit: str
 
 
@@ -69,8 +73,8 @@
     if known is None:
         return Check(name, value, "none written", Verdict.FAILED)
     if figure.quantity is Quantity.TIME:
-        known = max(known, LEAST_STEPS)
-    tolerance = TOLERANCE[figure.quantity]
+        known = max(known, MIN_SLOPE_STEPS)
+    tolerance = TOLERANCE_BY_QUANTITY[figure.quantity]
     above = value - known > tolerance * abs(known)
     below = known - value > tolerance * abs(known) and figure.quantity is not Quantity.TIME
     bound = f"{known:,.4g} within {tolerance:.0%}" + (" above" if figure.quantity is Quantity.TIME else "")
@@ -79,22 +83,22 @@
 
 def check_budget(budget: Budget, reference: Reference) -> Check:
     known = reference.over.get(budget.name)
-    bound = f"{budget.most:,.4g} {budget.unit}"
-    if budget.value <= budget.most:
+    bound = f"{budget.limit:,.4g} {budget.unit}"
+    if budget.value <= budget.limit:
         return Check(budget.name, budget.value, bound, Verdict.FITS)
     if known is None:
         return Check(budget.name, budget.value, bound, Verdict.FAILED)
-    worse = budget.value > known * (1 + TOLERANCE[budget.quantity])
+    worse = budget.value > known * (1 + TOLERANCE_BY_QUANTITY[budget.quantity])
     bound += f" (reference over: {known:,.4g})"
     return Check(budget.name, budget.value, bound, Verdict.FAILED if worse else Verdict.NO_WORSE)
 
 
 def _is_over(budget: Budget) -> bool:
     """A time that is nearly its budget counts as over: on another run it is."""
-    return budget.value > budget.most * (NEARLY if budget.quantity is Quantity.TIME else 1)
+    return budget.value > budget.limit * (NEAR_BUDGET_FRACTION if budget.quantity is Quantity.TIME else 1)
 
 
-def made_reference(step_ns: float, figures: Iterable[Figure], budgets: Iterable[Budget]) -> Reference:
+def make_reference(step_ns: float, figures: Iterable[Figure], budgets: Iterable[Budget]) -> Reference:
     return Reference(
         step_ns,
         {key(each): each.line.slope for each in figures},
--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -24,33 +24,33 @@
 
 ROLE = Role.CONTROL
 OPTIONS = ControlOptions()
-QUIET_US = OPTIONS.lease_us + OPTIONS.delay_us
-RENEW_US = OPTIONS.lease_us // 2
-TTL_US = OPTIONS.endpoint_lease_us
+FIRST_GRANT_US = OPTIONS.lease_us + OPTIONS.delay_us
+RENEWAL_US = OPTIONS.lease_us // 2
+RESOURCE_TTL_US = OPTIONS.endpoint_lease_us
 
-DESTINATIONS = {"quick": (2000, 4000, 8000), "full": (105_000, 210_000, 420_000)}
-MEMORY_DESTINATIONS = {"quick": (1000, 2000, 4000), "full": (25_000, 50_000, 100_000)}
-GRANTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
-HOLDERS = {"quick": (16, 32, 64), "full": (225, 450, 900)}
-HOLDER_DESTINATIONS = 20
-STREAMS = {"quick": (100, 200, 400), "full": (450, 900, 1800)}
-STREAM_NAMES = 3
-NAMES = {"quick": (500, 1000, 2000), "full": (5000, 10_000, 20_000)}
-CATALOG = {"quick": (250, 500, 1000), "full": (10_000, 20_000, 40_000)}
+ALLOCATOR_DESTINATIONS = {"quick": (2000, 4000, 8000), "full": (105_000, 210_000, 420_000)}
+ALLOCATOR_MEMORY_DESTINATIONS = {"quick": (1000, 2000, 4000), "full": (25_000, 50_000, 100_000)}
+GRANTED_DESTINATIONS = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
+HOLDER_COUNTS = {"quick": (16, 32, 64), "full": (225, 450, 900)}
+DESTINATIONS_PER_HOLDER = 20
+STREAM_COUNTS = {"quick": (100, 200, 400), "full": (450, 900, 1800)}
+NAMES_PER_STREAM = 3
+NAME_COUNTS = {"quick": (500, 1000, 2000), "full": (5000, 10_000, 20_000)}
+CATALOG_DESTINATIONS = {"quick": (250, 500, 1000), "full": (10_000, 20_000, 40_000)}
 
 
 def allocator(mode: str) -> list[Series]:
     """Its turn with 1.1% of the destinations down: the module asked, its rows made into allowances."""
     series = Series(ROLE, "allocator's turn", Quantity.TIME, "steps a destination", "destinations")
-    for count in DESTINATIONS[mode]:
-        made, clock = _allocator(count), iter(range(QUIET_US + SECOND, 1 << 40, SECOND))
-        series.add(count, steps_of(_step, made, clock))
+    for count in ALLOCATOR_DESTINATIONS[mode]:
+        built, clock = _allocator(count), iter(range(FIRST_GRANT_US + SECOND, 1 << 40, SECOND))
+        series.add(count, steps_of(_step, built, clock))
     return [series]
 
 
 def allocator_memory(mode: str) -> list[Series]:
     series = Series(ROLE, "module and ledger", Quantity.MEMORY, "bytes a destination", "destinations")
-    for count in MEMORY_DESTINATIONS[mode]:
+    for count in ALLOCATOR_MEMORY_DESTINATIONS[mode]:
         series.add(count, memory_of(_allocator, count))
     return [series]
 
@@ -58,56 +58,56 @@
 def grants(mode: str) -> list[Series]:
     """First grants and renewals of one holder, with their messages."""
     first = Series(ROLE, "first grant", Quantity.TIME, "steps a destination", "destinations of one holder")
-    again = Series(ROLE, "renewal", Quantity.TIME, "steps a destination", "destinations of one holder")
+    renewals = Series(ROLE, "renewal", Quantity.TIME, "steps a destination", "destinations of one holder")
     size = Series(ROLE, "renewal on the wire", Quantity.BYTES, "bytes a renewal", "destinations of one holder")
     by_holder = Series(ROLE, "renewal, by holders", Quantity.TIME, "steps a holder", "holders of 20 destinations")
-    for count in GRANTED[mode]:
+    for count in GRANTED_DESTINATIONS[mode]:
         ledger = _ledger(count, 1)
-        given: list[bytes] = []
-        first.add(count, steps_of(_serialized, ledger, iter([QUIET_US]), given, repeats=1))
-        times = iter(range(QUIET_US + RENEW_US, 1 << 40, RENEW_US))
-        again.add(count, steps_of(_serialized, ledger, times, given))
-        size.add(count, sum(map(len, given)))
-    for count in HOLDERS[mode]:
-        ledger = _ledger(HOLDER_DESTINATIONS, count)
-        _serialized(ledger, iter([QUIET_US]), [])
-        times = iter(range(QUIET_US + RENEW_US, 1 << 40, RENEW_US))
-        by_holder.add(count, steps_of(_serialized, ledger, times, []))
-    return [first, again, size, by_holder]
+        sent: list[bytes] = []
+        first.add(count, steps_of(_step_and_serialize, ledger, iter([FIRST_GRANT_US]), sent, repeats=1))
+        times = iter(range(FIRST_GRANT_US + RENEWAL_US, 1 << 40, RENEWAL_US))
+        renewals.add(count, steps_of(_step_and_serialize, ledger, times, sent))
+        size.add(count, sum(map(len, sent)))
+    for count in HOLDER_COUNTS[mode]:
+        ledger = _ledger(DESTINATIONS_PER_HOLDER, count)
+        _step_and_serialize(ledger, iter([FIRST_GRANT_US]), [])
+        times = iter(range(FIRST_GRANT_US + RENEWAL_US, 1 << 40, RENEWAL_US))
+        by_holder.add(count, steps_of(_step_and_serialize, ledger, times, []))
+    return [first, renewals, size, by_holder]
 
 
 def grants_memory(mode: str) -> list[Series]:
     series = Series(ROLE, "grant", Quantity.MEMORY, "bytes a destination", "destinations of one holder")
-    for count in GRANTED[mode]:
-        series.add(count, memory_of(_granted, count))
+    for count in GRANTED_DESTINATIONS[mode]:
+        series.add(count, memory_of(_granted_ledger, count))
     return [series]
 
 
 def streams(mode: str) -> list[Series]:
     """A round of heartbeats, or a change sent to all, with the acknowledgements, by streams and by the names of one."""
-    beats = Series(ROLE, "heartbeat", Quantity.TIME, "steps a stream", "streams of 3 names")
+    heartbeats = Series(ROLE, "heartbeat", Quantity.TIME, "steps a stream", "streams of 3 names")
     changes = Series(ROLE, "change, sent", Quantity.TIME, "steps a stream", "streams of 3 names")
     names = Series(ROLE, "heartbeat, by names", Quantity.TIME, "steps a name", "names of one stream")
     size = Series(ROLE, "heartbeat on the wire", Quantity.BYTES, "bytes a name", "names of one stream")
-    catalog = _catalog(max(NAMES[mode]), fixed=False)
-    for count in STREAMS[mode]:
-        made, responses = [_stream(catalog, STREAM_NAMES) for _ in range(count)], wire.ResponseEncoder()
-        beats.add(count, steps_of(_beating(made, responses, [])))
-        changes.add(count, steps_of(_telling(catalog, made, responses)))
-    for count in NAMES[mode]:
-        made, responses, sent = [_stream(catalog, count)], wire.ResponseEncoder(), []
-        names.add(count, steps_of(_beating(made, responses, sent)))
+    catalog = _catalog(max(NAME_COUNTS[mode]), with_fixed=False)
+    for count in STREAM_COUNTS[mode]:
+        built, responses = [_stream(catalog, NAMES_PER_STREAM) for _ in range(count)], wire.ResponseEncoder()
+        heartbeats.add(count, steps_of(_heartbeat_round(built, responses, [])))
+        changes.add(count, steps_of(_change_round(catalog, built, responses)))
+    for count in NAME_COUNTS[mode]:
+        built, responses, sent = [_stream(catalog, count)], wire.ResponseEncoder(), []
+        names.add(count, steps_of(_heartbeat_round(built, responses, sent)))
         size.add(count, len(sent[0]))
-    return [beats, changes, names, size]
+    return [heartbeats, changes, names, size]
 
 
 def streams_memory(mode: str) -> list[Series]:
     series = Series(ROLE, "stream", Quantity.MEMORY, "bytes a stream", "streams of 3 names")
     names = Series(ROLE, "subscribed name", Quantity.MEMORY, "bytes a name", "names of one stream")
-    catalog = _catalog(max(NAMES[mode]), fixed=False)
-    for count in STREAMS[mode]:
+    catalog = _catalog(max(NAME_COUNTS[mode]), with_fixed=False)
+    for count in STREAM_COUNTS[mode]:
         series.add(count, memory_of(_streams, catalog, count))
-    for count in NAMES[mode]:
+    for count in NAME_COUNTS[mode]:
         names.add(count, memory_of(_stream, catalog, count))
     return [series, names]
 
@@ -116,17 +116,17 @@
     """Four resources a destination: built whole, and one of them changed."""
     build = Series(ROLE, "catalog, built", Quantity.TIME, "steps a destination", "destinations")
     update = Series(ROLE, "catalog, one changed", Quantity.TIME, "steps a destination", "destinations")
-    for count in CATALOG[mode]:
+    for count in CATALOG_DESTINATIONS[mode]:
         build.add(count, steps_of(_catalog, count, repeats=3))
-        made = _catalog(count)
-        update.add(count, steps_of(_updating(made)))
+        built = _catalog(count)
+        update.add(count, steps_of(_toggle_endpoints(built)))
     return [build, update]
 
 
 def configured(mode: str) -> list[Series]:
     """A configuration that drains one endpoint, or has it back, taken in by a service that has all the others."""
     series = Series(ROLE, "configuration, one changed", Quantity.TIME, "steps a destination", "destinations")
-    for count in CATALOG[mode]:
+    for count in CATALOG_DESTINATIONS[mode]:
         service = make_service(0, configuration.settings(), _builder(), OPTIONS)
         service.configure(configuration.configuration(count), 0)
         changes = itertools.cycle([configuration.configuration(count, {1}), configuration.configuration(count)])
@@ -138,21 +138,21 @@
     settings = configuration.settings()
     return ResourceBuilder(
         lambda rows, routes: resources.static_resources(rows, routes, settings),
-        lambda number, rows, allowed, now: resources.endpoint_resource(number, rows, allowed, now, TTL_US),
+        lambda number, rows, allowed, now: resources.endpoint_resource(number, rows, allowed, now, RESOURCE_TTL_US),
     )
 
 
 def catalog_memory(mode: str) -> list[Series]:
     series = Series(ROLE, "catalog", Quantity.MEMORY, "bytes a destination", "destinations")
-    for count in CATALOG[mode]:
+    for count in CATALOG_DESTINATIONS[mode]:
         series.add(count, memory_of(_catalog, count))
     return [series]
 
 
 def _allocator(count: int) -> Allocator:
     """After what is down was told of, and the first turn in which the ledger looks at all destinations."""
-    module, ledger = Engine(configuration.settings(), 1), Ledger(0, OPTIONS.lease_us, OPTIONS.delay_us)
-    made = Allocator(module, ledger)
+    engine, ledger = Engine(configuration.settings(), 1), Ledger(0, OPTIONS.lease_us, OPTIONS.delay_us)
+    built = Allocator(engine, ledger)
     endpoints = [configuration.entry(number).endpoint for number in range(count)]
     failed = [
         EndpointReport(configuration.endpoint_id(number), at, Outcome.CONNECT_FAILED)
@@ -160,10 +160,10 @@
         if configuration.is_down(number)
         for at in (1, 2)
     ]
-    made.step(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
-    made.step(SECOND // 2, failed)
-    made.step(QUIET_US, [])
-    return made
+    built.step(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
+    built.step(SECOND // 2, failed)
+    built.step(FIRST_GRANT_US, [])
+    return built
 
 
 def _ledger(destinations: int, holders: int) -> Ledger:
@@ -177,49 +177,49 @@
     return ledger
 
 
-def _serialized(ledger: Ledger, times: Iterator[int], into: list[bytes]) -> None:
+def _step_and_serialize(ledger: Ledger, times: Iterator[int], sent: list[bytes]) -> None:
     """A turn at the next of the times, and its messages."""
-    into[:] = [
+    sent[:] = [
         quota_wire.grant(grant, {quota_wire.ROUTE: f"{grant.destination}"}, 1).SerializeToString()
         for grant in ledger.step(next(times))
     ]
 
 
-def _granted(count: int) -> Ledger:
+def _granted_ledger(count: int) -> Ledger:
     ledger = _ledger(count, 1)
-    _serialized(ledger, iter([QUIET_US]), [])
+    _step_and_serialize(ledger, iter([FIRST_GRANT_US]), [])
     return ledger
 
 
-def _step(made: Allocator, clock: Iterator[int]) -> None:
-    made.step(next(clock), [])
+def _step(built: Allocator, clock: Iterator[int]) -> None:
+    built.step(next(clock), [])
 
 
 def _streams(catalog_: Catalog, count: int) -> list[XdsStream]:
-    return [_stream(catalog_, STREAM_NAMES) for _ in range(count)]
+    return [_stream(catalog_, NAMES_PER_STREAM) for _ in range(count)]
 
 
-def _catalog(count: int, fixed: bool = True) -> Catalog:
+def _catalog(count: int, with_fixed: bool = True) -> Catalog:
     fleet: Fleet = configuration.configuration(count)
     rows = {entry.endpoint.destination: [entry] for entry in fleet.entries}
-    made = resources.static_resources(rows, fleet.routes, configuration.settings()) if fixed else []
-    made += [_endpoints(number) for number in fleet.routes]
+    built = resources.static_resources(rows, fleet.routes, configuration.settings()) if with_fixed else []
+    built += [_endpoints(number) for number in fleet.routes]
     catalog_ = Catalog()
-    catalog_.replace(made)
+    catalog_.replace(built)
     return catalog_
 
 
 def _endpoints(number: int, status: EndpointStatus = EndpointStatus.READY) -> object:
-    return resources.endpoint_resource(number, [configuration.entry(number, status)], [], 0, TTL_US)
+    return resources.endpoint_resource(number, [configuration.entry(number, status)], [], 0, RESOURCE_TTL_US)
 
 
-def _updating(made: Catalog) -> Callable[[], object]:
+def _toggle_endpoints(built: Catalog) -> Callable[[], object]:
     """Changes one set of endpoints to and fro."""
-    full, empty = _endpoints(0), resources.endpoint_resource(0, [], [], 0, TTL_US)
+    full, empty = _endpoints(0), resources.endpoint_resource(0, [], [], 0, RESOURCE_TTL_US)
 
     def change() -> None:
-        other = empty if made.get(full.key) == full else full
-        assert made.update([other]), "nothing has changed"
+        replacement = empty if built.get(full.key) == full else full
+        assert built.update([replacement]), "nothing has changed"
 
     return change
 
@@ -232,31 +232,33 @@
     return stream
 
 
-def _telling(catalog_: Catalog, made: list[XdsStream], responses: wire.ResponseEncoder) -> Callable[[], object]:
+def _change_round(catalog_: Catalog, built: list[XdsStream], responses: wire.ResponseEncoder) -> Callable[[], object]:
     """Tells all streams that one set of endpoints has changed. The catalog's own part is _updating's."""
-    change = _updating(catalog_)
+    change = _toggle_endpoints(catalog_)
 
-    def tell() -> None:
+    def send_change() -> None:
         change()
-        for stream in made:
+        for stream in built:
             (action,) = stream.changed({(EDS, resources.resource_name(0))})
             responses.encode(action, True, True)
             stream.request(Request(EDS, action.nonce))
 
-    return tell
+    return send_change
 
 
-def _beating(made: list[XdsStream], responses: wire.ResponseEncoder, sent: list[bytes]) -> Callable[[], object]:
+def _heartbeat_round(
+    built: list[XdsStream], responses: wire.ResponseEncoder, sent: list[bytes]
+) -> Callable[[], object]:
     clock = iter(range(SECOND, 1 << 40, SECOND))
 
-    def beat() -> None:
+    def send_heartbeats() -> None:
         now = next(clock)
         sent.clear()
-        for stream in made:
+        for stream in built:
             (action,) = stream.heartbeats(now)
             assert isinstance(action, Response)
             assert action.is_heartbeat
             sent.append(responses.encode(action, True, True))
             stream.request(Request(EDS, action.nonce))
 
-    return beat
+    return send_heartbeats
--- a/benchmarks/scaling/demand.py
+++ b/benchmarks/scaling/demand.py
@@ -14,8 +14,8 @@
 
 SECOND = 1_000_000
 CLUMP_US = 30 * SECOND
-SIGMA = 0.5  # of the logarithm of a clump's factor: one in twenty is above 2
-SMALL = 30.0  # Poisson draws above it are taken from the normal distribution
+CLUMP_SIGMA = 0.5  # of the logarithm of a clump's factor: one in twenty is above 2
+NORMAL_APPROXIMATION_MEAN = 30.0  # Poisson draws above it are taken from the normal distribution
 
 
 class Demand:
@@ -31,24 +31,24 @@
 
     def counts(self, shares: Mapping[int, float], span_us: int) -> dict[int, int]:
         """Calls of each destination of which a share is held, over a span that ends now."""
-        found = {}
+        counts = {}
         for destination, share in shares.items():
             mean = self.rates[destination] * share * span_us / SECOND * self._clump(destination)
             count = self._poisson(mean)
             if count:
-                found[destination] = count
-        return found
+                counts[destination] = count
+        return counts
 
     def _clump(self, destination: int) -> float:
-        drawn = random.Random(hash((self._seed, destination, self._clock.now // CLUMP_US)))
-        return exp(drawn.gauss(-SIGMA * SIGMA / 2, SIGMA))
+        generator = random.Random(hash((self._seed, destination, self._clock.now // CLUMP_US)))
+        return exp(generator.gauss(-CLUMP_SIGMA * CLUMP_SIGMA / 2, CLUMP_SIGMA))
 
     def _poisson(self, mean: float) -> int:
-        if mean > SMALL:
+        if mean > NORMAL_APPROXIMATION_MEAN:
             return max(0, round(self._random.gauss(mean, sqrt(mean))))
-        left, count = exp(-mean), 0
+        threshold, count = exp(-mean), 0
         product = self._random.random()
-        while product > left:
+        while product > threshold:
             count += 1
             product *= self._random.random()
         return count
--- a/benchmarks/scaling/divided.py
+++ b/benchmarks/scaling/divided.py
@@ -21,7 +21,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from benchmarks.scaling import target, watch
+from benchmarks.scaling import observation, target
 from benchmarks.scaling.checks import Budget
 from benchmarks.scaling.demand import Demand
 from benchmarks.scaling.figures import Quantity
@@ -34,17 +34,17 @@
 
 SECOND = 1_000_000
 SEED = 20
-RATE = 130_000 / 900  # calls a second for each sender
-SHARDS = 16  # for each sender
-REPLICA_PART = 0.25  # of a sender's mean load: above it a shard has more holders (docs/design/assignment.md)
+CALLS_PER_SENDER_PER_S = 130_000 / 900  # calls a second for each sender
+SHARDS_PER_SENDER = 16  # for each sender
+REPLICA_LOAD_FRACTION = 0.25  # of a sender's mean load: above it a shard has more holders (docs/design/assignment.md)
 MOVE_AFTER_US = 3 * SECOND
-LOAD_RATIO, MOVED = 1.25, 1.2  # aims
+MAX_LOAD_RATIO, MAX_MOVED_RATIO = 1.25, 1.2  # aims
 REPORT_US = 60 * SECOND  # between load reports
-WARM_US = 400 * SECOND  # until loads are measured and shards balanced by them
+WARM_UP_US = 400 * SECOND  # until loads are measured and shards balanced by them
 REST_US = 60 * SECOND
-APART_US = 3 * SECOND  # between one replacement and the next
+REPLACEMENT_INTERVAL_US = 3 * SECOND  # between one replacement and the next
 RETURN_US = 20 * SECOND  # until what was lost without a word is there again
-AFTER_US = 40 * SECOND  # until all of it is settled
+SETTLE_US = 40 * SECOND  # until all of it is settled
 
 
 @dataclass(slots=True, frozen=True)
@@ -103,7 +103,11 @@
     def __init__(self, size: Size, exponent: float) -> None:
         self.size = size
         self.assignment = AssignmentSettings(
-            SHARDS * size.senders, 2 * SECOND, SECOND // 2, MOVE_AFTER_US, replica_load=REPLICA_PART * RATE
+            SHARDS_PER_SENDER * size.senders,
+            2 * SECOND,
+            SECOND // 2,
+            MOVE_AFTER_US,
+            replica_load=REPLICA_LOAD_FRACTION * CALLS_PER_SENDER_PER_S,
         )
         plan = FleetPlan(
             configuration.settings(),
@@ -117,9 +121,11 @@
         self._demand: Demand | None = None
         division = Division(self.assignment, lambda shares, span: self._demand.counts(shares, span))
         self.fleet: ShardedFleet = sharded_fleet(plan, division, SEED)
-        self._demand = Demand(self.fleet.clock, size.destinations, exponent, RATE * size.senders, SEED)
+        self._demand = Demand(
+            self.fleet.clock, size.destinations, exponent, CALLS_PER_SENDER_PER_S * size.senders, SEED
+        )
         self._sizes: tuple[int, dict[int, int]] = (-1, {})
-        self.gaps, self.moves = watch.Gaps(), watch.Moves()
+        self.gaps, self.moves = observation.Gaps(), observation.Moves()
 
     @property
     def coordinator(self) -> object:
@@ -130,34 +136,34 @@
         if self.fleet.control is not None:
             isolated = len(self.coordinator.sharding.isolated)
             if self._sizes[0] != isolated:
-                self._sizes = (isolated, watch.sizes(self.coordinator, self.size.destinations))
+                self._sizes = (isolated, observation.sizes(self.coordinator, self.size.destinations))
         return self._sizes[1]
 
     def run_for(self, span_us: int) -> None:
         end = self.fleet.clock.now + span_us
         while self.fleet.clock.now < end:
-            self.fleet.run_for(min(watch.LOOK_US, end - self.fleet.clock.now))
-            self.gaps.look(self.fleet.clock.now, watch.served(self.fleet), self.shard_sizes())
+            self.fleet.run_for(min(observation.OBSERVATION_INTERVAL_US, end - self.fleet.clock.now))
+            self.gaps.observe(self.fleet.clock.now, observation.served(self.fleet), self.shard_sizes())
             if self.fleet.control is not None:
-                self.moves.look(self.coordinator, self.shard_sizes())
+                self.moves.observe(self.coordinator, self.shard_sizes())
 
     def load_ratio(self) -> float:
-        return watch.load_ratio(self.coordinator, self._demand, self.size.senders)
+        return observation.load_ratio(self.coordinator, self._demand, self.size.senders)
 
     # -- failures
 
-    def play(self, times: int, fail: Callable[[int], None], settle_us: int, apart_us: int) -> Outcome:
+    def play(self, times: int, fail: Callable[[int], None], settle_us: int, interval_us: int) -> Outcome:
         """fail: does it, given how often it was done before."""
-        self.gaps, fleet = watch.Gaps(), self.fleet
+        self.gaps, fleet = observation.Gaps(), self.fleet
         self.moves.begin(self.coordinator)
-        begun, before = fleet.clock.now, watch.bytes_by_sender(fleet)
+        started, before = fleet.clock.now, observation.bytes_by_sender(fleet)
         control, senders = fleet.control_time.spent, fleet.sender_time.spent
         for number in range(times):
             fail(number)
-            self.run_for(apart_us)
+            self.run_for(interval_us)
         self.run_for(settle_us)
-        span = fleet.clock.now - begun
-        rates = watch.rates(before, watch.bytes_by_sender(fleet), span)
+        span = fleet.clock.now - started
+        rates = observation.rates(before, observation.bytes_by_sender(fleet), span)
         return Outcome(
             times,
             self.moves.moved,
@@ -167,7 +173,7 @@
             self.gaps.quantile(0.99) / SECOND,
             max((span for span, _ in self.gaps.ended), default=0) / SECOND,
             sum(count for _, count in self.gaps.ended),
-            watch.quantile(rates, 0.99),
+            observation.quantile(rates, 0.99),
             rates[-1],
             (fleet.control_time.spent - control) * SECOND / 1e9 / span,
             (fleet.sender_time.spent - senders) * SECOND / 1e9 / span / self.size.senders,
@@ -189,25 +195,25 @@
         """A change of the configuration: until when the last sender has it, and control's processor time."""
         fleet = self.fleet
         fleet.configuration = configuration.configuration(self.size.destinations, drained)
-        begun, spent = fleet.clock.now, fleet.control_time.spent
+        started, spent = fleet.clock.now, fleet.control_time.spent
         fleet.configure(fleet.configuration)
-        took = (fleet.control_time.spent - spent) / 1e9
+        control_s = (fleet.control_time.spent - spent) / 1e9
         self.run_for(5 * SECOND)
-        last = max(sender.last_change for sender in fleet.senders)
-        return max(0, last - begun) / SECOND, took
+        last_change = max(sender.last_change for sender in fleet.senders)
+        return max(0, last_change - started) / SECOND, control_s
 
 
 def played(mode: str, exponent: float) -> Result:
     """All of it, in a process of its own."""
-    size, real = SIZES[mode], time.monotonic()
+    size, real_start = SIZES[mode], time.monotonic()
     play = Play(size, exponent)
     fleet = play.fleet
     gc.collect()
     gc.freeze()
-    play.run_for(WARM_US)
-    before, control, senders = watch.bytes_by_sender(fleet), fleet.control_time.spent, fleet.sender_time.spent
+    play.run_for(WARM_UP_US)
+    before, control, senders = observation.bytes_by_sender(fleet), fleet.control_time.spent, fleet.sender_time.spent
     play.run_for(REST_US)
-    rest = watch.rates(before, watch.bytes_by_sender(fleet), REST_US)
+    rest_rates = observation.rates(before, observation.bytes_by_sender(fleet), REST_US)
     control, senders = fleet.control_time.spent - control, fleet.sender_time.spent - senders
     result = Result(
         size.senders,
@@ -217,8 +223,8 @@
         SEED,
         len(play.coordinator.sharding.isolated),
         play.load_ratio(),
-        watch.quantile(rest, 0.99),
-        rest[-1],
+        observation.quantile(rest_rates, 0.99),
+        rest_rates[-1],
         control * SECOND / 1e9 / REST_US,
         senders * SECOND / 1e9 / REST_US / size.senders,
         *(0.0, 0.0, 0.0),
@@ -228,20 +234,22 @@
     )
     result.change_s, result.change_control_s = play.change({7})
     failures = result.failures
-    failures["replacements"] = play.play(size.replacements, play.replaced, AFTER_US, APART_US)
-    failures["machines"] = play.play(size.machines, lambda n: play.lost(fleet.on_machine(n)), AFTER_US, AFTER_US)
-    failures["rack"] = play.play(1, lambda _: play.lost(fleet.in_rack(3)), AFTER_US, 0)
+    failures["replacements"] = play.play(size.replacements, play.replaced, SETTLE_US, REPLACEMENT_INTERVAL_US)
+    failures["machines"] = play.play(
+        size.machines, lambda machine: play.lost(fleet.on_machine(machine)), SETTLE_US, SETTLE_US
+    )
+    failures["rack"] = play.play(1, lambda _: play.lost(fleet.in_rack(3)), SETTLE_US, 0)
     result.change_zone_s = -1.0
 
     def zone(_: int) -> None:
         play.lost(fleet.in_zone(1))
         result.change_zone_s, _ = play.change({7, 8})
 
-    failures["zone"] = play.play(1, zone, AFTER_US, 0)
+    failures["zone"] = play.play(1, zone, SETTLE_US, 0)
 
-    failures["control restarted"] = play.play(1, lambda _: fleet.restart_control(START_US), AFTER_US, 0)
+    failures["control restarted"] = play.play(1, lambda _: fleet.restart_control(START_US), SETTLE_US, 0)
     result.process_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    result.steps_s = time.monotonic() - real
+    result.steps_s = time.monotonic() - real_start
     return result
 
 
@@ -263,20 +271,26 @@
 
 def _budget_rows(play: dict[str, Any]) -> list[tuple[str, Quantity, float, float, str]]:
     failures = play["failures"].values()
-    moved, had_to = sum(row["moved"] for row in failures), sum(row["lost"] + row["filled"] for row in failures)
+    moved, unavoidable = sum(row["moved"] for row in failures), sum(row["lost"] + row["filled"] for row in failures)
     in_failures = max(row["bytes_worst"] for row in failures)
     sender, control = max(row["sender_cores"] for row in failures), max(row["control_cores"] for row in failures)
     change, zone_change = play["change_s"] + play["change_control_s"], play["change_zone_s"] + play["change_control_s"]
     return [
-        ("most loaded sender over the mean", Quantity.BYTES, play["load_ratio"], LOAD_RATIO, "times"),
-        ("destinations moved over the least", Quantity.BYTES, moved / max(1, had_to), MOVED, "times"),
-        ("sender, link at rest, worst", Quantity.BYTES, play["rest_bytes_worst"], target.WIRE, "bytes/s"),
-        ("sender, link in failures, worst", Quantity.BYTES, in_failures, target.WIRE, "bytes/s"),
-        ("sender, state", Quantity.MEMORY, play["sender_bytes"], target.MEMORY, "bytes"),
-        ("sender, processor", Quantity.TIME, sender, target.CORE, "cores"),
-        ("control, processor", Quantity.TIME, control, target.MACHINES, "cores"),
-        ("change in force everywhere", Quantity.TIME, change, target.IN_FORCE_S, "s"),
-        ("change in force everywhere, zone lost", Quantity.TIME, zone_change, target.IN_FORCE_S, "s"),
+        ("most loaded sender over the mean", Quantity.BYTES, play["load_ratio"], MAX_LOAD_RATIO, "times"),
+        ("destinations moved over the least", Quantity.BYTES, moved / max(1, unavoidable), MAX_MOVED_RATIO, "times"),
+        (
+            "sender, link at rest, worst",
+            Quantity.BYTES,
+            play["rest_bytes_worst"],
+            target.SENDER_LINK_BYTES_PER_S,
+            "bytes/s",
+        ),
+        ("sender, link in failures, worst", Quantity.BYTES, in_failures, target.SENDER_LINK_BYTES_PER_S, "bytes/s"),
+        ("sender, state", Quantity.MEMORY, play["sender_bytes"], target.SENDER_MEMORY_BYTES, "bytes"),
+        ("sender, processor", Quantity.TIME, sender, target.SENDER_CPU_CORES, "cores"),
+        ("control, processor", Quantity.TIME, control, target.CONTROL_CPU_CORES, "cores"),
+        ("change in force everywhere", Quantity.TIME, change, target.CHANGE_IN_FORCE_S, "s"),
+        ("change in force everywhere, zone lost", Quantity.TIME, zone_change, target.CHANGE_IN_FORCE_S, "s"),
     ]
 
 
--- a/benchmarks/scaling/reckoning.py
+++ b/benchmarks/scaling/estimate.py
@@ -17,9 +17,10 @@
 from scalefall.control.streams import MAX_NAMES
 from scalefall.lab.proxy.contract import ASK_US, SECOND
 
-NS = 1e9
-TURN_S = UNSETTLED_STEP_US / 1e6  # between turns while something is down, as something always is at this size
-EVENTS = Quantity.BYTES  # counts come out as exactly as bytes
+NS_PER_S = 1e9
+# While something is down, as something always is at this size.
+ALLOCATOR_STEP_INTERVAL_S = UNSETTLED_STEP_US / 1e6
+COUNT = Quantity.BYTES  # counts come out as exactly as bytes
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,13 +29,13 @@
     quantity: Quantity
     value: float
     unit: str
-    most: float | None = None  # the budget; None: told for itself
+    budget: float | None = None  # the budget; None: told for itself
 
     @property
     def verdict(self) -> str:
-        if self.most is None:
+        if self.budget is None:
             return "-"
-        return "fits" if self.value <= self.most else f"over by x{self.value / self.most:,.1f}"
+        return "fits" if self.value <= self.budget else f"over by x{self.value / self.budget:,.1f}"
 
 
 class Slopes:
@@ -43,19 +44,19 @@
     def __init__(self, figures: list[Figure]) -> None:
         self._slopes = {key(figure): figure.line.slope for figure in figures}
 
-        self.timed: set[str] = set()  # names of times that were asked for
+        self.used_times: set[str] = set()  # names of times that were asked for
         self._times = {key(figure) for figure in figures if figure.quantity is Quantity.TIME}
 
     def of(self, name: str) -> float:
         if name in self._times:
-            self.timed.add(name)
+            self.used_times.add(name)
         return self._slopes[name]
 
 
 def without_assignment(slopes: Slopes, step_ns: float, touched: int, reported: int) -> list[Row]:
     """touched: destinations in use at one sender; reported: those in one load report; step_ns: of the machine by which
     processor time is told."""
-    return _sender(slopes, step_ns, touched, reported) + _control(slopes, step_ns, touched) + _source(slopes)
+    return _sender(slopes, step_ns, touched, reported) + _control(slopes, step_ns, touched) + _list_source(slopes)
 
 
 def same_size(slopes: Slopes, sample: dict[str, Any]) -> dict[str, float]:
@@ -76,10 +77,10 @@
 
 def budgets(rows: dict[str, list[Row]]) -> list[Budget]:
     return [
-        Budget(f"{traffic}: {row.name}", row.quantity, row.value, row.most, row.unit)
+        Budget(f"{traffic}: {row.name}", row.quantity, row.value, row.budget, row.unit)
         for traffic, of_traffic in rows.items()
         for row in of_traffic
-        if row.most is not None
+        if row.budget is not None
     ]
 
 
@@ -90,29 +91,29 @@
         "reports of use": slopes.of(sender + "usage on the wire") * touched,
         "load reports": slopes.of(sender + "loads on the wire") * reported,
         "heartbeats": slopes.of(sender + "heartbeats on the wire") * touched,
-        "changes": slopes.of(sender + "configuration change") * target.CHANGES,
+        "changes": slopes.of(sender + "configuration change") * target.CHANGES_PER_S,
     }
     whole = slopes.of(sender + "heartbeats on the wire") * target.DESTINATIONS
     steps = slopes.of(sender + "grants and reports") * touched
-    steps += slopes.of(sender + "list, one changed") * target.DESTINATIONS * target.CHANGES
+    steps += slopes.of(sender + "list, one changed") * target.DESTINATIONS * target.CHANGES_PER_S
     entries, module = slopes.of(sender + "list, entries"), slopes.of(sender + "list, module")
     memory = (entries + module) * target.DESTINATIONS + slopes.of(sender + "contract's state") * touched
-    rows = [Row("sender, destinations in use and grants held", EVENTS, touched, "grants")]
+    rows = [Row("sender, destinations in use and grants held", COUNT, touched, "grants")]
     rows += [Row(f"sender, {name}", Quantity.BYTES, size, "bytes/s") for name, size in wire.items()]
     return [
         *rows,
         Row("sender, heartbeats if all are leased by name", Quantity.BYTES, whole, "bytes/s"),
-        Row("sender, names of the whole list on one stream", EVENTS, target.DESTINATIONS, "names", MAX_NAMES),
+        Row("sender, names of the whole list on one stream", COUNT, target.DESTINATIONS, "names", MAX_NAMES),
         Row(
             "sender, its reports as control reads them",
-            EVENTS,
+            COUNT,
             _report_cost(wire["reports of use"]),
             "/s",
             REQUEST_RATE[1],
         ),
-        Row("sender, link", Quantity.BYTES, sum(wire.values()), "bytes/s", target.WIRE),
-        Row("sender, memory", Quantity.MEMORY, memory, "bytes", target.MEMORY),
-        Row("sender, processor", Quantity.TIME, steps * step_ns / NS, "cores", target.CORE),
+        Row("sender, link", Quantity.BYTES, sum(wire.values()), "bytes/s", target.SENDER_LINK_BYTES_PER_S),
+        Row("sender, memory", Quantity.MEMORY, memory, "bytes", target.SENDER_MEMORY_BYTES),
+        Row("sender, processor", Quantity.TIME, steps * step_ns / NS_PER_S, "cores", target.SENDER_CPU_CORES),
     ]
 
 
@@ -124,22 +125,28 @@
 
 def _control(slopes: Slopes, step_ns: float, touched: int) -> list[Row]:
     control = "control-instance: "
-    seconds = step_ns / NS
-    turn = slopes.of(control + "allocator's turn") * target.DESTINATIONS * seconds
-    reports = slopes.of(control + "a sender's grants and reports") * touched * target.SENDERS * seconds
-    built = slopes.of(control + "catalog, built") * target.DESTINATIONS * seconds
-    changed = slopes.of(control + "configuration, one changed") * target.DESTINATIONS * seconds
+    loop_step_s = step_ns / NS_PER_S
+    allocator_step_s = slopes.of(control + "allocator's turn") * target.DESTINATIONS * loop_step_s
+    reports = slopes.of(control + "a sender's grants and reports") * touched * target.SENDERS * loop_step_s
+    built = slopes.of(control + "catalog, built") * target.DESTINATIONS * loop_step_s
+    changed = slopes.of(control + "configuration, one changed") * target.DESTINATIONS * loop_step_s
     memory = (slopes.of(control + "catalog") + slopes.of(control + "module and ledger")) * target.DESTINATIONS
     memory += slopes.of(control + "grant") * touched * target.SENDERS
     memory += slopes.of(control + "stream") * target.SENDERS
     memory += slopes.of(control + "subscribed name") * touched * target.SENDERS
     return [
-        Row("control, allocator's turn", Quantity.TIME, turn, "s", TURN_S),
-        Row("control, allocator's turns", Quantity.TIME, turn / TURN_S, "cores"),
-        Row("control, renewals", EVENTS, touched * target.SENDERS, "a second"),
+        Row("control, allocator's turn", Quantity.TIME, allocator_step_s, "s", ALLOCATOR_STEP_INTERVAL_S),
+        Row("control, allocator's turns", Quantity.TIME, allocator_step_s / ALLOCATOR_STEP_INTERVAL_S, "cores"),
+        Row("control, renewals", COUNT, touched * target.SENDERS, "a second"),
         Row("control, grants, reports and heartbeats", Quantity.TIME, reports, "cores"),
-        Row("control, processor in all", Quantity.TIME, reports + turn / TURN_S, "cores", target.MACHINES),
-        Row("control, a change until it goes out", Quantity.TIME, changed, "s", target.IN_FORCE_S),
+        Row(
+            "control, processor in all",
+            Quantity.TIME,
+            reports + allocator_step_s / ALLOCATOR_STEP_INTERVAL_S,
+            "cores",
+            target.CONTROL_CPU_CORES,
+        ),
+        Row("control, a change until it goes out", Quantity.TIME, changed, "s", target.CHANGE_IN_FORCE_S),
         Row("control, a start until all resources are built", Quantity.TIME, built, "s"),
         Row("control, memory", Quantity.MEMORY, memory, "bytes"),
         Row(
@@ -151,9 +158,9 @@
     ]
 
 
-def _source(slopes: Slopes) -> list[Row]:
+def _list_source(slopes: Slopes) -> list[Row]:
     whole = slopes.of("list-source: list, whole") * target.DESTINATIONS
-    changes = slopes.of("list-source: list, changes") * target.CHANGES
+    changes = slopes.of("list-source: list, changes") * target.CHANGES_PER_S
     return [
         Row("list source, whole list to a sender", Quantity.BYTES, whole, "bytes"),
         Row("list source, whole list to all", Quantity.BYTES, whole * target.SENDERS, "bytes"),
--- a/benchmarks/scaling/failures.py
+++ b/benchmarks/scaling/failures.py
@@ -25,16 +25,16 @@
 ROLE = Role.FAILURES
 SENDERS = {"quick": (8, 16, 32), "full": (225, 450, 900)}
 DESTINATIONS = 4
-TOLD = ("process restarted", "process replaced", "zone cut", "control restarted")
-SILENT = ("machine lost", "rack lost", "zone lost")  # control learns of these by its keepalive
-CALLS = 2.0  # a second of each sender
+DETECTED_AT_ONCE = ("process restarted", "process replaced", "zone cut", "control restarted")
+DETECTED_BY_KEEPALIVE = ("machine lost", "rack lost", "zone lost")  # control learns of these by its keepalive
+CALLS_PER_S = 2.0  # a second of each sender
 REST_US = 4 * SECOND
 WINDOW_US = 8 * SECOND
 SLICE_US = SECOND // 4  # between timings of the fixed loop
 SETTLE_US = KEEPALIVE_US + 3 * SECOND
-LOOK_US = SECOND // 10  # between looks at who may send again
+SEND_CHECK_INTERVAL_US = SECOND // 10  # between looks at who may send again
 RETURN_US = 2 * SECOND  # until what was lost is there again
-CHANGE_US = 16 * SECOND  # within which a change has to be in force everywhere
+CHANGE_LIMIT_US = 16 * SECOND  # within which a change has to be in force everywhere
 
 
 @dataclass(slots=True)
@@ -47,19 +47,19 @@
 
 def lost(mode: str) -> list[Series]:
     """Machines that are gone without a word."""
-    return _played(mode, SILENT, with_rest=False)
+    return _measure(mode, DETECTED_BY_KEEPALIVE, with_rest=False)
 
 
 def played(mode: str) -> list[Series]:
     """Rest, a change, and the other failures."""
-    return _played(mode, TOLD, with_rest=True)
+    return _measure(mode, DETECTED_AT_ONCE, with_rest=True)
 
 
-def _played(mode: str, names: Iterable[str], with_rest: bool) -> list[Series]:
-    found: dict[str, Series] = {}
+def _measure(mode: str, names: Iterable[str], with_rest: bool) -> list[Series]:
+    series_by_name: dict[str, Series] = {}
 
     def add(name: str, quantity: Quantity, unit: str, size: int, value: float) -> None:
-        found.setdefault(name, Series(ROLE, name, quantity, unit, "senders")).add(size, value)
+        series_by_name.setdefault(name, Series(ROLE, name, quantity, unit, "senders")).add(size, value)
 
     for count in SENDERS[mode]:
         fleet = _fleet(count)
@@ -70,23 +70,23 @@
             _rest(fleet, count, add)
         for name in names:
             _failures(fleet)[name]()
-            during = _cost(fleet, WINDOW_US)
-            add(f"{name}, bytes", Quantity.BYTES, "bytes in 8 s a sender", count, during.bytes)
-            add(f"{name}, control", Quantity.TIME, "steps in 8 s a sender", count, during.control)
-            add(f"{name}, unsent", Quantity.BYTES, "messages in 8 s a sender", count, during.unsent)
-            fleet.run_for(SETTLE_US if name in SILENT else SECOND)
+            cost = _cost(fleet, WINDOW_US)
+            add(f"{name}, bytes", Quantity.BYTES, "bytes in 8 s a sender", count, cost.bytes)
+            add(f"{name}, control", Quantity.TIME, "steps in 8 s a sender", count, cost.control)
+            add(f"{name}, unsent", Quantity.BYTES, "messages in 8 s a sender", count, cost.unsent)
+            fleet.run_for(SETTLE_US if name in DETECTED_BY_KEEPALIVE else SECOND)
             assert fleet.control.streams == 3 * count, f"after {name} not all are back"
-    return list(found.values())
+    return list(series_by_name.values())
 
 
 def _rest(fleet: Fleet, count: int, add: Callable[[str, Quantity, str, int, float], None]) -> None:
-    rest, seconds = _cost(fleet, WINDOW_US, even=True), WINDOW_US / SECOND
+    rest, seconds = _cost(fleet, WINDOW_US, is_steady=True), WINDOW_US / SECOND
     add("at rest, bytes", Quantity.BYTES, "bytes a second and sender", count, rest.bytes / seconds)
     add("at rest, messages", Quantity.BYTES, "messages a second and sender", count, rest.messages / seconds)
     add("at rest, control", Quantity.TIME, "steps a second and sender", count, rest.control / seconds)
     size, took_us = _change(fleet)
     add("change, bytes", Quantity.BYTES, "bytes a change and sender", count, size)
-    assert took_us < CHANGE_US, "a change is not in force in time"
+    assert took_us < CHANGE_LIMIT_US, "a change is not in force in time"
 
 
 def _fleet(count: int) -> Fleet:
@@ -97,7 +97,7 @@
             configuration.configuration(DESTINATIONS),
             count,
             lambda _number: list(range(DESTINATIONS)),
-            lambda _number, random_: independent(table, CALLS, random_),
+            lambda _number, random_: independent(table, CALLS_PER_S, random_),
             configuration.is_down,
             timer=time.process_time_ns,
         ),
@@ -124,27 +124,27 @@
     }
 
 
-def _cost(fleet: Fleet, span_us: int, even: bool = False) -> _Cost:
+def _cost(fleet: Fleet, span_us: int, is_steady: bool = False) -> _Cost:
     """even: each second takes the same, so that the median of them stands for all."""
     size, messages, unsent = _bytes(fleet), _messages(fleet), _unsent(fleet)
-    seconds, before = [0.0] * (span_us // SECOND), step_ns()
+    seconds, loop_before = [0.0] * (span_us // SECOND), step_ns()
     for number in range(span_us // SLICE_US):
         spent = fleet.control_time.spent
         fleet.run_for(SLICE_US)
-        after = step_ns()
-        seconds[number * SLICE_US // SECOND] += (fleet.control_time.spent - spent) / min(before, after)
-        before = after
-    control = statistics.median(seconds) * len(seconds) if even else sum(seconds)
+        loop_after = step_ns()
+        seconds[number * SLICE_US // SECOND] += (fleet.control_time.spent - spent) / min(loop_before, loop_after)
+        loop_before = loop_after
+    control = statistics.median(seconds) * len(seconds) if is_steady else sum(seconds)
     return _Cost(_bytes(fleet) - size, _messages(fleet) - messages, control, _unsent(fleet) - unsent)
 
 
 def _change(fleet: Fleet) -> tuple[int, int]:
     """One destination drains, and is back: the bytes of the first change, and how long it takes until the last sender
     has it."""
-    at, before = fleet.clock.now, _resource_bytes(fleet)
+    started, before = fleet.clock.now, _resource_bytes(fleet)
     fleet.configure(configuration.configuration(DESTINATIONS, {DESTINATIONS - 1}))
     fleet.run_for(SECOND)
-    size, took_us = _resource_bytes(fleet) - before, max(sender.last_change for sender in fleet.senders) - at
+    size, took_us = _resource_bytes(fleet) - before, max(sender.last_change for sender in fleet.senders) - started
     fleet.configure(configuration.configuration(DESTINATIONS))
     fleet.run_for(SECOND)
     return size, took_us
--- a/benchmarks/scaling/fit.py
+++ b/benchmarks/scaling/fit.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-LEAST_POINTS = 3  # fewer say nothing of whether it is a line
+MIN_POINTS = 3  # fewer say nothing of whether it is a line
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,8 +22,8 @@
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
     """ValueError for fewer than LEAST_POINTS different sizes."""
-    if len({x for x, _ in points}) < LEAST_POINTS:
-        raise ValueError(f"a line wants {LEAST_POINTS} sizes or more, not {len({x for x, _ in points})}")
+    if len({x for x, _ in points}) < MIN_POINTS:
+        raise ValueError(f"a line wants {MIN_POINTS} sizes or more, not {len({x for x, _ in points})}")
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum((x - mean_x) ** 2 for x, _ in points)
--- a/benchmarks/scaling/job.py
+++ b/benchmarks/scaling/job.py
@@ -35,18 +35,19 @@
     "allocator-memory": control_instance.allocator_memory,
     "grants-memory": control_instance.grants_memory,
     "streams-memory": control_instance.streams_memory,
-    "listed-memory": sender_control.listed,
-    "held-memory": sender_messages.held,
+    "listed-memory": sender_control.list_memory,
+    "held-memory": sender_messages.pending_memory,
 }
-FACTS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}  # not slopes
-SHORT = ("granted", "allocator", "catalog", "configured", "grants", "streams", "list-change")  # timed, several times
-TIMED = ("failures", "failures-lost", "delivered", *SHORT)
-MEMORY = "-memory"  # ends the names of jobs whose process has to allocate by malloc
+FACT_JOBS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}  # not slopes
+# Timed several times.
+SHORT_JOBS = ("granted", "allocator", "catalog", "configured", "grants", "streams", "list-change")
+TIMED_JOBS = ("failures", "failures-lost", "delivered", *SHORT_JOBS)
+MEMORY_SUFFIX = "-memory"  # ends the names of jobs whose process has to allocate by malloc
 
 
 def main(name: str, mode: str) -> None:
-    if name in FACTS:
-        print(json.dumps({"step_ns": step_ns(), "figures": [], "facts": FACTS[name](mode)}))
+    if name in FACT_JOBS:
+        print(json.dumps({"step_ns": step_ns(), "figures": [], "facts": FACT_JOBS[name](mode)}))
         return
     figures = [series.figure().as_json() for series in JOBS[name](mode)]
     print(json.dumps({"step_ns": step_ns(), "figures": figures, "facts": None}))
--- a/benchmarks/scaling/known_red.py
+++ b/benchmarks/scaling/known_red.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 PREFIX = "scale: "
-MOST_LINES = 3  # more than these are a reason to mend first
+MAX_LINES = 3  # more than these are a reason to mend first
 
 
 class KnownRedError(ValueError):
@@ -32,8 +32,8 @@
     if not path.exists():
         return []
     lines = [line for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if len(lines) > MOST_LINES:
-        raise KnownRedError(f"{path.name}: {len(lines)} lines, {MOST_LINES} at most")
+    if len(lines) > MAX_LINES:
+        raise KnownRedError(f"{path.name}: {len(lines)} lines, {MAX_LINES} at most")
     return [_read_line(path.name, number, line) for number, line in enumerate(lines, 1)]
 
 
@@ -44,6 +44,6 @@
     return KnownRed(*parts)
 
 
-def checks_passed_over(listed: list[KnownRed]) -> set[str]:
+def checks_passed_over(entries: list[KnownRed]) -> set[str]:
     """The names of the checks of this benchmark that are listed."""
-    return {entry.test.removeprefix(PREFIX) for entry in listed if entry.test.startswith(PREFIX)}
+    return {entry.test.removeprefix(PREFIX) for entry in entries if entry.test.startswith(PREFIX)}
--- a/benchmarks/scaling/lists.py
+++ b/benchmarks/scaling/lists.py
@@ -10,11 +10,11 @@
 from scalefall.lab.hollow.configuration import address, endpoint_id
 
 ROLE = Role.LIST_SOURCE
-SIZES = {"quick": (1000, 2000, 4000), "full": (105_000, 210_000, 420_000)}
-CHANGES = (1, 10, 100)
+ENDPOINT_COUNTS = {"quick": (1000, 2000, 4000), "full": (105_000, 210_000, 420_000)}
+CHANGE_COUNTS = (1, 10, 100)
 
 
-def row(number: int, health: str = "in_service") -> dict[str, Any]:
+def host_row(number: int, health: str = "in_service") -> dict[str, Any]:
     """One endpoint as discovery has it (docs: the list of net/list_stream.py)."""
     host, port = address(number)
     return {
@@ -29,20 +29,20 @@
     }
 
 
-def whole(count: int) -> dict[str, Any]:
-    return {"seq": 2, "whole": True, "hosts": [row(number) for number in range(count)]}
+def full_list(count: int) -> dict[str, Any]:
+    return {"seq": 2, "whole": True, "hosts": [host_row(number) for number in range(count)]}
 
 
-def change(count: int) -> dict[str, Any]:
-    return {"seq": 3, "whole": False, "hosts": [row(number, "terminating") for number in range(count)]}
+def changed_list(count: int) -> dict[str, Any]:
+    return {"seq": 3, "whole": False, "hosts": [host_row(number, "terminating") for number in range(count)]}
 
 
 def source(mode: str) -> list[Series]:
     """What one sender is sent on its watch, as JSON without indentation."""
     first = Series(ROLE, "list, whole", Quantity.BYTES, "bytes an endpoint and sender", "endpoints")
     changes = Series(ROLE, "list, changes", Quantity.BYTES, "bytes a change and sender", "changed endpoints")
-    for count in SIZES[mode]:
-        first.add(count, len(json.dumps(whole(count)).encode()) + 1)
-    for count in CHANGES:
-        changes.add(count, len(json.dumps(change(count)).encode()) + 1)
+    for count in ENDPOINT_COUNTS[mode]:
+        first.add(count, len(json.dumps(full_list(count)).encode()) + 1)
+    for count in CHANGE_COUNTS:
+        changes.add(count, len(json.dumps(changed_list(count)).encode()) + 1)
     return [first, changes]
--- a/benchmarks/scaling/watch.py
+++ b/benchmarks/scaling/observation.py
@@ -9,7 +9,7 @@
 from scalefall.lab.hollow.sharded import ShardedFleet
 from scalefall.lab.proxy.meter import Direction, Kind
 
-LOOK_US = 100_000  # between looks at who serves what
+OBSERVATION_INTERVAL_US = 100_000  # between looks at who serves what
 SECOND = 1_000_000
 
 
@@ -20,7 +20,7 @@
     _since: dict[int, int] = field(default_factory=dict)
     ended: list[tuple[int, int]] = field(default_factory=list)  # (us, destinations)
 
-    def look(self, now: int, served: set[int], sizes: dict[int, int]) -> None:
+    def observe(self, now: int, served: set[int], sizes: dict[int, int]) -> None:
         for shard in [shard for shard in self._since if shard in served or shard not in sizes]:
             since = self._since.pop(shard)
             if shard in sizes:
@@ -28,39 +28,39 @@
         for shard in sizes.keys() - served:
             self._since.setdefault(shard, now)
 
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Shards that nobody serves now."""
         return len(self._since)
 
-    def quantile(self, part: float) -> int:
+    def quantile(self, fraction: float) -> int:
         """By destination; 0 where nothing was interrupted."""
         rows = sorted(self.ended)
         total = sum(count for _, count in rows)
         passed = 0
         for span, count in rows:
             passed += count
-            if passed >= part * total:
+            if passed >= fraction * total:
                 return span
         return 0
 
 
 def sizes(coordinator: Coordinator, destinations: int) -> dict[int, int]:
     """Destinations of each shard that has any."""
-    found: dict[int, int] = {}
+    counts: dict[int, int] = {}
     for destination in range(destinations):
         shard = coordinator.sharding.shard_of(destination)
-        found[shard] = found.get(shard, 0) + 1
-    return found
+        counts[shard] = counts.get(shard, 0) + 1
+    return counts
 
 
 def served(fleet: ShardedFleet) -> set[int]:
     """Shards of which a process that is there holds something."""
     now = fleet.clock.now
-    held: set[int] = set()
+    leased: set[int] = set()
     for sender in fleet.senders:
         if not sender.is_over:
-            held |= sender.contract.holder.leased_shards(now)
-    return held
+            leased |= sender.contract.holder.leased_shards(now)
+    return leased
 
 
 @dataclass(slots=True)
@@ -76,26 +76,26 @@
     def begin(self, coordinator: Coordinator) -> None:
         """Count from now on."""
         self.moved = self.lost = self.filled = 0
-        self._take(coordinator)
+        self._read_table(coordinator)
 
-    def look(self, coordinator: Coordinator, of: dict[int, int]) -> None:
+    def observe(self, coordinator: Coordinator, destinations_by_shard: dict[int, int]) -> None:
         """Take on what has changed. A shard that is new, or is gone, moved with its isolation and is not counted."""
         if coordinator.generation == self._generation:
             return
         before = self._table
         old = {name for names in before.values() for name in names}
-        self._take(coordinator)
+        self._read_table(coordinator)
         new = {name for names in self._table.values() for name in names}
         for shard in before.keys() & self._table.keys():
-            here, there = set(before[shard]), set(self._table[shard])
-            if here != there:
-                self.moved += of.get(shard, 0)
-                if here - new:
-                    self.lost += of.get(shard, 0)
-                elif there - here - old:
-                    self.filled += of.get(shard, 0)
-
-    def _take(self, coordinator: Coordinator) -> None:
+            old_holders, new_holders = set(before[shard]), set(self._table[shard])
+            if old_holders != new_holders:
+                self.moved += destinations_by_shard.get(shard, 0)
+                if old_holders - new:
+                    self.lost += destinations_by_shard.get(shard, 0)
+                elif new_holders - old_holders - old:
+                    self.filled += destinations_by_shard.get(shard, 0)
+
+    def _read_table(self, coordinator: Coordinator) -> None:
         self._generation, self._table = coordinator.generation, coordinator.state().table
 
 
@@ -125,6 +125,6 @@
     return sorted((new - old) * SECOND / span_us for old, new in zip(before, after, strict=True))
 
 
-def quantile(values: list[float], part: float) -> float:
+def quantile(values: list[float], fraction: float) -> float:
     """Of ascending values."""
-    return values[min(len(values) - 1, int(part * len(values)))]
+    return values[min(len(values) - 1, int(fraction * len(values)))]
--- a/benchmarks/scaling/output.py
+++ b/benchmarks/scaling/output.py
@@ -8,7 +8,7 @@
 
 from benchmarks.scaling.figures import Figure, Role
 from benchmarks.scaling.plots import plot
-from benchmarks.scaling.reckoning import Row
+from benchmarks.scaling.estimate import Row
 
 TITLES = {
     Role.SENDER_MESSAGES: "A sender, its messages",
@@ -17,7 +17,7 @@
     Role.LIST_SOURCE: "The source of the list",
     Role.FAILURES: "Failures",
 }
-DIGITS = 6  # of a figure in a table
+SIGNIFICANT_DIGITS = 6  # of a figure in a table
 
 
 def write(folder: Path, mode: str, figures: list[Figure], rows: dict[str, list[Row]], facts: dict[str, Any]) -> None:
@@ -25,14 +25,14 @@
     for role in Role:
         of_role = [figure for figure in figures if figure.role is role]
         table = {"mode": mode, "figures": [_rounded(figure.as_json()) for figure in of_role]}
-        _json(folder / f"{role.value}.json", table)
+        _write_json(folder / f"{role.value}.json", table)
         (folder / f"{role.value}.svg").write_text(plot(f"{TITLES[role]} ({mode})", of_role))
-    reckoned = {traffic: [_row(row) for row in of_traffic] for traffic, of_traffic in rows.items()}
-    _json(folder / "without-assignment.json", {"mode": mode, "reckoned": _rounded(reckoned)} | _rounded(facts))
+    estimated = {traffic: [_row_as_json(row) for row in of_traffic] for traffic, of_traffic in rows.items()}
+    _write_json(folder / "without-assignment.json", {"mode": mode, "reckoned": _rounded(estimated)} | _rounded(facts))
 
 
-def _row(row: Row) -> dict[str, Any]:
-    return {"name": row.name, "value": row.value, "unit": row.unit, "budget": row.most, "verdict": row.verdict}
+def _row_as_json(row: Row) -> dict[str, Any]:
+    return {"name": row.name, "value": row.value, "unit": row.unit, "budget": row.budget, "verdict": row.verdict}
 
 
 def figure_lines(figures: list[Figure]) -> list[str]:
@@ -49,13 +49,13 @@
     return lines
 
 
-def reckoned_lines(rows: dict[str, list[Row]]) -> list[str]:
+def estimate_lines(rows: dict[str, list[Row]]) -> list[str]:
     """One column a kind of traffic."""
     title = "Without assignment, 900 senders and 420,000 destinations (reckoned)"
     lines = [f"\n{title:<68}" + "".join(f"{traffic:>30}" for traffic in rows)]
     for same in zip(*rows.values(), strict=False):
-        cells = [f"{row.value:,.4g}" + (f" ({row.verdict})" if row.most is not None else "") for row in same]
-        budget = f", budget {same[0].most:,.4g}" if same[0].most is not None else ""
+        cells = [f"{row.value:,.4g}" + (f" ({row.verdict})" if row.budget is not None else "") for row in same]
+        budget = f", budget {same[0].budget:,.4g}" if same[0].budget is not None else ""
         lines.append(f"  {f'{same[0].name}, {same[0].unit}{budget}':<66}" + "".join(f"{cell:>30}" for cell in cells))
     return lines
 
@@ -68,15 +68,15 @@
         f"{sample['sender_cores']:.2%} of a core, control {sample['control_cores']:.2f} cores; "
         f"{sample['unsent']:.1%} of the messages were not let out"
     ]
-    for kind, reckoned in same_size.items():
+    for kind, estimated in same_size.items():
         run = sample["bytes_by_kind"][kind]
-        lines.append(f"  {kind:<12} run {run:>12,.0f}   reckoned {reckoned:>12,.0f} bytes/s")
+        lines.append(f"  {kind:<12} run {run:>12,.0f}   reckoned {estimated:>12,.0f} bytes/s")
     return lines
 
 
 def write_divided(folder: Path, mode: str, plays: list[dict[str, Any]]) -> None:
     """Plays with destinations divided among senders."""
-    _json(folder / "with-assignment.json", {"mode": mode, "plays": _rounded(plays)})
+    _write_json(folder / "with-assignment.json", {"mode": mode, "plays": _rounded(plays)})
 
 
 def divided_lines(plays: list[dict[str, Any]]) -> list[str]:
@@ -108,7 +108,7 @@
 
 def _rounded(value: Any) -> Any:
     if isinstance(value, float):
-        return float(f"{value:.{DIGITS}g}")
+        return float(f"{value:.{SIGNIFICANT_DIGITS}g}")
     if isinstance(value, dict):
         return {key: _rounded(each) for key, each in value.items()}
     if isinstance(value, (list, tuple)):
@@ -116,5 +116,5 @@
     return value
 
 
-def _json(path: Path, table: Any) -> None:
+def _write_json(path: Path, table: Any) -> None:
     path.write_text(json.dumps(table, indent=1) + "\n")
--- a/benchmarks/scaling/plots.py
+++ b/benchmarks/scaling/plots.py
@@ -14,13 +14,15 @@
 import matplotlib.pyplot as pyplot  # noqa: E402
 
 COLUMNS = 3
-WIDTH, HEIGHT = 4.0, 2.6  # inches of a panel
+PANEL_WIDTH_INCHES, PANEL_HEIGHT_INCHES = 4.0, 2.6  # inches of a panel
 
 
 def plot(title: str, figures: list[Figure]) -> str:
     """The text of an SVG file."""
     rows = max(1, -(-len(figures) // COLUMNS))
-    sheet, panels = pyplot.subplots(rows, COLUMNS, figsize=(COLUMNS * WIDTH, rows * HEIGHT + 0.5), squeeze=False)
+    sheet, panels = pyplot.subplots(
+        rows, COLUMNS, figsize=(COLUMNS * PANEL_WIDTH_INCHES, rows * PANEL_HEIGHT_INCHES + 0.5), squeeze=False
+    )
     sheet.suptitle(title)
     for number, panel in enumerate(panels.flat):
         if number < len(figures):
--- a/benchmarks/scaling/processor.py
+++ b/benchmarks/scaling/processor.py
@@ -15,9 +15,9 @@
 import time
 from collections.abc import Callable
 
-STEPS = 50_000  # rounds of the fixed loop: about 2 ms
-LOOPS = 3  # times that it is timed before and after; the smallest counts
-REPEATS = 5
+STEPS_PER_LOOP = 50_000  # rounds of the fixed loop: about 2 ms
+LOOPS_PER_TIMING = 3  # times that it is timed before and after; the smallest counts
+DEFAULT_REPEATS = 5
 
 
 class _Mallinfo2(ctypes.Structure):
@@ -40,7 +40,7 @@
 
 def _fixed_loop() -> int:
     total = 0
-    for number in range(STEPS):
+    for number in range(STEPS_PER_LOOP):
         total = (total + number * 3) & 0xFFFF
     return total
 
@@ -48,11 +48,11 @@
 def step_ns() -> float:
     """Processor time of one step, the smallest of several loops."""
     times = []
-    for _ in range(LOOPS):
-        begun = time.process_time_ns()
+    for _ in range(LOOPS_PER_TIMING):
+        started = time.process_time_ns()
         _fixed_loop()
-        times.append(time.process_time_ns() - begun)
-    return min(times) / STEPS
+        times.append(time.process_time_ns() - started)
+    return min(times) / STEPS_PER_LOOP
 
 
 class Steps:
@@ -66,19 +66,19 @@
         return spent_ns / min(self._before, step_ns())
 
 
-def steps_of(work: Callable[..., object], *arguments: object, repeats: int = REPEATS) -> float:
+def steps_of(work: Callable[..., object], *arguments: object, repeats: int = DEFAULT_REPEATS) -> float:
     """The median of so many calls, in steps, with the collector off."""
-    found = []
+    steps_by_repeat = []
     gc.collect()
     gc.disable()
     try:
         for _ in range(repeats):
-            steps, begun = Steps(), time.process_time_ns()
+            steps, started = Steps(), time.process_time_ns()
             work(*arguments)
-            found.append(steps.of(time.process_time_ns() - begun))
+            steps_by_repeat.append(steps.of(time.process_time_ns() - started))
     finally:
         gc.enable()
-    return statistics.median(found)
+    return statistics.median(steps_by_repeat)
 
 
 def memory_in_use() -> int:
@@ -86,9 +86,9 @@
     if os.environ.get("PYTHONMALLOC") != "malloc":
         raise RuntimeError("memory is counted with PYTHONMALLOC=malloc only")
     gc.collect()
-    ask = ctypes.CDLL(None).mallinfo2
-    ask.restype = _Mallinfo2
-    info = ask()
+    mallinfo2 = ctypes.CDLL(None).mallinfo2
+    mallinfo2.restype = _Mallinfo2
+    info = mallinfo2()
     return info.uordblks + info.hblkhd
 
 
--- a/benchmarks/scaling/run.py
+++ b/benchmarks/scaling/run.py
@@ -15,21 +15,21 @@
 
 from benchmarks.scaling.checks import key
 from benchmarks.scaling.figures import Figure, Quantity, figure, from_json
-from benchmarks.scaling.job import FACTS, JOBS, MEMORY, SHORT, TIMED
+from benchmarks.scaling.job import FACT_JOBS, JOBS, MEMORY_SUFFIX, SHORT_JOBS, TIMED_JOBS
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-MOST_S = 3600  # of one job
-MOST_WORKERS = 4
+JOB_TIMEOUT_S = 3600  # of one job
+MAX_WORKERS = 4
 SHORT_ROUNDS = 3
 TIME = Quantity.TIME
 
 
-class JobFailed(RuntimeError):
+class JobFailedError(RuntimeError):
     """A measurement ended with an error; the text has its last lines."""
 
 
 @dataclass(slots=True)
-class Measured:
+class Measurements:
     runs: dict[str, list[list[Figure]]]  # by job, the figures of each run
     step_ns: float  # the smallest of all jobs
     touched: dict[str, dict[str, int]]
@@ -38,34 +38,36 @@
 
     def all_figures(self) -> list[Figure]:
         """One of each, of all its runs."""
-        return [middle(same) for name in JOBS for same in zip(*self.runs[name], strict=False)]
+        return [median_figure(same) for name in JOBS for same in zip(*self.runs[name], strict=False)]
 
 
-def measured(mode: str, workers: int, rounds: int = 1, plays: list[dict[str, Any]] | None = None) -> Measured:
+def measure_all(mode: str, workers: int, rounds: int = 1, plays: list[dict[str, Any]] | None = None) -> Measurements:
     """Jobs that time something are done so many times, the short ones SHORT_ROUNDS times as often, and middle() is
     taken. plays: of divided.py; None: they are made here. JobFailed if one fails, after the others have ended."""
     names = ["sample", *JOBS, "touched"]
     if plays is None:
         names.insert(0, "divided")
-    times = {name: rounds * (SHORT_ROUNDS if name in SHORT else 1) if name in TIMED else 1 for name in names}
+    times = {name: rounds * (SHORT_ROUNDS if name in SHORT_JOBS else 1) if name in TIMED_JOBS else 1 for name in names}
     results = _jobs([name for name in names for _ in range(times[name])], mode, workers)
     runs = {name: [_figures(row) for job, row in results if job == name] for name in JOBS}
     step_ns = min(row["step_ns"] for _, row in results)
-    facts = {name: row["facts"] for name, row in results if name in FACTS}
-    return Measured(runs, step_ns, facts["touched"], facts["sample"], facts.get("divided", plays))
+    facts = {name: row["facts"] for name, row in results if name in FACT_JOBS}
+    return Measurements(runs, step_ns, facts["touched"], facts["sample"], facts.get("divided", plays))
 
 
-def measure_again(found: Measured, suspects: set[str], mode: str, workers: int) -> list[str]:
+def remeasure(measurements: Measurements, suspects: set[str], mode: str, workers: int) -> list[str]:
     """Does the jobs anew that timed one of these figures (checks.key); their names."""
     names = [
-        name for name in TIMED if any(key(each) in suspects for each in found.runs[name][0] if each.quantity is TIME)
+        name
+        for name in TIMED_JOBS
+        if any(key(each) in suspects for each in measurements.runs[name][0] if each.quantity is TIME)
     ]
     for name, row in _jobs(names, mode, workers):
-        found.runs[name].append(_figures(row))
+        measurements.runs[name].append(_figures(row))
     return names
 
 
-def middle(figures: Sequence[Figure]) -> Figure:
+def median_figure(figures: Sequence[Figure]) -> Figure:
     """One figure of several runs. Of a time the median at each size (the lower one of two): other work on the machine
     makes it come out too high, or too low where it met the fixed loop. What is counted is the first run's."""
     first = figures[0]
@@ -82,23 +84,23 @@
 
 
 def _jobs(names: list[str], mode: str, workers: int) -> list[tuple[str, dict[str, Any]]]:
-    with ThreadPoolExecutor(min(workers, MOST_WORKERS)) as pool:
+    with ThreadPoolExecutor(min(workers, MAX_WORKERS)) as pool:
         return list(zip(names, pool.map(lambda name: _job(name, mode), names), strict=False))
 
 
 def _job(name: str, mode: str) -> dict[str, Any]:
     environment = dict(os.environ)
     environment.pop("PYTHONMALLOC", None)
-    if name.endswith(MEMORY):
+    if name.endswith(MEMORY_SUFFIX):
         environment["PYTHONMALLOC"] = "malloc"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "benchmarks.scaling.job", name, mode],
         cwd=ROOT,
         env=environment,
         capture_output=True,
         text=True,
-        timeout=MOST_S,
+        timeout=JOB_TIMEOUT_S,
     )
-    if done.returncode:
-        raise JobFailed(f"{name}: {done.stderr.strip()[-2000:]}")
-    return json.loads(done.stdout.splitlines()[-1])
+    if completed.returncode:
+        raise JobFailedError(f"{name}: {completed.stderr.strip()[-2000:]}")
+    return json.loads(completed.stdout.splitlines()[-1])
--- a/benchmarks/scaling/sample.py
+++ b/benchmarks/scaling/sample.py
@@ -22,8 +22,8 @@
 from scalefall.lab.proxy.meter import Direction, Kind
 
 SIZES = {"quick": (8, 2000), "full": (100, 20_000)}  # senders, destinations
-EXPONENT, SEED = 1.1, 31
-STEADY_US, WINDOW_US = 4 * SECOND, 2 * SECOND
+ZIPF_EXPONENT, SEED = 1.1, 31
+WARM_UP_US, WINDOW_US = 4 * SECOND, 2 * SECOND
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +41,7 @@
 
 def run(mode: str) -> dict[str, Any]:
     senders, destinations = SIZES[mode]
-    table = AliasTable(zipf_weights(destinations, EXPONENT))
+    table = AliasTable(zipf_weights(destinations, ZIPF_EXPONENT))
     events = [_events(table, number) for number in range(senders)]
     routes = [sorted({destination for _, destination in rows}) for rows in events]
     fleet = Fleet(
@@ -56,22 +56,23 @@
         ),
         SEED,
     )
-    fleet.run_for(STEADY_US)
-    before, sent, outcomes = _bytes(fleet), _messages(fleet), _outcomes(fleet)
-    spent, steps = (fleet.sender_time.spent, fleet.control_time.spent), Steps()
+    fleet.run_for(WARM_UP_US)
+    bytes_before, messages_before, outcomes_before = _bytes(fleet), _messages(fleet), _outcomes(fleet)
+    spent_before, steps = (fleet.sender_time.spent, fleet.control_time.spent), Steps()
     fleet.run_for(WINDOW_US)
-    after, done, per = _bytes(fleet), _outcomes(fleet), WINDOW_US / SECOND * senders
-    step = step_ns()
+    bytes_after, outcomes_after, sender_seconds = _bytes(fleet), _outcomes(fleet), WINDOW_US / SECOND * senders
+    one_step_ns = step_ns()
     sample = Sample(
         senders,
         destinations,
         sum(map(len, routes)) / senders,
         sum(distinct(iter(rows), ControlOptions().report_us) for rows in events) / senders,
-        {kind: (after[kind] - before[kind]) / per for kind in after},
-        (_messages(fleet) - sent) / per,
-        steps.of(fleet.sender_time.spent - spent[0]) * step / 1e9 / per,
-        steps.of(fleet.control_time.spent - spent[1]) * step / 1e9 / (WINDOW_US / SECOND),
-        (done[1] - outcomes[1]) / max(1, done[0] + done[1] - outcomes[0] - outcomes[1]),
+        {kind: (bytes_after[kind] - bytes_before[kind]) / sender_seconds for kind in bytes_after},
+        (_messages(fleet) - messages_before) / sender_seconds,
+        steps.of(fleet.sender_time.spent - spent_before[0]) * one_step_ns / 1e9 / sender_seconds,
+        steps.of(fleet.control_time.spent - spent_before[1]) * one_step_ns / 1e9 / (WINDOW_US / SECOND),
+        (outcomes_after[1] - outcomes_before[1])
+        / max(1, outcomes_after[0] + outcomes_after[1] - outcomes_before[0] - outcomes_before[1]),
     )
     return asdict(sample)
 
@@ -79,20 +80,20 @@
 def _events(table: AliasTable, number: int) -> list[tuple[int, int]]:
     """USED_S of traffic; it is played over and over."""
     rows, now = [], 0
-    for gap, destination in independent(table, target.EVENTS_A_SENDER, random.Random(SEED * 1000 + number)):
+    for gap, destination in independent(table, target.EVENTS_PER_SENDER_PER_S, random.Random(SEED * 1000 + number)):
         now += gap
-        if now >= target.USED_S * SECOND:
+        if now >= target.IN_USE_S * SECOND:
             return rows
         rows.append((gap, destination))
     raise AssertionError("traffic has no end")
 
 
 def _bytes(fleet: Fleet) -> dict[str, int]:
-    return {kind.value: sum(fleet.meter.count(way, kind).bytes for way in Direction) for kind in Kind}
+    return {kind.value: sum(fleet.meter.count(direction, kind).bytes for direction in Direction) for kind in Kind}
 
 
 def _messages(fleet: Fleet) -> int:
-    return sum(fleet.meter.count(way, kind).messages for way in Direction for kind in Kind)
+    return sum(fleet.meter.count(direction, kind).messages for direction in Direction for kind in Kind)
 
 
 def _outcomes(fleet: Fleet) -> tuple[int, int]:
--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -23,112 +23,112 @@
 from scalefall.policy.engine import Engine
 
 ROLE = Role.SENDER_CONTROL
-LISTED = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
+LIST_ENDPOINTS = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
 # A report of use of more than 490 destinations costs more than its stream may say (REQUEST_RATE in
 # control/transport/stream_reader.py).
-GRANTED = {"quick": (100, 200, 400), "full": (120, 240, 480)}
-CHANGES = {"quick": (4, 8, 16), "full": (8, 16, 32)}
-STEADY_US, WINDOW_US = 4 * SECOND, 7 * SECOND
-CALLS = 4.0  # a second to each destination, so that each is in nearly every load report
-PER_WINDOW = SECOND / WINDOW_US
+GRANTED_DESTINATIONS = {"quick": (100, 200, 400), "full": (120, 240, 480)}
+CHANGE_COUNTS = {"quick": (4, 8, 16), "full": (8, 16, 32)}
+WARM_UP_US, WINDOW_US = 4 * SECOND, 7 * SECOND
+CALLS_PER_S = 4.0  # a second to each destination, so that each is in nearly every load report
+WINDOWS_PER_S = SECOND / WINDOW_US
 
 
 @dataclass(slots=True, frozen=True)
-class _Taken:
+class _StepRates:
     """Processor time, steps a second."""
 
     sender: float
     control: float
 
 
-def listed(mode: str) -> list[Series]:
+def list_memory(mode: str) -> list[Series]:
     """The list in memory: the entries with their indexes, and the module's record of each."""
     parts = {
         "entries": Series(ROLE, "list, entries", Quantity.MEMORY, "bytes an endpoint", "endpoints"),
         "module": Series(ROLE, "list, module", Quantity.MEMORY, "bytes an endpoint", "endpoints"),
     }
-    for count in LISTED[mode]:
+    for count in LIST_ENDPOINTS[mode]:
         events: list = []
-        kept = EndpointList(Scheduler(), ListUpdate(0, True, []), events.append)
-        parts["entries"].add(count, memory_of(_learn, kept, count))
-        module = Engine(configuration.settings(), 1)
-        parts["module"].add(count, memory_of(_tell, module, events))
+        endpoint_list = EndpointList(Scheduler(), ListUpdate(0, True, []), events.append)
+        parts["entries"].add(count, memory_of(_load_list, endpoint_list, count))
+        engine = Engine(configuration.settings(), 1)
+        parts["module"].add(count, memory_of(_notify_engine, engine, events))
     return list(parts.values())
 
 
 def list_change(mode: str) -> list[Series]:
     """One changed endpoint in lists of several lengths: the list and the module take it in."""
     series = Series(ROLE, "list, one changed", Quantity.TIME, "steps an endpoint of the list", "endpoints")
-    for count in LISTED[mode]:
-        module, events = Engine(configuration.settings(), 1), []
-        kept = EndpointList(Scheduler(), ListUpdate(0, True, []), events.append)
-        _learn(kept, count)
-        _tell(module, events)
+    for count in LIST_ENDPOINTS[mode]:
+        engine, events = Engine(configuration.settings(), 1), []
+        endpoint_list = EndpointList(Scheduler(), ListUpdate(0, True, []), events.append)
+        _load_list(endpoint_list, count)
+        _notify_engine(engine, events)
         versions = iter(range(3, 1 << 20))
-        series.add(count, steps_of(_learn_change, kept, module, events, versions))
+        series.add(count, steps_of(_load_change, endpoint_list, engine, events, versions))
     return [series]
 
 
 def granted(mode: str) -> list[Series]:
     """One sender that uses all its destinations: bytes a second of each kind, processor time and state."""
-    found = {
+    bytes_by_kind = {
         kind: Series(
             ROLE, f"{kind.value} on the wire", Quantity.BYTES, "bytes a second and destination", "destinations"
         )
         for kind in (Kind.GRANTS, Kind.USAGE, Kind.LOADS, Kind.HEARTBEATS)
     }
     messages = Series(ROLE, "messages on the wire", Quantity.BYTES, "messages a second and destination", "destinations")
-    listed_ = Series(ROLE, "endpoints on the wire, first", Quantity.BYTES, "bytes a destination", "destinations")
+    list_bytes = Series(ROLE, "endpoints on the wire, first", Quantity.BYTES, "bytes a destination", "destinations")
     state = Series(ROLE, "contract's state", Quantity.MEMORY, "bytes a destination", "destinations")
     spent = Series(ROLE, "grants and reports", Quantity.TIME, "steps a second and destination", "destinations")
     control = Series(
         Role.CONTROL, "a sender's grants and reports", Quantity.TIME, "steps a second and destination", "destinations"
     )
-    for count in GRANTED[mode]:
+    for count in GRANTED_DESTINATIONS[mode]:
         fleet = _one_sender(count)
-        fleet.run_for(STEADY_US)
-        listed_.add(count, _bytes(fleet, Kind.RESOURCES))
-        before, sent = {kind: _bytes(fleet, kind) for kind in Kind}, _messages(fleet)
-        taken = _steps(fleet)
-        spent.add(count, taken.sender)
-        control.add(count, taken.control)
-        for kind, series in found.items():
-            series.add(count, (_bytes(fleet, kind) - before[kind]) * PER_WINDOW)
-        messages.add(count, (_messages(fleet) - sent) * PER_WINDOW)
+        fleet.run_for(WARM_UP_US)
+        list_bytes.add(count, _bytes(fleet, Kind.RESOURCES))
+        bytes_before, messages_before = {kind: _bytes(fleet, kind) for kind in Kind}, _messages(fleet)
+        rates = _steps(fleet)
+        spent.add(count, rates.sender)
+        control.add(count, rates.control)
+        for kind, series in bytes_by_kind.items():
+            series.add(count, (_bytes(fleet, kind) - bytes_before[kind]) * WINDOWS_PER_S)
+        messages.add(count, (_messages(fleet) - messages_before) * WINDOWS_PER_S)
         state.add(count, deep_size(fleet.senders[0].contract))
-    return [*found.values(), messages, listed_, state, spent, control]
+    return [*bytes_by_kind.values(), messages, list_bytes, state, spent, control]
 
 
 def changed(mode: str) -> list[Series]:
     """Changes of one endpoint each, and what they cost a sender on the wire with their acknowledgements."""
     series = Series(ROLE, "configuration change", Quantity.BYTES, "bytes a change", "changes")
-    for count in CHANGES[mode]:
-        fleet = _one_sender(max(CHANGES[mode]), calls=0)
-        fleet.run_for(STEADY_US)
-        before = _bytes(fleet, Kind.RESOURCES)
+    for count in CHANGE_COUNTS[mode]:
+        fleet = _one_sender(max(CHANGE_COUNTS[mode]), calls=0)
+        fleet.run_for(WARM_UP_US)
+        bytes_before = _bytes(fleet, Kind.RESOURCES)
         for number in range(count):
-            fleet.configure(configuration.configuration(max(CHANGES[mode]), set(range(number + 1))))
+            fleet.configure(configuration.configuration(max(CHANGE_COUNTS[mode]), set(range(number + 1))))
             fleet.run_for(SECOND // 10)
-        series.add(count, _bytes(fleet, Kind.RESOURCES) - before)
+        series.add(count, _bytes(fleet, Kind.RESOURCES) - bytes_before)
     return [series]
 
 
-def _learn(kept: EndpointList, count: int) -> None:
+def _load_list(endpoint_list: EndpointList, count: int) -> None:
     """As its watch does with an object of the list."""
-    kept.handle_update(read_list(lists.whole(count)))
+    endpoint_list.handle_update(read_list(lists.full_list(count)))
 
 
-def _learn_change(kept: EndpointList, module: Engine, events: list, versions: Iterator[int]) -> None:
+def _load_change(endpoint_list: EndpointList, engine: Engine, events: list, versions: Iterator[int]) -> None:
     events.clear()
-    kept.handle_update(read_list(lists.change(1) | {"seq": next(versions)}))
-    _tell(module, events)
+    endpoint_list.handle_update(read_list(lists.changed_list(1) | {"seq": next(versions)}))
+    _notify_engine(engine, events)
 
 
-def _tell(module: Engine, events: list) -> None:
-    module.handle(0, events)
+def _notify_engine(engine: Engine, events: list) -> None:
+    engine.handle(0, events)
 
 
-def _one_sender(destinations: int, calls: float = CALLS) -> Fleet:
+def _one_sender(destinations: int, calls: float = CALLS_PER_S) -> Fleet:
     table = AliasTable(zipf_weights(destinations, 0))
     return Fleet(
         FleetPlan(
@@ -143,15 +143,15 @@
     )
 
 
-def _steps(fleet: Fleet) -> _Taken:
+def _steps(fleet: Fleet) -> _StepRates:
     """What both sides take a second: the median of those in WINDOW_US."""
     sender, control = [], []
     for _ in range(WINDOW_US // SECOND):
-        steps, begun = Steps(), (fleet.sender_time.spent, fleet.control_time.spent)
+        steps, spent_before = Steps(), (fleet.sender_time.spent, fleet.control_time.spent)
         fleet.run_for(SECOND)
-        sender.append(steps.of(fleet.sender_time.spent - begun[0]))
-        control.append(steps.of(fleet.control_time.spent - begun[1]))
-    return _Taken(statistics.median(sender), statistics.median(control))
+        sender.append(steps.of(fleet.sender_time.spent - spent_before[0]))
+        control.append(steps.of(fleet.control_time.spent - spent_before[1]))
+    return _StepRates(statistics.median(sender), statistics.median(control))
 
 
 def _bytes(fleet: Fleet, kind: Kind) -> int:
--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -27,18 +27,18 @@
 from scalefall.policy.settings import Idempotency
 
 ROLE = Role.SENDER_MESSAGES
-BODY = 200  # bytes of a message
-HELD_DESTINATIONS = 100
-DISK = 1 << 30
+BODY_BYTES = 200  # bytes of a message
+PENDING_DESTINATIONS = 100
+JOURNAL_LIMIT_BYTES = 1 << 30
 DUE_US = 24_000_000
-RATE = 400  # messages a second that are handed in
-SLICE = 100  # messages between timings of the fixed loop
-END_US = 100_000  # for the last of a slice to be delivered
+MESSAGES_PER_S = 400  # messages a second that are handed in
+SLICE_MESSAGES = 100  # messages between timings of the fixed loop
+SLICE_SETTLE_US = 100_000  # for the last of a slice to be delivered
 DESTINATION = 900000  # as in benchmarks/reload.py
-CLASS = "often"
+MESSAGE_CLASS = "often"
 
-DELIVERED = {"quick": (200, 400, 800), "full": (1000, 2000, 4000)}
-HELD = {"quick": (1000, 2000, 4000), "full": (5000, 10_000, 20_000)}
+DELIVERED_MESSAGES = {"quick": (200, 400, 800), "full": (1000, 2000, 4000)}
+PENDING_MESSAGES = {"quick": (1000, 2000, 4000), "full": (5000, 10_000, 20_000)}
 
 
 def delivered(mode: str) -> list[Series]:
@@ -52,121 +52,126 @@
     threading.Thread(target=serve, args=(listener,), daemon=True).start()
     scheduler = Scheduler()
 
-    def play(sender: Sender) -> None:
+    def deliver(sender: Sender) -> None:
         sender.start()
-        scheduler.in_thread(hand_in, sender.address, RATE, SLICE / RATE, "first")
-        for count in DELIVERED[mode]:
-            total = 0.0
-            for at in range(0, count, SLICE):
-                steps, begun = Steps(), time.thread_time_ns()
-                scheduler.in_thread(hand_in, sender.address, RATE, SLICE / RATE, f"m{count}-{at}")
-                scheduler.sleep(END_US)
-                total += steps.of(time.thread_time_ns() - begun)
-            series.add(count, total)
+        scheduler.in_thread(hand_in, sender.address, MESSAGES_PER_S, SLICE_MESSAGES / MESSAGES_PER_S, "first")
+        for count in DELIVERED_MESSAGES[mode]:
+            total_steps = 0.0
+            for offset in range(0, count, SLICE_MESSAGES):
+                steps, started = Steps(), time.thread_time_ns()
+                scheduler.in_thread(
+                    hand_in, sender.address, MESSAGES_PER_S, SLICE_MESSAGES / MESSAGES_PER_S, f"m{count}-{offset}"
+                )
+                scheduler.sleep(SLICE_SETTLE_US)
+                total_steps += steps.of(time.thread_time_ns() - started)
+            series.add(count, total_steps)
         scheduler.stop()
 
     with tempfile.TemporaryDirectory() as folder:
         state = pathlib.Path(folder, "state")
         state.mkdir()
-        scheduler.spawn(play, Sender(scheduler, _on_file(state, listener.getsockname())))
+        scheduler.spawn(deliver, Sender(scheduler, _site_config(state, listener.getsockname())))
         scheduler.run()
     return [series]
 
 
-def held(mode: str) -> list[Series]:
+def pending_memory(mode: str) -> list[Series]:
     """What a held message takes: the module's record, the transaction, and the journal's."""
     names = {
         "module": "held message, module",
         "transaction": "held message, transaction",
         "journal": "held message, journal",
     }
-    found = {
+    by_part = {
         part: Series(ROLE, name, Quantity.MEMORY, "bytes a message", "messages held") for part, name in names.items()
     }
-    for count in HELD[mode]:
+    for count in PENDING_MESSAGES[mode]:
         with tempfile.TemporaryDirectory() as folder:
-            transactions: list[DeliveryRequest] = []
-            module, book = _module(count), Journal(folder, DISK)
-            found["transaction"].add(count, memory_of(_make, transactions, count))
-            found["module"].add(count, memory_of(_hand_in, module, transactions))
-            assert len(module.state.messages) == count, "not all are held"
-            found["journal"].add(count, memory_of(_take_on, book, transactions))
-            book.close()
-    return list(found.values())
+            requests: list[DeliveryRequest] = []
+            engine, journal_file = _full_engine(count), Journal(folder, JOURNAL_LIMIT_BYTES)
+            by_part["transaction"].add(count, memory_of(_make_requests, requests, count))
+            by_part["module"].add(count, memory_of(_hand_in, engine, requests))
+            assert len(engine.state.messages) == count, "not all are held"
+            by_part["journal"].add(count, memory_of(_record_accepted, journal_file, requests))
+            journal_file.close()
+    return list(by_part.values())
 
 
 def journal(mode: str) -> list[Series]:
     """Bytes written for a message until it is delivered at its first attempt, and for one that is owed."""
     written = Series(ROLE, "journal, written", Quantity.BYTES, "bytes a message", "messages delivered")
-    owed = Series(ROLE, "journal, owed", Quantity.BYTES, "bytes a message", "messages owed")
-    for count in HELD[mode]:
+    pending = Series(ROLE, "journal, owed", Quantity.BYTES, "bytes a message", "messages owed")
+    for count in PENDING_MESSAGES[mode]:
         with tempfile.TemporaryDirectory() as folder:
-            book, path = Journal(folder, DISK), os.path.join(folder, "journal")
-            transactions = [_transaction(number) for number in range(count)]
-            for transaction in transactions:
-                book.record_accepted(_owed(transaction))
-            owed.add(count, os.path.getsize(path))
-            for transaction in transactions:
-                book.record_attempt_started([transaction.id], DUE_US, "zone-1")
-                book.record_finished(transaction.id)
+            journal_file, path = Journal(folder, JOURNAL_LIMIT_BYTES), os.path.join(folder, "journal")
+            requests = [_request(number) for number in range(count)]
+            for request in requests:
+                journal_file.record_accepted(_pending_record(request))
+            pending.add(count, os.path.getsize(path))
+            for request in requests:
+                journal_file.record_attempt_started([request.id], DUE_US, "zone-1")
+                journal_file.record_finished(request.id)
             written.add(count, os.path.getsize(path))
-            book.close()
-    return [written, owed]
+            journal_file.close()
+    return [written, pending]
 
 
-def _on_file(state: pathlib.Path, partner: tuple[str, int]) -> Config:
+def _site_config(state: pathlib.Path, destination: tuple[str, int]) -> Config:
     """The site of benchmarks/cost.py."""
     path = state.with_suffix(".scale")
     path.write_text(
         f"sender {{ slots 50; listen 127.0.0.1:0 }}\nkind toy {{ per-call 10 }}\n"
         f"class fee-order {{ aim 3s; deadline 24s; repeat never; worth 3; late-worth 40% }}\n"
-        f"pool p {{ kind toy; endpoint t {{ at {partner[0]}:{partner[1]} }} }}\n"
+        f"pool p {{ kind toy; endpoint t {{ at {destination[0]}:{destination[1]} }} }}\n"
         f"route {DESTINATION} {{ pool p }}\n"
     )
     return configuration_on_file(str(path), str(state), {})[0].config
 
 
-def _module(count: int) -> Engine:
+def _full_engine(count: int) -> Engine:
     """A module with destinations that take nothing more, so that what comes is held."""
-    module = Engine(replace(configuration.settings(), max_queued=2 * count, call_slots=1), 1)
-    endpoints = [configuration.entry(number).endpoint for number in range(HELD_DESTINATIONS)]
-    module.handle(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
-    first = [Message(f"first-{number}", number, CLASS, DUE_US, restored=True) for number in range(HELD_DESTINATIONS)]
-    module.handle(0, first)
+    engine = Engine(replace(configuration.settings(), max_queued=2 * count, call_slots=1), 1)
+    endpoints = [configuration.entry(number).endpoint for number in range(PENDING_DESTINATIONS)]
+    engine.handle(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
+    first = [
+        Message(f"first-{number}", number, MESSAGE_CLASS, DUE_US, restored=True)
+        for number in range(PENDING_DESTINATIONS)
+    ]
+    engine.handle(0, first)
     for message in first:
-        module.handle(0, [MessageWithdrawn(message.id)])
-    return module
+        engine.handle(0, [MessageWithdrawn(message.id)])
+    return engine
 
 
-def _make(transactions: list[DeliveryRequest], count: int) -> None:
-    transactions.extend(_transaction(number) for number in range(count))
+def _make_requests(requests: list[DeliveryRequest], count: int) -> None:
+    requests.extend(_request(number) for number in range(count))
 
 
-def _hand_in(module: Engine, transactions: list[DeliveryRequest]) -> None:
-    module.handle(0, [_message(transaction) for transaction in transactions])
+def _hand_in(engine: Engine, requests: list[DeliveryRequest]) -> None:
+    engine.handle(0, [_message(request) for request in requests])
 
 
-def _take_on(journal_: Journal, transactions: list[DeliveryRequest]) -> None:
-    for transaction in transactions:
-        journal_.record_accepted(_owed(transaction))
+def _record_accepted(journal_file: Journal, requests: list[DeliveryRequest]) -> None:
+    for request in requests:
+        journal_file.record_accepted(_pending_record(request))
 
 
-def _transaction(number: int) -> DeliveryRequest:
-    body = f"{number:08}".encode() + bytes(BODY - 8)
-    return DeliveryRequest(f"message-{number:08}", CLASS, number % HELD_DESTINATIONS, DUE_US, None, body)
+def _request(number: int) -> DeliveryRequest:
+    body = f"{number:08}".encode() + bytes(BODY_BYTES - 8)
+    return DeliveryRequest(f"message-{number:08}", MESSAGE_CLASS, number % PENDING_DESTINATIONS, DUE_US, None, body)
 
 
-def _message(transaction: DeliveryRequest) -> Message:
-    return Message(transaction.id, transaction.destination, transaction.class_name, transaction.due_us, restored=True)
+def _message(request: DeliveryRequest) -> Message:
+    return Message(request.id, request.destination, request.class_name, request.due_us, restored=True)
 
 
-def _owed(transaction: DeliveryRequest) -> PendingDelivery:
+def _pending_record(request: DeliveryRequest) -> PendingDelivery:
     return PendingDelivery(
-        transaction.id,
-        transaction.class_name,
-        transaction.destination,
+        request.id,
+        request.class_name,
+        request.destination,
         DUE_US,
-        transaction.idempotency_key,
-        transaction.body,
+        request.idempotency_key,
+        request.body,
         idempotency=Idempotency.IDEMPOTENT,
     )
--- a/benchmarks/scaling/touched.py
+++ b/benchmarks/scaling/touched.py
@@ -4,28 +4,30 @@
 
 import random
 
-from benchmarks.scaling.target import DESTINATIONS, EVENTS_A_SENDER, USED_S
+from benchmarks.scaling.target import DESTINATIONS, EVENTS_PER_SENDER_PER_S, IN_USE_S
 from scalefall.lab.hollow.clock import SECOND
 from scalefall.lab.hollow.control import ControlOptions
 from scalefall.lab.hollow.traffic import AliasTable, clumped, distinct, independent, zipf_weights
 
 SEED = 20
-EXPONENTS = {"uniform": 0.0, "Zipf 0.8": 0.8, "Zipf 1.1": 1.1}
-SPANS = {"used": USED_S * SECOND, "reported": ControlOptions().report_us}
-CLUMP, CLUMP_US = 20, 2 * SECOND  # events in a clump on average, and how long one lasts
+ZIPF_EXPONENTS = {"uniform": 0.0, "Zipf 0.8": 0.8, "Zipf 1.1": 1.1}
+SPANS_US = {"used": IN_USE_S * SECOND, "reported": ControlOptions().report_us}
+CLUMP_EVENTS, CLUMP_US = 20, 2 * SECOND  # events in a clump on average, and how long one lasts
 
 
 def touched() -> dict[str, dict[str, int]]:
     """By kind of traffic, at the target size, from SEED: "used" within USED_S, "reported" in the first load report."""
-    found = {}
-    for name, exponent in EXPONENTS.items():
+    counts = {}
+    for name, exponent in ZIPF_EXPONENTS.items():
         table = AliasTable(zipf_weights(DESTINATIONS, exponent))
-        found[name] = {
-            word: distinct(independent(table, EVENTS_A_SENDER, random.Random(SEED)), span)
-            for word, span in SPANS.items()
+        counts[name] = {
+            span_name: distinct(independent(table, EVENTS_PER_SENDER_PER_S, random.Random(SEED)), span_us)
+            for span_name, span_us in SPANS_US.items()
         }
-        found[f"{name}, clumped"] = {
-            word: distinct(clumped(table, EVENTS_A_SENDER, random.Random(SEED), CLUMP, CLUMP_US), span)
-            for word, span in SPANS.items()
+        counts[f"{name}, clumped"] = {
+            span_name: distinct(
+                clumped(table, EVENTS_PER_SENDER_PER_S, random.Random(SEED), CLUMP_EVENTS, CLUMP_US), span_us
+            )
+            for span_name, span_us in SPANS_US.items()
         }
-    return found
+    return counts
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -24,30 +24,30 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 
-def entries(number: int, health: str = "in_service", step: int = 1) -> list[dict]:
+def list_entries(number: int, health: str = "in_service", step: int = 1) -> list[dict]:
     return [
         {
-            "host": f"s-{n:08x}",
-            "dial": f"127.1.{n // 250}.{1 + n % 250}:9",
+            "host": f"s-{index:08x}",
+            "dial": f"127.1.{index // 250}.{1 + index % 250}:9",
             "site": "a",
             "class": "one",
-            "block": n,
+            "block": index,
             "health": health,
             "share": 1.0,
             "born_ms": 0,
         }
-        for n in range(0, number, step)
+        for index in range(0, number, step)
     ]
 
 
-def discovery(listener: socket.socket, number: int) -> None:
+def serve_discovery(listener: socket.socket, number: int) -> None:
     """A watch: the list whole and indented, changes to each tenth entry, then beats."""
     sock, _ = listener.accept()
     sock.recv(4096)
     sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    whole = json.dumps({"seq": 2, "whole": True, "hosts": entries(number)}, indent=4)
-    some = json.dumps({"seq": 3, "whole": False, "hosts": entries(number, "terminating", 10)})
-    for text in (whole, some, *[""] * 60):
+    full_list = json.dumps({"seq": 2, "whole": True, "hosts": list_entries(number)}, indent=4)
+    changes = json.dumps({"seq": 3, "whole": False, "hosts": list_entries(number, "terminating", 10)})
+    for text in (full_list, changes, *[""] * 60):
         data = text.encode() + b"\n"
         sock.sendall(b"%x\r\n%s\r\n" % (len(data), data))
         time.sleep(1)
@@ -62,30 +62,30 @@
     from scalefall.net.scheduler import Scheduler
     from scalefall.net.sender import Sender
 
-    class Timed(Scheduler):
-        longest, spent = 0, 0
+    class TimedScheduler(Scheduler):
+        longest_ns, spent_ns = 0, 0
 
         def _run_ready(self):
-            begun = time.thread_time_ns()
+            started = time.thread_time_ns()
             super()._run_ready()
-            self.count(begun)
+            self.record(started)
 
         def call_at(self, at, function, *args):
             def timed(*args):
-                begun = time.thread_time_ns()
+                started = time.thread_time_ns()
                 function(*args)
-                self.count(begun)
+                self.record(started)
 
             return super().call_at(at, timed, *args)
 
-        def count(self, begun):
-            took = time.thread_time_ns() - begun
-            self.longest, self.spent = max(self.longest, took), self.spent + took
+        def record(self, started):
+            duration_ns = time.thread_time_ns() - started
+            self.longest_ns, self.spent_ns = max(self.longest_ns, duration_ns), self.spent_ns + duration_ns
 
     listener = socket.create_server(("127.0.0.1", 0))
-    threading.Thread(target=discovery, args=(listener, number), daemon=True).start()
+    threading.Thread(target=serve_discovery, args=(listener, number), daemon=True).start()
     with tempfile.TemporaryDirectory() as folder:
-        known = read_list({"seq": 1, "whole": True, "hosts": entries(20)})
+        known = read_list({"seq": 1, "whole": True, "hosts": list_entries(20)})
         config = Config(
             "n0",
             ("127.0.0.1", 0),
@@ -98,19 +98,19 @@
             settings(polls_endpoint_list=False, replica_count=number),
             known,
         )
-        scheduler, figures, span = Timed(), {}, 2_000_000 + 2 * number * SAVE_INTERVAL_PER_RATE_US
+        scheduler, figures, rest_us = TimedScheduler(), {}, 2_000_000 + 2 * number * SAVE_INTERVAL_PER_RATE_US
         sender = Sender(scheduler, config)
         scheduler.spawn(sender.start)
 
-        def listen():
-            figures["list"], scheduler.longest, scheduler.spent = scheduler.longest, 0, 0
-            scheduler.call_at(scheduler.now() + span, rested)
+        def record_list_step():
+            figures["list"], scheduler.longest_ns, scheduler.spent_ns = scheduler.longest_ns, 0, 0
+            scheduler.call_at(scheduler.now() + rest_us, record_rest)
 
-        def rested():
-            figures["rest"], figures["share"] = scheduler.longest, scheduler.spent / span / 1000
+        def record_rest():
+            figures["rest"], figures["share"] = scheduler.longest_ns, scheduler.spent_ns / rest_us / 1000
             scheduler.stop()
 
-        scheduler.call_at(scheduler.now() + 1_900_000, listen)
+        scheduler.call_at(scheduler.now() + 1_900_000, record_list_step)
         scheduler.run()
         assert len(sender.endpoint_list.entries) == number, "the list was not taken whole"
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
@@ -121,10 +121,10 @@
     print("endpoints   longest turn, list (ms)   at rest (ms)   processor at rest (%)   memory (MB)")
     first = None
     for number in numbers:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-O", __file__, "--one", str(number)], capture_output=True, text=True, check=True
         )
-        row = json.loads(done.stdout)
+        row = json.loads(completed.stdout)
         first = first or row
         print(f"{number:9}", *(f"{value:9.2f} (x{value / base:6.1f})" for value, base in zip(row, first, strict=False)))
 
--- a/example/control_demo.py
+++ b/example/control_demo.py
@@ -28,8 +28,8 @@
 kind one {{ per-call 1 }}
 pool partner {{
   kind one; limit 30 per 1s
-  endpoint a {{ at 127.0.0.1:{a} }}
-  endpoint b {{ at 127.0.0.1:{b}; state {state} }}
+  endpoint a {{ at 127.0.0.1:{port_a} }}
+  endpoint b {{ at 127.0.0.1:{port_b}; state {state} }}
 }}
 route 7 {{ pool partner }}
 rules {{ cold 12s; cold-from 25%; fall 3s; fall-multiple 1.5; drain-grace 1s }}
@@ -41,20 +41,20 @@
 ]
 
 
-def start(*words, log=None, **more):
+def start(*words, log=None, **options):
     return subprocess.Popen(
         [sys.executable, "-u", "-m", *words],
         cwd=ROOT,
         text=True,
         stdout=log or subprocess.PIPE,
         stdin=subprocess.PIPE,
-        **more,
+        **options,
     )
 
 
 def wait_for(path, event):
-    until = time.monotonic() + 30
-    while time.monotonic() < until:
+    deadline = time.monotonic() + 30
+    while time.monotonic() < deadline:
         for line in path.read_text().splitlines():
             row = json.loads(line) if line.startswith("{") else {}
             if row.get("event") == event:
@@ -63,25 +63,27 @@
     sys.exit(f"demo: no {event!r} in {path}:\n{path.read_text()[-2000:]}")
 
 
-def play(folder, seed, say):
+def play(folder, seed, report):
     """One run; the logs are in the folder."""
-    chance, children = random.Random(seed), []
+    generator, children = random.Random(seed), []
 
-    def child(name, *words, **more):
+    def start_logged(name, *words, **options):
         with open(folder / f"{name}.log", "w") as log:
-            children.append(start(*words, log=log, **more))
+            children.append(start(*words, log=log, **options))
         return children[-1]
 
     try:
-        child("partner-a", "scalefall.lab.partner", "--limit", "30", "--away", "12-16", "--seed", str(seed), *CLASSES)
-        a = wait_for(folder / "partner-a.log", "listening")["port"]
-        b = a  # two endpoints of one partner: a second address in front of it
-        relay = start("scalefall.lab.link", f"127.0.0.1:{a}")
-        children.append(relay)
-        b = int(relay.stdout.readline())
+        start_logged(
+            "partner-a", "scalefall.lab.partner", "--limit", "30", "--away", "12-16", "--seed", str(seed), *CLASSES
+        )
+        port_a = wait_for(folder / "partner-a.log", "listening")["port"]
+        port_b = port_a  # two endpoints of one partner: a second address in front of it
+        second_address = start("scalefall.lab.link", f"127.0.0.1:{port_a}")
+        children.append(second_address)
+        port_b = int(second_address.stdout.readline())
         (folder / "state").mkdir()
         site = folder / "site.scale"
-        site.write_text(SITE.format(a=a, b=b, state="ready"))
+        site.write_text(SITE.format(port_a=port_a, port_b=port_b, state="ready"))
         with open(folder / "control.log", "w") as log:
             control = start(
                 "scalefall",
@@ -103,13 +105,13 @@
                 stderr=log,
             )
         children.append(control)
-        at = wait_for(folder / "control.log", "ready")["listen"]
+        control_address = wait_for(folder / "control.log", "ready")["listen"]
         links = []
         for number in range(3):
-            links.append(start("scalefall.lab.link", at))
+            links.append(start("scalefall.lab.link", control_address))
             children.append(links[-1])
             port = links[-1].stdout.readline().strip()
-            child(
+            start_logged(
                 f"proxy-{number}",
                 "scalefall.lab.proxy",
                 "--control",
@@ -126,31 +128,33 @@
             )
 
         def link(number, word):
-            say(f"link of proxy-{number}: {word}")
+            report(f"link of proxy-{number}: {word}")
             links[number].stdin.write(word + "\n")
             links[number].stdin.flush()
 
         def cut(number):
-            word = chance.choice(["silence", "reset", f"delay {chance.randint(200, 3000)}"])
+            word = generator.choice(["silence", "reset", f"delay {generator.randint(200, 3000)}"])
             link(number, word)
             return lambda: link(number, "delay 0" if word.startswith("delay") else "heal")
 
-        time.sleep(6 + chance.random())
-        drained, late = chance.randrange(3), chance.uniform(0, 0.1)
-        say("endpoint b is to drain")
-        site.write_text(SITE.format(a=a, b=b, state="draining"))
+        time.sleep(6 + generator.random())
+        drained, extra_wait_s = generator.randrange(3), generator.uniform(0, 0.1)
+        report("endpoint b is to drain")
+        site.write_text(SITE.format(port_a=port_a, port_b=port_b, state="draining"))
         control.send_signal(signal.SIGHUP)
-        wait_for(folder / "control.log", "configuration read again") if late < 0.03 else time.sleep(0.45 + late)
-        mend = cut(drained)
+        wait_for(folder / "control.log", "configuration read again") if extra_wait_s < 0.03 else time.sleep(
+            0.45 + extra_wait_s
+        )
+        restore = cut(drained)
         time.sleep(4)
-        mend()
-        site.write_text(SITE.format(a=a, b=b, state="ready"))
+        restore()
+        site.write_text(SITE.format(port_a=port_a, port_b=port_b, state="ready"))
         control.send_signal(signal.SIGHUP)
-        say("endpoint b is back; the partner goes away soon and returns cold")
-        time.sleep(2 + chance.random())
-        mend = cut((drained + 1) % 3)
+        report("endpoint b is back; the partner goes away soon and returns cold")
+        time.sleep(2 + generator.random())
+        restore = cut((drained + 1) % 3)
         time.sleep(8)
-        mend()
+        restore()
         time.sleep(6)
         for proxy in [each for each in children if "scalefall.lab.proxy" in each.args]:
             proxy.send_signal(signal.SIGTERM)
@@ -180,14 +184,14 @@
             print(f"run {seed}", flush=True)
             play(folder, seed, (lambda text: print("  " + text, flush=True)) if options.runs == 1 else lambda _: None)
             logs = sorted(str(path) for path in folder.glob("*.log"))
-            ends = Counter(
+            answers = Counter(
                 row["how"]
                 for path in logs
                 for line in open(path)
                 if '"ended"' in line
                 if (row := json.loads(line)).get("how")
             )
-            print("  " + ", ".join(f"{number} {how}" for how, number in sorted(ends.items())))
+            print("  " + ", ".join(f"{number} {how}" for how, number in sorted(answers.items())))
             if options.runs == 1:
                 print(f"$ scalefall control audit {' '.join(os.path.basename(path) for path in logs)}", flush=True)
             codes[
--- a/example/demo.py
+++ b/example/demo.py
@@ -20,8 +20,8 @@
 import time
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-PATIENCE_S = 60
-AWAY_MS = 2500  # how long a message for the partner that is away may take
+TIMEOUT_S = 60
+AWAY_DEADLINE_MS = 2500  # how long a message for the partner that is away may take
 
 
 class Child:
@@ -39,36 +39,36 @@
             self.lines.put(line.rstrip("\n"))
         self.lines.put(None)
 
-    def next(self, until):
+    def next_line(self, deadline):
         """The next line; None if there is none in time, or no more."""
         try:
-            line = self.lines.get(timeout=max(0.01, until - time.monotonic()))
+            line = self.lines.get(timeout=max(0.01, deadline - time.monotonic()))
         except queue.Empty:
             return None
         if line is not None:
             self.seen.append(line)
         return line
 
-    def wait_for(self, part):
-        until = time.monotonic() + PATIENCE_S
-        while (line := self.next(until)) is not None:
-            if part in line:
+    def wait_for(self, text):
+        deadline = time.monotonic() + TIMEOUT_S
+        while (line := self.next_line(deadline)) is not None:
+            if text in line:
                 return line
-        sys.exit("demo: no sign of {!r}. What it said:\n{}".format(part, "\n".join(self.seen)))
+        sys.exit("demo: no sign of {!r}. What it said:\n{}".format(text, "\n".join(self.seen)))
 
-    def end(self):
+    def stop(self):
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(PATIENCE_S)
+        return self.process.wait(TIMEOUT_S)
 
 
-def hand_in(address, name, cls, dest, deadline_ms):
+def hand_in(address, name, class_name, destination, deadline_ms):
     """The first answer's status and its Retry-After."""
-    connection = http.client.HTTPConnection(*address, timeout=PATIENCE_S)
-    headers = {"X-Request-Id": name, "X-Deadline": f"{deadline_ms}m", "X-Route-To": f"dest={dest}"}
-    if cls == "event-notice":
+    connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_S)
+    headers = {"X-Request-Id": name, "X-Deadline": f"{deadline_ms}m", "X-Route-To": f"dest={destination}"}
+    if class_name == "event-notice":
         headers["Idempotency-Key"] = f"key-{name}"
-    connection.request("POST", f"/{cls}", b"a message of the demonstration", headers)
+    connection.request("POST", f"/{class_name}", b"a message of the demonstration", headers)
     answer = connection.getresponse()
     answer.read()
     connection.close()
@@ -78,13 +78,17 @@
 def plan(number):
     """(id, class, destination, milliseconds): two thirds for the partner that serves, some for each trouble."""
     classes = ("fee-order", "event-notice", "status-update")
-    rows = [(f"m-{n:02}", classes[n % 3], 7, 20_000) for n in range(number)]
-    rows += [(f"away-{n}", classes[1 + n % 2], 9, AWAY_MS) for n in range(4)]
-    return [*rows, ("not-carried", "fee-order", 9, AWAY_MS), ("no-route", "status-update", 8, AWAY_MS)]
+    rows = [(f"m-{index:02}", classes[index % 3], 7, 20_000) for index in range(number)]
+    rows += [(f"away-{index}", classes[1 + index % 2], 9, AWAY_DEADLINE_MS) for index in range(4)]
+    return [
+        *rows,
+        ("not-carried", "fee-order", 9, AWAY_DEADLINE_MS),
+        ("no-route", "status-update", 8, AWAY_DEADLINE_MS),
+    ]
 
 
-def final(ends):
-    return ", ".join(ends) if ends else "NONE"
+def final_answers(answers):
+    return ", ".join(answers) if answers else "NONE"
 
 
 def main():
@@ -103,44 +107,49 @@
             print(f"$ scalefall run --config {options.config}", flush=True)
             sender = Child("-O", "-m", "scalefall", "run", "--config", options.config, "--state", state)
             host, _, port = sender.wait_for("ready: ").split()[-1].rpartition(":")
-            return account(toy, plan(options.messages), (host, int(port)))
+            return hand_in_and_report(toy, plan(options.messages), (host, int(port)))
         finally:
-            code = sender.end() if sender else 0
+            code = sender.stop() if sender else 0
             if toy:
-                toy.end()
+                toy.stop()
             if code:
                 print("\n".join(sender.seen))
                 sys.exit(f"demo: the sender ended with {code}")
 
 
-def account(toy, rows, address):
-    ends = collections.defaultdict(list)
-    taken = set()
-    for name, cls, dest, deadline in rows:
-        status, after = hand_in(address, name, cls, dest, deadline)
+def hand_in_and_report(toy, rows, address):
+    answers = collections.defaultdict(list)
+    accepted = set()
+    for name, class_name, destination, deadline_ms in rows:
+        status, retry_after = hand_in(address, name, class_name, destination, deadline_ms)
         if status == 202:
-            taken.add(name)
+            accepted.add(name)
         else:
-            ends[name].append(f"{status}" + (f", come back after {after} s" if after else ""))
-    until = time.monotonic() + PATIENCE_S
-    while any(not ends[name] for name in taken):
-        line = toy.next(until)
+            answers[name].append(f"{status}" + (f", come back after {retry_after} s" if retry_after else ""))
+    deadline = time.monotonic() + TIMEOUT_S
+    while any(not answers[name] for name in accepted):
+        line = toy.next_line(deadline)
         if line is None:
             break
         if line.startswith("delivered "):
             _, name, _, port = line.split()
-            ends[name].append(f"delivered at {port}")
+            answers[name].append(f"delivered at {port}")
         elif line.startswith("notice "):
-            notice = json.loads(line[len("notice ") :])
-            ends[notice["id"]].append("notice: " + notice["state"])
+            report = json.loads(line[len("notice ") :])
+            answers[report["id"]].append("notice: " + report["state"])
     print(f"\n{'message':<13}{'class':<15}{'route':<7}{'first answer':<14}final answer")
-    for name, cls, dest, _ in rows:
-        print(f"{name:<13}{cls:<15}{dest:<7}{'202' if name in taken else 'refused':<14}{final(ends[name])}")
-    wrong = [name for name, *_ in rows if len(ends[name]) != 1]
-    counts = collections.Counter(end.split(" at ")[0].split(",")[0] for rows_ in ends.values() for end in rows_)
+    for name, class_name, destination, _ in rows:
+        print(
+            f"{name:<13}{class_name:<15}{destination:<7}{'202' if name in accepted else 'refused':<14}"
+            f"{final_answers(answers[name])}"
+        )
+    without_one_answer = [name for name, *_ in rows if len(answers[name]) != 1]
+    counts = collections.Counter(
+        answer.split(" at ")[0].split(",")[0] for rows_ in answers.values() for answer in rows_
+    )
     print("\n" + ", ".join(f"{number} {what}" for what, number in sorted(counts.items())))
-    print(f"{len(rows) - len(wrong)} of {len(rows)} messages had exactly one final answer")
-    return 1 if wrong else 0
+    print(f"{len(rows) - len(without_one_answer)} of {len(rows)} messages had exactly one final answer")
+    return 1 if without_one_answer else 0
 
 
 if __name__ == "__main__":
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -15,10 +15,10 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-BEAT_S = 2
+HEARTBEAT_INTERVAL_S = 2
 
 
-def say(text):
+def print_line(text):
     """Print a line in one write: print() writes its end apart, and two threads' lines would run together."""
     sys.stdout.write(f"{text}\n")
     sys.stdout.flush()
@@ -58,7 +58,7 @@
         try:
             self.chunk(table + b"\n")
             while True:
-                time.sleep(BEAT_S)
+                time.sleep(HEARTBEAT_INTERVAL_S)
                 self.chunk(b"\n")
         except OSError:
             self.close_connection = True
@@ -68,23 +68,23 @@
 
     def do_POST(self):
         for line in self.body().splitlines():
-            say(f"notice {line.decode()}")
+            print_line(f"notice {line.decode()}")
         self.reply(204)
 
 
 class Endpoint(Handler):
-    a_second = 5
-    taken, span, lock = 0, 0, threading.Lock()
+    calls_per_s = 5
+    call_count, current_second, lock = 0, 0, threading.Lock()
 
     def do_POST(self):
         body, now = self.body(), time.time()
         with self.lock:
-            if int(now) != Endpoint.span:
-                Endpoint.span, Endpoint.taken = int(now), 0
-            Endpoint.taken += 1
-            left = self.a_second - Endpoint.taken
-        load = json.dumps({"x0": max(0, left) / self.a_second, "x1": self.a_second})
-        if left < 0:
+            if int(now) != Endpoint.current_second:
+                Endpoint.current_second, Endpoint.call_count = int(now), 0
+            Endpoint.call_count += 1
+            remaining = self.calls_per_s - Endpoint.call_count
+        load = json.dumps({"x0": max(0, remaining) / self.calls_per_s, "x1": self.calls_per_s})
+        if remaining < 0:
             self.reply(429, Retry_After=f"{1 - now % 1:.3f}", X_Load=load)
             return
         time.sleep(0.1)
@@ -94,7 +94,7 @@
         else:
             ids, answer = [self.headers["X-Request-Id"]], b""
         for name in ids:
-            say(f"delivered {name} at {self.server.server_port}")
+            print_line(f"delivered {name} at {self.server.server_port}")
         self.reply(200, answer, X_Load=load)
 
 
@@ -104,7 +104,7 @@
     parser.add_argument("--endpoints", type=int, nargs=2, default=[9001, 9002])
     parser.add_argument("--a-second", type=int, default=5)
     options = parser.parse_args()
-    Endpoint.a_second = options.a_second
+    Endpoint.calls_per_s = options.a_second
     servers = [ThreadingHTTPServer(("127.0.0.1", port), Endpoint) for port in options.endpoints]
     for number, server in enumerate(servers):
         Discovery.hosts.append(
@@ -124,7 +124,7 @@
     for server in servers:
         server.daemon_threads = True
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    say(f"discovery at 127.0.0.1:{servers[-1].server_port}")
+    print_line(f"discovery at 127.0.0.1:{servers[-1].server_port}")
     with contextlib.suppress(KeyboardInterrupt):
         threading.Event().wait()
 
--- a/tests/scaling/test_checks.py
+++ b/tests/scaling/test_checks.py
@@ -12,14 +12,14 @@
     check_budget,
     check_figure,
     key,
-    made_reference,
+    make_reference,
     read_reference,
     write_reference,
 )
 from benchmarks.scaling.figures import Quantity, Role, figure, from_json
 from benchmarks.scaling.fit import fit
 from benchmarks.scaling.plots import plot
-from benchmarks.scaling.run import middle
+from benchmarks.scaling.run import median_figure
 
 KINDS = {"bytes": Quantity.BYTES, "memory": Quantity.MEMORY, "time": Quantity.TIME}
 
@@ -60,30 +60,30 @@
     ],
 )
 def test_a_figure_that_got_worse_fails(kind, change, verdict):
-    reference = made_reference(1.0, [measured(100, KINDS[kind])], [])
+    reference = make_reference(1.0, [measured(100, KINDS[kind])], [])
     assert check_figure(measured(100 * change, KINDS[kind]), reference).verdict is verdict
 
 
 def test_a_figure_that_the_reference_lacks_fails():
-    assert check_figure(measured(1, Quantity.BYTES), made_reference(1.0, [], [])).verdict is Verdict.FAILED
+    assert check_figure(measured(1, Quantity.BYTES), make_reference(1.0, [], [])).verdict is Verdict.FAILED
 
 
 def test_a_budget_that_is_over_is_never_said_to_fit():
-    known = made_reference(1.0, [], [budget(150)])
+    known = make_reference(1.0, [], [budget(150)])
     assert check_budget(budget(100), known).verdict is Verdict.FITS
     assert check_budget(budget(101), known).verdict is Verdict.NO_WORSE
     assert check_budget(budget(164), known).verdict is Verdict.NO_WORSE
     assert check_budget(budget(166), known).verdict is Verdict.FAILED
     assert check_budget(budget(224, Quantity.TIME), known).verdict is Verdict.NO_WORSE
-    unknown = made_reference(1.0, [], [budget(100)])
+    unknown = make_reference(1.0, [], [budget(100)])
     assert check_budget(budget(101), unknown).verdict is Verdict.FAILED
     assert "fits" not in check_budget(budget(101), known).line()
 
 
 def test_a_reference_is_read_as_written_and_the_other_mode_stays(tmp_path):
-    path, one = tmp_path / "reference.json", made_reference(2.0, [measured(3, Quantity.TIME)], [budget(150)])
+    path, one = tmp_path / "reference.json", make_reference(2.0, [measured(3, Quantity.TIME)], [budget(150)])
     write_reference(path, "quick", one)
-    write_reference(path, "full", made_reference(1.0, [], []))
+    write_reference(path, "full", make_reference(1.0, [], []))
     assert read_reference(path, "quick") == one
     assert read_reference(path, "other").figures == {}
 
@@ -92,8 +92,8 @@
     one, two, three = [(1, 5), (2, 7), (4, 30)], [(1, 9), (2, 8), (4, 11)], [(1, 6), (2, 1), (4, 12)]
     for quantity, points in ((Quantity.TIME, ((1, 6), (2, 7), (4, 12))), (Quantity.BYTES, tuple(one))):
         runs = [figure(Role.CONTROL, "x", quantity, "a unit", "units", rows) for rows in (one, two, three)]
-        assert middle(runs).points == points
-        assert middle(runs).line == fit(points)
+        assert median_figure(runs).points == points
+        assert median_figure(runs).line == fit(points)
 
 
 def test_a_figure_goes_through_json_and_a_plot_is_the_same_each_time():
--- a/tests/scaling/test_hollow.py
+++ b/tests/scaling/test_hollow.py
@@ -13,8 +13,8 @@
 from scalefall.lab.proxy.contract import Send
 from scalefall.lab.proxy.meter import Count, Direction, Kind, Meter
 
-QUIET_US = 2_500_000  # lease and delay, before which a new service grants nothing
-RENEWED_US = 1_500_000  # half a lease, and a report: by then a sender whose link was healed has a new grant
+FIRST_GRANT_US = 2_500_000  # lease and delay, before which a new service grants nothing
+RENEWAL_US = 1_500_000  # half a lease, and a report: by then a sender whose link was healed has a new grant
 
 
 def fleet(senders=1, destinations=1, seed=5, **more):
@@ -24,7 +24,7 @@
     )
 
 
-def sends(fleet, number):
+def can_send(fleet, number):
     """Whether it may send within 100 ms: between two heartbeats it does not trust its list for a moment."""
     for _ in range(10):
         if isinstance(fleet.senders[number].contract.choose(0, fleet.clock.now), Send):
@@ -55,17 +55,17 @@
 
 def test_a_sender_gets_lists_heartbeats_and_grants_and_may_send():
     one = fleet(senders=2, destinations=3)
-    one.run_for(QUIET_US + SECOND)
+    one.run_for(FIRST_GRANT_US + SECOND)
     assert one.meter.count(Direction.DOWN, Kind.RESOURCES).messages == 2
     assert one.meter.count(Direction.DOWN, Kind.HEARTBEATS).messages >= 2 * 7  # two in 0.9 s
     assert one.meter.count(Direction.DOWN, Kind.GRANTS).messages >= 2 * 3
-    assert sends(one, 0)
-    assert sends(one, 1)
+    assert can_send(one, 0)
+    assert can_send(one, 1)
 
 
 def test_a_cut_zone_gets_nothing_and_sends_nothing_while_the_others_go_on():
     nine = fleet(senders=9)
-    nine.run_for(QUIET_US + SECOND)
+    nine.run_for(FIRST_GRANT_US + SECOND)
     zone = nine.in_zone(0)
     assert zone == [0, 8]
     nine.cut(zone)
@@ -75,29 +75,29 @@
     assert [new - old for new, old in zip(after, before, strict=False) if new == old] == [0, 0]
     assert after[0] == before[0]
     assert after[8] == before[8]
-    assert not sends(nine, 0)
-    assert sends(nine, 1)
+    assert not can_send(nine, 0)
+    assert can_send(nine, 1)
     nine.heal(zone)
-    nine.run_for(RENEWED_US)
-    assert sends(nine, 0)
+    nine.run_for(RENEWAL_US)
+    assert can_send(nine, 0)
 
 
 def test_a_cut_beyond_the_keepalive_ends_the_streams_and_new_ones_follow():
     nine = fleet(senders=9)
-    nine.run_for(QUIET_US + SECOND)
+    nine.run_for(FIRST_GRANT_US + SECOND)
     nine.cut(nine.in_zone(0))
     nine.run_for(KEEPALIVE_US + SECOND)
     assert nine.control.streams == 3 * 7
     nine.heal(nine.in_zone(0))
     nine.run_for(4 * SECOND)
     assert nine.control.streams == 3 * 9
-    assert sends(nine, 0)
+    assert can_send(nine, 0)
 
 
 @pytest.mark.parametrize("failure", ["restart", "replace", "machine", "control"])
 def test_after_a_failure_all_may_send_again(failure):
     four = fleet(senders=4)
-    four.run_for(QUIET_US + SECOND)
+    four.run_for(FIRST_GRANT_US + SECOND)
     match failure:
         case "restart":
             four.restart(1)
@@ -112,23 +112,23 @@
     assert four.control is None if failure == "control" else four.control.streams == streams[failure]
     four.run_for(KEEPALIVE_US + 10 * SECOND)
     assert four.control.streams == 3 * 4
-    assert all(sends(four, number) for number in range(4))
+    assert all(can_send(four, number) for number in range(4))
 
 
 def test_a_change_of_the_configuration_reaches_all():
     four = fleet(senders=4, destinations=2)
-    four.run_for(QUIET_US + SECOND)
+    four.run_for(FIRST_GRANT_US + SECOND)
     at = four.clock.now
     four.configure(configuration(2, {0}))
     four.run_for(SECOND)
     assert all(at < sender.last_change < at + 10_000 for sender in four.senders)
-    assert not any(sends(four, number) for number in range(4))
+    assert not any(can_send(four, number) for number in range(4))
 
 
 def test_load_reports_of_a_destination_that_is_down_raise_its_guard():
-    traffic = [(QUIET_US + SECOND, 0), *[(SECOND // 4, 0)] * 20]
+    traffic = [(FIRST_GRANT_US + SECOND, 0), *[(SECOND // 4, 0)] * 20]
     one = fleet(traffic=lambda number, random_: iter(traffic), is_down=lambda destination: True)
-    one.run_for(QUIET_US + 10 * SECOND)
+    one.run_for(FIRST_GRANT_US + 10 * SECOND)
     allowed = one.control.service.allocator.last_allowances
     assert one.senders[0].outcomes.sent >= 2
     assert next(row.endpoints for row in allowed)[endpoint_id(0)] < float("inf")
@@ -181,6 +181,6 @@
 
 
 def test_heartbeats_are_told_from_lists():
-    beat = messages.DeltaResponse(resources=[{"name": "route-0"}])
-    assert messages.is_heartbeat(beat)
+    heartbeat = messages.DeltaResponse(resources=[{"name": "route-0"}])
+    assert messages.is_heartbeat(heartbeat)
     assert not messages.is_heartbeat(messages.DeltaResponse(removed_resources=["a"]))
--- a/tests/scaling/test_known_red.py
+++ b/tests/scaling/test_known_red.py
@@ -3,7 +3,7 @@
 import pathlib
 
 import pytest
-from benchmarks.scaling.known_red import MOST_LINES, KnownRedError, checks_passed_over, read_known_red
+from benchmarks.scaling.known_red import MAX_LINES, KnownRedError, checks_passed_over, read_known_red
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
@@ -31,7 +31,7 @@
 
 def test_more_lines_than_may_be_listed_are_an_error(tmp_path):
     with pytest.raises(KnownRedError, match="at most"):
-        read_known_red(write(tmp_path, *["scale: a | cause | 1"] * (MOST_LINES + 1)))
+        read_known_red(write(tmp_path, *["scale: a | cause | 1"] * (MAX_LINES + 1)))
 
 
 def test_the_project_s_own_file_can_be_read():
