--- a/benchmarks/assignment_options.py
+++ b/benchmarks/assignment_options.py
@@ -1,11 +1,11 @@
-"""Three ways to assign shards to senders, on the same traffic: balance, movement, state and time of a decision.
+"""Compares three ways to assign shards to senders on the same traffic: balance, movement, state and decision time.
 
     python benchmarks/assignment_options.py [--quick] [--seed 1] [--shards 14400]
 
 Rendezvous hashing, consistent hashing with bounded loads (c = 1.25, 100 points a node) and the table of
 scalefall.assignment, each without and with heavy destinations isolated in shards of several holders (the same holder
 counts for all three). Traffic is Zipf over the destinations, in an order drawn by the seed; between two measurements
-each destination's rate changes by lognormal noise. Prints markdown. Times are processor time of one process.
+each destination's rate changes by lognormal noise. Prints Markdown. Times are processor times of one process.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 LOAD_BOUND = 1.25
 NOISE_SIGMA = 0.5  # sigma of the lognormal factor of a destination between two measurements
-RING_POINTS_PER_NODE = 100  # of a node on the ring
-RENEWAL_BYTES = 90  # bytes of a renewal of one shard, as the control protocol writes it
-RENEWALS_PER_S = 1  # half of a lease is a second
+RING_POINTS_PER_NODE = 100
+RENEWAL_BYTES = 90  # renewal of one shard in the control protocol
+RENEWALS_PER_S = 1  # half a lease is a second
 ZIPF_EXPONENTS = (0.8, 1.1)
 SHARD_COUNTS = (1_024, 3_600, 7_200, 14_400, 28_800)
 
@@ -69,7 +69,7 @@
         return decide(dict(enumerate(self.first)), sharding, self.node_load, LowLoadStreaks()).apply(sharding)
 
     def by_shard(self, sharding: Sharding) -> tuple[dict[int, float], dict[int, float], Counter[int]]:
-        """Loads of both measurements, and the number of destinations, by shard."""
+        """Return loads of both measurements and the number of destinations, by shard."""
         first: dict[int, float] = {}
         second: dict[int, float] = {}
         members: Counter[int] = Counter()
@@ -92,7 +92,7 @@
 
 
 def rendezvous(before: Table, _loads: dict, nodes: list[Node], counts: dict, shards: list[int]) -> Table:
-    """The nodes with the highest scores. Only shards that lost a holder, or are won by a new node, are gone over."""
+    """Choose the nodes with the highest scores. Shards without a lost or new winning holder stay."""
     keys = {node.name: mix(int(node.name[-4:])) for node in nodes}
     known = {name for holders in before.values() for name in holders}
     new = [name for name in keys if name not in known] if before else []
@@ -117,7 +117,7 @@
 
 
 def bounded_loads(_before: Table, loads: dict, nodes: list[Node], counts: dict, shards: list[int]) -> Table:
-    """Along the ring from the shard's point, to nodes that stay within the bound; the least loaded if there is none."""
+    """Walk the ring from the shard's point to nodes that stay within the bound, else take the least loaded."""
     ring = sorted(
         (hash((mix(int(node.name[-4:])), point)), node.name) for node in nodes for point in range(RING_POINTS_PER_NODE)
     )
@@ -147,7 +147,7 @@
 
 
 def max_over_mean(table: Table, loads: dict, nodes: list[Node]) -> float:
-    """The most loaded node over the mean."""
+    """Return the load of the most loaded node over the mean."""
     load_by_node = dict.fromkeys((node.name for node in nodes), 0.0)
     for shard, holders in table.items():
         for name in holders:
@@ -164,7 +164,7 @@
 
 
 def state_bytes(name: str, table: Table, loads: dict, nodes: list[Node], sharding: Sharding) -> tuple[int, int]:
-    """What the sender with the most shards keeps, and what control keeps, as compact text."""
+    """Return the state of the sender with the most shards, and of control, as bytes of compact JSON."""
     isolated_bytes = compact_bytes(sorted(sharding.isolated.items()))
     node_list_bytes = compact_bytes([node.name for node in nodes])
     if name == "rendezvous":
@@ -181,7 +181,7 @@
 
 
 def nodes_after_events(size: Size, nodes: list[Node]) -> dict[str, list[Node]]:
-    """The nodes after each event."""
+    """Return the nodes after each event."""
     zone = [node for node in nodes if (node.region, node.zone) == (nodes[0].region, nodes[0].zone)]
     rack = set(zone[: size.rack])
     return {
@@ -206,7 +206,7 @@
 
 
 def least_moves(event: str, before: Table, shards: list[int], nodes: list[Node]) -> float:
-    """Shards that lost a holder; for an added node its even part of the shards."""
+    """Return the number of shards that lost a holder; for an added node its fair share of the grants."""
     if event == "node added":
         return sum(map(len, before.values())) / len(nodes)
     alive = {node.name for node in nodes}
@@ -217,7 +217,7 @@
     traffic, nodes = Traffic(size, exponent, seed), fleet(size)
     print(f"\nZipf {exponent}, {count:,} shared shards\n")
     print(
-        "| option | max/mean | after noise: as it was, anew | shards moved by noise | node lost | node added "
+        "| option | max/mean | after noise: unchanged, rebalanced | shards moved by noise | node lost | node added "
         "| rack lost | zone lost, max/mean after | sender, control (bytes) | first, node lost, zone lost (ms) |"
     )
     print("|" + " --- |" * 10)
@@ -228,7 +228,7 @@
         shards = list(sharding.shards())
         table = table_option(limits, nodes)
         options = {"rendezvous": rendezvous, "bounded loads": bounded_loads, "table": table}
-        # holder counts are the table's, for all options
+        # All options use the table's holder counts.
         first_counts = {shard: len(holders) for shard, holders in table({}, loads, nodes, {}, shards).items()}
         after = table(table({}, loads, nodes, {}, shards), noisy, nodes, {}, shards)
         noisy_counts = {shard: len(holders) for shard, holders in after.items()}
@@ -255,12 +255,12 @@
 
 
 def sweep(size: Size, counts: tuple[int, ...], exponent: float, seed: int) -> None:
-    """The table with isolation at several shard counts: balance against the cost of renewals."""
+    """Compare balance and cost of renewals of the table with isolation at several shard counts."""
     traffic, nodes = Traffic(size, exponent, seed), fleet(size)
     limits = PlacementLimits(LOAD_BOUND, ISOLATION_THRESHOLD * traffic.node_load)
     print(f"\nZipf {exponent}, the table with isolation, by shared shards\n")
     print(
-        "| shards | isolated | grants | max/mean | after noise: as it was, anew | moved by noise "
+        "| shards | isolated | grants | max/mean | after noise: unchanged, rebalanced | moved by noise "
         "| grants a node: mean, most | renewals a node (bytes/s): mean, most | after zone loss |"
     )
     print("|" + " ---: |" * 9)
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,11 +1,11 @@
-"""Control at size: how long a drain takes to reach each of N proxies, what a proxy costs, and bytes of one change.
+"""Measures control under load: delay of a drain to each of N proxies, cost of a proxy, and bytes of one change.
 
     python benchmarks/control.py [--streams 3 100 1000] [--endpoints 2000] [--names 3] [--drains 10] [--whole]
 
-A control process of its own; the streams are raw ones in this process, each asking for --names routes of 100 endpoints,
-acknowledging everything and answering heartbeats. Times count from the change in the control process (its log) to the
-message's arrival here, so what this process takes to read its share of them is part of the figure. CPU and memory are
-the control process's; `at rest` is with all leases beating.
+Control is a process of its own. The streams are raw ones in this process; each subscribes to --names routes of 100
+endpoints, acknowledges everything and answers heartbeats. Delays run from the change in the control process (its log)
+to the arrival here, so they include the time that this process takes to read the messages. CPU and memory are the
+control process's; `at rest` includes the heartbeats of all leases.
 """
 
 import argparse
@@ -25,12 +25,13 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-ENDPOINTS_PER_ROUTE, STREAMS_PER_CHANNEL = 100, 50
+ENDPOINTS_PER_ROUTE = 100
+STREAMS_PER_CHANNEL = 50
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def write_site(folder, endpoints, drained):
-    """Endpoint 0 of route 0 is ready or drains."""
+    """Write a site whose first endpoint is ready or drains."""
     rows = [
         "sender { name bench; listen 127.0.0.1:0 }",
         "class c { aim 3s; deadline 24s; repeat freely }",
@@ -48,7 +49,7 @@
 
 
 def start_control(folder, endpoints, *flags):
-    """A control process on a site of so many endpoints in a new folder; its log is its standard error."""
+    """Start control on a site of so many endpoints in a new folder; its log is its standard error."""
     (folder / "state").mkdir()
     write_site(folder, endpoints, False)
     return subprocess.Popen(
@@ -102,7 +103,7 @@
 
 
 def process_usage(pid):
-    """Seconds of CPU, and MB resident."""
+    """Return the CPU seconds and resident MB of a process."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     rss = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, rss
@@ -166,10 +167,10 @@
                 await asyncio.sleep(1)
             memory = process_usage(child.pid)[1]
             print(
-                f"{count:5} streams: told p50 {1000 * quantile(delays, 0.5):.1f} ms, "
+                f"{count:5} streams: delay p50 {1000 * quantile(delays, 0.5):.1f} ms, "
                 f"p99 {1000 * quantile(delays, 0.99):.1f} ms, last "
-                f"{1000 * quantile(last_delays, 0.5):.1f} ms in the middle and "
-                f"{1000 * max(last_delays):.1f} ms at worst of {len(last_delays)};\n"
+                f"{1000 * quantile(last_delays, 0.5):.1f} ms (median) and "
+                f"{1000 * max(last_delays):.1f} ms (worst) of {len(last_delays)};\n"
                 f"      at rest {100 * cpu_spent / rest_s:.1f}% of a core (the streams here: "
                 f"{100 * own_cpu_s / rest_s:.1f}%); {memory:.0f} MB, "
                 f"{(memory - empty) * 1000 / count:.0f} kB a stream;\n"
--- a/benchmarks/control_bad_peers.py
+++ b/benchmarks/control_bad_peers.py
@@ -1,9 +1,9 @@
-"""Bad peers at a control service, one kind after another: its memory, and whether good streams still hear it in time.
+"""Runs kinds of misbehaving peers against control: its memory, and whether good streams get heartbeats in time.
 
     python benchmarks/control_bad_peers.py [--seconds 8]
 
-Three good streams answer heartbeats all along; the longest gap between two of them must stay under the endpoint lease.
-Exit code 1 if it didn't, or if memory grew by more than 64 MB under one kind, or the process ended.
+Three good streams answer heartbeats all along; the longest gap between two messages must stay under the endpoint lease.
+Exit code 1 if it did not, if memory grew by more than 64 MB under one kind, or if the process ended.
 """
 
 import argparse
@@ -20,13 +20,14 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
 from control import EDS, Stream, start_control, process_usage
 
-ENDPOINT_LEASE_S, MAX_MEMORY_GROWTH_MB = 0.9, 64
+ENDPOINT_LEASE_S = 0.9
+MAX_MEMORY_GROWTH_MB = 64
 LOCAL_CHANNEL_OPTIONS = [("grpc.use_local_subchannel_pool", 1)]
 STREAM_PATH = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 
 
 class GapStream(Stream):
-    """Knows the longest time between two messages."""
+    """Records the longest time between two messages."""
 
     longest_gap, last_message = 0.0, 0.0
 
@@ -47,7 +48,7 @@
 
 
 async def garbage(address, deadline):
-    """Random bytes on the socket, and frames that are none after a good preface."""
+    """Send invalid frames after a valid HTTP/2 preface."""
     host, _, port = address.rpartition(":")
     while time.monotonic() < deadline:
         with contextlib.suppress(OSError):
@@ -68,7 +69,7 @@
 
 
 async def subscriptions(address, deadline):
-    """10,000 names, others each time, on ten streams."""
+    """Subscribe to 10,000 names, other ones each time, on ten streams."""
 
     async def one(number):
         async with grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS) as channel:
@@ -87,7 +88,7 @@
 
 
 async def no_nonce(address, deadline):
-    """Asks for endpoints that change, and never answers."""
+    """Subscribe to endpoints and never acknowledge."""
     async with grpc.aio.insecure_channel(address, options=LOCAL_CHANNEL_OPTIONS) as channel:
         calls = [ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources() for _ in range(50)]
         for number, call in enumerate(calls):
@@ -96,7 +97,7 @@
 
 
 async def openings(address, deadline):
-    """About a thousand streams a second."""
+    """Open about a thousand streams a second."""
 
     async def one(channel, number):
         with contextlib.suppress(grpc.RpcError, asyncio.InvalidStateError):
@@ -116,7 +117,7 @@
 
 
 async def no_reading(address, deadline):
-    """Answers and asks without ever reading: what it is sent stays on the way."""
+    """Send requests and acknowledgements without ever reading, so that responses fill the connection."""
 
     async def one(number):
         async with grpc.aio.insecure_channel(
@@ -177,7 +178,7 @@
         child.terminate()
         log = await reading
         failures += "Traceback" in log
-        print(f"it ended with {child.wait(10)}; {log.count('Traceback')} tracebacks in its log")
+        print(f"control exited with code {child.wait(10)}; {log.count('Traceback')} tracebacks in its log")
         return 1 if failures else 0
 
 
--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -1,10 +1,11 @@
-"""The long proof of control in virtual time: seeded runs with failing links, judged by the audit.
+"""Runs control in virtual time with failing links, over many seeds, and checks each run with the audit.
 
     python benchmarks/control_proof.py [--runs 200] [--first SEED] [--seconds S]
 
-Links are reset, silent for up to 20 s, slow by up to 5 s; endpoints drain at the moment a link fails. Then a partner
-that returns cold with all proxies waiting: whole, with one proxy cut off over the return, and with control restarted in
-the middle; and the three things that a proxy may do when its lease ends, compared. Exit code 1 if a rule was broken.
+Links are reset, silent for up to 20 s, slow by up to 5 s; endpoints drain at the moment a link fails. Then a
+destination that recovers cold with all proxies waiting: without failures, with one proxy cut off over the recovery, and
+with control restarted in the middle; and the three choices of a proxy when its lease ends. Exit code 1 if a rule was
+broken.
 """
 
 import argparse
@@ -33,7 +34,7 @@
 
 
 def run_worlds(title, worlds):
-    """Prints one line; how many rules were broken."""
+    """Print a summary of the runs and return the number of violations."""
     counts, checked, broken, started = Counter(), Counter(), [], time.perf_counter()
     number = overloads = 0
     for seed, world in worlds:
@@ -47,7 +48,7 @@
     print(
         f"{title}: {number} runs in {time.perf_counter() - started:.0f} s; "
         f"{', '.join(f'{rule} {checked[rule]}' for rule in audit.RULE_NAMES)} checked, {len(broken)} broken; "
-        f"partner fell over {overloads} times"
+        f"destination overloaded {overloads} times"
     )
     print("    " + ", ".join(f"{how} {count}" for how, count in sorted(counts.items())))
     for line in broken[:10]:
@@ -56,12 +57,12 @@
 
 
 def ramp(seed):
-    """The cold return, second by second: what was sent, and what the partner takes."""
+    """Print the cold recovery second by second: calls sent and the destination's capacity."""
     world = returning(seed)
     rows, _ = run_and_audit(world)
     sent = Counter(row.at // SECOND for row in rows if row.event == "took")
     takes = {row.at // SECOND: row.fields["a_second"] for row in rows if row.event == "capacity"}
-    print(f"ramp of seed {seed}: second, calls sent (#), what it takes (|)")
+    print(f"ramp of seed {seed}: second, calls sent (#), capacity (|)")
     for second in range(10, 45):
         line = list("#" * sent[second] + " " * 40)[:40]
         line[min(39, int(takes.get(second, 30)))] = "|"
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,8 +1,8 @@
-"""What a message costs the sender: CPU, peak memory and start-up, held against another revision and between log forms.
+"""Measures the sender's CPU per message, peak memory and start-up, against another revision and between log formats.
 
     python benchmarks/cost.py [--against REV] [--rounds 20]
 
-All variants are up at once, and each in turn gets a slice of messages at the same rate for the same partner, round
+All variants run at once, and each in turn gets a slice of messages at the same rate for the same destination, round
 after round; the figures are medians over the slices, and the ratios are to the first row in the same round. Against REV
 it checks that revision out beside this one (git worktree) and runs it with the same interpreter.
 """
@@ -22,12 +22,13 @@
 from language import ROOT
 from reload import hand_in, serve
 
-MESSAGES_PER_S, SLICE_MESSAGES = 200, 100
+MESSAGES_PER_S = 200
+SLICE_MESSAGES = 100
 DESTINATION = 900000
 
 
 def start_platform(tree, state, address, **environment):
-    """The platform's sender of a tree."""
+    """Start the sender of a source tree in the platform's form, with a JSON configuration."""
     table = json.loads((ROOT / "example" / "config.json").read_text())
     table["known"] = {
         "seq": 1,
@@ -80,7 +81,7 @@
             host, _, port = text.split()[-1].rpartition(":")
             threading.Thread(target=child.stderr.read, daemon=True).start()
             return child, (host, int(port)), start_s
-    sys.exit(f"{words} did not start")
+    sys.exit(f"the sender did not become ready: {words}")
 
 
 def peak_mb(pid):
@@ -89,8 +90,10 @@
 
 
 def measure_slices(running, rounds):
-    """CPU microseconds a message of each variant, slice by slice: all are up, and each has its turn in each round, so
-    that whatever else the machine does meets all of them alike."""
+    """Return the CPU microseconds a message of each variant, by slice.
+
+    Each variant gets a slice in each round, so that other load on the machine affects all of them alike.
+    """
     cpu_by_variant = {name: [] for name in running}
     for number in range(rounds):
         for name, (child, address, _) in running.items():
@@ -102,7 +105,7 @@
 
 
 def cpu_s(pid):
-    """Seconds on a processor; the sender has one thread."""
+    """Return the CPU seconds of a process with one thread."""
     with open(f"/proc/{pid}/schedstat") as file:
         return int(file.read().split()[0]) / 1e9
 
--- a/benchmarks/language.py
+++ b/benchmarks/language.py
@@ -1,9 +1,9 @@
-"""How the language's tools grow with size: check, format and diff of 20, 2,000 and 20,000 endpoints.
+"""Measures how check, fmt and diff scale with the size of the site: 20, 2,000 and 20,000 endpoints.
 
     python benchmarks/language.py [--sizes 20 2000 20000] [--files 1000]
 
-Each command runs in a process of its own on a folder written for it; time and peak memory are that process's, start
-included. The growth is that of the time without the start, as a power of the number of endpoints: 1 is linear.
+Each command runs in a process of its own on a folder written for it; time and peak memory are that process's, with its
+start. The growth is that of the time without the start, as a power of the number of endpoints: 1 is linear.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 def write_site(folder, endpoints, files, limit=4):
-    """A site with so many endpoints, one pool and one route in each file."""
+    """Write a site with so many endpoints, one pool and one route in each file."""
     files = max(1, min(files, endpoints // 20))
     (folder / "partners").mkdir(parents=True)
     (folder / "site.scale").write_text(SITE_HEADER)
@@ -44,7 +44,7 @@
 
 
 def run_command(*words):
-    """Seconds and peak MB of one command in a process of its own, and its exit code."""
+    """Run one command in a process of its own; return its seconds, peak MB and exit code."""
     started = time.perf_counter()
     child = subprocess.Popen(
         [sys.executable, "-m", "scalefall", *map(str, words)],
@@ -64,7 +64,7 @@
     options = parser.parse_args()
     start = min(run_command("--version")[0] for _ in range(options.times))
     print(
-        f"start alone {start:.2f} s\n{'endpoints':>10}{'files':>7}  {'command':<8}{'seconds':>8}{'peak MB':>9}"
+        f"start only {start:.2f} s\n{'endpoints':>10}{'files':>7}  {'command':<8}{'seconds':>8}{'peak MB':>9}"
         f"{'growth':>8}"
     )
     last = {}
--- a/benchmarks/reload.py
+++ b/benchmarks/reload.py
@@ -1,9 +1,9 @@
-"""What a reload does to a running sender: how long hand-ins wait for their answer, with and without a reload going on.
+"""Measures the latency of hand-ins to a running sender, with and without a reload in progress.
 
     python benchmarks/reload.py [--endpoints 20000] [--files 1000] [--rate 50] [--seconds 10]
 
-A sender runs on a site of so many endpoints (all away but one toy), and messages for the toy are handed in at a fixed
-rate from their intended times. First nothing else goes on; then SIGHUP follows SIGHUP. Both in one run.
+A sender runs on a site of so many endpoints (all unreachable but one), and messages for that one are handed in at a
+fixed rate, timed from their intended times: first without reloads, then with one SIGHUP after another.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 def serve(listener):
-    """A partner that answers every call with 200 at once."""
+    """Serve a destination that answers every call with 200 at once."""
 
     def serve_connection(sock):
         with sock, sock.makefile("rb") as file:
@@ -40,7 +40,7 @@
 
 
 def hand_in(address, rate, seconds, tag):
-    """Milliseconds from each message's intended time to its answer."""
+    """Hand in messages; return the sorted milliseconds from each one's intended time to its answer."""
     connection = http.client.HTTPConnection(*address, timeout=60)
     times, started = [], time.perf_counter()
     for number in range(int(rate * seconds)):
@@ -126,10 +126,10 @@
 
         try:
             address = host, int(port)
-            print_quantiles("nothing else going on", hand_in(address, options.rate, options.seconds, "a"))
+            print_quantiles("without reloads", hand_in(address, options.rate, options.seconds, "a"))
             thread = threading.Thread(target=reload, daemon=True)
             thread.start()
-            print_quantiles("reload after reload", hand_in(address, options.rate, options.seconds, "b"))
+            print_quantiles("with constant reloads", hand_in(address, options.rate, options.seconds, "b"))
             stop.set()
             thread.join(60)
             with open(f"/proc/{child.pid}/status") as file:
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,10 +1,10 @@
-"""How long a restarted sender takes until it is ready, with a full journal and a known list of 1,024 endpoints.
+"""Measures how long a restarted sender takes to become ready, with a full journal and a list of 1,024 endpoints.
 
     .venv/bin/python benchmarks/restart.py [--starts 10] [--siblings 1]
 
 Each start has a folder of its own, filled through the journal's code to its limit (3 MB) with small messages, most of
 them with attempts that may have run. Its time runs from the start of the program to its 200 on /healthz. Prints each
-time and the ninth decile, and ends with 1 if that is over 10 s.
+time and the ninth decile; exits with 1 if that is over 10 s.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,15 +1,15 @@
-"""What each role costs as a slope over its size, whether the target fits its budgets, and whether the page still holds.
+"""Measures the cost of each role as a slope over its size, and checks budgets at the target size and reference figures.
 
     .venv/bin/python benchmarks/scale.py --quick             small sizes, 45 s on 8 cores; in CI
-    .venv/bin/python benchmarks/scale.py                     full size and --calibrate, minutes, up to 10 GB
-    .venv/bin/python benchmarks/scale.py --calibrate         one real control and sender process against a hollow one
-    ... --write-reference    the figures of this run are the page's from now on (docs/capacity/reference.json)
-    ... --out FOLDER         tables and plots go there; without it docs/capacity, or a temporary folder if quick
-    ... --workers N          measurements at a time, at most 4
-    ... --plays FILE ...     plays with destinations divided that `python -m benchmarks.scaling.divided` printed before
-
-Each check is a line with its value, its bound and its verdict: fits; over, no worse (a budget that is known not to
-fit); or FAILED. The last line counts them; the exit code is 1 if any failed.
+    .venv/bin/python benchmarks/scale.py                     full size and --calibrate, takes minutes and up to 10 GB
+    .venv/bin/python benchmarks/scale.py --calibrate         a control and a sender process against the hollow model
+    ... --write-reference    store the figures of this run as the reference (docs/capacity/reference.json)
+    ... --out FOLDER         folder of tables and plots; by default docs/capacity, or a temporary folder if quick
+    ... --workers N          concurrent measurements, at most 4
+    ... --plays FILE ...     output of earlier runs of `python -m benchmarks.scaling.divided`
+
+Each check is a line with its value, its bound and its verdict: fits; over, no worse (a budget that the reference
+already exceeds); or FAILED. The last line counts them; the exit code is 1 if any failed.
 """
 
 from __future__ import annotations
@@ -32,12 +32,13 @@
 CAPACITY_FOLDER = ROOT / "docs" / "capacity"
 REFERENCE_PATH = CAPACITY_FOLDER / "reference.json"
 DEFAULT_WORKERS = 2
-REFERENCE_ROUNDS = {"quick": 3, "full": 1}  # of timed measurements for a reference
-MAX_REMEASUREMENTS = 2  # times that a measurement is done anew
+# Runs of each timed measurement when a reference is written.
+REFERENCE_ROUNDS = {"quick": 3, "full": 1}
+MAX_REMEASUREMENTS = 2
 
 
 def measure(options: argparse.Namespace, mode: str) -> list[checks.Check]:
-    """All roles; their tables and plots are written, and the reference if that is asked for."""
+    """Measure all roles; write their tables and plots, and the reference if `--write-reference` is given."""
     plays = [json.loads(path.read_text()) for path in options.plays] if options.plays is not None else None
     rounds = REFERENCE_ROUNDS[mode] if options.write_reference else 1
     measurements = run.measure_all(mode, options.workers, rounds, plays)
@@ -57,12 +58,12 @@
     lines = output.figure_lines(evaluation.figures) + output.estimate_lines(evaluation.rows)
     lines += output.sample_lines(measurements.sample, same_size) + output.divided_lines(measurements.divided)
     print("\n".join(lines))
-    print(f"\nTables and plots: {folder}; processor times are told by a step of {step_ns:.1f} ns\n")
+    print(f"\nTables and plots: {folder}; processor times use a step of {step_ns:.1f} ns\n")
     return evaluation.checks(reference)
 
 
 class Evaluation:
-    """What follows from the runs so far."""
+    """Figures, estimates and budgets that follow from the runs so far."""
 
     def __init__(self, measurements: run.Measurements, step_ns: float) -> None:
         self.measurements, self.step_ns = measurements, step_ns
@@ -77,7 +78,7 @@
         ]
 
     def failed_time_keys(self, reference: checks.Reference) -> set[str]:
-        """Keys of the times that are above their bound, or that a budget of time which failed is reckoned from."""
+        """Return the keys of times above their bound, and of those that a failed budget of time is estimated from."""
         failed = {
             checks.key(each)
             for each in self.figures
@@ -91,8 +92,9 @@
 
 
 def _remeasure_slow(evaluation: Evaluation, reference: checks.Reference, mode: str, workers: int) -> Evaluation:
-    """Times above their bound are measured anew, and the median at each size is taken: other work on the machine
-    disturbs a run, and a program that got slower is slower in most."""
+    """Measure times above their bound again and take the median at each size.
+
+    Other load on the machine disturbs single runs; a real slowdown shows in most of them."""
     for _ in range(MAX_REMEASUREMENTS if reference.figures else 0):
         names = run.remeasure(evaluation.measurements, evaluation.failed_time_keys(reference), mode, workers)
         if not names:
--- a/benchmarks/scaling/calibrate.py
+++ b/benchmarks/scaling/calibrate.py
@@ -1,8 +1,8 @@
-"""The model held against processes: one control and one stand-in sender on sockets, and one hollow sender.
+"""Calibrates the hollow model against processes: control and a proxy on sockets, and one hollow sender.
 
-Both get the same site, traffic of the same rate and the same hour's changes (25, the rate of 600 a day), played within
-SPAN_S after the sender has opened its streams. The stand-in counts what it writes and reads; messages and bytes have to
-agree within WIRE and what the contract keeps within STATE. Partners in threads here answer its calls.
+Both get the same site, traffic of the same rate and the same hour's changes (25, the rate of 600 a day), within
+CHANGES_SPAN_S after the sender has opened its streams. The proxy counts what it writes and reads; messages and bytes
+must agree within WIRE_TOLERANCE and the contract's state within STATE_TOLERANCE. Threads here answer its calls.
 """
 
 from __future__ import annotations
@@ -33,33 +33,35 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 ROUTES = 20
-CHANGE_COUNT, CHANGES_SPAN_S = 25, 30.0
-MESSAGES_PER_S = 400.0  # messages a second: each route is in nearly every load report
-START_DELAY_S = 3.5  # from control's start to the sender's: it grants from the beginning
-TIMEOUT_S = 30.0  # that anything may take
-WIRE_TOLERANCE, STATE_TOLERANCE = 0.05, 0.10
+CHANGE_COUNT = 25
+CHANGES_SPAN_S = 30.0
+MESSAGES_PER_S = 400.0  # each route is in nearly every load report
+START_DELAY_S = 3.5  # between the starts of control and sender, so that control grants from the sender's start
+TIMEOUT_S = 30.0
+WIRE_TOLERANCE = 0.05
+STATE_TOLERANCE = 0.10
 SEED = 17
 
 
 @dataclass(slots=True, frozen=True)
 class SideCounts:
-    """What one of the two has counted."""
+    """Counts of one side, the processes or the model."""
 
     messages: dict[str, dict[str, list[int]]]  # by direction and kind: messages, bytes
-    state: int
-    fallen: float  # share of its messages for which it had no trusted list or no grant
+    state: int  # bytes
+    fallen: float  # fraction of messages for which the sender had no trusted list or no grant
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """Times in us from the opening of the sender's streams."""
+    """Times in microseconds since the sender opened its streams."""
 
     changes: list[int]
     end: int
 
 
 def run_checks() -> list[Check]:
-    """Both sides played, printed side by side and compared."""
+    """Run both sides, print their counts side by side and compare them."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         ports = [_start_destination() for _ in range(ROUTES)]
@@ -71,7 +73,7 @@
         for kind, counted in kinds.items():
             for what, one, other in zip(("messages", "bytes"), counted, hollow.messages[direction][kind], strict=False):
                 checks.append(_check(f"{kind} {direction}, {what}", one, other, WIRE_TOLERANCE))
-    print(f"{'messages fallen back':<32}{real.fallen:>12.1%}{hollow.fallen:>12.1%}  (told, not checked)")
+    print(f"{'messages fallen back':<32}{real.fallen:>12.1%}{hollow.fallen:>12.1%}  (informational)")
     checks.append(_check("contract's state, bytes", real.state, hollow.state, STATE_TOLERANCE))
     return checks
 
@@ -97,7 +99,7 @@
         self.child = subprocess.Popen(
             [sys.executable, "-u", "-m", *words], cwd=ROOT, text=True, stdout=subprocess.PIPE, stderr=subprocess.STDOUT
         )
-        self._ended = self._fallbacks = 0  # messages of a sender that have ended, and that fell back
+        self._ended = self._fallbacks = 0  # messages of a sender that ended, and that used the fallback
         self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         threading.Thread(target=self._read, daemon=True).start()
 
@@ -106,7 +108,7 @@
             self._lines.put(line)
 
     def event(self, name: str) -> dict:
-        """The next line of this event. queue.Empty if there is none within LONG_S."""
+        """Return the next line of this event; raise queue.Empty after TIMEOUT_S without one."""
         until = time.monotonic() + TIMEOUT_S
         while True:
             line = self._lines.get(timeout=max(0.0, until - time.monotonic()))
@@ -160,14 +162,14 @@
 
 
 def _write_site(folder: pathlib.Path, ports: list[int], changes: int) -> None:
-    """After so many changes: with each another endpoint drains or is back. The file is put in place whole."""
+    """Write the site after so many changes, each of which drains or restores one endpoint. The write is atomic."""
     rows = [
         "sender { name t; listen 127.0.0.1:0 }",
         "class often { aim 3s; deadline 24s; repeat freely }",
         "kind one { per-call 1 }",
     ]
     for route in range(1, ROUTES + 1):
-        state_changes = (changes + ROUTES - route) // ROUTES  # how often it was this one's turn
+        state_changes = (changes + ROUTES - route) // ROUTES  # how often this route's endpoint changed
         state = "; state draining" if state_changes % 2 else ""
         rows.append(f"pool p{route} {{ kind one; endpoint e {{ at 127.0.0.1:{ports[route - 1]}{state} }} }}")
         rows.append(f"route {route} {{ pool p{route}; classes often }}")
@@ -176,7 +178,7 @@
 
 
 def _start_destination() -> int:
-    """The port of one that answers every call."""
+    """Start a server that answers every call, and return its port."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
 
     def serve() -> None:
--- a/benchmarks/scaling/checks.py
+++ b/benchmarks/scaling/checks.py
@@ -1,8 +1,8 @@
-"""Checks: budgets, and figures that have to come out as the reference says.
+"""Checks of budgets, and of figures against the reference.
 
-A figure that is counted (bytes, memory) fails if it differs from the reference by more than EXACT either way, as the
-page would be wrong; a time fails if it is more than TIME above it. A budget that is exceeded is listed in the reference
-as over, with its value, and its check is that it does not get worse; it never says that it fits.
+A figure that is counted (bytes, memory) fails if it differs from the reference by more than COUNT_TOLERANCE either way,
+as the capacity page would be wrong; a time fails if it is more than TIME_TOLERANCE above it. The reference lists
+exceeded budgets under `over` with their values; such a check fails if the value gets worse, and never reports a fit.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 COUNT_TOLERANCE = 0.10  # bytes and memory
 TIME_TOLERANCE = 0.50  # a ratio of processor times
-MIN_SLOPE_STEPS = 1.0  # a slope of time below it is that of noise, and may come out negative
-NEAR_BUDGET_FRACTION = 1 / (1 + TIME_TOLERANCE)  # of its budget
+MIN_SLOPE_STEPS = 1.0  # a slope of time below this is noise, and can be negative
+NEAR_BUDGET_FRACTION = 1 / (1 + TIME_TOLERANCE)
 TOLERANCE_BY_QUANTITY = {
     Quantity.BYTES: COUNT_TOLERANCE,
     Quantity.MEMORY: COUNT_TOLERANCE,
@@ -55,9 +55,9 @@
 
 @dataclass(slots=True)
 class Reference:
-    """Of one mode of the benchmark."""
+    """Reference values of one mode of the benchmark."""
 
-    step_ns: float = 0.0  # of the machine that wrote it: budgets of processor time are told by it
+    step_ns: float = 0.0  # on the machine that wrote it; budgets of processor time are converted with it
     figures: dict[str, float] = field(default_factory=dict)
     over: dict[str, float] = field(default_factory=dict)
 
@@ -67,7 +67,7 @@
 
 
 def check_figure(figure: Figure, reference: Reference) -> Check:
-    """Its slope against the reference's; one that the reference does not have fails."""
+    """Compare a slope with the reference's; a figure that the reference lacks fails."""
     name, value = key(figure), figure.line.slope
     known = reference.figures.get(name)
     if known is None:
@@ -94,7 +94,7 @@
 
 
 def _is_over(budget: Budget) -> bool:
-    """A time that is nearly its budget counts as over: on another run it is."""
+    """Return whether a budget is exceeded; a time near its budget counts, as another run may exceed it."""
     return budget.value > budget.limit * (NEAR_BUDGET_FRACTION if budget.quantity is Quantity.TIME else 1)
 
 
@@ -107,7 +107,7 @@
 
 
 def read_reference(path: Path, mode: str) -> Reference:
-    """An empty one if none was written for this mode."""
+    """Return the reference of a mode, empty if none was written."""
     if not path.exists():
         return Reference()
     table = json.loads(path.read_text()).get(mode)
@@ -115,7 +115,7 @@
 
 
 def write_reference(path: Path, mode: str, reference: Reference) -> None:
-    """The other modes' stay."""
+    """Write the reference of a mode and keep those of other modes."""
     tables: dict[str, Any] = json.loads(path.read_text()) if path.exists() else {}
     tables[mode] = {"step_ns": reference.step_ns, "figures": reference.figures, "over": reference.over}
     path.write_text(json.dumps(tables, indent=1, sort_keys=True) + "\n")
--- a/benchmarks/scaling/control_instance.py
+++ b/benchmarks/scaling/control_instance.py
@@ -1,4 +1,4 @@
-"""Role: a control instance. The allocator's turn, grants, streams with their heartbeats, the catalog."""
+"""Measures a control instance: allocator steps, grants, streams with their heartbeats, and the catalog."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def allocator(mode: str) -> list[Series]:
-    """Its turn with 1.1% of the destinations down: the module asked, its rows made into allowances."""
+    """Time an allocator step with 1.1% of destinations down: an engine step, its rows turned into allowances."""
     series = Series(ROLE, "allocator's turn", Quantity.TIME, "steps a destination", "destinations")
     for count in ALLOCATOR_DESTINATIONS[mode]:
         built, clock = _allocator(count), iter(range(FIRST_GRANT_US + SECOND, 1 << 40, SECOND))
@@ -56,7 +56,7 @@
 
 
 def grants(mode: str) -> list[Series]:
-    """First grants and renewals of one holder, with their messages."""
+    """Measure first grants and renewals of one holder, and their messages."""
     first = Series(ROLE, "first grant", Quantity.TIME, "steps a destination", "destinations of one holder")
     renewals = Series(ROLE, "renewal", Quantity.TIME, "steps a destination", "destinations of one holder")
     size = Series(ROLE, "renewal on the wire", Quantity.BYTES, "bytes a renewal", "destinations of one holder")
@@ -84,7 +84,7 @@
 
 
 def streams(mode: str) -> list[Series]:
-    """A round of heartbeats, or a change sent to all, with the acknowledgements, by streams and by the names of one."""
+    """Time a round of heartbeats, or a change sent to all streams, with acknowledgements, by streams and by names."""
     heartbeats = Series(ROLE, "heartbeat", Quantity.TIME, "steps a stream", "streams of 3 names")
     changes = Series(ROLE, "change, sent", Quantity.TIME, "steps a stream", "streams of 3 names")
     names = Series(ROLE, "heartbeat, by names", Quantity.TIME, "steps a name", "names of one stream")
@@ -113,7 +113,7 @@
 
 
 def catalog(mode: str) -> list[Series]:
-    """Four resources a destination: built whole, and one of them changed."""
+    """Time the build of a catalog with four resources a destination, and the change of one of them."""
     build = Series(ROLE, "catalog, built", Quantity.TIME, "steps a destination", "destinations")
     update = Series(ROLE, "catalog, one changed", Quantity.TIME, "steps a destination", "destinations")
     for count in CATALOG_DESTINATIONS[mode]:
@@ -124,7 +124,7 @@
 
 
 def configured(mode: str) -> list[Series]:
-    """A configuration that drains one endpoint, or has it back, taken in by a service that has all the others."""
+    """Time a reconfiguration of a running service that drains or restores one endpoint."""
     series = Series(ROLE, "configuration, one changed", Quantity.TIME, "steps a destination", "destinations")
     for count in CATALOG_DESTINATIONS[mode]:
         service = make_service(0, configuration.settings(), _builder(), OPTIONS)
@@ -150,7 +150,7 @@
 
 
 def _allocator(count: int) -> Allocator:
-    """After what is down was told of, and the first turn in which the ledger looks at all destinations."""
+    """Return an allocator that knows the failed endpoints and has done its first step over all destinations."""
     engine, ledger = Engine(configuration.settings(), 1), Ledger(0, OPTIONS.lease_us, OPTIONS.delay_us)
     built = Allocator(engine, ledger)
     endpoints = [configuration.entry(number).endpoint for number in range(count)]
@@ -178,7 +178,7 @@
 
 
 def _step_and_serialize(ledger: Ledger, times: Iterator[int], sent: list[bytes]) -> None:
-    """A turn at the next of the times, and its messages."""
+    """Step the ledger at the next of the times and serialize its messages."""
     sent[:] = [
         quota_wire.grant(grant, {quota_wire.ROUTE: f"{grant.destination}"}, 1).SerializeToString()
         for grant in ledger.step(next(times))
@@ -214,18 +214,18 @@
 
 
 def _toggle_endpoints(built: Catalog) -> Callable[[], object]:
-    """Changes one set of endpoints to and fro."""
+    """Return a function that toggles one set of endpoints between full and empty."""
     full, empty = _endpoints(0), resources.endpoint_resource(0, [], [], 0, RESOURCE_TTL_US)
 
     def change() -> None:
         replacement = empty if built.get(full.key) == full else full
-        assert built.update([replacement]), "nothing has changed"
+        assert built.update([replacement]), "the catalog did not change"
 
     return change
 
 
 def _stream(catalog_: Catalog, names: int) -> XdsStream:
-    """One that has what it asked for and has acknowledged it."""
+    """Return a stream that has acknowledged the resources that it requested."""
     stream = XdsStream(catalog_, "n", True)
     (response,) = stream.request(Request(EDS, names=tuple(resources.resource_name(number) for number in range(names))))
     stream.request(Request(EDS, response.nonce))
@@ -233,7 +233,7 @@
 
 
 def _change_round(catalog_: Catalog, built: list[XdsStream], responses: wire.ResponseEncoder) -> Callable[[], object]:
-    """Tells all streams that one set of endpoints has changed. The catalog's own part is _updating's."""
+    """Return a function that changes one set of endpoints and sends the change on all streams."""
     change = _toggle_endpoints(catalog_)
 
     def send_change() -> None:
--- a/benchmarks/scaling/demand.py
+++ b/benchmarks/scaling/demand.py
@@ -1,7 +1,7 @@
-"""What destinations are called with at the target rate: Zipf over destinations in a seeded order, in clumps.
+"""Call counts of destinations at the target rate: Zipf over destinations in a seeded order, in clumps.
 
 Counts are drawn for a span, not message by message: Poisson around the destination's rate, times a lognormal factor
-that is drawn anew for each destination and CLUMP_US, with mean 1.
+that is redrawn for each destination every CLUMP_US, with mean 1.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 class Demand:
     def __init__(self, clock: VirtualClock, destinations: int, exponent: float, rate: float, seed: int) -> None:
-        """rate: calls a second of all destinations together."""
+        """Draw the order of destinations; rate is the calls per second of all of them together."""
         self._clock, self._random, self._seed = clock, random.Random(seed), seed
         order = list(range(destinations))
         self._random.shuffle(order)
@@ -30,7 +30,7 @@
             self.rates[destination] = rate * rank**-exponent / total
 
     def counts(self, shares: Mapping[int, float], span_us: int) -> dict[int, int]:
-        """Calls of each destination of which a share is held, over a span that ends now."""
+        """Return the calls of each destination with a nonzero count, over a span that ends now."""
         counts = {}
         for destination, share in shares.items():
             mean = self.rates[destination] * share * span_us / SECOND * self._clump(destination)
--- a/benchmarks/scaling/divided.py
+++ b/benchmarks/scaling/divided.py
@@ -1,11 +1,11 @@
-"""Destinations divided among hollow senders at the target size: a day's failures, one after the other.
+"""Assigns destinations to hollow senders at the target size and runs a day's failures, one after the other.
 
     .venv/bin/python -m benchmarks.scaling.divided quick|quarter|full EXPONENT
 
 A day has 150 processes restarted or replaced and 2 machines that fail; here they come a few seconds apart, then a
-rack, a zone and control itself. Traffic is benchmarks/scaling/demand.py's. Of the calls that succeed the module is told
-one an endpoint and report, so that the play takes minutes: what a reported call costs control is a slope of its own.
-Resources are lists of endpoints alone, as the other three have slopes too.
+rack, a zone and control itself. Traffic is benchmarks/scaling/demand.py's. The engine gets one successful call an
+endpoint and report, so that the run takes minutes; the cost of a reported call to control is measured as a slope.
+Resources are endpoint lists alone; the other three kinds have slopes of their own.
 """
 
 from __future__ import annotations
@@ -34,17 +34,18 @@
 
 SECOND = 1_000_000
 SEED = 20
-CALLS_PER_SENDER_PER_S = 130_000 / 900  # calls a second for each sender
-SHARDS_PER_SENDER = 16  # for each sender
+CALLS_PER_SENDER_PER_S = 130_000 / 900
+SHARDS_PER_SENDER = 16
 REPLICA_LOAD_FRACTION = 0.25  # of a sender's mean load: above it a shard has more holders (docs/design/assignment.md)
 MOVE_AFTER_US = 3 * SECOND
-MAX_LOAD_RATIO, MAX_MOVED_RATIO = 1.25, 1.2  # aims
+MAX_LOAD_RATIO = 1.25
+MAX_MOVED_RATIO = 1.2
 REPORT_US = 60 * SECOND  # between load reports
-WARM_UP_US = 400 * SECOND  # until loads are measured and shards balanced by them
+WARM_UP_US = 400 * SECOND  # until loads are measured and shards balanced
 REST_US = 60 * SECOND
 REPLACEMENT_INTERVAL_US = 3 * SECOND  # between one replacement and the next
-RETURN_US = 20 * SECOND  # until what was lost without a word is there again
-SETTLE_US = 40 * SECOND  # until all of it is settled
+RETURN_US = 20 * SECOND  # until processes lost without notice are replaced
+SETTLE_US = 40 * SECOND  # until the fleet is stable after a failure
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,17 +62,17 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What one kind of failure did. Times in seconds."""
+    """Effects of one kind of failure. Times in seconds."""
 
     times: int
     moved: int  # destinations that got another sender, each time
-    lost: int  # of them, those whose sender was gone: they had to
-    filled: int  # of them, those that went to a sender that had come with none
+    lost: int  # of them, those whose sender was lost
+    filled: int  # of them, those moved to a new sender without any
     gap_p50: float
     gap_p99: float
     gap_worst: float
-    interrupted: int  # destinations whose service was interrupted, with repetition
-    bytes_p99: float  # a second of a sender, over the play
+    interrupted: int  # interruptions of service, counted by destination
+    bytes_p99: float  # per second and sender, during the failures
     bytes_worst: float
     control_cores: float
     sender_cores: float
@@ -91,10 +92,10 @@
     rest_control_cores: float
     rest_sender_cores: float
     change_s: float  # until a change is in force at every sender, at rest
-    change_zone_s: float  # the same, made in the moment of a zone's loss
+    change_zone_s: float  # the same, for a change made as a zone is lost
     change_control_s: float  # control's processor time for one change
-    sender_bytes: int  # what one sender keeps of control's, the most of all
-    process_mb: float  # the whole play: all senders and control
+    sender_bytes: int  # contract state of a sender, the largest of a sample
+    process_mb: float  # peak of the process with all senders and control
     steps_s: float  # real time
     failures: dict[str, Outcome] = field(default_factory=dict)
 
@@ -132,7 +133,7 @@
         return self.fleet.control.service.coordinator
 
     def shard_sizes(self) -> dict[int, int]:
-        """Destinations by shard, counted anew where the isolated ones differ."""
+        """Return the number of destinations by shard, recounted when the set of isolated destinations changes."""
         if self.fleet.control is not None:
             isolated = len(self.coordinator.sharding.isolated)
             if self._sizes[0] != isolated:
@@ -153,7 +154,7 @@
     # -- failures
 
     def play(self, times: int, fail: Callable[[int], None], settle_us: int, interval_us: int) -> Outcome:
-        """fail: does it, given how often it was done before."""
+        """Cause the failure `times` times with fail(number), and measure its effects."""
         self.gaps, fleet = observation.Gaps(), self.fleet
         self.moves.begin(self.coordinator)
         started, before = fleet.clock.now, observation.bytes_by_sender(fleet)
@@ -180,7 +181,7 @@
         )
 
     def replaced(self, number: int) -> None:
-        """Every second one is restarted in its place, the others are replaced under a new name."""
+        """Restart a sender in its place for every second number; otherwise replace it under a new name."""
         place = number * 7 % self.size.senders
         if number % 2 == 0:
             self.fleet.restart(place)
@@ -188,11 +189,11 @@
             self.fleet.replace(place)
 
     def lost(self, numbers: list[int]) -> None:
-        """Gone without a word; new processes of the same nodes come RETURN_US later."""
+        """Remove processes without notice; new processes of the same nodes start RETURN_US later."""
         self.fleet.lose(numbers, RETURN_US)
 
     def change(self, drained: set[int]) -> tuple[float, float]:
-        """A change of the configuration: until when the last sender has it, and control's processor time."""
+        """Change the configuration; return the time until the last sender has it, and control's processor time."""
         fleet = self.fleet
         fleet.configuration = configuration.configuration(self.size.destinations, drained)
         started, spent = fleet.clock.now, fleet.control_time.spent
@@ -204,7 +205,7 @@
 
 
 def played(mode: str, exponent: float) -> Result:
-    """All of it, in a process of its own."""
+    """Run the whole scenario; needs a process of its own."""
     size, real_start = SIZES[mode], time.monotonic()
     play = Play(size, exponent)
     fleet = play.fleet
@@ -254,7 +255,7 @@
 
 
 def facts(mode: str) -> list[dict[str, Any]]:
-    """One play for each exponent, each in a process of its own, as one shows its peak memory."""
+    """Run the scenario for each exponent, each in a process of its own, as its peak memory is measured."""
     command = [sys.executable, "-m", "benchmarks.scaling.divided", mode]
     plays = [
         subprocess.Popen([*command, f"{exponent}"], stdout=subprocess.PIPE, text=True) for exponent in EXPONENTS[mode]
@@ -263,7 +264,7 @@
 
 
 def budgets(plays: list[dict[str, Any]]) -> list[Budget]:
-    """What is held against the target's budgets and aims, by exponent."""
+    """Return the values to check against the target's budgets, by exponent."""
     return [
         Budget(f"divided, Zipf {play['exponent']}: {name}", *row) for play in plays for name, *row in _budget_rows(play)
     ]
--- a/benchmarks/scaling/estimate.py
+++ b/benchmarks/scaling/estimate.py
@@ -1,7 +1,7 @@
-"""What the target size takes without an assignment of destinations to senders, from the measured slopes.
+"""Estimates the cost of the target size without an assignment of destinations to senders, from the measured slopes.
 
-Any sender may be handed a message for any destination, so each holds grants for all that it has touched lately and
-knows the whole list. Everything here is reckoned; what was run at a smaller size is sample.py's.
+Any sender may get a message for any destination, so each holds grants for all destinations that it used lately and has
+the whole endpoint list. All values here are estimates; sample.py runs a smaller size.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 NS_PER_S = 1e9
 # While something is down, as something always is at this size.
 ALLOCATOR_STEP_INTERVAL_S = UNSETTLED_STEP_US / 1e6
-COUNT = Quantity.BYTES  # counts come out as exactly as bytes
+COUNT = Quantity.BYTES  # counts are as exact as bytes
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,7 +29,7 @@
     quantity: Quantity
     value: float
     unit: str
-    budget: float | None = None  # the budget; None: told for itself
+    budget: float | None = None  # None: informational
 
     @property
     def verdict(self) -> str:
@@ -39,12 +39,12 @@
 
 
 class Slopes:
-    """Figures by role and name."""
+    """Slopes of figures by role and name."""
 
     def __init__(self, figures: list[Figure]) -> None:
         self._slopes = {key(figure): figure.line.slope for figure in figures}
 
-        self.used_times: set[str] = set()  # names of times that were asked for
+        self.used_times: set[str] = set()  # names of times that were read
         self._times = {key(figure) for figure in figures if figure.quantity is Quantity.TIME}
 
     def of(self, name: str) -> float:
@@ -54,13 +54,13 @@
 
 
 def without_assignment(slopes: Slopes, step_ns: float, touched: int, reported: int) -> list[Row]:
-    """touched: destinations in use at one sender; reported: those in one load report; step_ns: of the machine by which
-    processor time is told."""
+    """touched: destinations in use at one sender; reported: those in one load report; step_ns: duration of a step
+    on the machine for which processor time is estimated."""
     return _sender(slopes, step_ns, touched, reported) + _control(slopes, step_ns, touched) + _list_source(slopes)
 
 
 def same_size(slopes: Slopes, sample: dict[str, Any]) -> dict[str, float]:
-    """What the slopes say of the sample that was run: bytes a second and sender by kind."""
+    """Return the estimate for the sample that was run: bytes a second and sender by kind."""
     sender, touched = "sender-control: ", sample["touched"]
     return {
         "grants": slopes.of(sender + "grants on the wire") * touched,
@@ -71,7 +71,7 @@
 
 
 def by_traffic(slopes: Slopes, step_ns: float, touched: dict[str, dict[str, int]]) -> dict[str, list[Row]]:
-    """The rows of each kind of traffic; all have the same names in the same order."""
+    """Return the rows of each kind of traffic; all have the same names in the same order."""
     return {name: without_assignment(slopes, step_ns, row["used"], row["reported"]) for name, row in touched.items()}
 
 
@@ -118,7 +118,7 @@
 
 
 def _report_cost(size: float) -> float:
-    """What reports of so many bytes a second count as, in requests a second that one stream may make."""
+    """Return the cost of usage reports of so many bytes a second, in requests a second against a stream's limit."""
     reports = SECOND / ASK_US
     return reports * (1 + size / reports // BYTES_PER_REQUEST)
 
--- a/benchmarks/scaling/failures.py
+++ b/benchmarks/scaling/failures.py
@@ -1,7 +1,8 @@
-"""Role: what failures cost, played with hollow senders: control's processor time, messages and bytes, and recovery.
+"""Measures the cost of failures with hollow senders: control's processor time, messages and bytes, and recovery.
 
-One fleet a size plays the failures one after the other, with rest between them. A failure is told by what its window
-takes in all, to be held against the same span of rest. All senders ask for the same few destinations; one is down.
+For each size one fleet goes through the failures one after the other, with rest between them. The cost of a failure is
+the total over its window, comparable with the same span at rest. All senders use the same few destinations; one of them
+is down.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
 SENDERS = {"quick": (8, 16, 32), "full": (225, 450, 900)}
 DESTINATIONS = 4
 DETECTED_AT_ONCE = ("process restarted", "process replaced", "zone cut", "control restarted")
-DETECTED_BY_KEEPALIVE = ("machine lost", "rack lost", "zone lost")  # control learns of these by its keepalive
-CALLS_PER_S = 2.0  # a second of each sender
+DETECTED_BY_KEEPALIVE = ("machine lost", "rack lost", "zone lost")  # control detects these by its keepalive
+CALLS_PER_S = 2.0  # of each sender
 REST_US = 4 * SECOND
 WINDOW_US = 8 * SECOND
 SLICE_US = SECOND // 4  # between timings of the fixed loop
 SETTLE_US = KEEPALIVE_US + 3 * SECOND
-SEND_CHECK_INTERVAL_US = SECOND // 10  # between looks at who may send again
-RETURN_US = 2 * SECOND  # until what was lost is there again
-CHANGE_LIMIT_US = 16 * SECOND  # within which a change has to be in force everywhere
+SEND_CHECK_INTERVAL_US = SECOND // 10  # between checks of which senders may send
+RETURN_US = 2 * SECOND  # until lost processes are replaced
+CHANGE_LIMIT_US = 16 * SECOND  # bound on the time until a change is in force everywhere
 
 
 @dataclass(slots=True)
@@ -42,16 +43,16 @@
     bytes: int
     messages: int
     control: float  # steps
-    unsent: int  # messages of the traffic that could not go out
+    unsent: int  # messages that were refused or used the fallback
 
 
 def lost(mode: str) -> list[Series]:
-    """Machines that are gone without a word."""
+    """Measure losses of machines without notice."""
     return _measure(mode, DETECTED_BY_KEEPALIVE, with_rest=False)
 
 
 def played(mode: str) -> list[Series]:
-    """Rest, a change, and the other failures."""
+    """Measure rest, a change, and the other failures."""
     return _measure(mode, DETECTED_AT_ONCE, with_rest=True)
 
 
@@ -65,7 +66,7 @@
         fleet = _fleet(count)
         fleet.run_for(REST_US)
         gc.collect()
-        gc.freeze()  # a full collection in one window and none in another is no difference between failures
+        gc.freeze()  # else a full collection in one window alone would count as a difference between failures
         if with_rest:
             _rest(fleet, count, add)
         for name in names:
@@ -75,7 +76,9 @@
             add(f"{name}, control", Quantity.TIME, "steps in 8 s a sender", count, cost.control)
             add(f"{name}, unsent", Quantity.BYTES, "messages in 8 s a sender", count, cost.unsent)
             fleet.run_for(SETTLE_US if name in DETECTED_BY_KEEPALIVE else SECOND)
-            assert fleet.control.streams == 3 * count, f"after {name} not all are back"
+            assert fleet.control.streams == 3 * count, (
+                f"after {name}: {fleet.control.streams} of {3 * count} streams are open"
+            )
     return list(series_by_name.values())
 
 
@@ -86,7 +89,7 @@
     add("at rest, control", Quantity.TIME, "steps a second and sender", count, rest.control / seconds)
     size, took_us = _change(fleet)
     add("change, bytes", Quantity.BYTES, "bytes a change and sender", count, size)
-    assert took_us < CHANGE_LIMIT_US, "a change is not in force in time"
+    assert took_us < CHANGE_LIMIT_US, f"a change took {took_us} us, bound {CHANGE_LIMIT_US} us"
 
 
 def _fleet(count: int) -> Fleet:
@@ -106,7 +109,7 @@
 
 
 def _failures(fleet: Fleet) -> dict[str, Callable[[], None]]:
-    """What is played; each leaves the fleet whole in the end."""
+    """Return the failures by name; the fleet recovers completely from each."""
     zone, rack = fleet.in_zone(0), fleet.in_rack(0)
 
     def cut_zone() -> None:
@@ -125,7 +128,7 @@
 
 
 def _cost(fleet: Fleet, span_us: int, is_steady: bool = False) -> _Cost:
-    """even: each second takes the same, so that the median of them stands for all."""
+    """Run the fleet and count its cost; is_steady: each second costs the same, so the median second stands for all."""
     size, messages, unsent = _bytes(fleet), _messages(fleet), _unsent(fleet)
     seconds, loop_before = [0.0] * (span_us // SECOND), step_ns()
     for number in range(span_us // SLICE_US):
@@ -139,8 +142,7 @@
 
 
 def _change(fleet: Fleet) -> tuple[int, int]:
-    """One destination drains, and is back: the bytes of the first change, and how long it takes until the last sender
-    has it."""
+    """Drain a destination and restore it; return the first change's bytes and the time until all senders have it."""
     started, before = fleet.clock.now, _resource_bytes(fleet)
     fleet.configure(configuration.configuration(DESTINATIONS, {DESTINATIONS - 1}))
     fleet.run_for(SECOND)
--- a/benchmarks/scaling/figures.py
+++ b/benchmarks/scaling/figures.py
@@ -1,4 +1,4 @@
-"""What the benchmark yields: figures, each a slope over at least three sizes."""
+"""Figures of the benchmark, each a slope over at least three sizes."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Quantity(Enum):
-    """How it was measured, which decides how exactly it comes out again."""
+    """How a figure was measured, which decides its tolerance."""
 
-    BYTES = "bytes"  # counted: on the wire or on disk
+    BYTES = "bytes"  # counted on the wire or on disk
     MEMORY = "memory"  # bytes in use, as the allocator counts them
     TIME = "time"  # processor time in steps of the fixed loop (processor.py)
 
@@ -32,7 +32,7 @@
     name: str
     quantity: Quantity
     unit: str  # of the slope, as "bytes an endpoint"
-    sizes: str  # what is varied
+    sizes: str  # the quantity that varies
     points: tuple[tuple[float, float], ...]
     line: Line
 
--- a/benchmarks/scaling/fit.py
+++ b/benchmarks/scaling/fit.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MIN_POINTS = 3  # fewer say nothing of whether it is a line
+MIN_POINTS = 3  # with fewer, linearity cannot be judged
 
 
 @dataclass(slots=True, frozen=True)
@@ -14,16 +14,16 @@
     slope: float
     intercept: float
     deviation: float  # the largest of |measured - line| / line, at the measured points
-    power: float  # growth from the smallest to the largest size as a power of it: 1 is a line through nothing
+    power: float  # exponent of growth from the smallest to the largest size; 1 is a line through the origin
 
     def at(self, x: float) -> float:
         return self.intercept + self.slope * x
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """ValueError for fewer than LEAST_POINTS different sizes."""
+    """Fit a line by least squares. Raise ValueError for fewer than MIN_POINTS different sizes."""
     if len({x for x, _ in points}) < MIN_POINTS:
-        raise ValueError(f"a line wants {MIN_POINTS} sizes or more, not {len({x for x, _ in points})}")
+        raise ValueError(f"a line needs {MIN_POINTS} sizes or more, not {len({x for x, _ in points})}")
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum((x - mean_x) ** 2 for x, _ in points)
--- a/benchmarks/scaling/job.py
+++ b/benchmarks/scaling/job.py
@@ -1,4 +1,4 @@
-"""One measurement in a process of its own: `python -m benchmarks.scaling.job NAME MODE` prints its figures as JSON."""
+"""Runs one measurement in its own process: `python -m benchmarks.scaling.job NAME MODE` prints its figures as JSON."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from benchmarks.scaling.processor import step_ns
 
-JOBS = {  # the longest first, so that they do not begin last
+JOBS = {  # longest first, so that none of them starts last
     "failures": failures.played,
     "failures-lost": failures.lost,
     "delivered": sender_messages.delivered,
@@ -38,11 +38,13 @@
     "listed-memory": sender_control.list_memory,
     "held-memory": sender_messages.pending_memory,
 }
-FACT_JOBS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}  # not slopes
+# Jobs whose results are not slopes.
+FACT_JOBS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}
 # Timed several times.
 SHORT_JOBS = ("granted", "allocator", "catalog", "configured", "grants", "streams", "list-change")
 TIMED_JOBS = ("failures", "failures-lost", "delivered", *SHORT_JOBS)
-MEMORY_SUFFIX = "-memory"  # ends the names of jobs whose process has to allocate by malloc
+# Ends the names of jobs whose process must allocate by malloc.
+MEMORY_SUFFIX = "-memory"
 
 
 def main(name: str, mode: str) -> None:
--- a/benchmarks/scaling/known_red.py
+++ b/benchmarks/scaling/known_red.py
@@ -1,7 +1,7 @@
 """Checks that are known to fail for a stated reason: KNOWN-RED.txt at the root, one line each.
 
-A line is `test | cause | issue`. The test of a check of this benchmark is written `scale: ` and the check's name. A
-check that is listed is still measured and printed; it only does not count among the failed ones.
+A line is `test | cause | issue`. A check of this benchmark is listed as `scale: ` and the check's name. A listed check
+is still measured and printed, but does not count as failed.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from pathlib import Path
 
 PREFIX = "scale: "
-MAX_LINES = 3  # more than these are a reason to mend first
+MAX_LINES = 3  # beyond this, faults are to be fixed before others are listed
 
 
 class KnownRedError(ValueError):
-    """KNOWN-RED.txt cannot be used; the text says which line and why."""
+    """KNOWN-RED.txt is invalid; the text names the line and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,8 +27,8 @@
 
 
 def read_known_red(path: Path) -> list[KnownRed]:
-    """The file's lines, none if there is no file. Raises KnownRedError for a line without its three parts, or for
-    more than MOST_LINES lines."""
+    """Return the file's lines, none if there is no file. Raise KnownRedError for a line without its three parts, or for
+    more than MAX_LINES lines."""
     if not path.exists():
         return []
     lines = [line for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
@@ -45,5 +45,5 @@
 
 
 def checks_passed_over(entries: list[KnownRed]) -> set[str]:
-    """The names of the checks of this benchmark that are listed."""
+    """Return the names of the listed checks of this benchmark."""
     return {entry.test.removeprefix(PREFIX) for entry in entries if entry.test.startswith(PREFIX)}
--- a/benchmarks/scaling/lists.py
+++ b/benchmarks/scaling/lists.py
@@ -1,4 +1,4 @@
-"""Role: the source of the list. Discovery's objects for so many endpoints, whole and of a change, and their bytes."""
+"""Measures the source of the endpoint list: the size of discovery's objects, for the whole list and for changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def host_row(number: int, health: str = "in_service") -> dict[str, Any]:
-    """One endpoint as discovery has it (docs: the list of net/list_stream.py)."""
+    """Return one endpoint as discovery sends it (format: net/list_stream.py)."""
     host, port = address(number)
     return {
         "host": endpoint_id(number),
@@ -38,7 +38,7 @@
 
 
 def source(mode: str) -> list[Series]:
-    """What one sender is sent on its watch, as JSON without indentation."""
+    """Measure the bytes sent to one sender on its watch, as JSON without indentation."""
     first = Series(ROLE, "list, whole", Quantity.BYTES, "bytes an endpoint and sender", "endpoints")
     changes = Series(ROLE, "list, changes", Quantity.BYTES, "bytes a change and sender", "changed endpoints")
     for count in ENDPOINT_COUNTS[mode]:
--- a/benchmarks/scaling/observation.py
+++ b/benchmarks/scaling/observation.py
@@ -1,4 +1,4 @@
-"""What is seen of a fleet of hollow senders that divide destinations: gaps in service, movement, load, bytes, state."""
+"""Observes a fleet of hollow senders with assigned destinations: service gaps, moved destinations, load and bytes."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from scalefall.lab.hollow.sharded import ShardedFleet
 from scalefall.lab.proxy.meter import Direction, Kind
 
-OBSERVATION_INTERVAL_US = 100_000  # between looks at who serves what
+OBSERVATION_INTERVAL_US = 100_000  # between checks of which shards are served
 SECOND = 1_000_000
 
 
 @dataclass(slots=True)
 class Gaps:
-    """Times in us for which shards were served by nobody, each with its number of destinations."""
+    """Times in microseconds during which no sender served a shard, with the shard's number of destinations."""
 
     _since: dict[int, int] = field(default_factory=dict)
     ended: list[tuple[int, int]] = field(default_factory=list)  # (us, destinations)
@@ -29,11 +29,11 @@
             self._since.setdefault(shard, now)
 
     def open_count(self) -> int:
-        """Shards that nobody serves now."""
+        """Return the number of shards that no sender serves now."""
         return len(self._since)
 
     def quantile(self, fraction: float) -> int:
-        """By destination; 0 where nothing was interrupted."""
+        """Return a quantile of the gaps, weighted by destinations; 0 without gaps."""
         rows = sorted(self.ended)
         total = sum(count for _, count in rows)
         passed = 0
@@ -45,7 +45,7 @@
 
 
 def sizes(coordinator: Coordinator, destinations: int) -> dict[int, int]:
-    """Destinations of each shard that has any."""
+    """Return the number of destinations of each shard that has any."""
     counts: dict[int, int] = {}
     for destination in range(destinations):
         shard = coordinator.sharding.shard_of(destination)
@@ -54,7 +54,7 @@
 
 
 def served(fleet: ShardedFleet) -> set[int]:
-    """Shards of which a process that is there holds something."""
+    """Return the shards that a running process has leased."""
     now = fleet.clock.now
     leased: set[int] = set()
     for sender in fleet.senders:
@@ -65,21 +65,21 @@
 
 @dataclass(slots=True)
 class Moves:
-    """Destinations that got another sender, by why."""
+    """Counts destinations that moved to another sender, by cause."""
 
     moved: int = 0
-    lost: int = 0  # their sender was gone
-    filled: int = 0  # they went to a sender that had come with none
+    lost: int = 0  # their sender was lost
+    filled: int = 0  # they moved to a new sender without any
     _table: dict[int, tuple[str, ...]] = field(default_factory=dict)
     _generation: int = -1
 
     def begin(self, coordinator: Coordinator) -> None:
-        """Count from now on."""
+        """Reset the counts."""
         self.moved = self.lost = self.filled = 0
         self._read_table(coordinator)
 
     def observe(self, coordinator: Coordinator, destinations_by_shard: dict[int, int]) -> None:
-        """Take on what has changed. A shard that is new, or is gone, moved with its isolation and is not counted."""
+        """Count the changes of the table. Shards added or removed by isolation are not counted."""
         if coordinator.generation == self._generation:
             return
         before = self._table
@@ -100,7 +100,7 @@
 
 
 def load_ratio(coordinator: Coordinator, demand: Demand, nodes: int) -> float:
-    """The most loaded node over the mean, by the demand's true rates."""
+    """Return the load of the most loaded node over the mean, by the demand's true rates."""
     table, shards = coordinator.state().table, coordinator.sharding
     by_shard: dict[int, float] = {}
     for destination, rate in enumerate(demand.rates):
@@ -114,17 +114,17 @@
 
 
 def bytes_by_sender(fleet: ShardedFleet) -> list[int]:
-    """Bytes so far, both ways, of each sender's place."""
+    """Return the bytes so far in both directions, by place of the sender."""
     return [
         sum(meter.count(direction, kind).bytes for direction in Direction for kind in Kind) for meter in fleet.meters
     ]
 
 
 def rates(before: list[int], after: list[int], span_us: int) -> list[float]:
-    """Bytes a second of each sender, ascending."""
+    """Return the bytes a second of each sender, in ascending order."""
     return sorted((new - old) * SECOND / span_us for old, new in zip(before, after, strict=True))
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """Of ascending values."""
+    """Return a quantile of values in ascending order."""
     return values[min(len(values) - 1, int(fraction * len(values)))]
--- a/benchmarks/scaling/output.py
+++ b/benchmarks/scaling/output.py
@@ -1,4 +1,4 @@
-"""What a run leaves behind: tables as JSON, one plot a role, and lines for people."""
+"""Output of a run: tables as JSON, one plot a role, and lines for people."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Role.LIST_SOURCE: "The source of the list",
     Role.FAILURES: "Failures",
 }
-SIGNIFICANT_DIGITS = 6  # of a figure in a table
+SIGNIFICANT_DIGITS = 6
 
 
 def write(folder: Path, mode: str, figures: list[Figure], rows: dict[str, list[Row]], facts: dict[str, Any]) -> None:
@@ -50,8 +50,8 @@
 
 
 def estimate_lines(rows: dict[str, list[Row]]) -> list[str]:
-    """One column a kind of traffic."""
-    title = "Without assignment, 900 senders and 420,000 destinations (reckoned)"
+    """Return a table with one column for each kind of traffic."""
+    title = "Without assignment, 900 senders and 420,000 destinations (estimated)"
     lines = [f"\n{title:<68}" + "".join(f"{traffic:>30}" for traffic in rows)]
     for same in zip(*rows.values(), strict=False):
         cells = [f"{row.value:,.4g}" + (f" ({row.verdict})" if row.budget is not None else "") for row in same]
@@ -61,26 +61,26 @@
 
 
 def sample_lines(sample: dict[str, Any], same_size: dict[str, float]) -> list[str]:
-    """A run and what the slopes say of its size, bytes a second and sender."""
+    """Return lines with a run's bytes a second and sender beside the estimates for its size."""
     lines = [
-        f"\nRun: {sample['senders']} senders, {sample['destinations']:,} destinations, of which each asks for "
+        f"\nRun: {sample['senders']} senders, {sample['destinations']:,} destinations, of which each uses "
         f"{sample['touched']:.0f}; {sample['messages']:.0f} messages a second and sender; a sender takes "
         f"{sample['sender_cores']:.2%} of a core, control {sample['control_cores']:.2f} cores; "
-        f"{sample['unsent']:.1%} of the messages were not let out"
+        f"{sample['unsent']:.1%} of the messages were not sent"
     ]
     for kind, estimated in same_size.items():
         run = sample["bytes_by_kind"][kind]
-        lines.append(f"  {kind:<12} run {run:>12,.0f}   reckoned {estimated:>12,.0f} bytes/s")
+        lines.append(f"  {kind:<12} run {run:>12,.0f}   estimated {estimated:>12,.0f} bytes/s")
     return lines
 
 
 def write_divided(folder: Path, mode: str, plays: list[dict[str, Any]]) -> None:
-    """Plays with destinations divided among senders."""
+    """Write the runs with destinations assigned to senders."""
     _write_json(folder / "with-assignment.json", {"mode": mode, "plays": _rounded(plays)})
 
 
 def divided_lines(plays: list[dict[str, Any]]) -> list[str]:
-    """One table a play."""
+    """Return one table for each run of divided.py."""
     return [line for play in plays for line in _play_lines(play)]
 
 
--- a/benchmarks/scaling/plots.py
+++ b/benchmarks/scaling/plots.py
@@ -1,4 +1,4 @@
-"""One plot a role as SVG: a panel for each figure, with its points and its line. Equal figures give an equal file."""
+"""Draws one plot a role as SVG: a panel for each figure, with its points and line. Equal figures give an equal file."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from benchmarks.scaling.figures import Figure
 
 matplotlib.use("svg")
-matplotlib.rcParams["svg.hashsalt"] = "scalefall"  # ids of elements are made from it, else from chance
-matplotlib.rcParams["svg.fonttype"] = "none"  # text as text
+matplotlib.rcParams["svg.hashsalt"] = "scalefall"  # element ids derive from it; without it they are random
+matplotlib.rcParams["svg.fonttype"] = "none"  # text elements, not outlines
 import matplotlib.pyplot as pyplot  # noqa: E402
 
 COLUMNS = 3
-PANEL_WIDTH_INCHES, PANEL_HEIGHT_INCHES = 4.0, 2.6  # inches of a panel
+PANEL_WIDTH_INCHES = 4.0
+PANEL_HEIGHT_INCHES = 2.6
 
 
 def plot(title: str, figures: list[Figure]) -> str:
-    """The text of an SVG file."""
+    """Return the text of an SVG file."""
     rows = max(1, -(-len(figures) // COLUMNS))
     sheet, panels = pyplot.subplots(
         rows, COLUMNS, figsize=(COLUMNS * PANEL_WIDTH_INCHES, rows * PANEL_HEIGHT_INCHES + 0.5), squeeze=False
--- a/benchmarks/scaling/processor.py
+++ b/benchmarks/scaling/processor.py
@@ -1,7 +1,7 @@
-"""Processor time and memory of this process, in units that can be held against another run's.
+"""Processor time and memory of this process, in units that are comparable between runs.
 
-Time is told in steps of a fixed loop of plain Python that is timed right before and right after each measurement, the
-smaller of both: a step is one round of it. So a figure says how much work it is rather than how fast the machine was.
+The unit of time is a step, one round of a fixed loop of plain Python that is timed right before and right after each
+measurement; the smaller time counts. So a figure shows the amount of work rather than the speed of the machine.
 Memory is what malloc has in use; it counts everything, protobuf's too, where Python itself allocates by malloc
 (PYTHONMALLOC=malloc, which run.py sets for the jobs that need it).
 """
@@ -15,8 +15,8 @@
 import time
 from collections.abc import Callable
 
-STEPS_PER_LOOP = 50_000  # rounds of the fixed loop: about 2 ms
-LOOPS_PER_TIMING = 3  # times that it is timed before and after; the smallest counts
+STEPS_PER_LOOP = 50_000  # about 2 ms
+LOOPS_PER_TIMING = 3  # the smallest time counts
 DEFAULT_REPEATS = 5
 
 
@@ -46,7 +46,7 @@
 
 
 def step_ns() -> float:
-    """Processor time of one step, the smallest of several loops."""
+    """Return the processor time of one step, the smallest of several loops."""
     times = []
     for _ in range(LOOPS_PER_TIMING):
         started = time.process_time_ns()
@@ -56,18 +56,18 @@
 
 
 class Steps:
-    """Of one measurement: made before it, asked after it."""
+    """Converts the processor time of one measurement to steps: create it before, call `of` after."""
 
     def __init__(self) -> None:
         self._before = step_ns()
 
     def of(self, spent_ns: float) -> float:
-        """So much processor time in steps."""
+        """Return a processor time in steps."""
         return spent_ns / min(self._before, step_ns())
 
 
 def steps_of(work: Callable[..., object], *arguments: object, repeats: int = DEFAULT_REPEATS) -> float:
-    """The median of so many calls, in steps, with the collector off."""
+    """Return the median time of the calls in steps, with the garbage collector off."""
     steps_by_repeat = []
     gc.collect()
     gc.disable()
@@ -82,9 +82,11 @@
 
 
 def memory_in_use() -> int:
-    """Bytes. RuntimeError where Python does not allocate by malloc, as most of it would not be counted."""
+    """Return the bytes in use. Raise RuntimeError unless Python allocates by malloc, as most would not be counted."""
     if os.environ.get("PYTHONMALLOC") != "malloc":
-        raise RuntimeError("memory is counted with PYTHONMALLOC=malloc only")
+        raise RuntimeError(
+            f"PYTHONMALLOC is {os.environ.get('PYTHONMALLOC')!r}; memory can be counted with malloc only"
+        )
     gc.collect()
     mallinfo2 = ctypes.CDLL(None).mallinfo2
     mallinfo2.restype = _Mallinfo2
@@ -93,7 +95,7 @@
 
 
 def memory_of(build: Callable[..., object], *arguments: object) -> int:
-    """Bytes that what is built keeps in use."""
+    """Return the bytes that the built object keeps in use."""
     before = memory_in_use()
     built = build(*arguments)
     after = memory_in_use()
--- a/benchmarks/scaling/run.py
+++ b/benchmarks/scaling/run.py
@@ -1,4 +1,4 @@
-"""All measurements of a mode, each in a process of its own, so many at a time."""
+"""Runs all measurements of a mode, each in a process of its own, with bounded concurrency."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from benchmarks.scaling.job import FACT_JOBS, JOBS, MEMORY_SUFFIX, SHORT_JOBS, TIMED_JOBS
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-JOB_TIMEOUT_S = 3600  # of one job
+JOB_TIMEOUT_S = 3600
 MAX_WORKERS = 4
 SHORT_ROUNDS = 3
 TIME = Quantity.TIME
 
 
 class JobFailedError(RuntimeError):
-    """A measurement ended with an error; the text has its last lines."""
+    """A measurement failed; the text has the last lines of its standard error."""
 
 
 @dataclass(slots=True)
@@ -37,13 +37,15 @@
     divided: list[dict[str, Any]]  # by exponent
 
     def all_figures(self) -> list[Figure]:
-        """One of each, of all its runs."""
+        """Return one figure of each, combined from all runs."""
         return [median_figure(same) for name in JOBS for same in zip(*self.runs[name], strict=False)]
 
 
 def measure_all(mode: str, workers: int, rounds: int = 1, plays: list[dict[str, Any]] | None = None) -> Measurements:
-    """Jobs that time something are done so many times, the short ones SHORT_ROUNDS times as often, and middle() is
-    taken. plays: of divided.py; None: they are made here. JobFailed if one fails, after the others have ended."""
+    """Run all jobs: timed ones `rounds` times, short ones SHORT_ROUNDS times as often.
+
+    plays: results of divided.py; None: they are measured here. Raise JobFailedError if a job fails, after the others
+    have ended."""
     names = ["sample", *JOBS, "touched"]
     if plays is None:
         names.insert(0, "divided")
@@ -56,7 +58,7 @@
 
 
 def remeasure(measurements: Measurements, suspects: set[str], mode: str, workers: int) -> list[str]:
-    """Does the jobs anew that timed one of these figures (checks.key); their names."""
+    """Repeat the jobs that timed one of these figures (checks.key), and return their names."""
     names = [
         name
         for name in TIMED_JOBS
@@ -68,8 +70,9 @@
 
 
 def median_figure(figures: Sequence[Figure]) -> Figure:
-    """One figure of several runs. Of a time the median at each size (the lower one of two): other work on the machine
-    makes it come out too high, or too low where it met the fixed loop. What is counted is the first run's."""
+    """Combine a figure of several runs: for a time the median at each size (the lower of two), else the first run's.
+
+    Other load on the machine makes a time too high, or too low where it slowed the fixed loop."""
     first = figures[0]
     if first.quantity is not TIME:
         return first
--- a/benchmarks/scaling/sample.py
+++ b/benchmarks/scaling/sample.py
@@ -1,7 +1,7 @@
-"""The reckoning held against a run: many hollow senders on many destinations, at a size that can be played.
+"""A run to compare the estimates with: many hollow senders on many destinations, at a feasible size.
 
-Each sender asks for the destinations that it touches within USED_S, and uses them by the same traffic. Messages and
-bytes are exact; processor times are the model's without sockets, and control's turns take no virtual time.
+Each sender subscribes to the destinations that it uses within IN_USE_S, and uses them by the same traffic. Messages and
+bytes are exact; processor times are the model's without sockets, and control's steps take no virtual time.
 """
 
 from __future__ import annotations
@@ -22,21 +22,23 @@
 from scalefall.lab.proxy.meter import Direction, Kind
 
 SIZES = {"quick": (8, 2000), "full": (100, 20_000)}  # senders, destinations
-ZIPF_EXPONENT, SEED = 1.1, 31
-WARM_UP_US, WINDOW_US = 4 * SECOND, 2 * SECOND
+ZIPF_EXPONENT = 1.1
+SEED = 31
+WARM_UP_US = 4 * SECOND
+WINDOW_US = 2 * SECOND
 
 
 @dataclass(slots=True, frozen=True)
 class Sample:
     senders: int
     destinations: int
-    touched: float  # destinations a sender, on average
+    touched: float  # destinations used by a sender, on average
     reported: float  # of these in one load report
     bytes_by_kind: dict[str, float]  # a second and sender, both directions
     messages: float  # a second and sender
     sender_cores: float
     control_cores: float
-    unsent: float  # share of the messages offered
+    unsent: float  # fraction of the messages offered
 
 
 def run(mode: str) -> dict[str, Any]:
@@ -78,14 +80,14 @@
 
 
 def _events(table: AliasTable, number: int) -> list[tuple[int, int]]:
-    """USED_S of traffic; it is played over and over."""
+    """Return IN_USE_S of traffic, which the run repeats."""
     rows, now = [], 0
     for gap, destination in independent(table, target.EVENTS_PER_SENDER_PER_S, random.Random(SEED * 1000 + number)):
         now += gap
         if now >= target.IN_USE_S * SECOND:
             return rows
         rows.append((gap, destination))
-    raise AssertionError("traffic has no end")
+    raise AssertionError("the traffic generator ended")
 
 
 def _bytes(fleet: Fleet) -> dict[str, int]:
@@ -97,6 +99,6 @@
 
 
 def _outcomes(fleet: Fleet) -> tuple[int, int]:
-    """Messages that went out, and that did not."""
+    """Return the number of messages that were sent, and that were not."""
     sent = sum(each.sent for each in fleet.outcomes)
     return sent, sum(each.refused + each.fallen for each in fleet.outcomes)
--- a/benchmarks/scaling/sender_control.py
+++ b/benchmarks/scaling/sender_control.py
@@ -1,4 +1,4 @@
-"""Role: a sender's part of control. Its list of endpoints, grants, reports of use and of load, changes."""
+"""Measures a sender's cost of control: endpoint list, grants, usage and load reports, and changes."""
 
 from __future__ import annotations
 
@@ -24,12 +24,13 @@
 
 ROLE = Role.SENDER_CONTROL
 LIST_ENDPOINTS = {"quick": (1000, 2000, 4000), "full": (20_000, 40_000, 80_000)}
-# A report of use of more than 490 destinations costs more than its stream may say (REQUEST_RATE in
+# A usage report of more than 490 destinations exceeds its stream's rate limit (REQUEST_RATE in
 # control/transport/stream_reader.py).
 GRANTED_DESTINATIONS = {"quick": (100, 200, 400), "full": (120, 240, 480)}
 CHANGE_COUNTS = {"quick": (4, 8, 16), "full": (8, 16, 32)}
-WARM_UP_US, WINDOW_US = 4 * SECOND, 7 * SECOND
-CALLS_PER_S = 4.0  # a second to each destination, so that each is in nearly every load report
+WARM_UP_US = 4 * SECOND
+WINDOW_US = 7 * SECOND
+CALLS_PER_S = 4.0  # to each destination, so that each is in nearly every load report
 WINDOWS_PER_S = SECOND / WINDOW_US
 
 
@@ -42,7 +43,7 @@
 
 
 def list_memory(mode: str) -> list[Series]:
-    """The list in memory: the entries with their indexes, and the module's record of each."""
+    """Measure the memory of the list: the entries with their indexes, and the engine's record of each."""
     parts = {
         "entries": Series(ROLE, "list, entries", Quantity.MEMORY, "bytes an endpoint", "endpoints"),
         "module": Series(ROLE, "list, module", Quantity.MEMORY, "bytes an endpoint", "endpoints"),
@@ -57,7 +58,7 @@
 
 
 def list_change(mode: str) -> list[Series]:
-    """One changed endpoint in lists of several lengths: the list and the module take it in."""
+    """Time the change of one endpoint in lists of several lengths, in the list and in the engine."""
     series = Series(ROLE, "list, one changed", Quantity.TIME, "steps an endpoint of the list", "endpoints")
     for count in LIST_ENDPOINTS[mode]:
         engine, events = Engine(configuration.settings(), 1), []
@@ -70,7 +71,7 @@
 
 
 def granted(mode: str) -> list[Series]:
-    """One sender that uses all its destinations: bytes a second of each kind, processor time and state."""
+    """Measure one sender that uses all its destinations: bytes a second of each kind, processor time and state."""
     bytes_by_kind = {
         kind: Series(
             ROLE, f"{kind.value} on the wire", Quantity.BYTES, "bytes a second and destination", "destinations"
@@ -100,7 +101,7 @@
 
 
 def changed(mode: str) -> list[Series]:
-    """Changes of one endpoint each, and what they cost a sender on the wire with their acknowledgements."""
+    """Measure the bytes of changes of one endpoint each to a sender, with their acknowledgements."""
     series = Series(ROLE, "configuration change", Quantity.BYTES, "bytes a change", "changes")
     for count in CHANGE_COUNTS[mode]:
         fleet = _one_sender(max(CHANGE_COUNTS[mode]), calls=0)
@@ -114,7 +115,7 @@
 
 
 def _load_list(endpoint_list: EndpointList, count: int) -> None:
-    """As its watch does with an object of the list."""
+    """Load a list as the watch does."""
     endpoint_list.handle_update(read_list(lists.full_list(count)))
 
 
@@ -144,7 +145,7 @@
 
 
 def _steps(fleet: Fleet) -> _StepRates:
-    """What both sides take a second: the median of those in WINDOW_US."""
+    """Return the steps a second of both sides, the median over the seconds of WINDOW_US."""
     sender, control = [], []
     for _ in range(WINDOW_US // SECOND):
         steps, spent_before = Steps(), (fleet.sender_time.spent, fleet.control_time.spent)
--- a/benchmarks/scaling/sender_messages.py
+++ b/benchmarks/scaling/sender_messages.py
@@ -1,4 +1,4 @@
-"""Role: a sender takes messages in and delivers them. Processor time, memory of what is held, bytes of the journal."""
+"""Measures a sender's cost of messages: processor time of delivery, memory of pending messages, journal size."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from scalefall.policy.settings import Idempotency
 
 ROLE = Role.SENDER_MESSAGES
-BODY_BYTES = 200  # bytes of a message
+BODY_BYTES = 200
 PENDING_DESTINATIONS = 100
 JOURNAL_LIMIT_BYTES = 1 << 30
 DUE_US = 24_000_000
-MESSAGES_PER_S = 400  # messages a second that are handed in
+MESSAGES_PER_S = 400
 SLICE_MESSAGES = 100  # messages between timings of the fixed loop
-SLICE_SETTLE_US = 100_000  # for the last of a slice to be delivered
+SLICE_SETTLE_US = 100_000  # for the last messages of a slice to be delivered
 DESTINATION = 900000  # as in benchmarks/reload.py
 MESSAGE_CLASS = "often"
 
@@ -42,8 +42,9 @@
 
 
 def delivered(mode: str) -> list[Series]:
-    """A sender on a file of its own, and a partner that answers at once, as in benchmarks/cost.py; but the sender is in
-    this process, so that the fixed loop is timed where it runs. Its thread's time is what counts."""
+    """Time deliveries to a destination that answers at once, as in benchmarks/cost.py.
+
+    The sender runs in this process, so that the fixed loop is timed where it runs; its thread's time counts."""
     sys.path.append(str(pathlib.Path(__file__).resolve().parent.parent))
     from reload import hand_in, serve
 
@@ -76,7 +77,7 @@
 
 
 def pending_memory(mode: str) -> list[Series]:
-    """What a held message takes: the module's record, the transaction, and the journal's."""
+    """Measure the memory of a pending message: the engine's record, the request, and the journal's record."""
     names = {
         "module": "held message, module",
         "transaction": "held message, transaction",
@@ -91,14 +92,14 @@
             engine, journal_file = _full_engine(count), Journal(folder, JOURNAL_LIMIT_BYTES)
             by_part["transaction"].add(count, memory_of(_make_requests, requests, count))
             by_part["module"].add(count, memory_of(_hand_in, engine, requests))
-            assert len(engine.state.messages) == count, "not all are held"
+            assert len(engine.state.messages) == count, f"{len(engine.state.messages)} of {count} messages are pending"
             by_part["journal"].add(count, memory_of(_record_accepted, journal_file, requests))
             journal_file.close()
     return list(by_part.values())
 
 
 def journal(mode: str) -> list[Series]:
-    """Bytes written for a message until it is delivered at its first attempt, and for one that is owed."""
+    """Measure the bytes written for a message delivered at its first attempt, and for a pending one."""
     written = Series(ROLE, "journal, written", Quantity.BYTES, "bytes a message", "messages delivered")
     pending = Series(ROLE, "journal, owed", Quantity.BYTES, "bytes a message", "messages owed")
     for count in PENDING_MESSAGES[mode]:
@@ -129,7 +130,7 @@
 
 
 def _full_engine(count: int) -> Engine:
-    """A module with destinations that take nothing more, so that what comes is held."""
+    """Return an engine whose destinations are at their limit, so that new messages stay pending."""
     engine = Engine(replace(configuration.settings(), max_queued=2 * count, call_slots=1), 1)
     endpoints = [configuration.entry(number).endpoint for number in range(PENDING_DESTINATIONS)]
     engine.handle(0, [EndpointListUpdate(ListUpdateKind.WHOLE, endpoints)])
--- a/benchmarks/scaling/series.py
+++ b/benchmarks/scaling/series.py
@@ -1,4 +1,4 @@
-"""A measured series on its way to a figure."""
+"""Collects the points of a figure."""
 
 from __future__ import annotations
 
--- a/benchmarks/scaling/touched.py
+++ b/benchmarks/scaling/touched.py
@@ -1,4 +1,4 @@
-"""How many destinations a sender touches within the span for which it holds their grants, by the kind of traffic."""
+"""Counts the destinations that a sender uses within the span for which it holds their grants, by kind of traffic."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 SEED = 20
 ZIPF_EXPONENTS = {"uniform": 0.0, "Zipf 0.8": 0.8, "Zipf 1.1": 1.1}
 SPANS_US = {"used": IN_USE_S * SECOND, "reported": ControlOptions().report_us}
-CLUMP_EVENTS, CLUMP_US = 20, 2 * SECOND  # events in a clump on average, and how long one lasts
+CLUMP_EVENTS = 20  # on average
+CLUMP_US = 2 * SECOND
 
 
 def touched() -> dict[str, dict[str, int]]:
-    """By kind of traffic, at the target size, from SEED: "used" within USED_S, "reported" in the first load report."""
+    """Return counts by kind of traffic at the target size: "used" within IN_USE_S, "reported" in the first report."""
     counts = {}
     for name, exponent in ZIPF_EXPONENTS.items():
         table = AliasTable(zipf_weights(DESTINATIONS, exponent))
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -1,11 +1,11 @@
-"""What a long list costs a sender: its longest turn, processor time at rest and memory, against a list of 20.
+"""Measures the cost of a long list to a sender: longest step, processor time at rest and memory, against a list of 20.
 
     .venv/bin/python -O benchmarks/size.py [NUMBER ...]
 
-For each number of endpoints (and as many senders) a process of its own plays discovery in a thread and a sender in the
-loop: it starts, takes the list whole and indented, takes changes to each tenth entry, and rests until
-what it knows of paces has been written twice.
-Turns are counted in processor time of the loop's thread. Figures are printed beside their ratio to the first number's.
+For each number of endpoints (and as many senders) a process of its own runs discovery in a thread and a sender in the
+event loop: the sender starts, reads the full list with indentation, reads changes to each tenth entry, and rests until
+its learned rates have been saved twice.
+Steps are measured in processor time of the loop's thread. Figures are printed with their ratio to the first number's.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def serve_discovery(listener: socket.socket, number: int) -> None:
-    """A watch: the list whole and indented, changes to each tenth entry, then beats."""
+    """Serve a watch: the full list with indentation, changes to each tenth entry, then heartbeats."""
     sock, _ = listener.accept()
     sock.recv(4096)
     sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -112,13 +112,15 @@
 
         scheduler.call_at(scheduler.now() + 1_900_000, record_list_step)
         scheduler.run()
-        assert len(sender.endpoint_list.entries) == number, "the list was not taken whole"
+        assert len(sender.endpoint_list.entries) == number, (
+            f"{len(sender.endpoint_list.entries)} of {number} endpoints are in the list"
+        )
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(json.dumps([figures["list"] / 1e6, figures["rest"] / 1e6, 100 * figures["share"], memory]))
 
 
 def main(numbers: list[int]) -> None:
-    print("endpoints   longest turn, list (ms)   at rest (ms)   processor at rest (%)   memory (MB)")
+    print("endpoints   longest step, list (ms)   at rest (ms)   processor at rest (%)   memory (MB)")
     first = None
     for number in numbers:
         completed = subprocess.run(
--- a/example/control.sh
+++ b/example/control.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Sets up and shows control: a control service, three proxies behind links that fail, and a partner that drains, goes away
-# and returns cold. Ends by itself with the audit's verdict, rule by rule; exit code 0 if every rule was kept.
+# Sets up and demonstrates control: a control service, three proxies behind links that fail, and a destination that drains,
+# fails and recovers cold. Ends by itself with the audit's result for each rule; exit code 0 if no rule was broken.
 set -eu
 cd "$(dirname "$0")/.."
 test -x .venv/bin/python || python3 -m venv .venv
--- a/example/control_demo.py
+++ b/example/control_demo.py
@@ -1,10 +1,11 @@
-"""The demonstration that example/control.sh runs, and the proof on sockets: `--runs N` plays N seeds.
+"""Demonstrates control, for example/control.sh, and tests it over sockets: `--runs N` runs N seeds.
 
     python example/control_demo.py [--runs N] [--first SEED] [--keep FOLDER]
 
-Each run takes half a minute: control on a file of its own, three proxies with 8 messages a second each, two endpoints
-of one partner of 30 calls a second. An endpoint drains at the moment that a proxy's link is cut (silent, reset or slow,
-by the seed); the partner goes away and returns cold; a second link fails over the return. The audit reads the logs.
+Each run takes half a minute: control with a configuration of its own, three proxies with 8 messages a second each, and
+two endpoints of one destination of 30 calls a second. An endpoint drains as a proxy's link fails (blackholed, reset or
+slow, by the seed); the destination fails and recovers cold; a second link fails during the recovery. The audit reads
+the logs.
 """
 
 import argparse
@@ -60,11 +61,11 @@
             if row.get("event") == event:
                 return row
         time.sleep(0.05)
-    sys.exit(f"demo: no {event!r} in {path}:\n{path.read_text()[-2000:]}")
+    sys.exit(f"demo: no event {event!r} in {path} within 30 s:\n{path.read_text()[-2000:]}")
 
 
 def play(folder, seed, report):
-    """One run; the logs are in the folder."""
+    """Run one seed; the logs are in the folder."""
     generator, children = random.Random(seed), []
 
     def start_logged(name, *words, **options):
@@ -77,7 +78,7 @@
             "partner-a", "scalefall.lab.partner", "--limit", "30", "--away", "12-16", "--seed", str(seed), *CLASSES
         )
         port_a = wait_for(folder / "partner-a.log", "listening")["port"]
-        port_b = port_a  # two endpoints of one partner: a second address in front of it
+        port_b = port_a  # a second address of the same destination
         second_address = start("scalefall.lab.link", f"127.0.0.1:{port_a}")
         children.append(second_address)
         port_b = int(second_address.stdout.readline())
@@ -139,7 +140,7 @@
 
         time.sleep(6 + generator.random())
         drained, extra_wait_s = generator.randrange(3), generator.uniform(0, 0.1)
-        report("endpoint b is to drain")
+        report("endpoint b starts to drain")
         site.write_text(SITE.format(port_a=port_a, port_b=port_b, state="draining"))
         control.send_signal(signal.SIGHUP)
         wait_for(folder / "control.log", "configuration read again") if extra_wait_s < 0.03 else time.sleep(
@@ -150,7 +151,7 @@
         restore()
         site.write_text(SITE.format(port_a=port_a, port_b=port_b, state="ready"))
         control.send_signal(signal.SIGHUP)
-        report("endpoint b is back; the partner goes away soon and returns cold")
+        report("endpoint b is ready again; the destination fails soon and recovers cold")
         time.sleep(2 + generator.random())
         restore = cut((drained + 1) % 3)
         time.sleep(8)
@@ -162,7 +163,7 @@
             proxy.wait(30)
         control.send_signal(signal.SIGTERM)
         if control.wait(10):
-            sys.exit(f"demo: control ended with {control.returncode}")
+            sys.exit(f"demo: control exited with code {control.returncode}")
     finally:
         for each in children:
             if each.poll() is None:
@@ -174,7 +175,7 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--runs", type=int, default=1)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--keep", help="leave the logs there")
+    parser.add_argument("--keep", help="folder in which the logs are kept")
     options = parser.parse_args()
     codes = Counter()
     for seed in range(options.first, options.first + options.runs):
--- a/example/demo.py
+++ b/example/demo.py
@@ -1,9 +1,9 @@
-"""The demonstration that example/demo.sh runs: every message that is handed in, and the one final answer that it had.
+"""Demonstrates a sender, for example/demo.sh: every message that is handed in, with its one final answer.
 
     python example/demo.py [--config example/site.scale] [--messages N]
 
-It needs the addresses of example/site.scale to be free. The toy is the other side: it tells what was delivered to whom
-(its own count, not the sender's) and which notices came.
+The addresses of example/site.scale must be free. example/toy_server.py stands in for the other side: it reports the
+deliveries (by its own count, not the sender's) and the delivery reports that it got.
 """
 
 import argparse
@@ -21,11 +21,11 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 TIMEOUT_S = 60
-AWAY_DEADLINE_MS = 2500  # how long a message for the partner that is away may take
+AWAY_DEADLINE_MS = 2500  # for messages to the unreachable destination
 
 
 class Child:
-    """A process whose lines are read as they come."""
+    """A process whose output is read line by line as it arrives."""
 
     def __init__(self, *words):
         self.process = subprocess.Popen(
@@ -40,7 +40,7 @@
         self.lines.put(None)
 
     def next_line(self, deadline):
-        """The next line; None if there is none in time, or no more."""
+        """Return the next line; None after the deadline or the end of the output."""
         try:
             line = self.lines.get(timeout=max(0.01, deadline - time.monotonic()))
         except queue.Empty:
@@ -54,7 +54,7 @@
         while (line := self.next_line(deadline)) is not None:
             if text in line:
                 return line
-        sys.exit("demo: no sign of {!r}. What it said:\n{}".format(text, "\n".join(self.seen)))
+        sys.exit("demo: no line with {!r}. Output so far:\n{}".format(text, "\n".join(self.seen)))
 
     def stop(self):
         if self.process.poll() is None:
@@ -63,7 +63,7 @@
 
 
 def hand_in(address, name, class_name, destination, deadline_ms):
-    """The first answer's status and its Retry-After."""
+    """Return the status of the first answer, and its Retry-After."""
     connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_S)
     headers = {"X-Request-Id": name, "X-Deadline": f"{deadline_ms}m", "X-Route-To": f"dest={destination}"}
     if class_name == "event-notice":
@@ -76,7 +76,7 @@
 
 
 def plan(number):
-    """(id, class, destination, milliseconds): two thirds for the partner that serves, some for each trouble."""
+    """Return rows of (id, class, destination, milliseconds): most succeed, others meet one kind of failure each."""
     classes = ("fee-order", "event-notice", "status-update")
     rows = [(f"m-{index:02}", classes[index % 3], 7, 20_000) for index in range(number)]
     rows += [(f"away-{index}", classes[1 + index % 2], 9, AWAY_DEADLINE_MS) for index in range(4)]
@@ -114,7 +114,7 @@
                 toy.stop()
             if code:
                 print("\n".join(sender.seen))
-                sys.exit(f"demo: the sender ended with {code}")
+                sys.exit(f"demo: the sender exited with code {code}")
 
 
 def hand_in_and_report(toy, rows, address):
@@ -125,7 +125,7 @@
         if status == 202:
             accepted.add(name)
         else:
-            answers[name].append(f"{status}" + (f", come back after {retry_after} s" if retry_after else ""))
+            answers[name].append(f"{status}" + (f", retry after {retry_after} s" if retry_after else ""))
     deadline = time.monotonic() + TIMEOUT_S
     while any(not answers[name] for name in accepted):
         line = toy.next_line(deadline)
--- a/example/demo.sh
+++ b/example/demo.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Sets up and shows the main job: checks example/site.scale, starts the toy partners and a sender on that file, hands
-# messages in, and prints an account of every final answer. Ends by itself; exit code 0 if the account is right.
+# Sets up and demonstrates a sender: checks example/site.scale, starts the toy server and a sender on that file, hands
+# messages in, and prints every final answer. Ends by itself; exit code 0 if each message had exactly one.
 set -eu
 cd "$(dirname "$0")/.."
 test -x .venv/bin/python || python3 -m venv .venv
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,10 +1,11 @@
-"""A toy of the other side, to try scalefall on one machine: discovery, the platform's /reports, and two endpoints.
+"""Stands in for the other side, to try scalefall on one machine: discovery, the platform's /reports, two endpoints.
 
     python3 example/toy_server.py [--discovery PORT] [--endpoints PORT PORT] [--a-second N]
 
-A third endpoint, the only one of dest 9, is in the list but away: nothing listens there.
-Prints its addresses, then a line for each message delivered and each notice. An endpoint takes N calls a second and
-answers 429 with a wait above that. Port 0 picks a free one. Standard library only; it is no model of real partners.
+A third endpoint, the only one of destination 9, is in the list but nothing listens there.
+Prints its addresses, then a line for each message delivered and each delivery report. An endpoint takes N calls a
+second and answers 429 with Retry-After above that. Port 0 picks a free one. Standard library only; it does not model
+real destinations.
 """
 
 import argparse
@@ -19,7 +20,7 @@
 
 
 def print_line(text):
-    """Print a line in one write: print() writes its end apart, and two threads' lines would run together."""
+    """Print a line in one write: print() writes the line end separately, so lines of two threads could mix."""
     sys.stdout.write(f"{text}\n")
     sys.stdout.flush()
 
--- a/tests/scaling/test_checks.py
+++ b/tests/scaling/test_checks.py
@@ -1,4 +1,4 @@
-"""The line through measured points, and what a check says of a figure or a budget."""
+"""The line through measured points, and the verdicts of checks on figures and budgets."""
 
 import json
 import re
@@ -33,7 +33,7 @@
     return Budget("b", quantity, value, 100, "bytes")
 
 
-def test_a_line_is_found_and_what_is_none_says_how_far_off_it_is():
+def test_a_line_is_fitted_and_its_deviation_is_reported_for_other_points():
     line = fit([(1, 5), (2, 7), (4, 11)])
     assert (line.slope, line.intercept, line.deviation) == pytest.approx((2, 3, 0))
     square = fit([(1, 1), (2, 4), (4, 16)])
@@ -42,8 +42,8 @@
     assert square.deviation == pytest.approx(6)  # at size 1: measured 1, the line 36/7 - 5 = 1/7
 
 
-def test_two_sizes_make_no_line():
-    with pytest.raises(ValueError, match="a line wants 3 sizes"):
+def test_a_fit_needs_three_sizes():
+    with pytest.raises(ValueError, match="a line needs 3 sizes"):
         fit([(1, 1), (2, 2), (2, 3)])
 
 
@@ -52,14 +52,14 @@
     [
         ("bytes", 1.09, Verdict.FITS),
         ("bytes", 1.11, Verdict.FAILED),
-        ("bytes", 0.89, Verdict.FAILED),  # the page is wrong then too
+        ("bytes", 0.89, Verdict.FAILED),  # the capacity page would be wrong
         ("memory", 1.11, Verdict.FAILED),
         ("time", 1.49, Verdict.FITS),
         ("time", 1.51, Verdict.FAILED),
         ("time", 0.2, Verdict.FITS),
     ],
 )
-def test_a_figure_that_got_worse_fails(kind, change, verdict):
+def test_a_figure_out_of_tolerance_fails(kind, change, verdict):
     reference = make_reference(1.0, [measured(100, KINDS[kind])], [])
     assert check_figure(measured(100 * change, KINDS[kind]), reference).verdict is verdict
 
@@ -68,7 +68,7 @@
     assert check_figure(measured(1, Quantity.BYTES), make_reference(1.0, [], [])).verdict is Verdict.FAILED
 
 
-def test_a_budget_that_is_over_is_never_said_to_fit():
+def test_an_exceeded_budget_never_fits_and_fails_if_it_gets_worse():
     known = make_reference(1.0, [], [budget(150)])
     assert check_budget(budget(100), known).verdict is Verdict.FITS
     assert check_budget(budget(101), known).verdict is Verdict.NO_WORSE
@@ -80,7 +80,7 @@
     assert "fits" not in check_budget(budget(101), known).line()
 
 
-def test_a_reference_is_read_as_written_and_the_other_mode_stays(tmp_path):
+def test_a_reference_is_read_as_written_and_other_modes_are_kept(tmp_path):
     path, one = tmp_path / "reference.json", make_reference(2.0, [measured(3, Quantity.TIME)], [budget(150)])
     write_reference(path, "quick", one)
     write_reference(path, "full", make_reference(1.0, [], []))
@@ -88,7 +88,7 @@
     assert read_reference(path, "other").figures == {}
 
 
-def test_of_several_runs_the_median_time_at_each_size_counts_and_what_is_counted_stays():
+def test_several_runs_give_the_median_time_at_each_size_and_the_first_count():
     one, two, three = [(1, 5), (2, 7), (4, 30)], [(1, 9), (2, 8), (4, 11)], [(1, 6), (2, 1), (4, 12)]
     for quantity, points in ((Quantity.TIME, ((1, 6), (2, 7), (4, 12))), (Quantity.BYTES, tuple(one))):
         runs = [figure(Role.CONTROL, "x", quantity, "a unit", "units", rows) for rows in (one, two, three)]
@@ -96,7 +96,7 @@
         assert median_figure(runs).line == fit(points)
 
 
-def test_a_figure_goes_through_json_and_a_plot_is_the_same_each_time():
+def test_a_figure_survives_json_and_its_plot_is_deterministic():
     one = measured(3, Quantity.TIME)
     again = from_json(json.loads(json.dumps(one.as_json())))
     assert again == one
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(("slope", "verdict"), [(1.4, Verdict.FITS), (1.6, Verdict.FAILED), (-2.0, Verdict.FITS)])
-def test_a_time_that_did_not_grow_with_size_may_stray_by_noise_and_fails_where_it_grows(slope, verdict):
+def test_a_time_without_growth_may_vary_by_noise_and_fails_if_it_grows(slope, verdict):
     points = [(size, 1000 + slope * size) for size in (250, 500, 1000)]
     made = figure(Role.CONTROL, "x", Quantity.TIME, "steps a unit", "units", points)
     assert check_figure(made, Reference(1.0, {key(made): -0.3}, {})).verdict is verdict
--- a/tests/scaling/test_hollow.py
+++ b/tests/scaling/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow senders: bytes as serialized, a cut that stops delivery, and what failures leave behind."""
+"""Hollow senders: bytes as serialized, a cut that stops delivery, and recovery after failures."""
 
 import random
 
@@ -13,8 +13,8 @@
 from scalefall.lab.proxy.contract import Send
 from scalefall.lab.proxy.meter import Count, Direction, Kind, Meter
 
-FIRST_GRANT_US = 2_500_000  # lease and delay, before which a new service grants nothing
-RENEWAL_US = 1_500_000  # half a lease, and a report: by then a sender whose link was healed has a new grant
+FIRST_GRANT_US = 2_500_000  # lease and delay, before which a new service makes no grants
+RENEWAL_US = 1_500_000  # half a lease and a report, after which a sender with a healed link has a new grant
 
 
 def fleet(senders=1, destinations=1, seed=5, **more):
@@ -25,7 +25,7 @@
 
 
 def can_send(fleet, number):
-    """Whether it may send within 100 ms: between two heartbeats it does not trust its list for a moment."""
+    """Return whether a sender may send within 100 ms; its list can expire briefly between two heartbeats."""
     for _ in range(10):
         if isinstance(fleet.senders[number].contract.choose(0, fleet.clock.now), Send):
             return True
@@ -63,7 +63,7 @@
     assert can_send(one, 1)
 
 
-def test_a_cut_zone_gets_nothing_and_sends_nothing_while_the_others_go_on():
+def test_a_cut_zone_receives_and_sends_nothing_while_others_continue():
     nine = fleet(senders=9)
     nine.run_for(FIRST_GRANT_US + SECOND)
     zone = nine.in_zone(0)
@@ -82,7 +82,7 @@
     assert can_send(nine, 0)
 
 
-def test_a_cut_beyond_the_keepalive_ends_the_streams_and_new_ones_follow():
+def test_a_cut_longer_than_the_keepalive_closes_streams_and_new_ones_open():
     nine = fleet(senders=9)
     nine.run_for(FIRST_GRANT_US + SECOND)
     nine.cut(nine.in_zone(0))
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("failure", ["restart", "replace", "machine", "control"])
-def test_after_a_failure_all_may_send_again(failure):
+def test_after_a_failure_all_senders_may_send_again(failure):
     four = fleet(senders=4)
     four.run_for(FIRST_GRANT_US + SECOND)
     match failure:
@@ -108,14 +108,14 @@
         case "control":
             four.restart_control(SECOND)
     four.run_for(SECOND // 4)
-    streams = {"restart": 3 * 3, "replace": 3 * 3, "machine": 3 * 4}  # nobody tells that a machine is gone
+    streams = {"restart": 3 * 3, "replace": 3 * 3, "machine": 3 * 4}  # the loss of a machine is not announced
     assert four.control is None if failure == "control" else four.control.streams == streams[failure]
     four.run_for(KEEPALIVE_US + 10 * SECOND)
     assert four.control.streams == 3 * 4
     assert all(can_send(four, number) for number in range(4))
 
 
-def test_a_change_of_the_configuration_reaches_all():
+def test_a_configuration_change_reaches_all_senders():
     four = fleet(senders=4, destinations=2)
     four.run_for(FIRST_GRANT_US + SECOND)
     at = four.clock.now
@@ -125,7 +125,7 @@
     assert not any(can_send(four, number) for number in range(4))
 
 
-def test_load_reports_of_a_destination_that_is_down_raise_its_guard():
+def test_load_reports_of_a_failed_destination_limit_its_calls():
     traffic = [(FIRST_GRANT_US + SECOND, 0), *[(SECOND // 4, 0)] * 20]
     one = fleet(traffic=lambda number, random_: iter(traffic), is_down=lambda destination: True)
     one.run_for(FIRST_GRANT_US + 10 * SECOND)
@@ -146,7 +146,7 @@
     assert tables[0] == tables[1]
 
 
-def test_a_link_keeps_the_order_over_a_cut_and_loses_what_is_under_way_at_a_reset():
+def test_a_link_keeps_order_over_a_cut_and_drops_messages_in_flight_at_a_reset():
     clock, meter, got = VirtualClock(), Meter(), []
     link = Link(clock, random.Random(1), (meter,))
 
@@ -170,7 +170,7 @@
     assert got == [b"1", b"2", b"3"]
 
 
-def test_places_are_spread_over_zones_and_a_rack_lies_in_one():
+def test_places_are_spread_over_zones_and_a_rack_is_in_one_zone():
     rows = places(900)
     assert {row.zone for row in rows} == set(range(8))
     assert {row.region for row in rows} == {0, 1}
@@ -180,7 +180,7 @@
     assert all(len({row.zone for row in rack}) == 1 and len(rack) <= 10 for rack in racks.values())
 
 
-def test_heartbeats_are_told_from_lists():
+def test_heartbeats_are_distinguished_from_lists():
     heartbeat = messages.DeltaResponse(resources=[{"name": "route-0"}])
     assert messages.is_heartbeat(heartbeat)
     assert not messages.is_heartbeat(messages.DeltaResponse(removed_resources=["a"]))
--- a/tests/scaling/test_known_red.py
+++ b/tests/scaling/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what is listed is passed over, and nothing else."""
+"""KNOWN-RED.txt: listed checks are passed over, and no others."""
 
 import pathlib
 
@@ -14,12 +14,12 @@
     return path
 
 
-def test_a_listed_check_is_passed_over_by_its_whole_name_alone(tmp_path):
+def test_a_check_is_passed_over_only_by_its_full_name(tmp_path):
     listed = read_known_red(write(tmp_path, "scale: control: heartbeat | slower here | 35", "tests/test_x.py | y | 9"))
     assert checks_passed_over(listed) == {"control: heartbeat"}
 
 
-def test_without_a_file_nothing_is_passed_over(tmp_path):
+def test_a_missing_file_lists_nothing(tmp_path):
     assert read_known_red(tmp_path / "KNOWN-RED.txt") == []
 
 
@@ -29,10 +29,10 @@
         read_known_red(write(tmp_path, line))
 
 
-def test_more_lines_than_may_be_listed_are_an_error(tmp_path):
+def test_more_lines_than_the_maximum_are_an_error(tmp_path):
     with pytest.raises(KnownRedError, match="at most"):
         read_known_red(write(tmp_path, *["scale: a | cause | 1"] * (MAX_LINES + 1)))
 
 
-def test_the_project_s_own_file_can_be_read():
+def test_the_project_file_is_valid():
     read_known_red(ROOT / "KNOWN-RED.txt")
