--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -1,10 +1,11 @@
-"""The long proof of control in virtual time: seeded runs with failing links, judged by the audit.
+"""Runs control in virtual time with failing links, over many seeds, and checks each run with the audit.
 
     python benchmarks/control_proof.py [--runs 200] [--first SEED] [--seconds S]
 
-Links are reset, silent for up to 20 s, slow by up to 5 s; endpoints drain at the moment a link fails. Then a partner
-that returns cold with all proxies waiting: whole, with one proxy cut off over the return, and with control restarted in
-the middle; and the three things that a proxy may do when its lease ends, compared. Exit code 1 if a rule was broken.
+Links are reset, silent for up to 20 s, slow by up to 5 s; endpoints drain at the moment a link fails. Then a
+destination that recovers cold with all proxies waiting: without failures, with one proxy cut off over the recovery, and
+with control restarted in the middle; and the three choices of a proxy when its lease ends. Exit code 1 if a rule was
+broken.
 """
 
 import argparse
@@ -18,7 +19,7 @@
 from scalefall.control import audit
 from scalefall.lab.world import SECOND, Plan, World, world_with_outage
 
-RETURNS = {
+COLD_RETURNS = {
     "whole": {},
     "one proxy cut off over the return": {"disconnections": ((0, 15 * SECOND, 30 * SECOND),)},
     "cut off from before the outage to its end": {"disconnections": ((1, 11 * SECOND, 20 * SECOND),)},
@@ -27,27 +28,27 @@
 }
 
 
-def judged(world):
+def run_and_audit(world):
     rows, _ = audit.read_log(json.dumps(row) for row in world.run())
     return rows, audit.audit(rows)
 
 
-def many(title, worlds):
-    """Prints one line; how many rules were broken."""
-    counts, checked, broken, began = Counter(), Counter(), [], time.perf_counter()
-    number = fell = 0
+def run_worlds(title, worlds):
+    """Print a summary of the runs and return the number of violations."""
+    counts, checked, broken, started = Counter(), Counter(), [], time.perf_counter()
+    number = overloads = 0
     for seed, world in worlds:
-        _, findings = judged(world)
-        number, fell = number + 1, fell + world.destination.overload_failures
+        _, findings = run_and_audit(world)
+        number, overloads = number + 1, overloads + world.destination.overload_failures
         for proxy in world.proxies:
             counts.update(proxy.counts)
-        for found in findings:
-            checked[found.rule] += found.checked
-            broken += [f"seed {seed}: {found.rule}: {line}" for line in found.violations]
+        for finding in findings:
+            checked[finding.rule] += finding.checked
+            broken += [f"seed {seed}: {finding.rule}: {line}" for line in finding.violations]
     print(
-        f"{title}: {number} runs in {time.perf_counter() - began:.0f} s; "
+        f"{title}: {number} runs in {time.perf_counter() - started:.0f} s; "
         f"{', '.join(f'{rule} {checked[rule]}' for rule in audit.RULE_NAMES)} checked, {len(broken)} broken; "
-        f"partner fell over {fell} times"
+        f"destination overloaded {overloads} times"
     )
     print("    " + ", ".join(f"{how} {count}" for how, count in sorted(counts.items())))
     for line in broken[:10]:
@@ -56,12 +57,12 @@
 
 
 def ramp(seed):
-    """The cold return, second by second: what was sent, and what the partner takes."""
+    """Print the cold recovery second by second: calls sent and the destination's capacity."""
     world = world_with_outage(seed)
-    rows, _ = judged(world)
+    rows, _ = run_and_audit(world)
     sent = Counter(row.at // SECOND for row in rows if row.event == "took")
     takes = {row.at // SECOND: row.fields["a_second"] for row in rows if row.event == "capacity"}
-    print(f"ramp of seed {seed}: second, calls sent (#), what it takes (|)")
+    print(f"ramp of seed {seed}: second, calls sent (#), capacity (|)")
     for second in range(10, 45):
         line = list("#" * sent[second] + " " * 40)[:40]
         line[min(39, int(takes.get(second, 30)))] = "|"
@@ -75,12 +76,16 @@
     parser.add_argument("--seconds", type=int, default=30)
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.runs)
-    broken = many("failing links", ((seed, World(Plan(seconds=options.seconds), seed)) for seed in seeds))
-    for title, more in RETURNS.items():
-        broken += many(f"cold return, {title}", ((seed, world_with_outage(seed, **more)) for seed in list(seeds)[:20]))
+    broken = run_worlds("failing links", ((seed, World(Plan(seconds=options.seconds), seed)) for seed in seeds))
+    for title, failures in COLD_RETURNS.items():
+        broken += run_worlds(
+            f"cold return, {title}", ((seed, world_with_outage(seed, **failures)) for seed in list(seeds)[:20])
+        )
     for choice in ("fallback", "stop", "floor"):
         plan = Plan(seconds=options.seconds, at_end=choice)
-        broken_here = many(f"at the lease's end: {choice}", ((seed, World(plan, seed)) for seed in list(seeds)[:50]))
+        broken_here = run_worlds(
+            f"at the lease's end: {choice}", ((seed, World(plan, seed)) for seed in list(seeds)[:50])
+        )
         broken += broken_here if choice != "floor" else 0
     ramp(options.first)
     return 1 if broken else 0
--- a/benchmarks/scaling/demand.py
+++ b/benchmarks/scaling/demand.py
@@ -1,7 +1,7 @@
-"""What destinations are called with at the target rate: Zipf over destinations in a seeded order, in clumps.
+"""Call counts of destinations at the target rate: Zipf over destinations in a seeded order, in clumps.
 
 Counts are drawn for a span, not message by message: Poisson around the destination's rate, times a lognormal factor
-that is drawn anew for each destination and CLUMP_US, with mean 1.
+that is redrawn for each destination every CLUMP_US, with mean 1.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 SECOND = 1_000_000
 CLUMP_US = 30 * SECOND
-SIGMA = 0.5  # of the logarithm of a clump's factor: one in twenty is above 2
-SMALL = 30.0  # Poisson draws above it are taken from the normal distribution
+CLUMP_SIGMA = 0.5  # of the logarithm of a clump's factor: one in twenty is above 2
+NORMAL_APPROXIMATION_MEAN = 30.0  # Poisson draws above it are taken from the normal distribution
 
 
 class Demand:
     def __init__(self, clock: VirtualClock, destinations: int, exponent: float, rate: float, seed: int) -> None:
-        """rate: calls a second of all destinations together."""
+        """Draw the order of destinations; rate is the calls per second of all of them together."""
         self._clock, self._random, self._seed = clock, random.Random(seed), seed
         order = list(range(destinations))
         self._random.shuffle(order)
@@ -30,25 +30,25 @@
             self.rates[destination] = rate * rank**-exponent / total
 
     def counts(self, shares: Mapping[int, float], span_us: int) -> dict[int, int]:
-        """Calls of each destination of which a share is held, over a span that ends now."""
-        found = {}
+        """Return the calls of each destination with a nonzero count, over a span that ends now."""
+        counts = {}
         for destination, share in shares.items():
             mean = self.rates[destination] * share * span_us / SECOND * self._clump(destination)
             count = self._poisson(mean)
             if count:
-                found[destination] = count
-        return found
+                counts[destination] = count
+        return counts
 
     def _clump(self, destination: int) -> float:
-        drawn = random.Random(hash((self._seed, destination, self._clock.now // CLUMP_US)))
-        return exp(drawn.gauss(-SIGMA * SIGMA / 2, SIGMA))
+        generator = random.Random(hash((self._seed, destination, self._clock.now // CLUMP_US)))
+        return exp(generator.gauss(-CLUMP_SIGMA * CLUMP_SIGMA / 2, CLUMP_SIGMA))
 
     def _poisson(self, mean: float) -> int:
-        if mean > SMALL:
+        if mean > NORMAL_APPROXIMATION_MEAN:
             return max(0, round(self._random.gauss(mean, sqrt(mean))))
-        left, count = exp(-mean), 0
+        threshold, count = exp(-mean), 0
         product = self._random.random()
-        while product > left:
+        while product > threshold:
             count += 1
             product *= self._random.random()
         return count
--- a/benchmarks/scaling/job.py
+++ b/benchmarks/scaling/job.py
@@ -1,4 +1,4 @@
-"""One measurement in a process of its own: `python -m benchmarks.scaling.job NAME MODE` prints its figures as JSON."""
+"""Runs one measurement in its own process: `python -m benchmarks.scaling.job NAME MODE` prints its figures as JSON."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from benchmarks.scaling.processor import step_ns
 
-JOBS = {  # the longest first, so that they do not begin last
+JOBS = {  # longest first, so that none of them starts last
     "failures": failures.played,
     "failures-lost": failures.lost,
     "delivered": sender_messages.delivered,
@@ -35,18 +35,21 @@
     "allocator-memory": control_instance.allocator_memory,
     "grants-memory": control_instance.grants_memory,
     "streams-memory": control_instance.streams_memory,
-    "listed-memory": sender_control.listed,
-    "held-memory": sender_messages.held,
+    "listed-memory": sender_control.list_memory,
+    "held-memory": sender_messages.pending_memory,
 }
-FACTS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}  # not slopes
-SHORT = ("granted", "allocator", "catalog", "configured", "grants", "streams", "list-change")  # timed, several times
-TIMED = ("failures", "failures-lost", "delivered", *SHORT)
-MEMORY = "-memory"  # ends the names of jobs whose process has to allocate by malloc
+# Jobs whose results are not slopes.
+FACT_JOBS = {"divided": divided.facts, "sample": sample.run, "touched": lambda _mode: touched.touched()}
+# Timed several times.
+SHORT_JOBS = ("granted", "allocator", "catalog", "configured", "grants", "streams", "list-change")
+TIMED_JOBS = ("failures", "failures-lost", "delivered", *SHORT_JOBS)
+# Ends the names of jobs whose process must allocate by malloc.
+MEMORY_SUFFIX = "-memory"
 
 
 def main(name: str, mode: str) -> None:
-    if name in FACTS:
-        print(json.dumps({"step_ns": step_ns(), "figures": [], "facts": FACTS[name](mode)}))
+    if name in FACT_JOBS:
+        print(json.dumps({"step_ns": step_ns(), "figures": [], "facts": FACT_JOBS[name](mode)}))
         return
     figures = [series.figure().as_json() for series in JOBS[name](mode)]
     print(json.dumps({"step_ns": step_ns(), "figures": figures, "facts": None}))
--- a/benchmarks/scaling/watch.py
+++ b/benchmarks/scaling/observation.py
@@ -1,4 +1,4 @@
-"""What is seen of a fleet of hollow senders that divide destinations: gaps in service, movement, load, bytes, state."""
+"""Observes a fleet of hollow senders with assigned destinations: service gaps, moved destinations, load and bytes."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from scalefall.lab.hollow.sharded import ShardedFleet
 from scalefall.lab.proxy.meter import Direction, Kind
 
-LOOK_US = 100_000  # between looks at who serves what
+OBSERVATION_INTERVAL_US = 100_000  # between checks of which shards are served
 SECOND = 1_000_000
 
 
 @dataclass(slots=True)
 class Gaps:
-    """Times in us for which shards were served by nobody, each with its number of destinations."""
+    """Times in microseconds during which no sender served a shard, with the shard's number of destinations."""
 
     _since: dict[int, int] = field(default_factory=dict)
     ended: list[tuple[int, int]] = field(default_factory=list)  # (us, destinations)
 
-    def look(self, now: int, served: set[int], sizes: dict[int, int]) -> None:
+    def observe(self, now: int, served: set[int], sizes: dict[int, int]) -> None:
         for shard in [shard for shard in self._since if shard in served or shard not in sizes]:
             since = self._since.pop(shard)
             if shard in sizes:
@@ -28,79 +28,79 @@
         for shard in sizes.keys() - served:
             self._since.setdefault(shard, now)
 
-    def open(self) -> int:
-        """Shards that nobody serves now."""
+    def open_count(self) -> int:
+        """Return the number of shards that no sender serves now."""
         return len(self._since)
 
-    def quantile(self, part: float) -> int:
-        """By destination; 0 where nothing was interrupted."""
+    def quantile(self, fraction: float) -> int:
+        """Return a quantile of the gaps, weighted by destinations; 0 without gaps."""
         rows = sorted(self.ended)
         total = sum(count for _, count in rows)
         passed = 0
         for span, count in rows:
             passed += count
-            if passed >= part * total:
+            if passed >= fraction * total:
                 return span
         return 0
 
 
 def sizes(coordinator: Coordinator, destinations: int) -> dict[int, int]:
-    """Destinations of each shard that has any."""
-    found: dict[int, int] = {}
+    """Return the number of destinations of each shard that has any."""
+    counts: dict[int, int] = {}
     for destination in range(destinations):
         shard = coordinator.sharding.shard_of(destination)
-        found[shard] = found.get(shard, 0) + 1
-    return found
+        counts[shard] = counts.get(shard, 0) + 1
+    return counts
 
 
 def served(fleet: ShardedFleet) -> set[int]:
-    """Shards of which a process that is there holds something."""
+    """Return the shards that a running process has leased."""
     now = fleet.clock.now
-    held: set[int] = set()
+    leased: set[int] = set()
     for sender in fleet.senders:
         if not sender.has_ended:
-            held |= sender.contract.holder.leased_shards(now)
-    return held
+            leased |= sender.contract.holder.leased_shards(now)
+    return leased
 
 
 @dataclass(slots=True)
 class Moves:
-    """Destinations that got another sender, by why."""
+    """Counts destinations that moved to another sender, by cause."""
 
     moved: int = 0
-    lost: int = 0  # their sender was gone
-    filled: int = 0  # they went to a sender that had come with none
+    lost: int = 0  # their sender was lost
+    filled: int = 0  # they moved to a new sender without any
     _table: dict[int, tuple[str, ...]] = field(default_factory=dict)
     _generation: int = -1
 
     def begin(self, coordinator: Coordinator) -> None:
-        """Count from now on."""
+        """Reset the counts."""
         self.moved = self.lost = self.filled = 0
-        self._take(coordinator)
+        self._read_table(coordinator)
 
-    def look(self, coordinator: Coordinator, of: dict[int, int]) -> None:
-        """Take on what has changed. A shard that is new, or is gone, moved with its isolation and is not counted."""
+    def observe(self, coordinator: Coordinator, destinations_by_shard: dict[int, int]) -> None:
+        """Count the changes of the table. Shards added or removed by isolation are not counted."""
         if coordinator.generation == self._generation:
             return
         before = self._table
         old = {name for names in before.values() for name in names}
-        self._take(coordinator)
+        self._read_table(coordinator)
         new = {name for names in self._table.values() for name in names}
         for shard in before.keys() & self._table.keys():
-            here, there = set(before[shard]), set(self._table[shard])
-            if here != there:
-                self.moved += of.get(shard, 0)
-                if here - new:
-                    self.lost += of.get(shard, 0)
-                elif there - here - old:
-                    self.filled += of.get(shard, 0)
-
-    def _take(self, coordinator: Coordinator) -> None:
+            old_holders, new_holders = set(before[shard]), set(self._table[shard])
+            if old_holders != new_holders:
+                self.moved += destinations_by_shard.get(shard, 0)
+                if old_holders - new:
+                    self.lost += destinations_by_shard.get(shard, 0)
+                elif new_holders - old_holders - old:
+                    self.filled += destinations_by_shard.get(shard, 0)
+
+    def _read_table(self, coordinator: Coordinator) -> None:
         self._generation, self._table = coordinator.generation, coordinator.state().table
 
 
 def load_ratio(coordinator: Coordinator, demand: Demand, nodes: int) -> float:
-    """The most loaded node over the mean, by the demand's true rates."""
+    """Return the load of the most loaded node over the mean, by the demand's true rates."""
     table, shards = coordinator.state().table, coordinator.sharding
     by_shard: dict[int, float] = {}
     for destination, rate in enumerate(demand.rates):
@@ -114,17 +114,17 @@
 
 
 def bytes_by_sender(fleet: ShardedFleet) -> list[int]:
-    """Bytes so far, both ways, of each sender's place."""
+    """Return the bytes so far in both directions, by place of the sender."""
     return [
         sum(meter.count(direction, kind).bytes for direction in Direction for kind in Kind) for meter in fleet.meters
     ]
 
 
 def rates(before: list[int], after: list[int], span_us: int) -> list[float]:
-    """Bytes a second of each sender, ascending."""
+    """Return the bytes a second of each sender, in ascending order."""
     return sorted((new - old) * SECOND / span_us for old, new in zip(before, after, strict=True))
 
 
-def quantile(values: list[float], part: float) -> float:
-    """Of ascending values."""
-    return values[min(len(values) - 1, int(part * len(values)))]
+def quantile(values: list[float], fraction: float) -> float:
+    """Return a quantile of values in ascending order."""
+    return values[min(len(values) - 1, int(fraction * len(values)))]
--- a/benchmarks/scaling/processor.py
+++ b/benchmarks/scaling/processor.py
@@ -1,7 +1,7 @@
-"""Processor time and memory of this process, in units that can be held against another run's.
+"""Processor time and memory of this process, in units that are comparable between runs.
 
-Time is told in steps of a fixed loop of plain Python that is timed right before and right after each measurement, the
-smaller of both: a step is one round of it. So a figure says how much work it is rather than how fast the machine was.
+The unit of time is a step, one round of a fixed loop of plain Python that is timed right before and right after each
+measurement; the smaller time counts. So a figure shows the amount of work rather than the speed of the machine.
 Memory is what malloc has in use; it counts everything, protobuf's too, where Python itself allocates by malloc
 (PYTHONMALLOC=malloc, which run.py sets for the jobs that need it).
 """
@@ -15,9 +15,9 @@
 import time
 from collections.abc import Callable
 
-STEPS = 50_000  # rounds of the fixed loop: about 2 ms
-LOOPS = 3  # times that it is timed before and after; the smallest counts
-REPEATS = 5
+STEPS_PER_LOOP = 50_000  # about 2 ms
+LOOPS_PER_TIMING = 3  # the smallest time counts
+DEFAULT_REPEATS = 5
 
 
 class _Mallinfo2(ctypes.Structure):
@@ -40,60 +40,62 @@
 
 def _fixed_loop() -> int:
     total = 0
-    for number in range(STEPS):
+    for number in range(STEPS_PER_LOOP):
         total = (total + number * 3) & 0xFFFF
     return total
 
 
 def step_ns() -> float:
-    """Processor time of one step, the smallest of several loops."""
+    """Return the processor time of one step, the smallest of several loops."""
     times = []
-    for _ in range(LOOPS):
-        begun = time.process_time_ns()
+    for _ in range(LOOPS_PER_TIMING):
+        started = time.process_time_ns()
         _fixed_loop()
-        times.append(time.process_time_ns() - begun)
-    return min(times) / STEPS
+        times.append(time.process_time_ns() - started)
+    return min(times) / STEPS_PER_LOOP
 
 
 class Steps:
-    """Of one measurement: made before it, asked after it."""
+    """Converts the processor time of one measurement to steps: create it before, call `of` after."""
 
     def __init__(self) -> None:
         self._before = step_ns()
 
     def of(self, spent_ns: float) -> float:
-        """So much processor time in steps."""
+        """Return a processor time in steps."""
         return spent_ns / min(self._before, step_ns())
 
 
-def steps_of(work: Callable[..., object], *arguments: object, repeats: int = REPEATS) -> float:
-    """The median of so many calls, in steps, with the collector off."""
-    found = []
+def steps_of(work: Callable[..., object], *arguments: object, repeats: int = DEFAULT_REPEATS) -> float:
+    """Return the median time of the calls in steps, with the garbage collector off."""
+    steps_by_repeat = []
     gc.collect()
     gc.disable()
     try:
         for _ in range(repeats):
-            steps, begun = Steps(), time.process_time_ns()
+            steps, started = Steps(), time.process_time_ns()
             work(*arguments)
-            found.append(steps.of(time.process_time_ns() - begun))
+            steps_by_repeat.append(steps.of(time.process_time_ns() - started))
     finally:
         gc.enable()
-    return statistics.median(found)
+    return statistics.median(steps_by_repeat)
 
 
 def memory_in_use() -> int:
-    """Bytes. RuntimeError where Python does not allocate by malloc, as most of it would not be counted."""
+    """Return the bytes in use. Raise RuntimeError unless Python allocates by malloc, as most would not be counted."""
     if os.environ.get("PYTHONMALLOC") != "malloc":
-        raise RuntimeError("memory is counted with PYTHONMALLOC=malloc only")
+        raise RuntimeError(
+            f"PYTHONMALLOC is {os.environ.get('PYTHONMALLOC')!r}; memory can be counted with malloc only"
+        )
     gc.collect()
-    ask = ctypes.CDLL(None).mallinfo2
-    ask.restype = _Mallinfo2
-    info = ask()
+    mallinfo2 = ctypes.CDLL(None).mallinfo2
+    mallinfo2.restype = _Mallinfo2
+    info = mallinfo2()
     return info.uordblks + info.hblkhd
 
 
 def memory_of(build: Callable[..., object], *arguments: object) -> int:
-    """Bytes that what is built keeps in use."""
+    """Return the bytes that the built object keeps in use."""
     before = memory_in_use()
     built = build(*arguments)
     after = memory_in_use()
