--- a/scalefall/assignment/assembly.py
+++ b/scalefall/assignment/assembly.py
@@ -18,7 +18,7 @@
 from scalefall.assignment.sharding import Sharding
 from scalefall.errors import AssignmentError
 
-LOAD_BOUND = 1.15  # a sender's measured load over the mean; true loads deviate from it, and should stay within 1.25
+LOAD_BOUND = 1.15  # most measured load of a node over the mean; true loads deviate, and should stay within 1.25
 
 
 @dataclass(slots=True, frozen=True)
--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -202,7 +202,7 @@
         self._loads.report(loads, now)
 
     def set_allowance(self, destination: int, amount: int) -> None:
-        """Set the destination's allowance, in milli-calls per second, for all senders together.
+        """Set the destination's allowance, in thousandths of a call a second, for all senders together.
 
         Raises:
             AssignmentError: The amount is not a whole number of 0 or more.
@@ -210,7 +210,10 @@
         self._ledger.set_limit(destination, self._sharding.shard_of(destination), amount)
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
-        """Record that a process has received a grant; return False for a number that is unknown or no longer in use.
+        """Record that a process has received a grant; see ShardLedger.acknowledged.
+
+        Returns:
+            Whether this changes anything; False for a number that is unknown or no longer in use.
 
         Raises:
             AssignmentError: The process is unknown.
@@ -355,7 +358,7 @@
 
 
 def _changed_shards(before: Table, after: Table) -> list[int]:
-    """Return the shards whose holders, or their order, differ, ascending."""
+    """Return the shards whose nodes, or their order, differ, ascending."""
     return sorted(shard for shard in before.keys() | after.keys() if before.get(shard) != after.get(shard))
 
 
--- a/scalefall/assignment/coverage.py
+++ b/scalefall/assignment/coverage.py
@@ -1,4 +1,4 @@
-"""The shards that each node covers, whose destinations' resources it needs, and the changes of them.
+"""The shards that each node covers: those whose destinations' resources it needs.
 
 A node covers a shard from its placement on the node until no process of the node can be using it. While a shard moves,
 both nodes cover it. The cost is proportional to the changes.
--- a/scalefall/assignment/holder.py
+++ b/scalefall/assignment/holder.py
@@ -30,7 +30,7 @@
     quota: int = 0
     expires_at: int = 0  # the end of the grant's lease
     destination: int | None = None  # the isolated destination that the shard serves, if any
-    limits: dict[int, int] = field(default_factory=dict)  # milli-calls per second, by destination
+    limits: dict[int, int] = field(default_factory=dict)  # thousandths of a call a second, by destination
 
     def quota_at(self, now: int) -> int:
         """Return the quota that may be used at a time."""
@@ -70,7 +70,7 @@
         return True
 
     def budget(self, destination: int, now: int) -> int:
-        """Return the rate at which the process may call a destination, in milli-calls per second; 0 without a lease."""
+        """Return the process's rate for a destination, in thousandths of a call a second; 0 without a lease."""
         tenure = self._tenure_of(destination, now)
         if tenure is None:
             return 0
@@ -107,7 +107,7 @@
         """Return the highest grant number received for each shard, withdrawals included, for a report to acknowledge.
 
         Args:
-            now: If given, expired shards are left out: acknowledging them is of no use to the service.
+            now: If given, shards whose lease has expired are left out: the service has no use for them.
         """
         return {
             shard: tenure.number for shard, tenure in self._tenures.items() if now is None or now < tenure.expires_at
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -1,7 +1,7 @@
 """The ledger of leases on shards: which holder may use which quota of a shard, until when. No I/O, no clock.
 
 Theory of operation. Times are microseconds of the control service's clock; a quota is in millionths (FULL_QUOTA is the
-whole shard); limits are in milli-calls per second.
+whole shard); limits are in thousandths of a call a second.
 
 A grant goes to one holder (one process of a sender) for one shard, with a number that only increases. A holder has one
 grant per shard, the highest number that it has received, for `lease` from its receipt. Two facts bound what the service
@@ -243,5 +243,5 @@
         return tuple(record.leases) if record else ()
 
     def drain_released(self) -> list[ReleasedShard]:
-        """Return and clear the shards that holders have stopped using since the last call."""
+        """Return and clear the shards released since the last call, which their holders can no longer be using."""
         return self._records.drain_released()
--- a/scalefall/assignment/limit_log.py
+++ b/scalefall/assignment/limit_log.py
@@ -3,7 +3,7 @@
 A grant carries every limit that changed since its holder's last acknowledgement. Only destinations with a limit have a
 row; one that becomes UNLIMITED keeps its row until every holder has acknowledged that. Each change has the next
 version. Rows are ordered by version, so the changes since a version are read from the end, at a cost proportional to
-their number. Rates are in milli-calls per second.
+their number. Rates are in thousandths of a call a second.
 """
 
 from __future__ import annotations
@@ -75,5 +75,5 @@
 
     @property
     def has_unlimited_rows(self) -> bool:
-        """Return whether `prune_unlimited` may have rows to drop."""
+        """Whether `prune_unlimited` may have rows to drop."""
         return bool(self._unlimited)
--- a/scalefall/assignment/load_means.py
+++ b/scalefall/assignment/load_means.py
@@ -54,7 +54,9 @@
         """
         for destination, load in loads.items():
             if not _is_load(load):
-                raise AssignmentError(f"destination {destination}: a load of {load!r} calls a second")
+                raise AssignmentError(
+                    f"destination {destination}: a load of {load!r} calls per second, not a finite number of 0 or more"
+                )
         decay = 0.0 if self._reported_at is None else exp(-max(0, now - self._reported_at) / AVERAGING_US)
         self._reported_at = now
         self.first_report_at = now if self.first_report_at is None else self.first_report_at
--- a/scalefall/assignment/membership.py
+++ b/scalefall/assignment/membership.py
@@ -89,11 +89,11 @@
         return removed
 
     def next_removal_at(self) -> int | None:
-        """Return the earliest pending removal; None if there is none."""
+        """Return the time of the earliest pending removal; None if there is none."""
         return next(iter(self._removals.values()), None)
 
     def last_removal_at(self) -> int | None:
-        """Return the latest pending removal; None if there is none."""
+        """Return the time of the latest pending removal; None if there is none."""
         return max(self._removals.values(), default=None)
 
     def holder(self, name: str) -> str | None:
--- a/scalefall/assignment/model.py
+++ b/scalefall/assignment/model.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 FULL_QUOTA = 1_000_000  # a quota is in millionths of a shard's allowances, so that sums of quotas are exact
-UNLIMITED = 10**12  # milli-calls per second: no limit; equal to scalefall.control.allocator.UNLIMITED
+UNLIMITED = 10**12  # thousandths of a call a second: no limit; equal to scalefall.control.allocator.UNLIMITED
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,7 +22,7 @@
     """The rate at which all holders of a shard together may call one of its destinations."""
 
     destination: int
-    rate: int  # milli-calls per second
+    rate: int  # thousandths of a call a second
 
 
 @dataclass(slots=True, frozen=True)
--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -4,14 +4,14 @@
 -------------------
 `place` is a pure function from the present table, the measured loads and the nodes to the next table. It is
 deterministic, independent of the order in which nodes are listed, and idempotent: placing its result again changes
-nothing.
+nothing. In placement, a holder is a node that holds a shard, not a process as in the ledger.
 
 1. A holder that is still a node stays. A shard whose load exceeds `PlacementLimits.replica_load` gets more holders at
    once; holders are removed only when three quarters of them would suffice, so that noise in a load does not add and
    remove them alternately.
 2. Shards that lack a holder are placed, the heaviest first, on the least loaded node with spare capacity, in the region
    of the shard's other holders or of its lost one; in another region only if that region has no (or too few) nodes.
-   Holders of one shard are on different nodes, and in different zones where a node with spare capacity permits.
+   The holders of one shard are different nodes, and in different zones where a node with spare capacity permits.
 3. Shards move off nodes above `bound` times the mean load, and onto nodes below the mean divided by `bound`, such as
    new ones (`rebalance`). Nothing else moves. Balance has priority over region: if all nodes of a region are above the
    bound, the excess moves to another region.
@@ -99,7 +99,7 @@
         limits: The limits on the load of a node and of a replica.
         shards: All shards of the next table.
         may_move: Whether shards that have their holders may move for balance.
-        former_nodes: The regions of lost nodes; shards of a node that is not listed may go to any region.
+        former_nodes: Lost nodes, for their regions; shards of a lost node that is not listed may go to any region.
 
     Raises:
         AssignmentError: A node is named twice, or a load is not a finite number above 0.
@@ -157,15 +157,15 @@
     return {shard: _holder_count(loads.get(shard), len(table.get(shard, ())), limits, node_count) for shard in shards}
 
 
-def _holder_count(load: float | None, present: int, limits: PlacementLimits, nodes: int) -> int:
+def _holder_count(load: float | None, present: int, limits: PlacementLimits, node_count: int) -> int:
     """Return the number of holders that a shard should have."""
     if limits.replica_load == 0:
         return 1
     if load is None:
-        return min(max(present, 1), nodes)  # a missing measurement does not remove holders
-    needed = max(1, ceil(min(load / limits.replica_load, nodes)))
+        return min(max(present, 1), node_count)  # a missing measurement does not remove holders
+    needed = max(1, ceil(min(load / limits.replica_load, node_count)))
     if present > needed > present * SHRINK_FRACTION:
-        return min(present, nodes)
+        return min(present, node_count)
     return needed
 
 
--- a/scalefall/assignment/placement_schedule.py
+++ b/scalefall/assignment/placement_schedule.py
@@ -32,7 +32,7 @@
 
         Args:
             now: The present time.
-            removal_at: The latest pending removal of a node, if there is any.
+            removal_at: The time of the latest pending removal of a node; None if there is none.
         """
         at = now + SETTLE_US
         if removal_at is not None:
--- a/scalefall/assignment/rebalance.py
+++ b/scalefall/assignment/rebalance.py
@@ -8,7 +8,7 @@
 offload  moves shards off a node above the cap: to the least loaded node of its region that stays within the cap, else
          of another region, else to any node whose load ends up below the source's load before the move;
 fill     moves shards to a node below the floor, such as a new one, from the most loaded nodes of its region, else of
-         another; the source stays above the floor, the target below the cap.
+         another; the source does not fall below the floor, nor the target rise above the cap.
 
 The steps terminate: each move either spreads the holders of a shard over more zones, or preserves that spread and
 lowers the larger of the two nodes' loads. The shard to move is the smallest that suffices, else the largest.
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -108,7 +108,7 @@
             self.coordinator.holder_joined(holder, node, now)
 
     def generation(self) -> int:
-        """Return the table's generation, which increases with each change of what a snapshot contains."""
+        """Return the generation, which increases with each change of the table or of the isolated destinations."""
         return self.coordinator.generation
 
     def snapshot(self) -> str | None:
--- a/scalefall/assignment/shard_leases.py
+++ b/scalefall/assignment/shard_leases.py
@@ -1,4 +1,4 @@
-"""An adapter of the coordinator to the lease ledger that the control service calls. No I/O, no clock."""
+"""An adapter from the coordinator to the ledger interface that the control service calls. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self._coordinator.resume(number)
 
     def allow(self, destination: int, amount: int) -> bool:
-        """Set a destination's allowance in milli-calls per second; return whether it has changed."""
+        """Set a destination's allowance in thousandths of a call a second; return whether it has changed."""
         if self._limited.get(destination, UNLIMITED) == amount:
             return False
         if amount >= UNLIMITED:
--- a/scalefall/assignment/shard_record.py
+++ b/scalefall/assignment/shard_record.py
@@ -37,7 +37,7 @@
 class HolderLease:
     """One holder's lease on one shard."""
 
-    epoch: int = 0  # of its tenure; 0: withdrawn, so the next grant begins a new tenure
+    epoch: int = 0  # of its tenure; 0: no tenure yet, or withdrawn, so the next grant begins a tenure
     acknowledged_version: int = 0  # the latest version of the limits that the holder acknowledged in this tenure
     renewed_at: int = 0  # when the last grant was sent
     outstanding: list[OutstandingGrant] = field(default_factory=list)  # in ascending order of their numbers
@@ -161,7 +161,7 @@
         return now >= lease.renewed_at + renewal_us or lease.outstanding[-1].version < self.limits.urgent_version
 
     def next_evaluation(self, now: int, live: Container[str], renewal_us: int) -> int:
-        """Return the time of the next renewal, or of the next expiry that may permit another grant; else NEVER."""
+        """Return the time of the next renewal, or of an expiry that may permit a grant or end a move; else NEVER."""
         at = NEVER
         for holder, lease in self.leases.items():
             if lease.quota and holder in live:
@@ -173,7 +173,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether the record has no content and may be dropped."""
+        """Whether the record has no content and may be dropped."""
         return not (
             self.targets or self.leases or len(self.limits) or self.awaited_by_move or self.destination is not None
         )
--- a/scalefall/assignment/shard_view.py
+++ b/scalefall/assignment/shard_view.py
@@ -36,7 +36,7 @@
         return self._nodes.get(self._shards.get(destination, -1), ())
 
     def update_node(self, node: str, shards: Iterable[int]) -> None:
-        """Update the nodes of these shards, which the node has gained or lost."""
+        """Add the node to those of these shards that it has gained, and remove it from those that it has lost."""
         covered = self._coordinator.shards_of(node)
         for shard in shards:
             if shard in covered:
