--- a/scalefall/assignment/isolation_transitions.py
+++ b/scalefall/assignment/isolation_transitions.py
@@ -127,7 +127,7 @@
         self._moving.discard(destination)
         self._records.get_or_create(isolation.own).blocked = False
         self._records.mark_changed(isolation.own)
-        self._update_watch(isolation.home)
+        self._update_awaited_by_move(isolation.home)
 
     def _finish_merge(self, destination: int, isolation: _Isolation, now: int) -> None:
         own = self._records.get_or_create(isolation.own)
@@ -138,9 +138,9 @@
         self._records.drop(own)
         home = self._records.get_or_create(isolation.home)
         self._records.set_limit(destination, home, isolation.rate)
-        self._update_watch(isolation.home)
+        self._update_awaited_by_move(isolation.home)
 
-    def _update_watch(self, home: int) -> None:
+    def _update_awaited_by_move(self, home: int) -> None:
         """Set whether a home shard is awaited by a move."""
         moving = (self._isolated[destination] for destination in self._moving)
         self._records.get_or_create(home).awaited_by_move = any(isolation.home == home for isolation in moving)
--- a/scalefall/assignment/ledger.py
+++ b/scalefall/assignment/ledger.py
@@ -224,7 +224,7 @@
         assert_invariant(not record.blocked, "nothing is granted on a blocked shard")
         until = now + self._delay_us + self._lease_us
         lease.outstanding.append(OutstandingGrant(self._number, epoch, quota, version, until))
-        lease.renewed_at = now
+        lease.sent_at = now
         if not quota:
             lease.epoch = 0
         limits = record.limits.changed_since(lease.acknowledged_version)
--- a/scalefall/assignment/shard_record.py
+++ b/scalefall/assignment/shard_record.py
@@ -39,7 +39,7 @@
 
     epoch: int = 0  # of its tenure; 0: no tenure yet, or withdrawn, so the next grant begins a tenure
     acknowledged_version: int = 0  # the latest version of the limits that the holder acknowledged in this tenure
-    renewed_at: int = 0  # when the last grant was sent
+    sent_at: int = 0  # when the last grant was sent
     outstanding: list[OutstandingGrant] = field(default_factory=list)  # in ascending order of their numbers
 
     @property
@@ -158,14 +158,14 @@
         """Return whether to send the same quota again, because its lease is due or a limit is urgent."""
         if lease is None:
             return True
-        return now >= lease.renewed_at + renewal_us or lease.outstanding[-1].version < self.limits.urgent_version
+        return now >= lease.sent_at + renewal_us or lease.outstanding[-1].version < self.limits.urgent_version
 
     def next_evaluation(self, now: int, live: Container[str], renewal_us: int) -> int:
         """Return the time of the next renewal, or of an expiry that may permit a grant or end a move; else NEVER."""
         at = NEVER
         for holder, lease in self.leases.items():
             if lease.quota and holder in live:
-                at = min(at, lease.renewed_at + renewal_us)
+                at = min(at, lease.sent_at + renewal_us)
             steady = holder in live and lease.in_use(now) == self.targets.get(holder, 0)
             if self.awaited_by_move or self.draining or not steady:
                 at = min(at, *(grant.expires_at for grant in lease.outstanding))
