--- a/scalefall/assignment/coordinator.py
+++ b/scalefall/assignment/coordinator.py
@@ -210,10 +210,7 @@
         self._ledger.set_limit(destination, self._sharding.shard_of(destination), amount)
 
     def acknowledged(self, holder: str, shard: int, number: int, now: int) -> bool:
-        """Record that a process has received a grant; see ShardLedger.acknowledged.
-
-        Returns:
-            Whether this changes anything; False for a number that is unknown or no longer in use.
+        """Record that a process has received a grant; return whether this changes anything (ShardLedger.acknowledged).
 
         Raises:
             AssignmentError: The process is unknown.
