--- a/tests/assignment/test_coordinator.py
+++ b/tests/assignment/test_coordinator.py
@@ -307,13 +307,16 @@
         (lambda coordinator: coordinator.set_allowance(3, -1), "destination 3: an allowance of -1"),
         (
             lambda coordinator: coordinator.loads_reported({2: 1.0, 3: float("nan")}, SECOND),
-            "destination 3: a load of nan",
+            "destination 3: a load of nan calls per second, not a finite number of 0 or more",
         ),
         (
             lambda coordinator: coordinator.loads_reported({2: 1.0, 3: float("inf")}, SECOND),
-            "destination 3: a load of inf",
+            "destination 3: a load of inf calls per second, not a finite number of 0 or more",
+        ),
+        (
+            lambda coordinator: coordinator.loads_reported({2: 1.0, 3: -0.1}, SECOND),
+            "destination 3: a load of -0.1 calls per second, not a finite number of 0 or more",
         ),
-        (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: -0.1}, SECOND), "destination 3: a load of -0.1"),
         (lambda coordinator: coordinator.loads_reported({2: 1.0, 3: 10**400}, SECOND), "destination 3: a load of 1000"),
     ],
 )
--- a/tests/assignment/test_placement.py
+++ b/tests/assignment/test_placement.py
@@ -154,7 +154,7 @@
     assert min(found.values()) >= mean / 1.25 * (1 - TOLERANCE)
 
 
-def test_a_heavy_shard_has_replicas_in_all_zones_and_gives_them_up_late():
+def test_a_heavy_shard_has_replicas_in_all_zones_and_removes_them_late():
     """Guards against noise that adds and removes holders: they are removed only when three quarters suffice."""
     loads = {**drawn_loads(400, 6), 400: 100.0}
     limits = PlacementLimits(1.25, 6.0)
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("present", [(), ("n1",), ("n1", "n2")])
 def test_replicas_are_placed_in_different_zones_or_moved_there(present):
-    """Guards against replicas in one zone while another zone has capacity; no, one or two holders are in one zone."""
+    """Guards against replicas in one zone while another has capacity; at first 0, 1 or 2 of them are in zone b."""
     nodes = [Node("n1", "r", "b"), Node("n2", "r", "b"), Node("n3", "r", "b"), Node("n4", "r", "a")]
     loads, limits = {shard: 1.0 for shard in range(1, 13)} | {0: 2.0}, PlacementLimits(1.25, 1.0)
     before = {0: present}
--- a/tests/assignment/test_shard_ledger.py
+++ b/tests/assignment/test_shard_ledger.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from hypothesis import settings as limits
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
@@ -209,5 +209,7 @@
                         assert self.holders[name].budget(destination, self.now) == budget
 
 
-LeaseMachine.TestCase.settings = limits(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True)
+LeaseMachine.TestCase.settings = hypothesis_settings(
+    max_examples=150, stateful_step_count=30, deadline=None, derandomize=True
+)
 TestLeases = LeaseMachine.TestCase
--- a/tests/assignment/test_sharded_service.py
+++ b/tests/assignment/test_sharded_service.py
@@ -49,17 +49,19 @@
         self.simulation, self.node, self.instance, self.region = simulation, node, instance, region
         self.contract = ShardedContract(Sharding(SHARDS).shard_of)
         self.reachable, self.sent = True, Counter()
-        simulation.numbers += 2
-        self.ads, self.quota = simulation.numbers - 1, simulation.numbers
-        self.lists, self.first = set(), True
+        simulation.last_stream += 2
+        self.resource_stream, self.quota_stream = simulation.last_stream - 1, simulation.last_stream
+        self.lists, self.is_first_lease = set(), True
 
     def start(self):
         """Open both streams."""
         simulation = self.simulation
         self.contract.stream_opened(simulation.now)
-        simulation.service.resource_stream_opened(self.ads, self.node, True, True)
-        simulation.carry(simulation.service.request(self.ads, Request(EDS, names=("*",)), simulation.now))
-        simulation.service.quota_stream_joined(self.quota, self.node, self.instance, simulation.now, self.region, "z")
+        simulation.service.resource_stream_opened(self.resource_stream, self.node, True, True)
+        simulation.deliver(simulation.service.request(self.resource_stream, Request(EDS, names=("*",)), simulation.now))
+        simulation.service.quota_stream_joined(
+            self.quota_stream, self.node, self.instance, simulation.now, self.region, "z"
+        )
         return self
 
     def received(self, action):
@@ -69,18 +71,18 @@
                 quota_wire.shard_grants(action.grants, 1), f"{self.node}/{self.instance}"
             )
             assert tuple(grants) == action.grants
-            self.contract.shard_grants_received(grants, self.heard)
+            self.contract.shard_grants_received(grants, self.last_report)
         elif isinstance(action, Response):
-            self.listed(action)
+            self.resources_received(action)
 
-    def listed(self, response):
+    def resources_received(self, response):
         """Process resources and acknowledge them."""
         if response.is_heartbeat:
             self.contract.heartbeat_received()
         for resource in () if response.is_heartbeat else response.resources:
             if resource.name == resources.LEASE_NAME:
-                self.contract.lease_received(resource.ttl_us, self.first)
-                self.first = False
+                self.contract.lease_received(resource.ttl_us, self.is_first_lease)
+                self.is_first_lease = False
             else:
                 self.lists.add(resource.destination)
                 self.contract.list_received(resource.destination, resource.body, False, 0, False)
@@ -88,16 +90,16 @@
             self.lists.discard(resources.destination_of(name))
             self.contract.list_removed(resources.destination_of(name))
         self.contract.acknowledged(self.simulation.now)
-        self.simulation.carry(
-            self.simulation.service.request(self.ads, Request(EDS, response.nonce), self.simulation.now)
+        self.simulation.deliver(
+            self.simulation.service.request(self.resource_stream, Request(EDS, response.nonce), self.simulation.now)
         )
 
     def report(self):
         """Send a report, which acknowledges grants."""
-        self.heard, had = self.contract.next_report(self.simulation.now)
-        self.simulation.service.acknowledged(self.quota, had, self.simulation.now)
+        self.last_report, highest_grant = self.contract.next_report(self.simulation.now)
+        self.simulation.service.acknowledged(self.quota_stream, highest_grant, self.simulation.now)
 
-    def try_all(self):
+    def choose_all(self):
         """Return the proxy's decision on one message for each destination."""
         return {number: self.contract.choose(number, self.simulation.now) for number in DESTINATIONS}
 
@@ -107,7 +109,7 @@
 
     def __init__(self):
         """Start a service with one endpoint for each destination, and no sender."""
-        self.now, self.numbers, self.senders = 0, 0, []
+        self.now, self.last_stream, self.senders = 0, 0, []
         builder = ResourceBuilder(built_fixed, built_list)
         self.service = ShardedService(
             0, settings(replica_count=1), 3, builder, LEASE_US, DELAY_US, LEASE_US, ASSIGNMENT
@@ -124,11 +126,11 @@
         self.senders.append(Sender(self, node, instance, region))
         return self.senders[-1].start()
 
-    def carry(self, out):
+    def deliver(self, outgoing):
         """Deliver the service's messages."""
-        for stream, action in out:
+        for stream, action in outgoing:
             for sender in self.senders:
-                if sender.reachable and stream in (sender.ads, sender.quota):
+                if sender.reachable and stream in (sender.resource_stream, sender.quota_stream):
                     sender.received(action)
 
     def run(self, seconds):
@@ -140,17 +142,17 @@
                 for sender in self.senders:
                     if sender.reachable:
                         sender.report()
-            self.carry(self.service.step(self.now))
-            self.check()
+            self.deliver(self.service.step(self.now))
+            self.check_holders()
 
-    def check(self):
+    def check_holders(self):
         """Check that no two senders hold a destination."""
         for number in DESTINATIONS:
             assert sum(sender.contract.holder.holds(number, self.now) for sender in self.senders) <= 1
 
     def served(self):
         """Return the nodes that would call each destination now."""
-        chosen = [(sender, sender.try_all()) for sender in self.senders]
+        chosen = [(sender, sender.choose_all()) for sender in self.senders]
         return {
             number: [sender.node for sender, found in chosen if isinstance(found[number], Send)]
             for number in DESTINATIONS
@@ -160,11 +162,11 @@
 @pytest.fixture
 def simulation():
     """Return a simulation of three senders after the grace period."""
-    made = Simulation()
+    started = Simulation()
     for node in "abc":
-        made.add(node)
-    made.run(8)
-    return made
+        started.add(node)
+    started.run(8)
+    return started
 
 
 def test_each_destination_is_served_by_one_sender_which_alone_has_its_endpoint_list(simulation):
@@ -172,15 +174,15 @@
     served = simulation.served()
     assert all(len(nodes) == 1 for nodes in served.values())
     for sender in simulation.senders:
-        theirs = {number for number, nodes in served.items() if nodes == [sender.node]}
-        assert theirs
-        assert sender.lists == theirs
+        served_here = {number for number, nodes in served.items() if nodes == [sender.node]}
+        assert served_here
+        assert sender.lists == served_here
 
 
 def test_a_message_at_a_sender_that_does_not_hold_its_destination_goes_to_the_ingress(simulation):
     """Guards against calls without a lease on the destination's shard."""
     for sender in simulation.senders:
-        found = sender.try_all()
+        found = sender.choose_all()
         others = [found[number] for number in DESTINATIONS if number not in sender.lists]
         assert others
         assert all(isinstance(each, Fallback) for each in others)
@@ -191,15 +193,15 @@
     before = simulation.served()
     lost = simulation.senders[0]
     lost.reachable = False
-    for stream in (lost.ads, lost.quota):
+    for stream in (lost.resource_stream, lost.quota_stream):
         simulation.service.resource_stream_closed(stream)
         simulation.service.quota_stream_closed(stream, simulation.now)
-    again = simulation.add("a", "2")
+    restarted = simulation.add("a", "2")
     simulation.run(4)
     assert simulation.served() == before
-    assert again.lists
-    again.reachable = False
-    simulation.run(12)  # until the silent process is removed, and the others have its shards
+    assert restarted.lists
+    restarted.reachable = False
+    simulation.run(12)  # until the unreachable node is removed, and the others have its shards
     after = simulation.served()
     assert all(len(nodes) == 1 and nodes != ["a"] for nodes in after.values())
     assert all(after[number] == nodes for number, nodes in before.items() if nodes != ["a"])
@@ -256,7 +258,7 @@
     simulation.service.become_leader(simulation.now, old.ledger.number, text)
     for sender in simulation.senders:
         sender.contract.quota_stream_opened()
-        sender.first = True
+        sender.is_first_lease = True
         sender.start()
     simulation.run(8)
     assert simulation.served() == before
