--- a/scalefall/assignment/placement.py
+++ b/scalefall/assignment/placement.py
@@ -59,9 +59,11 @@
     def __post_init__(self) -> None:
         """Check the ranges."""
         if not 1 <= self.bound < inf:
-            raise AssignmentError(f"the bound of a node's load over the mean has to be at least 1, not {self.bound}")
+            raise AssignmentError(
+                f"the bound of a node's load over the mean has to be finite and at least 1, not {self.bound}"
+            )
         if not 0 <= self.replica_load < inf:
-            raise AssignmentError(f"the load of one replica has to be 0 or more, not {self.replica_load}")
+            raise AssignmentError(f"the load of one replica has to be finite and 0 or more, not {self.replica_load}")
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/assignment/test_placement.py
+++ b/tests/assignment/test_placement.py
@@ -265,8 +265,8 @@
     with pytest.raises(AssignmentError, match=r"^node n03 is named twice$"):
         place({}, {}, [*FLEET, Node("n03", "elsewhere")], PlacementLimits(), range(9))
     for bound in (0.9, nan, inf):
-        with pytest.raises(AssignmentError, match="bound"):
+        with pytest.raises(AssignmentError, match="has to be finite and at least 1"):
             PlacementLimits(bound)
     for replica_load in (-1, nan, inf):
-        with pytest.raises(AssignmentError, match="replica"):
+        with pytest.raises(AssignmentError, match="replica has to be finite and 0 or more"):
             PlacementLimits(1.25, replica_load)
