--- a/benchmarks/scaling/calibrate.py
+++ b/benchmarks/scaling/calibrate.py
@@ -49,7 +49,7 @@
 
     messages: dict[str, dict[str, list[int]]]  # by direction and kind: messages, bytes
     state: int  # bytes
-    fallen: float  # fraction of messages for which the sender had no trusted list or no grant
+    fallback_share: float  # fraction of messages for which the sender had no trusted list or no grant
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,9 +71,11 @@
     print(f"\n{'Calibration':<32}{'real':>12}{'hollow':>12}")
     for direction, kinds in real.messages.items():
         for kind, counted in kinds.items():
-            for what, one, other in zip(("messages", "bytes"), counted, hollow.messages[direction][kind], strict=False):
-                checks.append(_check(f"{kind} {direction}, {what}", one, other, WIRE_TOLERANCE))
-    print(f"{'messages fallen back':<32}{real.fallen:>12.1%}{hollow.fallen:>12.1%}  (informational)")
+            for what, processes, model in zip(
+                ("messages", "bytes"), counted, hollow.messages[direction][kind], strict=False
+            ):
+                checks.append(_check(f"{kind} {direction}, {what}", processes, model, WIRE_TOLERANCE))
+    print(f"{'messages fallen back':<32}{real.fallback_share:>12.1%}{hollow.fallback_share:>12.1%}  (informational)")
     checks.append(_check("contract's state, bytes", real.state, hollow.state, STATE_TOLERANCE))
     return checks
 
@@ -119,7 +121,7 @@
                 return row
 
     @property
-    def fallen(self) -> float:
+    def fallback_share(self) -> float:
         return self._fallbacks / max(1, self._ended)
 
     def end(self) -> None:
@@ -153,12 +155,12 @@
             changes.append(time.time_ns() // 1000 - opened)
         time.sleep(max(0.0, opened / SECOND + CHANGES_SPAN_S - time.time()))
         sender.child.terminate()
-        counted, fallen = sender.event("counted"), sender.fallen
+        counted, fallback_share = sender.event("counted"), sender.fallback_share
     finally:
         control.end()
         if sender is not None:
             sender.end()
-    return SideCounts(counted["messages"], counted["state"], fallen), Schedule(changes, counted["at"] - opened)
+    return SideCounts(counted["messages"], counted["state"], fallback_share), Schedule(changes, counted["at"] - opened)
 
 
 def _write_site(folder: pathlib.Path, ports: list[int], changes: int) -> None:
@@ -224,8 +226,8 @@
         control.configure(site(number + 1).fleet)
     clock.run_until(opened + schedule.end)
     outcomes = sender.outcomes
-    fallen = outcomes.fallen / max(1, outcomes.sent + outcomes.refused + outcomes.fallen)
-    return SideCounts(meter.table(), deep_size(sender.contract), fallen)
+    fallback_share = outcomes.fallen / max(1, outcomes.sent + outcomes.refused + outcomes.fallen)
+    return SideCounts(meter.table(), deep_size(sender.contract), fallback_share)
 
 
 def _traffic(routes: list[int], random_: random.Random) -> Iterator[tuple[int, int]]:
