--- a/benchmarks/control_proof.py
+++ b/benchmarks/control_proof.py
@@ -2,7 +2,7 @@
 
     python benchmarks/control_proof.py [--runs 200] [--first SEED] [--seconds S]
 
-Links are reset, silent for up to 20 s, slow by up to 5 s; endpoints drain at the moment a link fails. Then a
+Links are reset, blackholed for up to 20 s or delayed by up to 5 s; endpoints drain as a link fails. Then a
 destination that recovers cold with all proxies waiting: without failures, with one proxy cut off over the recovery, and
 with control restarted in the middle; and the three choices of a proxy when its lease ends. Exit code 1 if a rule was
 broken.
