--- a/tests/golden/drive.py
+++ b/tests/golden/drive.py
@@ -1,7 +1,7 @@
-"""Drives the program to say each thing that it can say on a wire, and gives back the bytes.
+"""Makes the program send each message that it can send on a wire, and returns the bytes.
 
-Every name of the program that the goldens touch stands in this module. Each function of AREAS returns the bytes by the
-golden's name. HTTP is played in virtual time (nethelp.VirtualTimeScheduler); nothing depends on a port, a folder or the
+This module holds every name of the program that the goldens depend on. Each function of AREAS returns the bytes by the
+golden's name. HTTP runs in virtual time (nethelp.VirtualTimeScheduler); no bytes depend on a port, a folder or the
 wall clock.
 """
 
@@ -71,51 +71,53 @@
 from scalefall.policy.events import Endpoint, EndpointStatus
 from scalefall.policy.settings import Idempotency
 
-Bytes = dict[str, bytes]
-LOCAL = ("127.0.0.1", 0)
-HEAD = {"X-Request-Id": "id1", "X-Deadline": "480m", "X-Route-To": "dest=7"}
-ENDED = b"<the connection is closed>"
+BytesByName = dict[str, bytes]
+LISTEN_ADDRESS = ("127.0.0.1", 0)
+HEADERS = {"X-Request-Id": "id1", "X-Deadline": "480m", "X-Route-To": "dest=7"}
+CLOSED_MARK = b"<the connection is closed>"
 
 
-# -- what both HTTP sides need
+# -- helpers for both sides of HTTP
 
 
-def dial(address):
+def connect(address):
     sock = socket.create_connection(address)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def listen(world, sock, reader):
-    """All bytes of one message, as they came."""
+def receive_message(world, sock, reader):
+    """Return all bytes of one message, as received."""
     data = b""
     while not reader.complete:
-        piece = streams.receive(world, sock, world.now() + 20 * S)
-        if not piece:
-            return data + ENDED
-        data += piece
-        reader.feed(piece)
+        received = streams.receive(world, sock, world.now() + 20 * S)
+        if not received:
+            return data + CLOSED_MARK
+        data += received
+        reader.feed(received)
     return data
 
 
-def answer(world, sock):
-    """All bytes of one answer, and whether the connection ends with it."""
+def receive_answer(world, sock):
+    """Return all bytes of one answer, with a mark at the end if the connection is closed after it."""
     reader = http.AnswerReader()
-    data = listen(world, sock, reader)
-    return data if reader.keep else data + (ENDED if closed(world, sock) else b"<not closed>")
+    data = receive_message(world, sock, reader)
+    return data if reader.keep else data + (CLOSED_MARK if closed(world, sock) else b"<not closed>")
 
 
-def request(method="POST", target="/safe", body=b"body", **changes):
-    fields = HEAD | {name.replace("_", "-"): value for name, value in changes.items()}
-    return http.request(method, target, "s", [(k, v) for k, v in fields.items() if v is not None], body)
+def make_request(method="POST", target="/safe", body=b"body", **changes):
+    fields = HEADERS | {name.replace("_", "-"): value for name, value in changes.items()}
+    present = [(name, value) for name, value in fields.items() if value is not None]
+    return http.request(method, target, "s", present, body)
 
 
-def head(*lines, first="POST /safe HTTP/1.1"):
-    return "\r\n".join([first, "Host: s", *(f"{k}: {v}" for k, v in HEAD.items()), *lines, "", ""]).encode("latin-1")
+def make_head(*lines, start_line="POST /safe HTTP/1.1"):
+    fields = [f"{name}: {value}" for name, value in HEADERS.items()]
+    return "\r\n".join([start_line, "Host: s", *fields, *lines, "", ""]).encode("latin-1")
 
 
-def play(world, function, *args):
+def play_to_end(world, function, *args):
     try:
         return world.play(function, *args)
     finally:
@@ -136,284 +138,284 @@
     "turned-away": Rejected(0, True),
     "turned-away-for-500ms": Rejected(500 * MS, True),
 }
-CHUNKED = head("Transfer-Encoding: chunked")
-LIMITED = http.MAX_BODY_BYTES
-BAD = {
-    "unknown-class": request(target="/nothing"),
-    "no-path": request(target="*"),
-    "root": request(target="/"),
-    "get-of-a-class": request("GET", body=None),
-    "put-of-a-class": request("PUT"),
-    "no-id": request(X_Request_Id=None),
-    "id-not-a-word": request(X_Request_Id="two words"),
-    "id-too-long": request(X_Request_Id="i" * 201),
-    "no-key": request(target="/keyed"),
-    "key-empty": request(target="/safe", Idempotency_Key=""),
-    "key-not-a-word": request(target="/safe", Idempotency_Key="two words"),
-    "no-deadline": request(X_Deadline=None),
-    "deadline-not-a-time": request(X_Deadline="480s"),
-    "no-route": request(X_Route_To=None),
-    "two-routes": request(X_Route_To="dest=7, dest=8"),
+CHUNKED = make_head("Transfer-Encoding: chunked")
+MAX_BODY_BYTES = http.MAX_BODY_BYTES
+INVALID_REQUESTS = {
+    "unknown-class": make_request(target="/nothing"),
+    "no-path": make_request(target="*"),
+    "root": make_request(target="/"),
+    "get-of-a-class": make_request("GET", body=None),
+    "put-of-a-class": make_request("PUT"),
+    "no-id": make_request(X_Request_Id=None),
+    "id-not-a-word": make_request(X_Request_Id="two words"),
+    "id-too-long": make_request(X_Request_Id="i" * 201),
+    "no-key": make_request(target="/keyed"),
+    "key-empty": make_request(target="/safe", Idempotency_Key=""),
+    "key-not-a-word": make_request(target="/safe", Idempotency_Key="two words"),
+    "no-deadline": make_request(X_Deadline=None),
+    "deadline-not-a-time": make_request(X_Deadline="480s"),
+    "no-route": make_request(X_Route_To=None),
+    "two-routes": make_request(X_Route_To="dest=7, dest=8"),
     "request-line": b"POST /safe\r\n\r\n",
     "request-method": b"PO ST /safe HTTP/1.1\r\n\r\n",
     "request-target": b"POST safe HTTP/1.1\r\n\r\n",
     "version-2": b"POST /safe HTTP/2.0\r\n\r\n",
     "version-unknown": b"POST /safe HTTQ\r\n\r\n",
-    "field-without-colon": head("nothing"),
-    "field-name": head("a b: c"),
-    "field-value": head("a: b\0c"),
-    "two-lengths": head("Content-Length: 1", "Content-Length: 2"),
-    "length-and-coding": head("Content-Length: 1", "Transfer-Encoding: chunked"),
-    "coding-in-1.0": head("Transfer-Encoding: chunked", first="POST /safe HTTP/1.0"),
-    "coding-unknown": head("Transfer-Encoding: gzip"),
-    "length-malformed": head("Content-Length: -1"),
-    "body-too-long": head(f"Content-Length: {LIMITED + 1}"),
-    "chunked-body-too-long": CHUNKED + b"%x\r\n" % (LIMITED + 1),
+    "field-without-colon": make_head("nothing"),
+    "field-name": make_head("a b: c"),
+    "field-value": make_head("a: b\0c"),
+    "two-lengths": make_head("Content-Length: 1", "Content-Length: 2"),
+    "length-and-coding": make_head("Content-Length: 1", "Transfer-Encoding: chunked"),
+    "coding-in-1.0": make_head("Transfer-Encoding: chunked", start_line="POST /safe HTTP/1.0"),
+    "coding-unknown": make_head("Transfer-Encoding: gzip"),
+    "length-malformed": make_head("Content-Length: -1"),
+    "body-too-long": make_head(f"Content-Length: {MAX_BODY_BYTES + 1}"),
+    "chunked-body-too-long": CHUNKED + b"%x\r\n" % (MAX_BODY_BYTES + 1),
     "chunk-size": CHUNKED + b"x\r\n",
     "chunk-end": CHUNKED + b"1\r\nabc\r\n",
     "chunks-too-many": CHUNKED + b"".join(b"1;%s\r\na\r\n" % (b"x" * 1000) for _ in range(140)),
     "trailer-too-long": CHUNKED + b"0\r\n" + b"a: %s\r\n" % (b"x" * 1000) * 140,
-    "head-too-long": head("a: " + "x" * 17_000),
-    "too-many-fields": head(*(f"a{n}: b" for n in range(100))),
-    "two-at-a-time": request() + request(),
-    "unknown-expectation": head("Expect: more", "Content-Length: 4"),
-    "too-slow": head("Content-Length: 4"),
+    "head-too-long": make_head("a: " + "x" * 17_000),
+    "too-many-fields": make_head(*(f"a{n}: b" for n in range(100))),
+    "two-at-a-time": make_request() + make_request(),
+    "unknown-expectation": make_head("Expect: more", "Content-Length: 4"),
+    "too-slow": make_head("Content-Length: 4"),
 }
 
 
-class Desk:
-    """A front whose offers are decided by the test."""
+class IngressHarness:
+    """An ingress whose delivery requests are decided by the test."""
 
     def __init__(self):
-        self.world, self.offered = VirtualTimeScheduler(), []
-        self.front = IngressServer(self.world, settings().classes, 10, self.offered.append, lambda transaction: None)
-        self.address = self.front.listen(LOCAL)
+        self.world, self.requests = VirtualTimeScheduler(), []
+        self.ingress = IngressServer(self.world, settings().classes, 10, self.requests.append, lambda transaction: None)
+        self.address = self.ingress.listen(LISTEN_ADDRESS)
 
-    def say(self, data, sock=None):
-        sock = sock or dial(self.address)
-        with contextlib.suppress(OSError):  # it may end the connection before it has read all
+    def send(self, data, sock=None):
+        sock = sock or connect(self.address)
+        with contextlib.suppress(OSError):  # the ingress may close the connection before it has read everything
             streams.send(self.world, sock, data, self.world.now() + S)
         return sock
 
-    def decided(self, verdict, data=None, closing=None):
-        before = len(self.offered)
-        sock = self.say(data or request())
-        self.world.wait_until(lambda: len(self.offered) > before)
-        if closing:
-            closing()
-        self.offered[-1].decide(verdict)
-        return answer(self.world, sock)
+    def answer_after(self, verdict, data=None, before_decision=None):
+        request_count = len(self.requests)
+        sock = self.send(data or make_request())
+        self.world.wait_until(lambda: len(self.requests) > request_count)
+        if before_decision:
+            before_decision()
+        self.requests[-1].decide(verdict)
+        return receive_answer(self.world, sock)
 
 
-def front_verdicts(desk):
+def ingress_verdicts(harness):
     found = {}
     for name, verdict in VERDICTS.items():
-        found[name] = desk.decided(verdict)
-    found["accepted-last-by-request"] = desk.decided(Accepted(), request(Connection="close"))
-    old = b"POST /safe HTTP/1.0\r\n" + request().partition(b"\r\n")[2]
-    found["accepted-1.0"] = desk.decided(Accepted(), old)
-    found["accepted-with-key"] = desk.decided(Accepted(), request(target="/keyed", Idempotency_Key="k"))
-    found["accepted-chunked"] = desk.decided(Accepted(), CHUNKED + b"4\r\nbody\r\n0\r\n\r\n")
-    found["accepted-draining"] = desk.decided(Accepted(), closing=lambda: desk.front.drain(True))
-    desk.front.drain(False)
+        found[name] = harness.answer_after(verdict)
+    found["accepted-last-by-request"] = harness.answer_after(Accepted(), make_request(Connection="close"))
+    http_1_0 = b"POST /safe HTTP/1.0\r\n" + make_request().partition(b"\r\n")[2]
+    found["accepted-1.0"] = harness.answer_after(Accepted(), http_1_0)
+    found["accepted-with-key"] = harness.answer_after(Accepted(), make_request(target="/keyed", Idempotency_Key="k"))
+    found["accepted-chunked"] = harness.answer_after(Accepted(), CHUNKED + b"4\r\nbody\r\n0\r\n\r\n")
+    found["accepted-draining"] = harness.answer_after(Accepted(), before_decision=lambda: harness.ingress.drain(True))
+    harness.ingress.drain(False)
     for name, verdict in VERDICTS.items():
-        found[f"{name}-closing"] = desk.decided(verdict, closing=desk.front.close_idle)
+        found[f"{name}-closing"] = harness.answer_after(verdict, before_decision=harness.ingress.close_idle)
     return found
 
 
-def front_continue(desk):
-    sock = desk.say(head("Expect: 100-continue", "Content-Length: 4"))
-    data = streams.receive(desk.world, sock, desk.world.now() + S)
-    desk.say(b"body", sock)
-    desk.world.wait_until(lambda: desk.offered)
-    desk.offered[0].decide(Accepted())
-    return {"continue-then-accepted": data + answer(desk.world, sock)}
+def ingress_continue(harness):
+    sock = harness.send(make_head("Expect: 100-continue", "Content-Length: 4"))
+    data = streams.receive(harness.world, sock, harness.world.now() + S)
+    harness.send(b"body", sock)
+    harness.world.wait_until(lambda: harness.requests)
+    harness.requests[0].decide(Accepted())
+    return {"continue-then-accepted": data + receive_answer(harness.world, sock)}
 
 
-def front_second_while_asked(desk):
-    sock = desk.say(request())
-    desk.world.wait_until(lambda: desk.offered)
-    desk.say(request(), sock)
-    return {"bad-second-while-first-is-open": answer(desk.world, sock)}
+def ingress_second_request(harness):
+    sock = harness.send(make_request())
+    harness.world.wait_until(lambda: harness.requests)
+    harness.send(make_request(), sock)
+    return {"bad-second-while-first-is-open": receive_answer(harness.world, sock)}
 
 
-def front_health(desk):
+def ingress_health(harness):
     found = {}
 
-    def ask(name, method="GET", target="/healthz"):
-        found[f"health-{name}"] = answer(desk.world, desk.say(http.request(method, target, "s", [])))
-
-    ask("ready")
-    ask("ready-head", "HEAD")
-    ask("ready-query", target="/healthz?x=1")
-    ask("post", "POST")
-    desk.front.drain(True)
-    ask("draining")
-    desk.front.drain(False)
-    ask("ready-again")
-    desk.front.close_idle()
-    ask("closing")
-    ask("closing-post", "POST")
+    def record_answer(name, method="GET", target="/healthz"):
+        found[f"health-{name}"] = receive_answer(harness.world, harness.send(http.request(method, target, "s", [])))
+
+    record_answer("ready")
+    record_answer("ready-head", "HEAD")
+    record_answer("ready-query", target="/healthz?x=1")
+    record_answer("post", "POST")
+    harness.ingress.drain(True)
+    record_answer("draining")
+    harness.ingress.drain(False)
+    record_answer("ready-again")
+    harness.ingress.close_idle()
+    record_answer("closing")
+    record_answer("closing-post", "POST")
     return found
 
 
-def front_bad(desk):
-    return {f"bad-{name}": answer(desk.world, desk.say(data)) for name, data in BAD.items()}
+def ingress_invalid(harness):
+    return {f"bad-{name}": receive_answer(harness.world, harness.send(data)) for name, data in INVALID_REQUESTS.items()}
 
 
-def firm_played(function, **changes):
-    """The whole host, in a folder that is forgotten."""
+def play_sender(function, **changes):
+    """Run a function against a complete sender with a temporary state folder."""
     with tempfile.TemporaryDirectory() as folder:
         harness = SenderHarness(folder, **changes)
-        return play(harness.world, lambda: (harness.accept_watch(), function(harness))[1])
+        return play_to_end(harness.world, lambda: (harness.accept_watch(), function(harness))[1])
 
 
-def host_verdicts(harness):
-    found = {"host-too-late": answer(harness.world, harness.submit("a", deadline="1u"))}
+def sender_verdicts(harness):
+    found = {"host-too-late": receive_answer(harness.world, harness.submit("a", deadline="1u"))}
     harness.submit_accepted("b")
-    found["host-same-again"] = answer(harness.world, harness.submit("b"))
-    found["host-conflict"] = answer(harness.world, harness.submit("b", body=b"another"))
+    found["host-same-again"] = receive_answer(harness.world, harness.submit("b"))
+    found["host-conflict"] = receive_answer(harness.world, harness.submit("b", body=b"another"))
     harness.sender.ingress.drain(True)
-    found["host-draining"] = answer(harness.world, harness.submit("c"))
+    found["host-draining"] = receive_answer(harness.world, harness.submit("c"))
     harness.sender.ingress.drain(False)
     harness.sender.close()
-    found["host-closing"] = answer(harness.world, harness.submit("d"))
-    harness.sender.admission.close_at(harness.world.now())  # as some time later
-    found["host-closed"] = answer(harness.world, harness.submit("e"))
+    found["host-closing"] = receive_answer(harness.world, harness.submit("d"))
+    harness.sender.admission.close_at(harness.world.now())  # as a shutdown does, for some later time
+    found["host-closed"] = receive_answer(harness.world, harness.submit("e"))
     return found
 
 
-def full_host_verdicts(harness):
+def full_journal_verdicts(harness):
     harness.submit_accepted("m")
     return {
-        "host-unknown-destination": answer(harness.world, harness.submit("a", dest=9)),
-        "host-full": answer(harness.world, harness.submit("b", body=b"x" * 60_000)),
+        "host-unknown-destination": receive_answer(harness.world, harness.submit("a", dest=9)),
+        "host-full": receive_answer(harness.world, harness.submit("b", body=b"x" * 60_000)),
     }
 
 
-def clients() -> Bytes:
+def clients() -> BytesByName:
     found = {}
-    for part in (front_verdicts, front_continue, front_second_while_asked, front_health, front_bad):
-        desk = Desk()
-        found |= play(desk.world, part, desk)
-    return found | firm_played(host_verdicts) | firm_played(full_host_verdicts, disk=100_000)
+    for play in (ingress_verdicts, ingress_continue, ingress_second_request, ingress_health, ingress_invalid):
+        harness = IngressHarness()
+        found |= play_to_end(harness.world, play, harness)
+    return found | play_sender(sender_verdicts) | play_sender(full_journal_verdicts, disk=100_000)
 
 
 # -- HTTP to endpoints
 
 
-def call(world, loads, host="", kind="many"):
+def call(world, messages, host="", kind="many"):
     peer = StubServer(world)
-    calls = AttemptsHarness(world, settings(), peer.address)
-    calls.entry = Entry(Endpoint("e", "a", kind, 1, EndpointStatus.READY, 1.0), peer.address, host)
-    calls.attempts.begin(calls.entry, loads)
-    return listen(world, peer.accept(), http.RequestReader())
+    harness = AttemptsHarness(world, settings(), peer.address)
+    harness.entry = Entry(Endpoint("e", "a", kind, 1, EndpointStatus.READY, 1.0), peer.address, host)
+    harness.attempts.begin(harness.entry, messages)
+    return receive_message(world, peer.accept(), http.RequestReader())
 
 
 def endpoint_calls(world):
-    def load(name="m", key="k", span=2 * S, body=b"body", **more):
-        return MessageInCall(name, 0, world.now() + span, key, body, **more)
+    def message(name="m", key="k", remaining_us=2 * S, body=b"body", **fields):
+        return MessageInCall(name, 0, world.now() + remaining_us, key, body, **fields)
 
     binary = bytes(range(256))
     return {
-        "one-with-key": call(world, [load()]),
-        "one-without-key": call(world, [load(key=None)]),
-        "one-that-must-not-repeat": call(world, [load(key=None, not_idempotent=True)]),
-        "one-with-little-time": call(world, [load(span=9999)]),
-        "one-with-just-milliseconds": call(world, [load(span=10 * MS + 999)]),
-        "one-empty": call(world, [load(body=b"")]),
-        "one-binary": call(world, [load(body=binary)]),
-        "one-with-host-name": call(world, [load()], "partner.example:8443"),
-        "several-with-keys": call(world, [load("m1"), load("m2", "k2", S)]),
-        "several-without-keys": call(world, [load("m1", None), load("m2", None, body=b"")]),
-        "several-mixed": call(world, [load("m1", 'k"\\'), load("m2", None, body=binary), load("m3", "k3")]),
-        "several-with-little-time": call(world, [load("m1", span=9000), load("m2", span=5000)]),
-        "several-with-host-name": call(world, [load("m1"), load("m2")], "partner.example"),
+        "one-with-key": call(world, [message()]),
+        "one-without-key": call(world, [message(key=None)]),
+        "one-that-must-not-repeat": call(world, [message(key=None, not_idempotent=True)]),
+        "one-with-little-time": call(world, [message(remaining_us=9999)]),
+        "one-with-just-milliseconds": call(world, [message(remaining_us=10 * MS + 999)]),
+        "one-empty": call(world, [message(body=b"")]),
+        "one-binary": call(world, [message(body=binary)]),
+        "one-with-host-name": call(world, [message()], "partner.example:8443"),
+        "several-with-keys": call(world, [message("m1"), message("m2", "k2", S)]),
+        "several-without-keys": call(world, [message("m1", None), message("m2", None, body=b"")]),
+        "several-mixed": call(world, [message("m1", 'k"\\'), message("m2", None, body=binary), message("m3", "k3")]),
+        "several-with-little-time": call(world, [message("m1", remaining_us=9000), message("m2", remaining_us=5000)]),
+        "several-with-host-name": call(world, [message("m1"), message("m2")], "partner.example"),
     }
 
 
-def host_calls(harness):
-    """A call of each class of messages; how much time is left of it depends on the host's turns."""
+def sender_calls(harness):
+    """Return a call of each message class, without the time left, which depends on the scheduler's steps."""
     found = {}
     for name in ("safe", "keyed", "zoned", "unsafe", "ordered"):
         harness.submit_accepted(f"m-{name}", cls=name, key="k" if name in ("keyed", "zoned") else None)
         sock = harness.endpoint.accept()
-        data = listen(harness.world, sock, http.RequestReader())
+        data = receive_message(harness.world, sock, http.RequestReader())
         found[f"host-{name}"] = re.sub(rb"X-Deadline: \d+m\r", b"X-Deadline: <left>m\r", data)
         sock.send(http.answer(200, [], keep=False))
         harness.world.wait_until(lambda: not harness.pending_ids())
     return found
 
 
-def endpoints() -> Bytes:
+def endpoints() -> BytesByName:
     world = VirtualTimeScheduler()
-    return play(world, endpoint_calls, world) | firm_played(host_calls)
+    return play_to_end(world, endpoint_calls, world) | play_sender(sender_calls)
 
 
-# -- notices
+# -- delivery reports
 
 
-def notices() -> Bytes:
+def delivery_reports() -> BytesByName:
     world = VirtualTimeScheduler()
 
     def steps():
         peer, delivered = StubServer(world), []
-        told = DeliveryReports(world, peer.address, delivered.append)
+        reports = DeliveryReports(world, peer.address, delivered.append)
 
-        def post(name):
+        def record_post(name):
             sock = peer.accept()
-            found[name] = listen(world, sock, http.RequestReader())
+            found[name] = receive_message(world, sock, http.RequestReader())
             sock.send(http.answer(204, [], keep=False))
-            world.wait_until(lambda: told.idle)
+            world.wait_until(lambda: reports.idle)
 
         found = {}
-        told.report_failed("m1")
-        post("failed")
-        told.report_returned("m2", 1500)
-        post("returned")
-        told.report_returned("m3", 0, 30)
-        told.report_failed('m"4\\\u00e9', 10)
-        told.report_returned("m5", 20, 20)
-        post("several")
+        reports.report_failed("m1")
+        record_post("failed")
+        reports.report_returned("m2", 1500)
+        record_post("returned")
+        reports.report_returned("m3", 0, 30)
+        reports.report_failed('m"4\\\u00e9', 10)
+        reports.report_returned("m5", 20, 20)
+        record_post("several")
         return found
 
-    return play(world, steps)
+    return play_to_end(world, steps)
 
 
-# -- discovery's list
+# -- the endpoint list of discovery
 
 
-def discovery() -> Bytes:
+def discovery() -> BytesByName:
     world = VirtualTimeScheduler()
 
-    def watch(peer, name):
+    def record_request(peer, name):
         sock = peer.accept()
-        found[name] = listen(world, sock, http.RequestReader())
+        found[name] = receive_message(world, sock, http.RequestReader())
         return sock
 
     def steps():
-        peer, other, here = StubServer(world), StubServer(world), ("127.0.0.1", 1)
+        peer, other, address = StubServer(world), StubServer(world), ("127.0.0.1", 1)
         DiscoveryList(world, peer.address, read_list(list_update(0)), lambda event: None).start()
-        watch(peer, "list")
-        known = read_list(list_update(41, host_row("e", here)))
+        record_request(peer, "list")
+        known = read_list(list_update(41, host_row("e", address)))
         endpoint_list = DiscoveryList(world, peer.address, known, lambda event: None, True)
         endpoint_list.start()
-        sock = watch(peer, "watch-after-41")
-        sock.send(STREAM_HEAD + chunk(list_update(50, host_row("f", here), whole=False)))
+        sock = record_request(peer, "watch-after-41")
+        sock.send(STREAM_HEAD + chunk(list_update(50, host_row("f", address), whole=False)))
         world.wait_until(lambda: endpoint_list.seq == 50)
         sock.close()
-        watch(peer, "watch-again-after-50")
+        record_request(peer, "watch-again-after-50")
         endpoint_list.move(other.address)
-        watch(other, "list-after-move")
+        record_request(other, "list-after-move")
         return found
 
     found = {}
-    return play(world, steps)
+    return play_to_end(world, steps)
 
 
-# -- the operators' address
+# -- the admin address
 
-OPERATED = [
+ADMIN_REQUESTS = [
     ("GET", "/healthcheck"),
     ("HEAD", "/healthcheck"),
     ("PUT", "/healthcheck"),
@@ -429,7 +431,7 @@
     ("GET", "/healthcheck"),
     ("GET", "/"),
 ]
-OPERATED_BADLY = {
+INVALID_ADMIN_REQUESTS = {
     "request-line": b"GET\r\n\r\n",
     "version": b"GET /healthcheck HTTP/3.0\r\n\r\n",
     "body-too-long": b"PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 4097\r\n\r\n",
@@ -438,27 +440,27 @@
 }
 
 
-def operator_calls(harness):
+def admin_answers(harness):
     found = {}
 
-    def say(name, data):
-        sock = dial(harness.sender.admin_address)
+    def record_answer(name, data):
+        sock = connect(harness.sender.admin_address)
         sock.send(data)
-        found[name] = answer(harness.world, sock)
+        found[name] = receive_answer(harness.world, sock)
 
-    for number, (method, path) in enumerate(OPERATED):
-        say(f"{number:02} {method} {path}", http.request(method, path, "s", []))
-    for name, data in OPERATED_BADLY.items():
-        say(name, data)
+    for number, (method, path) in enumerate(ADMIN_REQUESTS):
+        record_answer(f"{number:02} {method} {path}", http.request(method, path, "s", []))
+    for name, data in INVALID_ADMIN_REQUESTS.items():
+        record_answer(name, data)
     harness.sender.admin_actions.store.reserved_bytes = 0
-    say("no-room", http.request("PUT", "/endpoints/e/maint", "s", []))
+    record_answer("no-room", http.request("PUT", "/endpoints/e/maint", "s", []))
     harness.sender.close()
-    say("closing", http.request("GET", "/healthcheck", "s", []))
+    record_answer("closing", http.request("GET", "/healthcheck", "s", []))
     return found
 
 
-def operators() -> Bytes:
-    return firm_played(operator_calls, admin=LOCAL)
+def admin() -> BytesByName:
+    return play_sender(admin_answers, admin=LISTEN_ADDRESS)
 
 
 # -- resources of the control service
@@ -477,65 +479,66 @@
 TTL = 3 * S
 
 
-def row(name, zone="a", status=EndpointStatus.READY, calls=0, dial_us=0):
+def entry(name, zone="a", status=EndpointStatus.READY, calls=0, dial_us=0):
     return Entry(Endpoint(name, zone, "one", 7, status, 0.0, calls), ("10.0.0.1", 80 + int(name[1:])), "", dial_us)
 
 
-def allowed(rate=float("inf"), silent=0, **budgets):
-    return RouteAllowance(7, "7", budgets, rate, silent)
+def allowance(rate=float("inf"), retry_after_until=0, **budgets):
+    return RouteAllowance(7, "7", budgets, rate, retry_after_until)
 
 
-def packed(resource):
-    """A resource as an incremental response carries it: name, version, time to live, body."""
+def encode_resource(resource):
+    """Return a resource as an incremental response carries it: name, version, time to live, body."""
     response = Response(resource.type, "n", "v", (resource,))
     return wire.ResponseEncoder().encode(response, True, True)
 
 
-def fixed_resources(title, rows, attempts, carried):
-    rules = {7: RouteRules(frozenset(carried), attempts, S)}
-    made = resources.static_resources({7: rows}, rules, settings(classes=CLASSES))
-    return {f"{title} {resource.type.rpartition('.')[2]}": packed(resource) for resource in made}
+def static_resources(title, entries, max_attempts, class_names):
+    rules = {7: RouteRules(frozenset(class_names), max_attempts, S)}
+    found = resources.static_resources({7: entries}, rules, settings(classes=CLASSES))
+    return {f"{title} {resource.type.rpartition('.')[2]}": encode_resource(resource) for resource in found}
 
 
 def endpoint_lists():
-    inf, up, down = float("inf"), EndpointStatus.READY, EndpointStatus.DRAINING
-    rows = [row("e0"), row("e1", "b"), row("e2"), row("e3", status=down), row("e4", status=EndpointStatus.GONE)]
-    every = {"e0": inf, "e1": inf, "e2": inf}
+    inf, ready, draining, gone = float("inf"), EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.GONE
+    rows = [entry("e0"), entry("e1", "b"), entry("e2"), entry("e3", status=draining), entry("e4", status=gone)]
+    unlimited = {"e0": inf, "e1": inf, "e2": inf}
+    growing = {f"e{number}": number * 2.0 for number in range(7)}
     cases = {
-        "ready": ([row("e0", status=up)], [allowed(e0=inf)]),
+        "ready": ([entry("e0", status=ready)], [allowance(e0=inf)]),
         "empty": ([], []),
-        "drains-and-gone": (rows, [allowed(**every)]),
-        "all-draining": ([row("e0", status=down)], []),
-        "not-allowed": (rows, [allowed(e0=inf)]),
-        "weights": (rows, [allowed(30.0, e0=inf, e1=1.0, e2=6.0)]),
-        "weights-by-steps": ([row(f"e{n}") for n in range(7)], [allowed(70.0, **{f"e{n}": n * 2.0 for n in range(7)})]),
-        "resting": (rows, [allowed(10.0, e0=inf, e1=0.0, e2=inf)]),
-        "told-wait": (rows, [allowed(10.0, 2 * S, **every)]),
-        "guarded": (rows, [allowed(0.0, **every)]),
-        "lasting": ([row("e0")], [allowed(e0=inf)]),
+        "drains-and-gone": (rows, [allowance(**unlimited)]),
+        "all-draining": ([entry("e0", status=draining)], []),
+        "not-allowed": (rows, [allowance(e0=inf)]),
+        "weights": (rows, [allowance(30.0, e0=inf, e1=1.0, e2=6.0)]),
+        "weights-by-steps": ([entry(name) for name in growing], [allowance(70.0, **growing)]),
+        "resting": (rows, [allowance(10.0, e0=inf, e1=0.0, e2=inf)]),
+        "told-wait": (rows, [allowance(10.0, 2 * S, **unlimited)]),
+        "guarded": (rows, [allowance(0.0, **unlimited)]),
+        "lasting": ([entry("e0")], [allowance(e0=inf)]),
     }
     return {
-        f"endpoints {name}": resources.endpoint_resource(7, entries, told, S, 0 if name == "lasting" else TTL)
-        for name, (entries, told) in cases.items()
+        f"endpoints {name}": resources.endpoint_resource(7, entries, allowances, S, 0 if name == "lasting" else TTL)
+        for name, (entries, allowances) in cases.items()
     }
 
 
-def xds_resources() -> Bytes:
-    found = fixed_resources("many-tries", [row("e0", calls=4, dial_us=250_000), row("e1", calls=5)], 3, CLASSES)
-    found |= fixed_resources("one-try", [row("e0", calls=4), row("e1")], 1, CLASSES)
-    found |= fixed_resources("nothing", [], 3, ["freely"])
-    found |= {name: packed(resource) for name, resource in endpoint_lists().items()}
-    return found | {"lease": packed(resources.lease_resource(TTL))}
+def xds_resources() -> BytesByName:
+    found = static_resources("many-tries", [entry("e0", calls=4, dial_us=250_000), entry("e1", calls=5)], 3, CLASSES)
+    found |= static_resources("one-try", [entry("e0", calls=4), entry("e1")], 1, CLASSES)
+    found |= static_resources("nothing", [], 3, ["freely"])
+    found |= {name: encode_resource(resource) for name, resource in endpoint_lists().items()}
+    return found | {"lease": encode_resource(resources.lease_resource(TTL))}
 
 
-def xds_responses() -> Bytes:
+def xds_responses() -> BytesByName:
     lists = endpoint_lists()
-    pair, lasting = (lists["endpoints ready"], resources.lease_resource(TTL)), (lists["endpoints lasting"],)
+    leased, lasting = (lists["endpoints ready"], resources.lease_resource(TTL)), (lists["endpoints lasting"],)
     cases = {
-        "new": Response(EDS, "n1", "v1", pair),
+        "new": Response(EDS, "n1", "v1", leased),
         "no-time-to-live": Response(EDS, "n1", "v1", lasting),
-        "heartbeat": Response(EDS, "n2", "v1", pair, (), True),
-        "removed": Response(EDS, "n3", "v2", pair[:1], ("route-8", "route-9")),
+        "heartbeat": Response(EDS, "n2", "v1", leased, (), True),
+        "removed": Response(EDS, "n3", "v2", leased[:1], ("route-8", "route-9")),
         "nothing": Response(CDS, "n4", "v3", ()),
     }
     forms = {
@@ -554,11 +557,11 @@
 # -- quotas
 
 
-def kept(message):
+def serialize(message):
     return message.SerializeToString(deterministic=True)
 
 
-def quotas() -> Bytes:
+def quotas() -> BytesByName:
     bucket = {"route": "7", "name": "n"}
     amounts = {
         "deny": 0,
@@ -570,32 +573,32 @@
         "all": UNLIMITED,
     }
     found = {
-        f"grant {name}": kept(quota_wire.grant(Grant("h/1", 7, 3, amount, 4 * S), bucket, None))
+        f"grant {name}": serialize(quota_wire.grant(Grant("h/1", 7, 3, amount, 4 * S), bucket, None))
         for name, amount in amounts.items()
     }
-    found["grant numbered"] = kept(quota_wire.grant(Grant("h/1", 7, 3, 1500, 4 * S), bucket, 12))
-    found["withdrawn numbered"] = kept(quota_wire.grant(Grant("h/1", 7, 4, 0, 4 * S), bucket, 13))
-    found["abandon"] = kept(quota_wire.abandon({"route": "99"}))
-    found["abandon nothing"] = kept(quota_wire.abandon({}))
-    part = ShardGrant("h/1", 5, 2, 9, 1_000_000, 4 * S, ())
+    found["grant numbered"] = serialize(quota_wire.grant(Grant("h/1", 7, 3, 1500, 4 * S), bucket, 12))
+    found["withdrawn numbered"] = serialize(quota_wire.grant(Grant("h/1", 7, 4, 0, 4 * S), bucket, 13))
+    found["abandon"] = serialize(quota_wire.abandon({"route": "99"}))
+    found["abandon nothing"] = serialize(quota_wire.abandon({}))
+    unlimited = ShardGrant("h/1", 5, 2, 9, 1_000_000, 4 * S, ())
     limited = ShardGrant("h/1", 6, 3, 10, 250_000, 4 * S, ((7, 1500), (8, 0), (9, UNLIMITED)))
-    gone, own = ShardGrant("h/1", 5, 2, 11, 0, 4 * S, ()), ShardGrant("h/1", 8, 1, 12, 500_000, 4 * S, (), 7)
-    cases = {"whole": [part], "limited": [limited], "withdrawn": [gone], "own": [own], "none": []}
-    cases["several"] = [part, limited, own, gone]
+    withdrawn, own = ShardGrant("h/1", 5, 2, 11, 0, 4 * S, ()), ShardGrant("h/1", 8, 1, 12, 500_000, 4 * S, (), 7)
+    cases = {"whole": [unlimited], "limited": [limited], "withdrawn": [withdrawn], "own": [own], "none": []}
+    cases["several"] = [unlimited, limited, own, withdrawn]
     for name, grants in cases.items():
-        found[f"shards {name}"] = kept(quota_wire.shard_grants(grants, None))
-        found[f"shards {name} heard"] = kept(quota_wire.shard_grants(grants, 14))
+        found[f"shards {name}"] = serialize(quota_wire.shard_grants(grants, None))
+        found[f"shards {name} heard"] = serialize(quota_wire.shard_grants(grants, 14))
     return found
 
 
 # -- the control service's streams
 
 
-class Said:
-    """A stream's messages from a client; at its end nothing more comes."""
+class StubStream:
+    """A client's stream: the messages that it has sent, then the end of the stream."""
 
     def __init__(self, messages, metadata=()):
-        self.messages, self.metadata = [kept(message) for message in messages], metadata
+        self.messages, self.metadata = [serialize(message) for message in messages], metadata
 
     async def read(self):
         return self.messages.pop(0) if self.messages else grpc.aio.EOF
@@ -612,54 +615,56 @@
 }
 
 
-def streamed(divided, form, *messages, metadata=()):
-    """What one client gets at once of a control service with one route."""
-    rows = [row("e0"), row("e1", "b")]
+def sent_at_once(sharded, service, *messages, metadata=()):
+    """Return the messages that a control service with one route sends at once to one client."""
+    rows = [entry("e0"), entry("e1", "b")]
     classes = {"freely": CLASSES["freely"]}
     fleet = Fleet(rows, {7: RouteRules(frozenset(classes), 3, S)})
-    told = settings(classes=classes, replica_count=1)
+    policy_settings = settings(classes=classes, replica_count=1)
+    known = read_list(list_update(0))
     with tempfile.TemporaryDirectory() as folder:
-        config = Config("n", LOCAL, None, folder, 3, 100, 10**6, 10**8, told, read_list(list_update(0)), fleet=fleet)
-        shards = ShardingOptions(4, 10 * S, 0.0) if divided else None
+        config = Config("n", LISTEN_ADDRESS, None, folder, 3, 100, 10**6, 10**8, policy_settings, known, fleet=fleet)
+        shards = ShardingOptions(4, 10 * S, 0.0) if sharded else None
         options = ServerOptions("127.0.0.1:0", 4 * S, 5 * S, TTL, 2 * S, shards)
         with StateDirectory(folder) as directory:
             server = ControlServer(config, options, directory, None)
             server.try_to_lead()
 
             async def run():
-                peer = StreamPeer(1, Said(messages, metadata), asyncio.current_task(), None)
+                peer = StreamPeer(1, StubStream(messages, metadata), asyncio.current_task(), None)
                 server.peers.add(peer)
-                await SERVE[form](server)(peer)
+                await SERVE[service](server)(peer)
                 return list(peer.outgoing)
 
             return asyncio.run(run())
 
 
-def control_streams() -> Bytes:
+def control_streams() -> BytesByName:
     node, found = {"id": "n", "client_features": [wire.TTL_FEATURE]}, {}
 
-    def keep(name, sent):
+    def record_messages(name, sent):
         found.update({f"{name} {number}": data for number, data in enumerate(sent)} or {f"{name}": b""})
 
-    for divided, title in ((False, "all"), (True, "divided")):
-        for kind in (LDS, RDS, CDS, EDS):
-            word = kind.rpartition(".")[2]
-            asked = discovery_pb2.DiscoveryRequest(type_url=kind, node=node, resource_names=["route-7"])
-            keep(f"{title} whole {word}", streamed(divided, "whole", asked))
-            more = discovery_pb2.DeltaDiscoveryRequest(
-                type_url=kind, node=node, resource_names_subscribe=["route-7", "route-8", "scalefall-lease"]
+    for sharded, title in ((False, "all"), (True, "divided")):
+        for type_url in (LDS, RDS, CDS, EDS):
+            type_name = type_url.rpartition(".")[2]
+            request = discovery_pb2.DiscoveryRequest(type_url=type_url, node=node, resource_names=["route-7"])
+            record_messages(f"{title} whole {type_name}", sent_at_once(sharded, "whole", request))
+            delta_request = discovery_pb2.DeltaDiscoveryRequest(
+                type_url=type_url, node=node, resource_names_subscribe=["route-7", "route-8", "scalefall-lease"]
             )
-            keep(f"{title} delta {word}", streamed(divided, "delta", more))
+            record_messages(f"{title} delta {type_name}", sent_at_once(sharded, "delta", delta_request))
         load = lrs_pb2.LoadStatsRequest(node=node)
-        keep(f"{title} load", streamed(divided, "load", load, lrs_pb2.LoadStatsRequest()))
+        record_messages(f"{title} load", sent_at_once(sharded, "load", load, lrs_pb2.LoadStatsRequest()))
         report = rlqs_pb2.RateLimitQuotaUsageReports(domain="n")
         report.bucket_quota_usages.add().bucket_id.bucket.update({"route": "99"})
-        data = streamed(divided, "quota", report, metadata=(("scalefall-node", "n"),))
-        keep(f"{title} quota unknown-route", [kept(rlqs_pb2.RateLimitQuotaResponse.FromString(one)) for one in data])
+        sent = sent_at_once(sharded, "quota", report, metadata=(("scalefall-node", "n"),))
+        responses = [rlqs_pb2.RateLimitQuotaResponse.FromString(data) for data in sent]
+        record_messages(f"{title} quota unknown-route", [serialize(response) for response in responses])
     return found
 
 
-# -- the simulator's wire
+# -- the simulator's adapter
 
 ACTIONS = {
     "send": Send("m", "e", 1_234_567),
@@ -674,9 +679,9 @@
     "unsubscribe": PollEndpointList(False),
     "log": LogLine('a "line" \u00e9'),
 }
-OPEN = ["openInstance", "s0", 7, CONFIG]
-LISTED = ["backendsChanged", "s0", 1, 0, 1]
-SHEET = ["inventory", 1, [["e", "a", "one", 7, 1, None]]]
+OPEN_INSTANCE = ["openInstance", "s0", 7, CONFIG]
+LIST_CHANGED = ["backendsChanged", "s0", 1, 0, 1]
+INVENTORY = ["inventory", 1, [["e", "a", "one", 7, 1, None]]]
 INGRESS = ["ingress", "s0", "m", None, 8000.0, 0, "c", 0, None, 7]
 
 
@@ -686,7 +691,7 @@
 
 LINES = {
     "nothing": [batch(0)],
-    "opened": [batch(0, SHEET, OPEN, LISTED), batch(5.5, INGRESS), batch(25, ["timer", "s0", 1])],
+    "opened": [batch(0, INVENTORY, OPEN_INSTANCE, LIST_CHANGED), batch(5.5, INGRESS), batch(25, ["timer", "s0", 1])],
     "not-json": [batch(0), "{broken"],
     "no-object": ["[]"],
     "no-inbox": ['{"clock":1}'],
@@ -697,56 +702,55 @@
     "event-no-list": [batch(1, 7)],
     "event-empty": [batch(1, [])],
     "outcome-unknown": [batch(1, ["settled", "s0", "r", 0, "e", "odd", 1, False, None, None])],
-    "no-such-list": [batch(1, LISTED)],
+    "no-such-list": [batch(1, LIST_CHANGED)],
     "settings-wrong": [batch(0, ["openInstance", "s0", 7, CONFIG | {"siblings": 0}])],
 }
 
 
-def simulated(lines):
-    """What the program writes, and how it ends."""
-    before, output, errors = sys.stdin, io.StringIO(), io.StringIO()
+def run_adapter(lines):
+    """Return what the adapter writes to stdout and stderr, and its exit code."""
+    stdin, output, errors = sys.stdin, io.StringIO(), io.StringIO()
     sys.stdin = io.StringIO("".join(line + "\n" for line in lines))
     try:
         with contextlib.redirect_stdout(output), contextlib.redirect_stderr(errors):
             code = adapter.main()
     finally:
-        sys.stdin = before
+        sys.stdin = stdin
     return f"{output.getvalue()}<errors>\n{errors.getvalue()}<exit {code}>\n".encode()
 
 
-class FailingSender:
-    """A decision module that has a fault."""
+class FailingEngine:
+    """An engine that raises an exception."""
 
     def handle(self, now, events):
         raise RuntimeError("a fault of the module")
 
 
-def module_failed():
-    host = adapter.SimulatorAdapter()
-    host.engines["s0"] = FailingSender()
-    return json.dumps(host.batch(1.0, [["timer", "s0", 1]])).encode()
+def engine_failed():
+    simulator_adapter = adapter.SimulatorAdapter()
+    simulator_adapter.engines["s0"] = FailingEngine()
+    return json.dumps(simulator_adapter.batch(1.0, [["timer", "s0", 1]])).encode()
 
 
-def simulator() -> Bytes:
-    rows = {name: json.dumps(adapter.write_action("s0", action)).encode() for name, action in ACTIONS.items()}
-    return (
-        rows | {f"lines-{name}": simulated(lines) for name, lines in LINES.items()} | {"module-failed": module_failed()}
-    )
+def simulator() -> BytesByName:
+    actions = {name: json.dumps(adapter.write_action("s0", action)).encode() for name, action in ACTIONS.items()}
+    lines = {f"lines-{name}": run_adapter(lines) for name, lines in LINES.items()}
+    return actions | lines | {"module-failed": engine_failed()}
 
 
 AREAS = {
     "clients": clients,
     "endpoints": endpoints,
-    "notices": notices,
+    "notices": delivery_reports,
     "discovery": discovery,
-    "operators": operators,
+    "operators": admin,
     "xds_resources": xds_resources,
     "xds_responses": xds_responses,
     "quotas": quotas,
     "control_streams": control_streams,
     "simulator": simulator,
 }
-MESSAGES = {  # areas whose bytes are messages of protobuf, by how the golden's name begins
+MESSAGES = {  # areas of protobuf messages: the message type by the beginning of the golden's name
     "xds_resources": lambda name: discovery_pb2.DeltaDiscoveryResponse,
     "xds_responses": lambda name: _response(name.split()[0]),
     "quotas": lambda name: rlqs_pb2.RateLimitQuotaResponse,
@@ -764,5 +768,5 @@
 
 
 @functools.cache
-def bytes_of(area: str) -> Bytes:
+def bytes_of(area: str) -> BytesByName:
     return AREAS[area]()
