--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -1,6 +1,6 @@
-"""Each constant log message at WARNING or above stands on the on-call page, in the words that the code has.
+"""The on-call page lists every log message at WARNING or above with the text that the code has.
 
-A message's fields are written there as upper-case words: `journal: cannot write (%s)` is `journal: cannot write (WHY)`.
+The page writes a message's fields as upper-case words: `journal: write failed: %s` is `journal: write failed: WHY`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def message_templates(source: str, path: str) -> Iterator[tuple[str, str]]:
-    """Each message logged at WARNING or above: where, and its template. A template has to be constant."""
+    """Yield the place and template of each message logged at WARNING or above; a template has to be constant."""
     for node in ast.walk(ast.parse(source)):
         match node:
             case ast.Call(func=ast.Attribute(value=ast.Name(id=logger), attr=level), args=[template, *_]) if (
@@ -44,7 +44,7 @@
 
 
 def is_on_page(template: str, page: str) -> bool:
-    """Whether one code span of the page is the whole message, with words in the place of its fields."""
+    """Return whether a code span of the page is the complete message, with a word for each field."""
     pattern = re.compile(FIELD_ON_PAGE.join(re.escape(part) for part in FIELD.split(template)) + r"\Z")
     return any(pattern.match(span) for span in CODE_SPAN.findall(page))
 
@@ -52,27 +52,28 @@
 def test_every_message_at_warning_or_above_is_on_the_page() -> None:
     page = PAGE.read_text(encoding="utf-8")
     templates = all_templates()
-    assert templates, "no log call was found: has the logger another name?"
+    assert templates, "no log call found: the logger's name may have changed"
     assert [f"{where}: {template}" for where, template in templates if not is_on_page(template, page)] == []
 
 
 @pytest.mark.parametrize(
     ("template", "page", "expected"),
     [
-        ("journal: cannot write (%s)", "| `journal: cannot write (WHY)` | ... |", True),
-        ("journal: cannot write (%s)", "| `journal: cannot write` | ... |", False),
-        ("journal: cannot write (%s)", "| journal: cannot write (WHY) | ... |", False),
-        ("%s %s failed", "`notice: ID failed`", False),
+        ("load report cannot be read: %.80r", "| `load report cannot be read: VALUE` | ... |", True),
+        ("load report cannot be read: %.80r", "| `load report cannot be read` | ... |", False),
+        ("load report cannot be read: %.80r", "| load report cannot be read: VALUE | ... |", False),
+        ("size (bytes): %d", "`size (bytes): SIZE`", True),
+        ("%s %s failed", "`delivery report: ID failed`", False),
         ("%s %s failed", "`KIND NAME failed`", True),
-        ("cannot accept: %s", "`cannot accept: WHY`", True),
-        ("answer of %s cannot be used: status %d", "`answer of ENDPOINT cannot be used: STATUS`", False),
+        ("configuration: %s", "`configuration: WHY`", True),
+        ("answer cannot be used: endpoint %s, status %d", "`answer cannot be used: endpoint ENDPOINT, STATUS`", False),
     ],
 )
-def test_a_message_is_found_whole_and_in_backticks_only(template: str, page: str, expected: bool) -> None:
+def test_only_a_complete_message_in_backticks_is_found(template: str, page: str, expected: bool) -> None:
     assert is_on_page(template, page) is expected
 
 
-def test_calls_are_found_by_logger_and_level() -> None:
+def test_log_calls_are_found_by_logger_and_level() -> None:
     source = "log.info('a')\nlog.warning('b %s', 1)\nlogger.exception('c')\nother.error('d')\nself.log.error('e')\n"
     assert list(message_templates(source, "m.py")) == [("m.py:2", "b %s"), ("m.py:3", "c")]
 
