--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the deploy file's build leaves behind for its run."""
+"""The build command of the deploy file prepares what its run command needs."""
 
 import pathlib
 import shutil
@@ -10,13 +10,13 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_the_build_compiles_what_the_run_loads(tmp_path):
-    """Run may write nothing (-B), so what is not compiled by then is compiled anew by each start of each sender."""
+def test_the_build_compiles_every_module(tmp_path):
+    """The run command writes no bytecode (-B), so each start of a sender compiles again what the build left out."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert " -O -B " in deploy["run"]
     shutil.copytree(ROOT / "scalefall", tmp_path / "scalefall", ignore=shutil.ignore_patterns("__pycache__"))
-    compiling = deploy["build"].rsplit(" && ", 1)[1].replace(".venv/bin/python", sys.executable)
-    subprocess.run(compiling, shell=True, cwd=tmp_path, check=True)
+    compile_command = deploy["build"].rsplit(" && ", 1)[1].replace(".venv/bin/python", sys.executable)
+    subprocess.run(compile_command, shell=True, cwd=tmp_path, check=True)
     sources = list(tmp_path.rglob("*.py"))
     assert len(sources) > 10
     for source in sources:
--- a/tests/test_docs_names.py
+++ b/tests/test_docs_names.py
@@ -1,8 +1,8 @@
 """The files, tests, modules, classes and constants that the pages name exist.
 
-A name counts if it stands in backticks on a page, and is recognised by its form:
+A name is checked if it stands in backticks on a page and has one of these forms:
 
-    `net/journal.py`, `on-call.md`, `scalefall/lab/`    a file or directory whose path ends so
+    `net/journal.py`, `on-call.md`, `scalefall/lab/`    a file or directory whose path ends like this
     `test_restart`                                      a test module, or a test function
     `calls_that_hang_..`                                the beginning of a test function's name, without `test_`
     `scalefall.net.config.Config`                       a module, or what it defines
@@ -10,8 +10,8 @@
     `EndpointList`, `_restore`, `SILENT_US`             a class, a private name, a constant, wherever it is defined
     `net/journal.py`: `compact`, `_load`                names that occur in that file
 
-Anything else in backticks (words of a log line, settings, commands) is not checked here. In indented pictures, which
-have no backticks, files ending in `.py` are.
+Anything else in backticks (words of a log line, settings, commands) is not checked. In indented diagrams, which have no
+backticks, names of files that end in `.py` are checked.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         *(ROOT / "docs" / "capacity").glob("*.md"),
     ]
 )
-FOREIGN = {
+EXTERNAL_NAMES = {
     "ShouldRateLimit": "a method of Envoy's rate limit service",
 }
 CONFIGURATION = ("limits", "settings", "sender")  # objects of the configuration, whose keys look like attributes
@@ -60,25 +60,25 @@
 
 
 @dataclass
-class Names:
-    """What the code defines."""
+class DefinedNames:
+    """The names that the repository defines."""
 
     files: set[str] = field(default_factory=set)  # paths from the root
-    directories: set[str] = field(default_factory=set)  # the same, each ending in a slash
-    in_modules: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))  # by the module's last name
-    in_dotted: dict[str, set[str]] = field(default_factory=dict)  # by the module's whole name
+    directories: set[str] = field(default_factory=set)  # paths from the root, each with a slash at the end
+    in_modules: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))  # by the last part of its name
+    in_dotted: dict[str, set[str]] = field(default_factory=dict)  # by the module's dotted name
     in_classes: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
     functions: set[str] = field(default_factory=set)
     bases: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    everything: set[str] = field(default_factory=set)  # each name that is defined or assigned anywhere
+    everything: set[str] = field(default_factory=set)  # every defined or assigned name
 
     def has_attribute(self, owner: str, name: str) -> bool:
-        """Whether a class or a module of this name defines it; a class also by its bases."""
+        """Return whether a class (or one of its bases) or a module named owner defines the name."""
         found = self.in_classes.get(owner, set()) | self.in_modules.get(owner, set())
         return name in found or any(self.has_attribute(base, name) for base in self.bases.get(owner, ()))
 
     def has_dotted(self, name: str) -> bool:
-        """Whether `scalefall.a.b` is a module, or `scalefall.a.b.c` something that one defines."""
+        """Return whether the dotted name is a module, or a name that a module defines."""
         if name in self.in_dotted:
             return True
         module, _, attribute = name.rpartition(".")
@@ -86,7 +86,7 @@
 
 
 def defined_names(node: ast.stmt) -> Iterator[str]:
-    """The names that one statement of a module's or a class's body defines."""
+    """Yield the names that one statement in the body of a module or class defines."""
     match node:
         case ast.FunctionDef() | ast.AsyncFunctionDef() | ast.ClassDef():
             yield node.name
@@ -102,13 +102,13 @@
 
 
 def assigned_attributes(node: ast.AST) -> Iterator[str]:
-    """The names set on self anywhere below a class."""
+    """Yield the names of the attributes that are assigned anywhere inside a class."""
     for part in ast.walk(node):
         if isinstance(part, ast.Attribute) and isinstance(part.ctx, ast.Store):
             yield part.attr
 
 
-def read_module(path: Path, names: Names) -> None:
+def read_module(path: Path, names: DefinedNames) -> None:
     relative = path.relative_to(ROOT)
     tree = ast.parse(path.read_text(encoding="utf-8"))
     defined = {name for node in tree.body for name in defined_names(node)}
@@ -130,8 +130,8 @@
 
 
 @cache
-def code_names() -> Names:
-    names = Names()
+def code_names() -> DefinedNames:
+    names = DefinedNames()
     paths = [path for tree in TREES for path in (ROOT / tree).rglob("*") if "__pycache__" not in path.parts]
     for path in [*paths, *ROOT.glob("*"), *(ROOT / tree for tree in TREES)]:
         relative = path.relative_to(ROOT).as_posix()
@@ -148,8 +148,8 @@
     return any(path == wanted or path.endswith("/" + wanted) for path in paths)
 
 
-def fault(span: str, names: Names) -> str:
-    """What is wrong with one span, if it has the form of a name; else an empty text."""
+def fault(span: str, names: DefinedNames) -> str:
+    """Return what is wrong with a code span that has the form of a name, else an empty string."""
     word = span.split()[0] if span.strip() else ""
     call = re.sub(r"\(.*\)\Z", "", span)
     if FILE.match(word):
@@ -159,25 +159,25 @@
     if TEST.match(span):
         return "" if span in names.functions or ends_with(names.files, f"{span}.py") else "no such test"
     if found := TEST_PREFIX.match(span):
-        return "" if has_test(names, found[1].removeprefix("test_"), at_start=True) else "no test's name begins so"
+        return "" if has_test(names, found[1].removeprefix("test_"), at_start=True) else "no test name begins with this"
     if found := TEST_MIDDLE.match(span):
-        return "" if has_test(names, found[1], at_start=False) else "no test's name has this in its middle"
+        return "" if has_test(names, found[1], at_start=False) else "no test name contains this"
     if DOTTED_MODULE.match(call):
         return "" if names.has_dotted(call) else "no such module, nor anything of this name in one"
     if (found := ATTRIBUTE.match(call)) and found[1] not in CONFIGURATION and is_owner(found[1], names):
         return "" if names.has_attribute(found[1], found[2]) else f"{found[1]} defines no {found[2]}"
     if CLASS.match(call) or PRIVATE.match(call) or CONSTANT.match(call):
-        known = call in names.everything or call in FOREIGN or call.startswith(ENVIRONMENT)
+        known = call in names.everything or call in EXTERNAL_NAMES or call.startswith(ENVIRONMENT)
         return "" if known else "defined nowhere"
     return ""
 
 
-def is_owner(name: str, names: Names) -> bool:
-    """Whether what stands before a dot is a module or a class, or has the form of a class's name."""
+def is_owner(name: str, names: DefinedNames) -> bool:
+    """Return whether the name before a dot is a module or a class, or has the form of a class name."""
     return name in names.in_classes or name in names.in_modules or CLASS.match(name) is not None
 
 
-def has_test(names: Names, text: str, at_start: bool) -> bool:
+def has_test(names: DefinedNames, text: str, at_start: bool) -> bool:
     return any(
         name.startswith("test_" + text) if at_start else text in name
         for name in names.functions
@@ -185,8 +185,8 @@
     )
 
 
-def faults(text: str, names: Names) -> list[str]:
-    """The names on a page that do not exist, each with its line."""
+def faults(text: str, names: DefinedNames) -> list[str]:
+    """Return the names on a page that do not exist, each with its line number."""
     text = FENCE.sub(lambda found: "\n" * found[0].count("\n"), text)
     found = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -196,8 +196,8 @@
     return found
 
 
-def absent_from_files(line: str, names: Names) -> list[str]:
-    """The names that a line says to be in a file and that do not occur there."""
+def absent_from_files(line: str, names: DefinedNames) -> list[str]:
+    """Return the names that a line attributes to a file and that do not occur in it."""
     absent = []
     for path, listed in NAMES_IN_FILE.findall(line):
         files = [file for file in names.files if file == path or file.endswith("/" + path)]
@@ -207,12 +207,12 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda path: path.relative_to(ROOT).as_posix())
-def test_a_page_names_only_what_there_is(page: Path) -> None:
+def test_pages_name_only_existing_code(page: Path) -> None:
     found = faults(page.read_text(encoding="utf-8"), code_names())
     assert not found, "\n" + "\n".join(found)
 
 
-def test_what_does_not_exist_is_found() -> None:
+def test_missing_names_are_reported() -> None:
     broken = [
         "net/never_there.py",
         "docs/never-there.md",
@@ -236,7 +236,7 @@
     ]
 
 
-def test_what_exists_or_is_no_name_is_passed_over() -> None:
+def test_existing_names_and_other_text_are_not_reported() -> None:
     names = code_names()
-    text = "`net/config.py` `test_a_page_names_only_what_there_is` `scalefall.net.config.Config` `Config.listen` `x0`"
-    assert faults(text + " `SCALEFALL_LOG` `scalefall run --config site.scale` `journal: cannot write`", names) == []
+    text = "`net/config.py` `test_pages_name_only_existing_code` `scalefall.net.config.Config` `Config.listen` `x0`"
+    assert faults(text + " `SCALEFALL_LOG` `scalefall run --config site.scale` `journal: write failed`", names) == []
--- a/tests/test_readable_shape.py
+++ b/tests/test_readable_shape.py
@@ -1,4 +1,4 @@
-"""What has been taken over stays readable: bounds on the size of files, classes and functions."""
+"""Bounds on the size of files, classes and functions in the packages listed here."""
 
 import ast
 import pathlib
@@ -6,7 +6,7 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent
-WHOLE = (
+CHECKED_PATHS = (
     "scalefall/adapter.py",
     "scalefall/errors.py",
     "scalefall/settings_reader.py",
@@ -15,21 +15,21 @@
     "scalefall/net",
     "scalefall/policy",
 )
-LEFT = {"config.py", "ingress_server.py", "settings_reader.py"}  # of these, not taken over yet
-MOST_LINES = {"file": 400, "class": 250, "function": 40}
+EXEMPT_FILES = {"config.py", "ingress_server.py", "settings_reader.py"}
+MAX_LINES = {"file": 400, "class": 250, "function": 40}
 
 
-def sources():
-    for name in WHOLE:
+def checked_sources():
+    for name in CHECKED_PATHS:
         path = ROOT / name
         assert path.exists(), name
         found = [path] if path.is_file() else sorted(path.rglob("*.py"))
-        yield from [source for source in found if source.name not in LEFT]
+        yield from [source for source in found if source.name not in EXEMPT_FILES]
 
 
-def too_long(path, text):
-    """What is over its bound, as (kind, name, lines)."""
-    if text.count("\n") > MOST_LINES["file"]:
+def oversized(path, text):
+    """Yield what exceeds its bound, as (kind, name, number of lines)."""
+    if text.count("\n") > MAX_LINES["file"]:
         yield "file", path.name, text.count("\n")
     for node in ast.walk(ast.parse(text)):
         match node:
@@ -40,13 +40,13 @@
             case _:
                 continue
         length = node.end_lineno - node.lineno + 1
-        if length > MOST_LINES[kind]:
+        if length > MAX_LINES[kind]:
             yield kind, name, length
 
 
-@pytest.mark.parametrize("path", sources(), ids=lambda path: str(path.relative_to(ROOT)))
-def test_files_classes_and_functions_keep_their_bounds(path):
-    assert list(too_long(path, path.read_text())) == []
+@pytest.mark.parametrize("path", checked_sources(), ids=lambda path: str(path.relative_to(ROOT)))
+def test_files_classes_and_functions_are_within_their_bounds(path):
+    assert list(oversized(path, path.read_text())) == []
 
 
 @pytest.mark.parametrize(
@@ -58,5 +58,5 @@
         ("function", "async def f():\n" + "    a = 1\n" * 40),
     ],
 )
-def test_what_is_over_a_bound_is_seen(kind, text):
-    assert [row[0] for row in too_long(ROOT / "a.py", text)] == [kind]
+def test_exceeding_a_bound_is_detected(kind, text):
+    assert [row[0] for row in oversized(ROOT / "a.py", text)] == [kind]
