--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -1,6 +1,6 @@
 """The on-call page lists every log message at WARNING or above with the text that the code has.
 
-The page writes a message's fields as upper-case words: `journal: write failed: %s` is `journal: write failed: WHY`.
+The page writes a message's fields as upper-case words: `configuration: %s` is `configuration: WHY`.
 """
 
 from __future__ import annotations
