--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Closes after each test what it has left open, so that later tests do not inherit it."""
+"""Ends the tasks that a test leaves open, so that they do not affect later tests."""
 
 import gc
 
--- a/tests/nethelp.py
+++ b/tests/nethelp.py
@@ -57,7 +57,7 @@
             sock.close()
 
     def kill(self):
-        """Drop all tasks, timers and waits for sockets, as the death of the process does."""
+        """Drop all tasks, timers and waits for sockets, as a SIGKILL of the process does."""
         self._ready.clear()
         for task in list(self._tasks_by_fd.values()):
             self._poll.unregister(task.fd)
@@ -114,6 +114,7 @@
         self.address = self.listener.getsockname()
 
     def accept(self):
+        """Return the next connection, without blocking the other tasks."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -134,11 +135,12 @@
 
 
 def read(world, sock, reader):
+    """Read one complete message with the given reader, and return the reader."""
     while not reader.complete:
         data = streams.receive(world, sock, world.now() + 20 * S)
         if not data:
             reader.end_stream()
-            assert reader.complete, "the stream ended inside a message"
+            assert reader.complete, "the connection was closed inside a message"
         reader.feed(data)
     return reader
 
@@ -154,7 +156,7 @@
 
 
 def reset(sock):
-    """Reset a connection, as the death of its process does."""
+    """Reset a connection, as the operating system does when its process is killed."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     sock.close()
 
@@ -181,10 +183,12 @@
 
 
 def list_update(seq, *hosts, whole=True):
+    """Return an update of the endpoint list: the complete list, or only the changed hosts."""
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
 def chunk(*tables):
+    """Return one HTTP chunk with a JSON line for each table, and an empty line for None."""
     data = b"".join(json.dumps(table).encode() + b"\n" if table is not None else b"\n" for table in tables)
     return b"%x\r\n%s\r\n" % (len(data), data)
 
@@ -202,11 +206,11 @@
             world, settings, max_sockets, lambda event, _: self.outcomes.append(event), lambda entry: self.may_begin
         )
 
-    def message(self, name, attempt=0, span=2 * S, **more):
-        return MessageInCall(name, attempt, self.world.now() + span, "k", b"body", **more)
+    def message(self, name, attempt=0, remaining_us=2 * S, **fields):
+        return MessageInCall(name, attempt, self.world.now() + remaining_us, "k", b"body", **fields)
 
-    def begin(self, *names, **more):
-        self.attempts.begin(self.entry, [self.message(name, **more) for name in names])
+    def begin(self, *names, **fields):
+        self.attempts.begin(self.entry, [self.message(name, **fields) for name in names])
 
     def outcome(self, name, attempt=0):
         """Wait for an attempt's outcome for one message, and check that it is reported exactly once."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -163,7 +163,7 @@
     call may have run. Calls waited until their deadline for the rest of the answer, and used up a slot."""
 
     def play():
-        calls, _, sock, _ = begun(world, "m", span=30 * S)
+        calls, _, sock, _ = begun(world, "m", remaining_us=30 * S)
         started_at = world.now()
         sock.send(sent)
         event = calls.outcome("m")
@@ -186,7 +186,7 @@
 )
 def test_all_messages_of_a_batch_with_a_malformed_answer_may_have_run(world, sent):
     def play():
-        calls, _, sock, _ = begun(world, "a", "b", span=30 * S)
+        calls, _, sock, _ = begun(world, "a", "b", remaining_us=30 * S)
         sock.send(sent)
         assert [calls.outcome(name).outcome for name in "ab"] == [O.ERROR] * 2
         assert closed(world, sock)
@@ -248,7 +248,7 @@
             sock.setblocking(False)
             sock.connect_ex(peer.address)
         started_at = world.now()
-        calls.begin("m", span=5 * S)
+        calls.begin("m", remaining_us=5 * S)
         assert calls.outcome("m").outcome is O.CONNECT_FAILED
         assert S <= world.now() - started_at < 2 * S
         peer.listener.close()
@@ -288,8 +288,11 @@
     def play():
         peer = StubServer(world)
         calls = AttemptsHarness(world, settings(), peer.address)
-        early = {"start_by_us": world.now() + S} if ends == "start-by time" else {"span": S}
-        messages = [calls.message("long", span=5 * S), calls.message("early", **{"span": 5 * S} | early)]
+        early = {"start_by_us": world.now() + S} if ends == "start-by time" else {"remaining_us": S}
+        messages = [
+            calls.message("long", remaining_us=5 * S),
+            calls.message("early", **{"remaining_us": 5 * S} | early),
+        ]
         messages[0].body = b"x" * (8 << 20)
         calls.attempts.begin(calls.entry, messages)
         sock = peer.accept()
@@ -357,7 +360,9 @@
     def play():
         peer = StubServer(world)
         calls = AttemptsHarness(world, settings(), peer.address)
-        calls.attempts.begin(calls.entry, [calls.message("short", span=S), calls.message("long", span=3 * S)])
+        calls.attempts.begin(
+            calls.entry, [calls.message("short", remaining_us=S), calls.message("long", remaining_us=3 * S)]
+        )
         sock = peer.accept()
         peer.read(sock)
         world.sleep(2 * S)
@@ -418,7 +423,8 @@
         calls = AttemptsHarness(world, settings(), peer.address)
         calls.attempts._is_pending = lambda name: name != "withdrawn"
         calls.attempts.begin(
-            calls.entry, [calls.message("over", span=10 * MS), calls.message("withdrawn"), calls.message("fine")]
+            calls.entry,
+            [calls.message("over", remaining_us=10 * MS), calls.message("withdrawn"), calls.message("fine")],
         )
         world.clock += 20 * MS  # the connection comes up late
         sock = peer.accept()
@@ -591,7 +597,7 @@
         def play():
             self.number += 1
             name = f"m{self.number}"
-            self.calls.begin(name, *(f"{name}-{n}" for n in range(1, names)), span=60 * S)
+            self.calls.begin(name, *(f"{name}-{n}" for n in range(1, names)), remaining_us=60 * S)
             if self.idle:
                 sock = self.idle.pop()  # the most recently used
             else:
