--- a/scalefall/cli/config.py
+++ b/scalefall/cli/config.py
@@ -95,13 +95,13 @@
     if show_diff:
         before = old.decode(errors="replace").splitlines(keepends=True)
         click.echo(
-            "".join(difflib.unified_diff(before, new.splitlines(keepends=True), name, f"{name} (laid out)")), nl=False
+            "".join(difflib.unified_diff(before, new.splitlines(keepends=True), name, f"{name} (formatted)")), nl=False
         )
     elif only_check:
         click.echo(f"{name} would change")
     else:
         output.write_output(new, name)
-        click.echo(f"{name} laid out")
+        click.echo(f"{name} formatted")
     return output.DIFFERS if only_check or show_diff else output.OK
 
 
--- a/scalefall/lab/hollow/fleet.py
+++ b/scalefall/lab/hollow/fleet.py
@@ -79,7 +79,7 @@
         self.control: Control | None = self._new_control(0)
         self.places = places(plan.senders)
         self.meters = [Meter() for _ in range(plan.senders)]  # by sender, over all processes in its place
-        self.outcomes = [Outcomes() for _ in range(plan.senders)]  # likewise
+        self.outcomes = [Outcomes() for _ in range(plan.senders)]  # by sender, over all processes in its place
         self._instances = [0] * plan.senders
         self.links: list[Link] = [None] * plan.senders
         self.senders: list[HollowSender] = [None] * plan.senders
--- a/scalefall/lab/hollow/sender.py
+++ b/scalefall/lab/hollow/sender.py
@@ -23,8 +23,8 @@
 from scalefall.lab.proxy.meter import Direction, Kind
 from scalefall.policy.events import Outcome
 
-RECONNECT_DELAY_US = 300_000  # as the stand-in on sockets
-RECONNECT_JITTER_US = 700_000  # as that one's backoff
+RECONNECT_DELAY_US = 300_000  # as RECONNECT_DELAY_S of lab/proxy/__main__.py
+RECONNECT_JITTER_US = 700_000  # approximates the gRPC backoff of lab/proxy/__main__.py
 
 Traffic = Iterator[tuple[int, int]]  # (us since the event before, destination)
 
@@ -90,7 +90,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Return whether the process has ended."""
+        """Whether the process has ended."""
         return self._ended
 
     def stream_closed(self) -> None:
--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -27,7 +27,9 @@
 SHARD_REPORT_INTERVAL_US = 500_000  # between usage reports: four in a lease of 2 s
 ALL_LISTS = "*"  # subscribes to every list that is assigned to the node
 
-CallCounts = Callable[[Mapping[int, float], int], Mapping[int, int]]  # (quota of each destination, span in us) -> calls
+CallCounts = Callable[
+    [Mapping[int, float], int], Mapping[int, int]
+]  # (quota of each destination from 0 to 1, span in us) -> calls
 
 
 def sharded_service_factory(
@@ -140,11 +142,11 @@
         now, span = self._clock.now, self._clock.now - self._loads_reported_at
         self._loads_reported_at = now
         quotas = self.contract.holder.quotas(self.addresses, now)
-        shares = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
+        fractions = {route: quota / FULL_QUOTA for route, quota in quotas.items() if quota}
         succeeded, failed = messages.Call(Outcome.OK, now), messages.Call(Outcome.CONNECT_FAILED, now)
         return {
             (route, self.addresses[route]): [failed if self._is_down(route) else succeeded] * count
-            for route, count in self._counts(shares, span).items()
+            for route, count in self._counts(fractions, span).items()
         }
 
 
--- a/scalefall/lab/proxy/contract.py
+++ b/scalefall/lab/proxy/contract.py
@@ -21,7 +21,7 @@
 
 SECOND = 1_000_000  # us
 UNITS_PER_CALL = 1000  # the amount of one call a second
-MAX_REPORT_TIMES = 64  # usage reports whose times are kept
+MAX_REPORT_TIMES = 64  # usage reports whose times are stored
 FLOOR_RATIO = 0.1  # part of the last grant that is used where at_end is floor
 MAX_ATTEMPTS = 3  # attempts of one message
 USAGE_REPORT_INTERVAL_US = 250_000
@@ -70,8 +70,8 @@
         self._routes = {number: _Route() for number in routes}
         self._report_number = 0  # the last usage report
         self._report_times: OrderedDict[int, int] = OrderedDict()  # when each usage report was sent
-        self._acknowledged_at = -1  # the last acknowledgement or request on this stream
-        self._proved_at = -1  # the last one that the service has certainly received
+        self._acknowledged_at = -1  # time of the last acknowledgement or request on this stream
+        self._proved_at = -1  # time of the last of these that the service has certainly received
 
     # -- resources
 
--- a/scalefall/lab/proxy/meter.py
+++ b/scalefall/lab/proxy/meter.py
@@ -20,7 +20,7 @@
     """What a message is about."""
 
     RESOURCES = "resources"  # subscriptions, lists and their acknowledgements
-    HEARTBEATS = "heartbeats"  # and their acknowledgements
+    HEARTBEATS = "heartbeats"  # heartbeats and their acknowledgements
     GRANTS = "grants"
     USAGE = "usage"  # usage reports
     LOADS = "loads"  # load reports
--- a/scalefall/lab/world.py
+++ b/scalefall/lab/world.py
@@ -43,7 +43,7 @@
 MILLISECOND_US = 1000
 SECOND = 1_000_000  # us
 ROUTE = 7
-KEEPALIVE_US = 15 * SECOND  # silence after which an end closes a link
+KEEPALIVE_US = 15 * SECOND  # an end closes a link that was silent for this long
 LOAD_REPORT_INTERVAL_US = SECOND // 2
 FINAL_ANSWERS_S = 3  # no messages are accepted in the last seconds, so that each gets its final answer
 
--- a/scalefall/lang/load.py
+++ b/scalefall/lang/load.py
@@ -32,7 +32,7 @@
 
     @property
     def fatal(self) -> bool:
-        """Return whether the first file could not be read, so that nothing was checked."""
+        """Whether the first file could not be read, so that nothing was checked."""
         return any(problem.fatal for problem in self.problems)
 
     def source(self) -> dict[str, list[str]]:
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -1,7 +1,9 @@
 """The Config of a sender from a Site, and which changes a running sender cannot apply. No I/O.
 
-The engine identifies an endpoint by name, pool and address together: one with a new address is a new endpoint, whose
-failure state, waits and statistics start fresh; one that returns at its old address is the same endpoint as before.
+The engine identifies an endpoint by name, pool and address together. One with a new address is a new endpoint: its slow
+start and consecutive failures start fresh, while rate, Retry-After and latency statistics belong to the engine's route,
+which it enters (a new route if endpoints of its kind have limits apart). One that returns at its old address is the
+same endpoint as before.
 """
 
 from __future__ import annotations
@@ -89,7 +91,7 @@
 def calls_per_second(limit: Rate) -> float:
     """Return a rate in calls per second that never exceeds the limit's count in any of its spans.
 
-    The engine's burst after a pause (one call, or what accumulates in BURST_US) comes on top of the rate.
+    It leaves capacity for the engine's burst after a pause (one call, or what accumulates in BURST_US).
     """
     even_rate, span_s = float(limit.per_second), limit.per_us / SECOND
     burst_s = BURST_US / SECOND
--- a/scalefall/lang/suspicious.py
+++ b/scalefall/lang/suspicious.py
@@ -7,8 +7,8 @@
 from scalefall.lang.schema import BLOCKS, DURATION
 from scalefall.lang.text import Problems, pluralize
 
-SHORT_US = 50_000
-LONG_US = units.HOUR
+SHORT_DURATION_US = 50_000
+LONG_DURATION_US = units.HOUR
 
 
 def add_warnings(site: Site, problems: Problems) -> None:
@@ -32,14 +32,14 @@
         setting = BLOCKS[each.block][word]
         if setting.kind is not DURATION or setting.may_be_short or place is None:
             continue
-        if value < SHORT_US:
+        if value < SHORT_DURATION_US:
             problems.warn(
                 "short",
                 place,
                 f"{setting.line(value)} is under 50 ms",
                 f"was {units.format_duration(value * 1000)} meant?" if value else "",
             )
-        elif value > LONG_US:
+        elif value > LONG_DURATION_US:
             problems.warn("long", place, f"{setting.line(value)} is over an hour")
 
 
@@ -57,7 +57,7 @@
             [(aim.place, "its aim")],
         )
     repeat = cls.lookup("repeat")
-    if repeat.value.effect == "keyed" and repeat.value.ttl_us < SHORT_US:
+    if repeat.value.effect == "keyed" and repeat.value.ttl_us < SHORT_DURATION_US:
         problems.warn(
             "short",
             repeat.place,
