--- a/scalefall/lab/hollow/control.py
+++ b/scalefall/lab/hollow/control.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class _Peer:
+class _Stream:
     number: int
     opening: Opening
     send: Send
@@ -117,7 +117,7 @@
         """
         self._clock, self._options, self.stopwatch = clock, options, stopwatch
         self._responses = wire.ResponseEncoder()
-        self._peers: dict[int, _Peer] = {}
+        self._streams: dict[int, _Stream] = {}
         self._last_stream = 0
         self._timer: Timer | None = None
         self._timer_at = 0
@@ -152,35 +152,35 @@
         self.stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        peers, self._peers = list(self._peers.values()), {}
-        for peer in peers:
-            peer.close()
+        streams, self._streams = list(self._streams.values()), {}
+        for stream in streams:
+            stream.close()
 
     # -- streams
 
     def accept(self, opening: Opening, send: Send, close: Callable[[], None]) -> int:
         """Return the number of a new stream. close: called when the service ends it."""
         self._last_stream += 1
-        self._peers[self._last_stream] = _Peer(
+        self._streams[self._last_stream] = _Stream(
             self._last_stream, opening, send, close, TokenBucket(self._clock.now, *REQUEST_RATE)
         )
         return self._last_stream
 
     def receive(self, number: int, data: bytes) -> None:
         """Receive a message, which is read after those before it, within the stream's rate limit."""
-        peer = self._peers.get(number)
-        if peer is None:
+        stream = self._streams.get(number)
+        if stream is None:
             return
-        if peer.ready_at > self._clock.now:
-            self._clock.at(peer.ready_at, lambda: self._read(number, data))
+        if stream.ready_at > self._clock.now:
+            self._clock.at(stream.ready_at, lambda: self._read(number, data))
         else:
             self._read(number, data)
-        cost = 1 + len(data) // (BYTES_PER_REPEATED_REQUEST if self._repeats_names(peer) else BYTES_PER_REQUEST)
-        peer.ready_at = max(peer.ready_at, self._clock.now + peer.bucket.consume(self._clock.now, cost))
+        cost = 1 + len(data) // (BYTES_PER_REPEATED_REQUEST if self._repeats_names(stream) else BYTES_PER_REQUEST)
+        stream.ready_at = max(stream.ready_at, self._clock.now + stream.bucket.consume(self._clock.now, cost))
 
     def stream_closed(self, number: int) -> None:
         """Process the end of a stream at the sender."""
-        if self._peers.pop(number, None) is not None:
+        if self._streams.pop(number, None) is not None:
             self.stopwatch.start()
             self.service.resource_stream_closed(number)
             self.service.quota_stream_closed(number, self._clock.now)
@@ -189,56 +189,58 @@
 
     @property
     def streams(self) -> int:
-        return len(self._peers)
+        return len(self._streams)
 
-    def _repeats_names(self, peer: _Peer) -> bool:
-        return peer.opened and peer.opening.kind is StreamKind.RESOURCES and self.service.repeats_names(peer.number)
+    def _repeats_names(self, stream: _Stream) -> bool:
+        return (
+            stream.opened and stream.opening.kind is StreamKind.RESOURCES and self.service.repeats_names(stream.number)
+        )
 
     def _read(self, number: int, data: bytes) -> None:
-        peer = self._peers.get(number)
-        if peer is None:
+        stream = self._streams.get(number)
+        if stream is None:
             return
         self.stopwatch.start()
-        match peer.opening.kind:
+        match stream.opening.kind:
             case StreamKind.RESOURCES:
-                self._resources(peer, messages.DeltaRequest.FromString(data))
+                self._resources(stream, messages.DeltaRequest.FromString(data))
             case StreamKind.QUOTA:
-                self._quota(peer, messages.QuotaReport.FromString(data))
+                self._quota(stream, messages.QuotaReport.FromString(data))
             case StreamKind.LOADS:
-                self._loads(peer, messages.LoadRequest.FromString(data))
+                self._loads(stream, messages.LoadRequest.FromString(data))
         self._schedule_step()
         self.stopwatch.stop()
 
-    def _resources(self, peer: _Peer, message: messages.DeltaRequest) -> None:
-        if not peer.opened:
-            peer.opened, peer.supports_ttl = True, wire.TTL_FEATURE in message.node.client_features
-            self.service.resource_stream_opened(peer.number, message.node.id, True, peer.supports_ttl)
-        self._send(self.service.request(peer.number, wire.parse_delta_request(message), self._clock.now))
+    def _resources(self, stream: _Stream, message: messages.DeltaRequest) -> None:
+        if not stream.opened:
+            stream.opened, stream.supports_ttl = True, wire.TTL_FEATURE in message.node.client_features
+            self.service.resource_stream_opened(stream.number, message.node.id, True, stream.supports_ttl)
+        self._send(self.service.request(stream.number, wire.parse_delta_request(message), self._clock.now))
 
-    def _quota(self, peer: _Peer, message: messages.QuotaReport) -> None:
+    def _quota(self, stream: _Stream, message: messages.QuotaReport) -> None:
         now = self._clock.now
-        if not peer.opened:
-            peer.opened = True
-            opening = peer.opening
+        if not stream.opened:
+            stream.opened = True
+            opening = stream.opening
             joined = self.service.quota_stream_joined(
-                peer.number, opening.node, opening.instance, now, opening.region, opening.zone
+                stream.number, opening.node, opening.instance, now, opening.region, opening.zone
             )
             if isinstance(joined, JoinRejected):
-                self._end_stream(peer.number)
+                self._end_stream(stream.number)
                 return
             if joined.replaced_stream is not None:
                 self._end_stream(joined.replaced_stream)
         for usage in message.bucket_quota_usages:
-            answer = self._quotas.usage_reported(peer.number, peer.quota, usage, now)
+            answer = self._quotas.usage_reported(stream.number, stream.quota, usage, now)
             if answer is not None:
-                peer.send(Kind.GRANTS, answer)
+                stream.send(Kind.GRANTS, answer)
 
-    def _loads(self, peer: _Peer, message: messages.LoadRequest) -> None:
-        if not peer.opened:
-            peer.opened = True
+    def _loads(self, stream: _Stream, message: messages.LoadRequest) -> None:
+        if not stream.opened:
+            stream.opened = True
             answer = messages.LoadResponse(send_all_clusters=True, report_endpoint_granularity=True)
             answer.load_reporting_interval.FromMicroseconds(self._options.report_us)
-            peer.send(Kind.LOADS, answer.SerializeToString())
+            stream.send(Kind.LOADS, answer.SerializeToString())
         now = self._clock.now
         if self._options.sharded:
             self.service.calls_counted(self._index.loads(message.cluster_stats))
@@ -267,23 +269,23 @@
 
     def _send(self, outgoing: Iterable[Outgoing]) -> None:
         for number, action in outgoing:
-            peer = self._peers.get(number)
-            if peer is None:
+            stream = self._streams.get(number)
+            if stream is None:
                 continue
             if isinstance(action, Response):
                 kind = Kind.HEARTBEATS if action.is_heartbeat else Kind.RESOURCES
-                peer.send(kind, self._responses.encode(action, True, peer.supports_ttl))
+                stream.send(kind, self._responses.encode(action, True, stream.supports_ttl))
             elif isinstance(action, (Grant, ShardGrants)):
-                data = self._quotas.grant_message(peer.quota, action)
+                data = self._quotas.grant_message(stream.quota, action)
                 if data is not None:
-                    peer.send(Kind.GRANTS, data)
+                    stream.send(Kind.GRANTS, data)
             elif isinstance(action, CloseStream):
                 self._end_stream(number)
 
     def _end_stream(self, number: int) -> None:
         """End a stream from the service's side."""
-        peer = self._peers.pop(number, None)
-        if peer is not None:
+        stream = self._streams.pop(number, None)
+        if stream is not None:
             self.service.resource_stream_closed(number)
             self.service.quota_stream_closed(number, self._clock.now)
-            peer.close()
+            stream.close()
