--- a/scalefall/lab/hollow/sharded.py
+++ b/scalefall/lab/hollow/sharded.py
@@ -27,9 +27,8 @@
 SHARD_REPORT_INTERVAL_US = 500_000  # between usage reports: four in a lease of 2 s
 ALL_LISTS = "*"  # subscribes to every list that is assigned to the node
 
-CallCounts = Callable[
-    [Mapping[int, float], int], Mapping[int, int]
-]  # (quota of each destination from 0 to 1, span in us) -> calls
+# (quota of each destination from 0 to 1, span in us) -> calls of each destination
+CallCounts = Callable[[Mapping[int, float], int], Mapping[int, int]]
 
 
 def sharded_service_factory(
--- a/scalefall/lab/proxy/sharded.py
+++ b/scalefall/lab/proxy/sharded.py
@@ -1,6 +1,6 @@
 """The contract of a proxy whose destinations are divided among senders: the differences from contract.py. No I/O.
 
-grants      One a shard; a destination's rate is that grant's share of its allowance. The highest number received on a
+grants      One a shard; a destination's rate is that grant's quota of its allowance. The highest number received on a
             stream acknowledges every grant received on it. A lease counts from the report that its grant answers.
 endpoints   Lists have no time to live of their own. One resource has, and its heartbeat proves every list that came
             before it on the stream.
--- a/scalefall/lang/sender.py
+++ b/scalefall/lang/sender.py
@@ -125,7 +125,7 @@
             rows += _changed_settings(block, f"{block} {name}", before[block][name], after[block][name], new, name)
         if block != "class":  # the routes stop carrying a removed class at once
             rows += [
-                f"{new.file}: {block} {name} is gone" for name in sorted(before[block].keys() - after[block].keys())
+                f"{new.file}: {block} {name} is removed" for name in sorted(before[block].keys() - after[block].keys())
             ]
     return rows
 
--- a/scalefall/lang/units.py
+++ b/scalefall/lang/units.py
@@ -12,7 +12,7 @@
 
 from scalefall.lang.text import InvalidValue
 
-US = 1
+US = 1  # durations are in microseconds
 MS = 1000
 SECOND = 1_000_000
 MINUTE = 60_000_000
