--- a/benchmarks/scaling/demand.py
+++ b/benchmarks/scaling/demand.py
@@ -14,8 +14,8 @@
 
 SECOND = 1_000_000
 CLUMP_US = 30 * SECOND
-CLUMP_SIGMA = 0.5  # of the logarithm of a clump's factor: one in twenty is above 2
-NORMAL_APPROXIMATION_MEAN = 30.0  # Poisson draws above it are taken from the normal distribution
+CLUMP_SIGMA = 0.5  # standard deviation of the logarithm of a clump's factor: one in twenty is above 2
+NORMAL_APPROXIMATION_MEAN = 30.0  # above this mean, Poisson draws are approximated by the normal distribution
 
 
 class Demand:
--- a/benchmarks/scaling/divided.py
+++ b/benchmarks/scaling/divided.py
@@ -41,7 +41,7 @@
 MAX_LOAD_RATIO = 1.25
 MAX_MOVED_RATIO = 1.2
 REPORT_US = 60 * SECOND  # between load reports
-WARM_UP_US = 400 * SECOND  # until loads are measured and shards balanced
+WARM_UP_US = 400 * SECOND  # until loads are reported and shards balanced
 REST_US = 60 * SECOND
 REPLACEMENT_INTERVAL_US = 3 * SECOND  # between one replacement and the next
 RETURN_US = 20 * SECOND  # until processes lost without notice are replaced
@@ -66,8 +66,8 @@
 
     times: int
     moved: int  # destinations that got another sender, each time
-    lost: int  # of them, those whose sender was lost
-    filled: int  # of them, those moved to a new sender without any
+    lost: int  # moved destinations whose sender was lost
+    filled: int  # moved destinations whose new sender had none
     gap_p50: float
     gap_p99: float
     gap_worst: float
--- a/scalefall/control/audit_log.py
+++ b/scalefall/control/audit_log.py
@@ -92,7 +92,7 @@
 
 
 def _microseconds(timestamp: str) -> int:
-    """Convert an ISO 8601 time to microseconds; without a zone it is taken as UTC."""
+    """Convert an ISO 8601 time to microseconds; one without a zone is in UTC."""
     when = datetime.fromisoformat(timestamp.replace("Z", "+00:00"))
     if when.tzinfo is None:
         when = when.replace(tzinfo=UTC)
--- a/scalefall/control/audit_rules.py
+++ b/scalefall/control/audit_rules.py
@@ -9,7 +9,7 @@
 from scalefall.control.audit_log import SECOND, LogRow, RowsByEvent, between, grouped
 
 DRAIN_GRACE_US = SECOND  # calls may begin for so long after a drain, while the change reaches the proxies
-ROUNDING_CALLS = 3  # tolerated above a window's capacity, as whole calls are counted
+ROUNDING_CALLS = 3  # calls tolerated above a window's capacity, which need not be an integer
 NEVER = 1 << 62  # us; later than any row
 
 
--- a/scalefall/control/base_service.py
+++ b/scalefall/control/base_service.py
@@ -1,7 +1,7 @@
 """The part of a control service that does not depend on how grants are divided: fleet, streams, membership, steps.
 
 No I/O, no clock, no protobuf: the caller passes a builder that makes resources from the fleet and the engine's figures.
-A test can therefore drive a whole service, its proxies and its destinations in virtual time.
+A test can therefore drive a service, its proxies and its destinations in virtual time.
 
 Theory of operation. Changes (an edit, a report, a demand) are recorded at once and take effect at the next step, which
 the transport calls STEP_DELAY_US after the first of them, or at `next_deadline`. An endpoint that the operator drains
@@ -55,7 +55,7 @@
 
         Args:
             now: the present time in us, as in all methods.
-            settings: the engine's settings; this turns probes off, as control makes no calls of its own.
+            settings: the engine's settings; probes are disabled in them, as control makes no calls of its own.
             seed: the seed of the engine's random choices.
             builder: makes resources.
             lease_us: how long a grant may be used from its receipt.
--- a/scalefall/control/transport/reports.py
+++ b/scalefall/control/transport/reports.py
@@ -1,7 +1,7 @@
 """Load reports as events of the engine. No I/O.
 
 Counts by endpoint (upstream_endpoint_stats) are used where a client reports them; else a zone's totals are distributed
-over its endpoints in turn. Named metrics beside the counts of successes and errors give the outcomes of failed calls:
+evenly over its endpoints. Named metrics beside the counts of successes and errors give the outcomes of failed calls:
 
     scalefall.full, scalefall.timeout, scalefall.reset, scalefall.connect_failed     calls with this outcome
     scalefall.wait_ms       the longest Retry-After of the endpoint's answers, as of this report
@@ -145,7 +145,7 @@
 def _call_events(
     endpoints: list[str], row: Stats, now_us: int, interval_us: int, max_reported_calls: int
 ) -> Iterator[EndpointReport]:
-    """Yield an event for each call of a row, over its endpoints in turn.
+    """Yield an event for each call of a row, to its endpoints in rotation.
 
     Failures come last, so that successes of the same report do not cancel them. Successes count as sent at the
     beginning of the report's interval and failures at its end, which is the cautious assumption for both.
--- a/scalefall/errors.py
+++ b/scalefall/errors.py
@@ -16,7 +16,7 @@
 
 
 class ProtocolError(ScalefallError):
-    """A rule of a protocol was broken; the subclass says by which side."""
+    """A rule of a protocol was broken; the subclass gives the side that broke it."""
 
 
 class LocalProtocolError(ProtocolError):
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -29,7 +29,7 @@
 class AttemptDispatcher:
     """Groups the sends of a step into attempts, starts them, and reports the outcome of each message.
 
-    The start of an attempt is recorded in the journal before the attempt goes out. The dispatcher keeps the end of
+    The start of an attempt is recorded in the journal before the attempt is sent. The dispatcher keeps the end of
     each Retry-After wait, because an attempt whose connection came up late must obey it too.
 
     Attributes:
--- a/scalefall/net/attempt_request.py
+++ b/scalefall/net/attempt_request.py
@@ -18,7 +18,7 @@
 
 
 def encode_request(attempt: Attempt, now_us: int) -> bytes:
-    """Return the whole request for the messages of an attempt.
+    """Return the complete request for the messages of an attempt.
 
     Args:
         attempt: The attempt; it has at least one message.
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -50,11 +50,11 @@
 
 
 def read_answer(attempt: Attempt, reader: http.AnswerReader, answers_carry_report: bool) -> AttemptResult | None:
-    """Return the result in a whole answer; None if the answer is unusable.
+    """Return the result in a complete answer; None if the answer is unusable.
 
     Args:
         attempt: The attempt that it answers.
-        reader: The reader of the whole answer.
+        reader: The reader of the complete answer.
         answers_carry_report: Endpoints add a load report to each answer to a call that they accepted.
     """
     if reader.status == 200 and len(attempt.messages) > 1:
@@ -65,7 +65,7 @@
 def read_broken_answer(
     attempt: Attempt, reader: http.AnswerReader, error: Exception, answers_carry_report: bool
 ) -> MessageResult:
-    """Return the result of an attempt that got no whole answer.
+    """Return the result of an attempt that got no complete answer.
 
     A status of 200 is final for a single message. After any other malformed answer the call may have run. If the
     connection broke within an answer, its status line counts.
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -183,7 +183,7 @@
             self._report(attempt, message, MessageResult(Outcome.NOT_SENT), {})
 
     def _receive(self, attempt: Attempt, sock: socket.socket, reader: http.AnswerReader, deadline_us: int) -> bool:
-        """Read the whole answer; return False if the attempt ended before.
+        """Read the complete answer; return False if the attempt ended before.
 
         Raises:
             OSError: The connection broke, or the time was up.
@@ -209,7 +209,7 @@
     # -- end of an attempt
 
     def _end_answered(self, attempt: Attempt, connection: Connection, reader: http.AnswerReader) -> None:
-        """End an attempt with its whole answer, and release its connection if it is reusable."""
+        """End an attempt with its complete answer, and release its connection if it is reusable."""
         self._pool.record_use(connection, was_lost=False)
         results = read_answer(attempt, reader, self._settings.answers_carry_report)
         if connection.is_new:
@@ -225,7 +225,7 @@
         self._end(attempt, results, reader)
 
     def _end_broken(self, attempt: Attempt, reader: http.AnswerReader, error: Exception) -> None:
-        """End an attempt that got no whole answer."""
+        """End an attempt that got no complete answer."""
         result = read_broken_answer(attempt, reader, error, self._settings.answers_carry_report)
         if attempt.written and attempt.connection is not None:
             self._pool.record_use(attempt.connection, was_lost=result.outcome is Outcome.RESET)
--- a/scalefall/net/delivery_reports.py
+++ b/scalefall/net/delivery_reports.py
@@ -28,7 +28,7 @@
 MAX_BODY_BYTES = 48 * 1024  # of one POST; the protocol allows 64 KiB
 MAX_REPORT_DELAY_US = 300 * MILLISECOND_US  # after the deadline; a message with a later report counts as lost
 LOG_INTERVAL_US = 1000 * MILLISECOND_US  # least time between two log lines about failures
-NO_CONTENT = 204  # the platform has taken the reports
+NO_CONTENT = 204  # the platform confirms the reports
 BAD_REQUEST = 400  # the platform cannot read one of the reports
 NO_STATUS = 0  # the POST had no answer
 
@@ -115,7 +115,7 @@
 
 
 class _PostEnd(Enum):
-    """The result of a POST, by which it wakes the task that starts POSTs."""
+    """The result of a POST, with which it resumes the task that starts POSTs."""
 
     CONFIRMED = "confirmed"
     NOT_CONFIRMED = "not confirmed"
--- a/scalefall/net/delivery_request.py
+++ b/scalefall/net/delivery_request.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The sender has taken responsibility for the message: it will be delivered, or its failure reported."""
+    """The sender is responsible for the message: it will be delivered, or its failure reported."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/scalefall/net/endpoint_list.py
+++ b/scalefall/net/endpoint_list.py
@@ -110,7 +110,7 @@
             self._apply_and_notify(update)
 
     def _is_newer(self, update: ListUpdate) -> bool:
-        """Return whether an update is a whole list or newer than the known version."""
+        """Return whether an update is a complete list or newer than the known version."""
         return update.is_whole or update.seq > self.seq
 
     def _apply_and_notify(self, update: ListUpdate) -> None:
@@ -154,7 +154,7 @@
         self._drop_expired_removed(now_us)
 
     def _mark_missing(self, update: ListUpdate, now_us: int) -> None:
-        """Mark endpoints that a whole list does not contain as removed."""
+        """Mark endpoints that a complete list does not contain as removed."""
         listed = {entry.endpoint.id for entry in update.entries}
         for endpoint_id in self.entries.keys() - listed - set(update.unreadable_entries):
             self._listed.pop(endpoint_id, None)
--- a/scalefall/net/ingress_server.py
+++ b/scalefall/net/ingress_server.py
@@ -20,7 +20,7 @@
 WRITE_TIMEOUT_US = 2 * SECOND_US  # the time that a client has to read an answer
 IDLE_TIMEOUT_US = 2050_000  # a connection that has been idle between requests for this long is closed
 LONG_IDLE_US = 2 * SECOND_US  # an idle connection is among the first to be evicted from this age on
-HALF_FULL_FIRST_BYTE_TIMEOUT_US = SECOND_US // 4  # of a new connection, while half of the places are taken
+HALF_FULL_FIRST_BYTE_TIMEOUT_US = SECOND_US // 4  # for a new connection, while half of max_clients are open
 EVICTION_GRACE_US = SECOND_US // 20  # a connection whose request is incomplete is not evicted before this age
 EVICTION_RETRY_US = SECOND_US // 200  # wait before the next attempt to evict a connection, when none can be
 LINGER_US = SECOND_US // 2  # after the last answer, incoming bytes are read and dropped for at most this long
@@ -30,15 +30,16 @@
 MAX_LOGGED_REJECTIONS = 10  # rejected requests logged one by one in each window; the others are counted
 REJECTION_LOG_WINDOW_US = 10 * SECOND_US
 
-# The client's deadline runs while its request waits unread in the socket buffer. That wait is estimated and taken off
-# the time left. While the process starts, its clock shows nothing of the wait, so a minimum is always taken off.
-MAX_UNREAD_US = 400_000  # most time that is taken off for the wait: a client waits no longer for its answer
+# The client's deadline runs while its request waits unread in the socket buffer. That wait is estimated and
+# subtracted from the time left. The clock of a starting process shows nothing of the wait, so a minimum is always
+# subtracted.
+MAX_UNREAD_US = 400_000  # most time subtracted for the wait: a client waits no longer for its answer
 MIN_UNREAD_DIVISOR = 20  # the minimum is the class's deadline divided by this
-MAX_UNREAD_DIVISOR = 2  # at most the time left divided by this is taken off
+MAX_UNREAD_DIVISOR = 2  # at most the time left divided by this is subtracted for the wait
 
 # The end of a message takes an engine step, a delivery report and its answer; each may be as late as timers are.
 LAG_STEPS = 3
-MAX_LAG_DIVISOR = 10  # at most the time left divided by this is taken off for the lag
+MAX_LAG_DIVISOR = 10  # at most the time left divided by this is subtracted for the lag
 
 MICROSECONDS_BY_UNIT = {"m": 1000, "u": 1}  # suffixes of X-Deadline
 DEADLINE = re.compile(r"(\d{1,12})(?:\.(\d{1,6})\d*)?([mu])\Z")
@@ -258,10 +259,10 @@
 
     @property
     def _is_half_full(self) -> bool:
-        """Whether half of the places are taken.
+        """Whether half of the permitted connections are open.
 
         An open connection without a request also takes a descriptor of its client, which may have fewer than the
-        sender. From here on connections end with their answer, and those without a first byte are closed early.
+        sender. From this number on, connections end with their answer, and those without a first byte are closed early.
         """
         return len(self._clients) >= self._max_clients // 2
 
--- a/scalefall/net/journal_records.py
+++ b/scalefall/net/journal_records.py
@@ -93,7 +93,7 @@
         retry_after_ms: With the answer RETURNED, how long the client should wait before it submits the message again.
         idempotency: Whether it may be repeated, by its class as of its acceptance; None if that was not recorded.
         key_scope_zone: Whether its idempotency key is valid within one zone only, by the same class.
-        key_ttl_us: How long a destination remembers the key, by the same class.
+        key_ttl_us: How long a destination stores the key, by the same class.
         copy_bytes: The bytes that it takes in a compacted journal.
         zone_bytes: The bytes of copy_bytes that are reserved for zone names.
     """
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -43,7 +43,7 @@
 
     Attributes:
         seq: The list's version.
-        whole: The object is the whole list; otherwise the changes.
+        whole: The object is the complete list; otherwise the changes.
         hosts: The endpoints.
     """
 
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """The whole list, or its changes, at a version.
+    """The complete list, or its changes, at a version.
 
     Attributes:
         seq: The version.
-        is_whole: The update is the whole list; otherwise the changes.
+        is_whole: The update is the complete list; otherwise the changes.
         entries: The entries.
         unreadable_entries: The ids of the entries that cannot be read; empty strings where the id cannot be read.
     """
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -18,7 +18,7 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 DIAL_TIMEOUT_US = SECOND_US  # of a dial to discovery, and of sending the request
-FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US  # from the request to the first whole object or blank line
+FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US  # from the request to the first complete object or blank line
 IDLE_TIMEOUT_US = 3 * SECOND_US  # discovery sends a line every 2 s
 BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # each such amount of an incomplete object extends its deadline by one timeout
 MOVE_RETRY_WINDOW_US = 3 * SECOND_US  # after a move, as discovery may come up at the new address a moment later
@@ -28,8 +28,8 @@
 MIN_BACKOFF_US = SECOND_US // 20  # doubled by each further failure
 MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # where lists are pushed
 MAX_POLLED_BACKOFF_US = 4 * SECOND_US // 5  # where lists are polled
-YIELD_BYTES = 32 * 1024  # of a list, after which other tasks run
-YIELD_ENTRIES = 100  # of a list, after which other tasks run
+YIELD_BYTES = 32 * 1024  # bytes of a list that are read before other tasks run
+YIELD_ENTRIES = 100  # entries of a list that are read before other tasks run
 
 
 class WatchListener(Protocol):
@@ -58,10 +58,10 @@
     Attributes:
         reader: Reads the HTTP answer.
         objects: Splits the body into objects.
-        active_at_us: The time of the request, or of the last whole object or blank line, in monotonic microseconds.
+        active_at_us: The time of the request, or of the last complete object or blank line, in monotonic microseconds.
         received_at_us: The time of the last bytes, in monotonic microseconds.
         timeout_us: The time limit for the next object or blank line, in microseconds.
-        bytes_since_active: The bytes of the body since the last whole object or blank line.
+        bytes_since_active: The bytes of the body since the last complete object or blank line.
         is_first: No update has been received yet.
     """
 
@@ -108,7 +108,7 @@
         self._pushed = pushed
         self._max_object_bytes = max_object_bytes
         self._random = random.Random(seed)
-        self._last_active_at_us = -1  # the time of the last whole object or blank line
+        self._last_active_at_us = -1  # the time of the last complete object or blank line
         self._reconnect_soon = False  # the last watch ended by an idle timeout or a restarted numbering: no failure
         self._moved_at_us = -MOVE_RETRY_WINDOW_US
         self._task: Task | None = None
@@ -121,8 +121,8 @@
     def move(self, discovery: tuple[str, int]) -> None:
         """Watch discovery at another address from now on.
 
-        The new watch starts at once and requests the whole list, as discovery may restart its version numbering there.
-        The end of the watch at the old address is not reported as a failure.
+        The new watch starts at once and requests the complete list, as discovery may restart its version numbering
+        there. The end of the watch at the old address is not reported as a failure.
         """
         if discovery == self._discovery:
             return
@@ -152,7 +152,7 @@
         """Wait before the watch is reopened; return the backoff that the next failure doubles.
 
         Args:
-            was_active: The watch that broke had received a whole object or a blank line.
+            was_active: The watch that broke had received a complete object or a blank line.
             backoff_us: The last backoff, in microseconds.
         """
         if self._pushed:
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -227,7 +227,7 @@
                 signalled = True
             elif assert_invariant(fd in self._tasks_by_fd, "a polled socket has its task"):
                 self.wake(self._tasks_by_fd[fd], READY)
-        if signalled:  # after the sockets: a handler may wake a task whose socket is ready too
+        if signalled:  # after the sockets: a handler may resume a task whose socket is ready too
             self._handle_wakeups()
         self._run_ready()
         now_us = self.now()
--- a/scalefall/policy/events.py
+++ b/scalefall/policy/events.py
@@ -38,7 +38,7 @@
 
     CHANGES = 0  # only the endpoints that changed
     WHOLE = 1  # all endpoints; a known one that is missing has been removed
-    CACHED = 2  # as WHOLE, but from before the start, and possibly out of date
+    CACHED = 2  # like WHOLE, but stored before the start, and possibly out of date
     FAILED = 3  # a poll failed
 
 
--- a/scalefall/policy/pacing.py
+++ b/scalefall/policy/pacing.py
@@ -15,9 +15,9 @@
 GROWTH_PER_CALL = 0.1  # fraction by which a rate that was cut grows with each call that it allows
 MIN_CUT_BASE_CALLS_PER_S = 2.0  # a sender that sends less is cut from this rate, unless its rate limit is lower
 ASSUMED_LIMIT_PER_S = 4.0  # lower bound assumed for the limit of a destination that reports none
-SEND_RATE_WINDOW_US = 2 * SECOND  # span over which the recent send rate is measured
+SEND_RATE_WINDOW_US = 2 * SECOND  # span of the recent send rate
 BURST_US = SECOND // 4  # the bucket holds at most the tokens of this time
-CHANCE_UNUSED_FRACTION = 0.5  # fraction of a reported limit that may be unused by chance; only the rest is taken
+CHANCE_UNUSED_FRACTION = 0.5  # fraction of a reported limit that may be unused by chance; only the rest is used
 MAX_EXTRA_FRACTION = 0.5  # fraction of the unused limit that a rate may have on top of its fair share
 LIMIT_RISE_FACTOR = 1.25  # a reported limit above this multiple of the last one has risen and is not noise
 CHANCE_STANDARD_DEVIATIONS = 2  # a sum over N senders varies by 1 / sqrt(N); this multiple may be chance
--- a/scalefall/policy/settings.py
+++ b/scalefall/policy/settings.py
@@ -13,7 +13,7 @@
     """Effect of sending a message of a class again. The values are those of the platform's settings."""
 
     IDEMPOTENT = "safe"  # a repeat is harmless
-    WITH_KEY = "keyed"  # a repeat is harmless where and while the endpoints remember the idempotency key
+    WITH_KEY = "keyed"  # a repeat is harmless where and while the endpoints store the idempotency key
     NOT_IDEMPOTENT = "unsafe"  # a message that may have run must not be sent again
 
 
@@ -28,7 +28,7 @@
     late_priority_weight: float  # fraction of that value that remains at the deadline, 0 to 1
     idempotency: Idempotency
     key_scope_zone: bool  # an idempotency key is valid within one zone only
-    key_ttl_us: int  # time for which endpoints remember an idempotency key
+    key_ttl_us: int  # time for which endpoints store an idempotency key
     ordered: bool  # messages with the same ordering key are sent one after another
 
 
--- a/scalefall/policy/slow_start.py
+++ b/scalefall/policy/slow_start.py
@@ -18,7 +18,7 @@
 from scalefall.policy.units import SECOND
 
 # Budgets of all senders during the warm-up, as a fraction of a recovering route's overload threshold. Up to two thirds
-# of it, senders that have seen the failure cannot break the overload rule.
+# of the threshold, senders that have seen the failure cannot break the overload rule.
 WARMING_BUDGET_FRACTION = 2 / 3
 # The fraction for budgets before the first success; OutlierDetection.record_failure has the derivation.
 FAILING_BUDGET_FRACTION = (2 - TRIAL_CALLS) / 3
--- a/scalefall/policy/state.py
+++ b/scalefall/policy/state.py
@@ -47,7 +47,7 @@
     sent_at: int
     unfinished: int = 0  # messages in the call without an outcome
     carried: int = 0  # messages in the call
-    evaluated: bool = False  # the first outcome has been evaluated for the whole call
+    evaluated: bool = False  # the first outcome has been evaluated, for all messages of the call
     counted_overdue: bool = False  # already counted as a failure because it is overdue
     cancelled: bool = False
     overdue_at: int = 0
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -98,7 +98,7 @@
     assert any(verdicts(world_with_outage(seed, **changes))["fall"].violations for seed in range(5))
 
 
-BROKEN_ROWS = {  # for each rule, rows that just break it
+BROKEN_ROWS = {  # rows that just break a rule, by rule
     "drain": [
         dict(event="endpoint", endpoint="e", now="draining"),
         dict(event="sent", endpoint="e", proxy="p", at=1000001),
@@ -118,7 +118,7 @@
     "twice": [dict(event="effect", id="m", repeat="never"), dict(event="effect", id="m", repeat="never")],
     "answer": [dict(event="taken", id="m"), dict(event="ended", id="m"), dict(event="ended", id="m")],
 }
-CORRECTIONS = {  # for each rule, the change of the last row that makes the rows keep it
+CORRECTIONS = {  # the change of the last row that makes the rows obey the rule, by rule
     "drain": dict(at=1000000),
     "wait": dict(at=500000),
     "fall": dict(a_second=4),
--- a/tests/test_connection_retention.py
+++ b/tests/test_connection_retention.py
@@ -35,8 +35,8 @@
 
 
 def test_no_connection_is_kept_where_calls_are_too_rare_to_reuse_it():
-    """With 40 senders and 160 calls/s in total, a quarter of all calls were rejected, as idle connections that nobody
-    reused took all of the endpoint's places."""
+    """With 40 senders and 160 calls/s in total, a quarter of all calls were rejected, as idle connections that were
+    not reused filled the endpoint's connection limit."""
     retention = ConnectionRetention(40)
     for n in range(10):
         retention.call_started("rare", n * S // 4)
--- a/tests/test_delivery_reports.py
+++ b/tests/test_delivery_reports.py
@@ -100,7 +100,7 @@
         world.wait_until(lambda: done == ["a"])
         began = world.now()
         reports.report_failed("b")
-        peer.read(idle)  # and no answer
+        peer.read(idle)  # not answered
         confirm(peer, peer.accept())
         world.wait_until(lambda: done == ["a", "b"])
         assert world.now() - began < 200 * MS
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_the_whole_list_is_requested_after_discovery_restarts_its_numbering(pushed):
-    """The changes were taken for old ones, and the list was never updated again."""
+    """The changes counted as old ones, and the list was never updated again."""
     world = VirtualTimeScheduler()
 
     def play():
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -918,7 +918,7 @@
     again.finish("y", "e", Outcome.CONNECT_FAILED)
     assert again.engine.state.destinations[1].routes[""].slow_start.own_rate == known[1].own_rate
     assert 2 not in again.engine.state.destinations
-    assert again.engine.learned_rates()[0].own_rate == known[1].own_rate  # and it survives a second restart
+    assert again.engine.learned_rates()[0].own_rate == known[1].own_rate  # still stored after a second restart
     again.tick(after=61 * SECOND)
     assert again.engine.pacing.own_rate(again.engine.state.destinations[1].routes[""]) == 2.0
 
--- a/tests/test_fleet_failback.py
+++ b/tests/test_fleet_failback.py
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize(("rates", "limit"), [THIRTY, *SMALL])
 def test_senders_stay_within_the_slow_start_of_a_destination_that_sends_retry_after(rates, limit):
-    """A success of an earlier call, after the rejected call was sent, made the rejection count for nothing.
+    """A success of an earlier call, after the rejected call was sent, cancelled the rejection.
 
     The Retry-After allowed no other call, and the whole backlog was sent at its end.
     """
--- a/tests/test_ingress_server.py
+++ b/tests/test_ingress_server.py
@@ -36,7 +36,11 @@
 
     def send_request(self, sock, target="/safe", method="POST", body=b"body", **changes):
         fields = HEAD | {name.replace("_", "-"): value for name, value in changes.items()}
-        sock.send(http.request(method, target, "s", [(k, v) for k, v in fields.items() if v is not None], body))
+        sock.send(
+            http.request(
+                method, target, "s", [(name, value) for name, value in fields.items() if value is not None], body
+            )
+        )
 
     def answer(self, sock):
         return read(self.world, sock, http.AnswerReader())
--- a/tests/test_notified_in_time.py
+++ b/tests/test_notified_in_time.py
@@ -11,7 +11,7 @@
 
 from scalefall.net import http, list_watch
 
-NOTIFIED_US = 6 * S  # after this, the sender counts as notified
+NOTIFIED_US = 6 * S  # time after which the sender counts as notified
 ANSWER_US = 140 * MS  # discovery's time per call, which it serves one at a time (docs/performance.md)
 REJECTION_US = S  # discovery answers 503 to a call that has waited this long
 MAX_RANDOM = 1 - 2**-53  # the largest value of random()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -132,7 +132,7 @@
 def test_accepted_messages_survive_sigkill(sender, toy, tmp_path):
     """A message that must not run twice has failed if an attempt of it was in flight at the kill, as it may have run.
 
-    Otherwise it surely has not run and is returned. The kill may meet either case, so the journal says which.
+    Otherwise it surely has not run and is returned. The kill may meet either case, so the journal shows which.
     """
     process = sender("-O")
     # The deadline is longer than a restart takes on a busy machine.
@@ -202,7 +202,7 @@
 
 
 def settings_without(key):
-    return EXAMPLE | {"settings": {k: v for k, v in EXAMPLE["settings"].items() if k != key}}
+    return EXAMPLE | {"settings": {name: value for name, value in EXAMPLE["settings"].items() if name != key}}
 
 
 BAD = [
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -37,7 +37,7 @@
         send_update(list_update(2, *(entry(harness, n) for n in range(SIZE))))
         endpoint_list = harness.sender.endpoint_list
         harness.world.wait_until(lambda: endpoint_list.seq == 2)
-        assert sum(e.endpoint.id.startswith("s-") for e in endpoint_list.entries.values()) == SIZE
+        assert sum(listed.endpoint.id.startswith("s-") for listed in endpoint_list.entries.values()) == SIZE
         assert endpoint_list.unreadable_entries == 0
         for number in (0, 511, SIZE - 1):
             harness.submit_accepted(f"m{number}", dest=number)
@@ -48,7 +48,7 @@
             list_update(3, *(entry(harness, n, health="terminating") for n in range(SIZE) if n % 2), whole=False)
         )
         harness.world.wait_until(lambda: endpoint_list.seq == 3)
-        assert len(endpoint_list.left_at) == SIZE // 2 + 1  # and the endpoint that the second list no longer has
+        assert len(endpoint_list.left_at) == SIZE // 2 + 1  # one more: the second list lacks an endpoint of the first
         harness.submit_accepted("odd", "even", dest=7)
         harness.submit_accepted("free", dest=8)
         _, call = harness.accept_call()
