--- a/scalefall/net/ingress_server.py
+++ b/scalefall/net/ingress_server.py
@@ -170,10 +170,10 @@
         self.shutting_down = True
         self._close_idle_connections()
 
-    def drain(self, on: bool) -> None:
+    def drain(self, enabled: bool) -> None:
         """Start or stop draining: as close_idle() does, but operators can end it."""
-        self.draining = on
-        if on:
+        self.draining = enabled
+        if enabled:
             self._close_idle_connections()
 
     def _close_idle_connections(self) -> None:
--- a/tests/assignment/test_sharding.py
+++ b/tests/assignment/test_sharding.py
@@ -17,8 +17,8 @@
     assert here == [12719, 8158, 8513, 12471, 4654]
     program = "from scalefall.assignment.sharding import Sharding; print(Sharding(14_400).shard_of(419_999))"
     for seed in ("1", "2"):
-        out = subprocess.run([sys.executable, "-c", program], env={"PYTHONHASHSEED": seed}, capture_output=True)
-        assert int(out.stdout) == here[3]
+        completed = subprocess.run([sys.executable, "-c", program], env={"PYTHONHASHSEED": seed}, capture_output=True)
+        assert int(completed.stdout) == here[3]
 
 
 @pytest.mark.parametrize("count", [1, 1_000, 1_024])
@@ -38,11 +38,11 @@
     assert (both.shard_of(5), both.shard_of(7)) == (8, 9)
     assert list(both.shards()) == list(range(10))
     assert dict(both.isolated) == {5: 8, 7: 9}
-    again = both.merge(5)
-    assert again.shard_of(5) == before.shard_of(5)
-    assert list(again.shards()) == [*range(8), 9]
-    assert again.isolate(6).shard_of(6) == 8
-    assert again.merge(7) == before
+    merged = both.merge(5)
+    assert merged.shard_of(5) == before.shard_of(5)
+    assert list(merged.shards()) == [*range(8), 9]
+    assert merged.isolate(6).shard_of(6) == 8
+    assert merged.merge(7) == before
     assert dict(before.isolated) == {}  # not modified in place
 
 
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(8), 5116])
-def test_every_rule_is_kept_while_links_fail_and_endpoints_drain(seed):
+def test_every_rule_is_obeyed_while_links_fail_and_endpoints_drain(seed):
     """The rules on drains, grants, repeats and final answers are exercised in each run.
 
     Seed 5116: the allowance decreases twice within one lease, and a grant made in between is not acknowledged. If the
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("rule", audit.RULE_NAMES)
-def test_each_rule_is_broken_just_beyond_its_bound_and_kept_at_it(rule):
+def test_each_rule_is_broken_just_beyond_its_bound_and_obeyed_at_it(rule):
     """The same rows do not concern any other rule."""
 
     def verdicts_on(rows):
--- a/tests/lang/test_properties.py
+++ b/tests/lang/test_properties.py
@@ -50,11 +50,13 @@
 @given(TEXTS)
 def test_formatting_keeps_statements_and_comments_and_is_idempotent(text):
     document = parsed(text)
-    out = format.layout(document)
-    again = parsed(out)
-    assert equivalent_statements(document.statements, again.statements)
-    assert [comment.rstrip() for comment in document.comments] == [comment.rstrip() for comment in again.comments]
-    assert format.layout(again) == out
+    formatted = format.layout(document)
+    parsed_again = parsed(formatted)
+    assert equivalent_statements(document.statements, parsed_again.statements)
+    assert [comment.rstrip() for comment in document.comments] == [
+        comment.rstrip() for comment in parsed_again.comments
+    ]
+    assert format.layout(parsed_again) == formatted
 
 
 # -- whole configurations
--- a/tests/scaling/test_checks.py
+++ b/tests/scaling/test_checks.py
@@ -98,11 +98,11 @@
 
 def test_a_figure_survives_json_and_its_plot_is_deterministic():
     one = measured(3, Quantity.TIME)
-    again = from_json(json.loads(json.dumps(one.as_json())))
-    assert again == one
-    assert key(again) == "control-instance: x"
+    restored = from_json(json.loads(json.dumps(one.as_json())))
+    assert restored == one
+    assert key(restored) == "control-instance: x"
     drawn = plot("t", [one])
-    assert drawn == plot("t", [again])
+    assert drawn == plot("t", [restored])
     assert len(re.findall("<use [^>]*fill: #1f77b4", drawn)) == 3
 
 
--- a/tests/scaling/test_hollow.py
+++ b/tests/scaling/test_hollow.py
@@ -146,7 +146,7 @@
     assert tables[0] == tables[1]
 
 
-def test_a_link_keeps_order_over_a_cut_and_drops_messages_in_flight_at_a_reset():
+def test_a_link_preserves_order_over_a_cut_and_drops_messages_in_flight_at_a_reset():
     clock, meter, got = VirtualClock(), Meter(), []
     link = Link(clock, random.Random(1), (meter,))
 
--- a/tests/stored_data/mapping.py
+++ b/tests/stored_data/mapping.py
@@ -245,7 +245,7 @@
     }
 
 
-def assignment_again(text, shards):
+def reassembled_snapshot(text, shards):
     """Return the snapshot of a coordinator that starts from this text, and the reason if it rejected the text."""
     settings = AssignmentSettings(shards=shards, lease_us=2_000_000, delay_us=500_000, restart_us=3_000_000)
     assembly, rejected = assemble(0, settings, text)
--- a/tests/stored_data/test_stored_control.py
+++ b/tests/stored_data/test_stored_control.py
@@ -77,6 +77,6 @@
     stored = (STORED / "with_shards" / "assignment").read_text()
     row = expected("assignment")
     assert mapping.assignment_row(stored, row["settings"]) == row
-    assert mapping.assignment_again(stored, 64) == (stored, "")
-    _, rejected = mapping.assignment_again(stored, 63)
+    assert mapping.reassembled_snapshot(stored, 64) == (stored, "")
+    _, rejected = mapping.reassembled_snapshot(stored, 63)
     assert rejected == "snapshot: of other settings ('shards 64', not 'shards 63')"
--- a/tests/stored_data/test_stored_logs.py
+++ b/tests/stored_data/test_stored_logs.py
@@ -24,7 +24,7 @@
     assert (done.returncode, done.stderr) == (stored["code"], "")
 
 
-def test_the_stored_logs_keep_and_break_each_rule_at_least_once():
+def test_the_stored_logs_obey_and_break_each_rule_at_least_once():
     found = {tuple(line.split()[:2]) for stored in VERDICTS.values() for line in stored["text"] if line[0] != " "}
     assert {(rule, verdict) for rule in RULES for verdict in ("kept", "broken")} <= found
     assert {stored["code"] for stored in VERDICTS.values()} == {0, 1}
--- a/tests/stored_data/write.py
+++ b/tests/stored_data/write.py
@@ -171,11 +171,11 @@
 
     lines, read = [], audit.read_log
 
-    def keep(given):
+    def record_lines(given):
         lines.extend(given)
         return read(lines)
 
-    audit.read_log = keep
+    audit.read_log = record_lines
     name = "test_a_proxy_sends_under_grants_falls_back_while_it_is_cut_off_and_comes_back"
     assert pytest.main(["-q", "-p", "no:cacheprovider", f"{ROOT}/tests/transport/test_standins.py::{name}"]) == 0
     return lines
@@ -216,9 +216,9 @@
 def altered(rows):
     """Return rows with half the allowances, one message without an answer, and one effect twice."""
     ended = next(row for row in rows if row["event"] == "ended")
-    again = next(row for row in rows if row["event"] == "effect" and row["repeat"] == "never")
+    second_effect = next(row for row in rows if row["event"] == "effect" and row["repeat"] == "never")
     halved = [row | {"amount": row["amount"] // 2} if row["event"] == "allowance" else row for row in rows]
-    return [row for row in halved if row is not ended] + [again]
+    return [row for row in halved if row is not ended] + [second_effect]
 
 
 def audited(paths):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -219,7 +219,7 @@
     play(harness, steps)
 
 
-def test_callers_that_send_nothing_or_part_of_a_call_do_not_keep_out_others(harness):
+def test_callers_that_send_nothing_or_an_incomplete_call_do_not_block_others(harness):
     def steps():
         idle = [send(harness, b"PUT /endp" if n % 2 else b"") for n in range(3 * MAX_WAITING_CALLERS)]
         harness.world.sleep(10 * MS)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -114,13 +114,13 @@
 
 
 def test_import_and_compile_keep_the_settings_of_the_platforms_json(tmp_path):
-    text, out = tmp_path / "site.scale", tmp_path / "config.json"
+    text, output = tmp_path / "site.scale", tmp_path / "config.json"
     call("import", EXAMPLE / "config.json", "-o", text)
     call("check", "--strict", text)
-    call("compile", text, "-o", out)
+    call("compile", text, "-o", output)
     from scalefall.settings_reader import read_settings
 
-    was, now = (json.loads(path.read_text()) for path in (EXAMPLE / "config.json", out))
+    was, now = (json.loads(path.read_text()) for path in (EXAMPLE / "config.json", output))
     assert read_settings(was["settings"]) == read_settings(now["settings"])
     result = call("compile", EXAMPLE)
     assert "connections of pool pojistovna" in result.stderr
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -27,7 +27,7 @@
 
     def __init__(self, address):
         self.address, self.opened, self.opened_more = address, 0, threading.Condition()
-        self.stopped, self.thread = threading.Event(), threading.Thread(target=self._keep, daemon=True)
+        self.stopped, self.thread = threading.Event(), threading.Thread(target=self._keep_open, daemon=True)
         self.poll, self.sockets = select.poll(), {}
         self.thread.start()
 
@@ -40,7 +40,7 @@
             self.opened += 1
             self.opened_more.notify_all()
 
-    def _keep(self):
+    def _keep_open(self):
         for number in range(IDLE_CONNECTIONS):
             self._open(number)
         while not self.stopped.is_set():
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -52,7 +52,7 @@
     def play():
         peer, endpoint_list, events = watched(world)
         assert endpoint_list.initial_list().kind is K.CACHED
-        assert [e.id for e in endpoint_list.initial_list().endpoints] == ["e"]
+        assert [endpoint.id for endpoint in endpoint_list.initial_list().endpoints] == ["e"]
         endpoint_list.subscribe()
         endpoint_list.subscribe()  # one watch at a time
         sock = peer.accept()
@@ -70,7 +70,7 @@
             )
         )
         world.wait_until(lambda: len(events) == 3)
-        assert [(event.kind, [(e.id, e.status) for e in event.endpoints]) for event in events] == [
+        assert [(event.kind, [(endpoint.id, endpoint.status) for endpoint in event.endpoints]) for event in events] == [
             (K.CHANGES, [("f", EndpointStatus.READY)]),
             (K.CHANGES, [("e", EndpointStatus.DRAINING)]),
             (K.WHOLE, [("f", EndpointStatus.READY)]),
@@ -153,8 +153,8 @@
 
         if drip:
             world.call_at(started_at + MS, send_drip)
-        again = peer.accept()
-        assert peer.read(again).target == "/v1/servers?stream=1&index=41"
+        new_sock = peer.accept()
+        assert peer.read(new_sock).target == "/v1/servers?stream=1&index=41"
         assert world.now() - started_at < 5500 * MS
         assert K.FAILED not in [event.kind for event in events]
 
@@ -188,11 +188,11 @@
         sock = peer.accept()
         assert peer.read(sock).target == "/v1/servers?stream=1&index=41"
         sock.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE), whole=False)))
-        started_at, again = world.now(), peer.accept()
-        assert peer.read(again).target == "/v1/servers?stream=1&index=0"
+        started_at, new_sock = world.now(), peer.accept()
+        assert peer.read(new_sock).target == "/v1/servers?stream=1&index=0"
         assert world.now() - started_at < 2500 * MS
-        again.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE))))
-        again.send(
+        new_sock.send(STREAM_HEAD + chunk(list_update(3, host_row("f", HERE))))
+        new_sock.send(
             chunk(list_update(2, host_row("g", HERE), whole=False), list_update(4, host_row("h", HERE), whole=False))
         )
         world.wait_until(lambda: "h" in endpoint_list.entries)
@@ -213,9 +213,9 @@
         resume_within_poll(world)
         sock.send(chunk(list_update(42, host_row("f", HERE), whole=False)))  # unread when the time is up
         world.clock += 4 * S
-        again = peer.accept()
-        assert peer.read(again).target == "/v1/servers?stream=1&index=41"
-        again.send(STREAM_HEAD + chunk(list_update(42, host_row("f", HERE), whole=False)))
+        new_sock = peer.accept()
+        assert peer.read(new_sock).target == "/v1/servers?stream=1&index=41"
+        new_sock.send(STREAM_HEAD + chunk(list_update(42, host_row("f", HERE), whole=False)))
         world.wait_until(lambda: endpoint_list.seq == 42)
         assert "f" in endpoint_list.entries
 
@@ -241,7 +241,9 @@
                 sock.send(data[at : at + 50])
                 world.sleep(MS)
         world.wait_until(lambda: endpoint_list.seq == 51)
-        assert [(event.kind, [e.id for e in event.endpoints]) for event in events] == [(K.WHOLE, ["f", "e"])] * 2
+        assert [(event.kind, [endpoint.id for endpoint in event.endpoints]) for event in events] == [
+            (K.WHOLE, ["f", "e"])
+        ] * 2
         assert set(endpoint_list.entries) == {"e", "f"}
         assert not endpoint_list.left_at
         assert peer.accepted == 1
@@ -263,11 +265,11 @@
             peer.read(sock)
             sock.send(STREAM_HEAD + chunk(None))
             active_at = world.now()
-            again = peer.accept()
+            new_sock = peer.accept()
             assert world.now() - active_at < 5500 * MS
             assert K.FAILED not in [event.kind for event in events]
             events.clear()
-            again.close()  # the engine repeats a failed request
+            new_sock.close()  # the engine repeats a failed request
             world.wait_until(lambda: events)
             assert [event.kind for event in events] == [K.FAILED]
             endpoint_list.subscribe()
@@ -298,7 +300,7 @@
         assert events == []
         sock.send(chunk(list_update(42, host_row("f", HERE), whole=False)))
         world.wait_until(lambda: len(events) == 2)
-        assert [(event.kind, [e.id for e in event.endpoints]) for event in events] == [
+        assert [(event.kind, [endpoint.id for endpoint in event.endpoints]) for event in events] == [
             (K.CACHED, ["e"]),
             (K.CHANGES, ["f"]),
         ]
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -10,8 +10,8 @@
 def test_one_step_at_the_end_of_the_tick_takes_all_events_in_order():
     world = VirtualTimeScheduler()
     queue = EventQueue(world, 5 * MS)
-    taken = []
-    queue.connect(lambda: taken.append((world.now(), queue.take_all())))
+    events_by_step = []
+    queue.connect(lambda: events_by_step.append((world.now(), queue.take_all())))
 
     def steps():
         world.sleep(MS)
@@ -21,20 +21,20 @@
         world.sleep(MS)
         queue.gather(second)
         world.sleep(20 * MS)
-        assert taken == [(began + 4 * MS, [first, second])]
+        assert events_by_step == [(began + 4 * MS, [first, second])]
 
     world.play(steps)
 
 
-def test_an_event_gathered_during_a_step_is_taken_by_the_next_one():
+def test_an_event_gathered_during_a_step_is_handled_by_the_next_one():
     world = VirtualTimeScheduler()
     queue = EventQueue(world, MS)
-    taken = []
+    events_by_step = []
 
     def step():
         events = queue.take_all()
-        taken.append(events)
-        if len(taken) == 1:
+        events_by_step.append(events)
+        if len(events_by_step) == 1:
             queue.gather(MessageWithdrawn("later"))
 
     queue.connect(step)
@@ -42,7 +42,7 @@
     def steps():
         queue.gather(MessageWithdrawn("now"))
         world.sleep(10 * MS)
-        assert taken == [[MessageWithdrawn("now")], [MessageWithdrawn("later")]]
+        assert events_by_step == [[MessageWithdrawn("now")], [MessageWithdrawn("later")]]
 
     world.play(steps)
 
--- a/tests/test_ingress_server.py
+++ b/tests/test_ingress_server.py
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("busy_us", [20 * MS, 200 * MS, S])
 @pytest.mark.parametrize("reused", [False, True])
-def test_the_time_that_a_request_waits_unread_is_taken_off_its_deadline(busy_us, reused):
+def test_the_time_that_a_request_waits_unread_is_subtracted_from_its_deadline(busy_us, reused):
     """With the deadline counted from the read, messages ended up to 400 ms late, and were lost though answered."""
     harness = IngressHarness(result=Accepted(), classes={"safe": message_class(deadline_us=7 * S // 10)})
 
@@ -310,7 +310,7 @@
     harness.world.play(play)
 
 
-def test_many_clients_that_send_nothing_do_not_keep_out_one_with_a_request():
+def test_many_clients_that_send_nothing_do_not_block_one_with_a_request():
     """Nor are connections that others reuse evicted for clients with one request each."""
     harness = IngressHarness(max_clients=8, result=Accepted())
 
@@ -334,7 +334,7 @@
     harness.world.play(play)
 
 
-def test_clients_that_check_health_once_and_stay_connected_do_not_keep_out_those_with_messages():
+def test_clients_that_check_health_once_and_stay_connected_do_not_block_those_with_messages():
     """250 of them a second took all places. New connections, regular clients' too, waited in the queue as long as any
     other was within its grace period, and four fifths of the messages were rejected."""
     harness = IngressHarness(max_clients=20, result=Accepted())
@@ -450,7 +450,7 @@
 
 
 @pytest.mark.parametrize("unused", [True, False])
-def test_when_half_of_the_places_are_taken_connections_close_after_their_answer_and_unused_ones_early(unused):
+def test_at_half_of_the_connection_limit_connections_close_after_their_answer_and_unused_ones_early(unused):
     """Idle connections took all descriptors that the clients had, fewer than the sender has. They could open no more,
     and a third of the messages failed without reaching the sender."""
     harness = IngressHarness(max_clients=20, result=Accepted())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -126,7 +126,7 @@
     return calls
 
 
-def test_an_unused_limit_of_many_senders_is_taken_within_seconds():
+def test_an_unused_limit_of_many_senders_is_used_within_seconds():
     """With 0.8 to 1 of the limit unused, a sender with messages waiting made only a call in one to two seconds.
 
     Its rate grew by a tenth with each call, and it made few calls.
@@ -136,6 +136,6 @@
     assert grown >= 2 * fair_share
 
 
-def test_an_unused_limit_is_not_taken_by_few_senders_or_where_calls_are_batched():
+def test_an_unused_limit_is_not_used_by_few_senders_or_where_calls_are_batched():
     assert calls_with_reports(4, 0.9) < 0.8 * calls_with_reports(200, 0.9)
     assert calls_with_reports(200, 0.9, "many") < 0.8 * calls_with_reports(200, 0.9)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -143,8 +143,8 @@
     process.line("restored: 1 pending")
     assert json.loads(toy.line("nowhere").removeprefix("notice "))["state"] == expected
     assert process.end(signal.SIGTERM) == 0
-    again = sender("-O")
-    assert not [line for line in again.seen if "restored" in line]
+    restarted = sender("-O")
+    assert not [line for line in restarted.seen if "restored" in line]
 
 
 def test_messages_pending_at_sigterm_stay_in_the_journal_and_are_delivered_after_the_restart(sender, toy):
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -94,8 +94,11 @@
     doing_io = {"os", "io", "socket", "time", "pathlib", "asyncio", "threading", "subprocess", "datetime", "sys"}
     for path in POLICY:
         for name in imports(path):
-            top = name.split(".")[0]
-            assert name.startswith("scalefall.policy.") or top in sys.stdlib_module_names - doing_io, (path.name, name)
+            package = name.split(".")[0]
+            assert name.startswith("scalefall.policy.") or package in sys.stdlib_module_names - doing_io, (
+                path.name,
+                name,
+            )
         nodes = ast.walk(ast.parse(path.read_text()))
         assert not [node for node in nodes if isinstance(node, ast.Name) and node.id in ("open", "print")], path.name
 
--- a/tests/test_static_list.py
+++ b/tests/test_static_list.py
@@ -234,9 +234,11 @@
         assert not sender.journal.pending
 
     world.play(play)
-    assert [r.fields["id"] for r in caplog.records if r.getMessage().startswith("delivery report: m1 returned")] == [
-        "m1"
-    ]
+    assert [
+        record.fields["id"]
+        for record in caplog.records
+        if record.getMessage().startswith("delivery report: m1 returned")
+    ] == ["m1"]
 
 
 def test_a_thread_that_ends_early_interrupts_no_other_wait():
