--- a/scalefall/assignment/limit_log.py
+++ b/scalefall/assignment/limit_log.py
@@ -20,8 +20,8 @@
 
     def __init__(self) -> None:
         """Start with every destination UNLIMITED, at version 0."""
-        self.version = 0  # of the latest change
-        self.urgent_version = 0  # of the latest change to send at once: a reduction, or a raise that is not small
+        self.version = 0  # version of the latest change
+        self.urgent_version = 0  # the latest change to send at once: a reduction, or a raise that is not small
         self._rows: dict[int, tuple[int, DestinationLimit]] = {}  # (version, limit) by destination, in version order
         self._unlimited: dict[int, int] = {}  # versions of the rows that are UNLIMITED, by destination
 
--- a/scalefall/assignment/service.py
+++ b/scalefall/assignment/service.py
@@ -35,7 +35,7 @@
 from scalefall.net.config import Fleet
 from scalefall.policy.settings import Settings
 
-LOAD_INTERVAL_US = 30_000_000  # over which calls are counted for one load report: the placement interval
+LOAD_INTERVAL_US = 30_000_000  # span of the calls in one load report: the placement interval
 MAX_UNACKNOWLEDGED_GRANTS = 4096  # per stream; the oldest are dropped, as a client with more does not read its renewals
 SECOND_US = 1_000_000
 
--- a/scalefall/control/catalog.py
+++ b/scalefall/control/catalog.py
@@ -16,7 +16,7 @@
 RDS = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-RESOURCE_TYPES = (CDS, EDS, LDS, RDS)  # in the order of sending: referenced types precede those that refer to them
+RESOURCE_TYPES = (CDS, EDS, LDS, RDS)  # sent in this order: referenced types precede those that refer to them
 SHARED = -1  # the destination of resources that belong to none: every node may have them
 MAX_MISSING_SHOWN = 5  # missing resources named in an error, whose text is one line of the log
 
--- a/scalefall/control/transport/resources.py
+++ b/scalefall/control/transport/resources.py
@@ -41,7 +41,7 @@
 LEASE_NAME = "scalefall-lease"  # a resource whose heartbeats replace those of all endpoint lists
 NAME_PREFIX = "route"
 MAX_ROUTE_DIGITS = 9  # digits of the route number in a resource name
-DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # for a route without endpoints, which gets no calls
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # value for a route without endpoints, which gets no calls
 FULL_WEIGHT = 100  # the weight of an endpoint that is not in slow start
 WEIGHT_STEPS = (1, 2, 5, 10, 20, 50)  # weights in slow start; coarse, so that few steps change the resource
 HEALTH = {
--- a/scalefall/net/attempt_dispatcher.py
+++ b/scalefall/net/attempt_dispatcher.py
@@ -22,7 +22,7 @@
 from scalefall.policy.settings import Idempotency, Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-DRAIN_MARGIN_US = 200 * MILLISECOND_US  # before a drain's end: a call sent later may find its endpoint stopped
+DRAIN_MARGIN_US = 200 * MILLISECOND_US  # time before a drain's end: a call sent later may find its endpoint stopped
 MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for any body, that of an attempt with several messages included
 
 
--- a/scalefall/net/attempt_request.py
+++ b/scalefall/net/attempt_request.py
@@ -14,7 +14,7 @@
 BATCH_TARGET = "/v1/messages:batch"  # the protocol's path for several
 BASE64_GROUP_BYTES = 3  # RFC 4648: bytes that are encoded together
 BASE64_GROUP_CHARACTERS = 4  # RFC 4648: characters that encode one group
-ROW_SEPARATOR_BYTES = 2  # for a row's comma and the array's brackets
+ROW_SEPARATOR_BYTES = 2  # reserved in each row for its comma and the array's brackets
 
 
 def encode_request(attempt: Attempt, now_us: int) -> bytes:
--- a/scalefall/net/attempt_result.py
+++ b/scalefall/net/attempt_result.py
@@ -19,7 +19,7 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 RETRY_AFTER = re.compile(r"\d{1,9}(\.\d{0,9})?\Z")  # in seconds; the protocol allows decimals, HTTP does not
-STATE_OUTCOMES = {  # by the protocol's state of one message in an answer for several
+STATE_OUTCOMES = {  # outcomes by the protocol's state of one message in an answer for several
     "accepted": Outcome.OK,
     "fault": Outcome.ERROR,
     "deferred": Outcome.OVERLOADED,
--- a/scalefall/net/attempts.py
+++ b/scalefall/net/attempts.py
@@ -30,7 +30,7 @@
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
 MAX_ANSWER_DURATION_US = 1000 * MILLISECOND_US  # from the first byte to the last; leaves time for a retry
-MAX_DELIVERED_ANSWER_DURATION_US = 200 * MILLISECOND_US  # where a status of 200 has already decided the outcome
+MAX_DELIVERED_ANSWER_DURATION_US = 200 * MILLISECOND_US  # limit if a status of 200 has already decided the outcome
 
 
 class Attempts:
--- a/scalefall/net/config.py
+++ b/scalefall/net/config.py
@@ -13,7 +13,7 @@
 from scalefall.settings_reader import read_settings
 
 Address = tuple[str, int]
-LIMITS = {"sockets": (1024, 64), "disk_mb": (3, 0.1), "memory_mb": (192, 16)}  # by key: the default, the minimum
+LIMITS = {"sockets": (1024, 64), "disk_mb": (3, 0.1), "memory_mb": (192, 16)}  # the default and the minimum, by key
 
 
 class ConfigError(Exception):
--- a/scalefall/net/connection_pool.py
+++ b/scalefall/net/connection_pool.py
@@ -18,9 +18,9 @@
 from scalefall.policy.settings import Settings
 
 MILLISECOND_US = 1000  # microseconds in a millisecond
-IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # between this side's close of an idle connection and the endpoint's
-REUSE_DELAY_US = 20 * MILLISECOND_US  # after an answer, in which surplus bytes of the answer may still arrive
-STALE_AFTER_US = 80 * MILLISECOND_US  # after the reuse delay; such a connection may have been dropped unnoticed
+IDLE_CLOSE_MARGIN_US = 500 * MILLISECOND_US  # time from this side's close of an idle connection to the endpoint's
+REUSE_DELAY_US = 20 * MILLISECOND_US  # wait after an answer, as surplus bytes of it may still arrive
+STALE_AFTER_US = 80 * MILLISECOND_US  # time after the reuse delay: a stale connection may have been dropped unnoticed
 MAX_STALE_LOSS_RATE = 0.03  # above it, calls that must not run twice avoid stale connections
 STALE_LOSS_AVERAGED_CALLS = 50  # the span of the stale loss rate's exponential mean
 
--- a/scalefall/net/connection_retention.py
+++ b/scalefall/net/connection_retention.py
@@ -12,9 +12,9 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-REJECTED_FACTOR = 0.5  # of the retention time per rejected connection: halved, as congestion control does
-ACCEPTED_FACTOR = 1.25  # of the retention time per accepted connection: about three make up for one rejection
-NEWEST_INTERVAL_WEIGHT = 0.25  # in the exponential mean of call intervals, which spans about four of them
+REJECTED_FACTOR = 0.5  # a rejected connection halves the retention time, as congestion control does
+ACCEPTED_FACTOR = 1.25  # factor of the retention time per accepted connection: about three offset one rejection
+NEWEST_INTERVAL_WEIGHT = 0.25  # weight in the exponential mean of call intervals, which spans about four of them
 MIN_MEAN_INTERVALS = 2.0  # mean call intervals that must fit into the retention time to keep a connection
 
 
--- a/scalefall/net/delivery_tracker.py
+++ b/scalefall/net/delivery_tracker.py
@@ -9,7 +9,7 @@
 
 SECOND_US = 1_000_000  # microseconds in a second
 FINISHED_ID_RETENTION_US = 30 * SECOND_US  # clients do not repeat a finished id later than this
-MEMORY_BYTES_PER_FINISHED_ID = 4096  # of the memory limit, for each retained id: 46,875 ids for 192 MB
+MEMORY_BYTES_PER_FINISHED_ID = 4096  # one finished id is retained per this much of the memory limit: 46,875 for 192 MB
 
 
 class DeliveryTracker:
--- a/scalefall/net/discovery_list.py
+++ b/scalefall/net/discovery_list.py
@@ -10,8 +10,8 @@
 from scalefall.net.scheduler import Scheduler
 from scalefall.policy.events import EndpointListUpdate, ListUpdateKind
 
-MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # of one object of the list, also if the memory limit allows less
-ANNOUNCE_TIMEOUT_US = 2_000_000  # after the start, to use the old list if discovery has sent nothing
+MIN_OBJECT_LIMIT_BYTES = 1024 * 1024  # permitted size of one object of the list, also if the memory limit allows less
+ANNOUNCE_TIMEOUT_US = 2_000_000  # wait from the start; the old list is used if discovery has sent nothing by then
 
 
 class DiscoveryList(EndpointList):
--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -10,10 +10,10 @@
 from scalefall.errors import RemoteProtocolError
 from scalefall.policy.events import Endpoint, EndpointStatus
 
-MAX_NAME_CHARACTERS = 255  # of an id, a zone or a kind: the journal records them with each call
-MAX_DEPTH = 32  # of nested objects; a list has two levels
-ERROR_EXCERPT_BYTES = 40  # of invalid data, in an error's text
-ERROR_EXCERPT_CHARACTERS = 20  # of a name that is too long, in an error's text
+MAX_NAME_CHARACTERS = 255  # limit of an id, a zone or a kind: the journal records them with each call
+MAX_DEPTH = 32  # levels of nested objects; a list has two
+ERROR_EXCERPT_BYTES = 40  # length of the invalid data quoted in an error
+ERROR_EXCERPT_CHARACTERS = 20  # length of the start of a too long name quoted in an error
 HEALTH_STATUS = {
     "in_service": EndpointStatus.READY,
     "terminating": EndpointStatus.DRAINING,
@@ -107,7 +107,7 @@
         self._max_bytes = max_bytes
         self._text = bytearray()  # from the start of the first incomplete object
         self._scanned = 0  # bytes of the text that have been scanned
-        self._depth = 0  # of nested objects at the end of the scanned bytes
+        self._depth = 0  # levels of nested objects at the end of the scanned bytes
 
     @property
     def is_between_objects(self) -> bool:
--- a/scalefall/net/list_watch.py
+++ b/scalefall/net/list_watch.py
@@ -17,19 +17,19 @@
 from scalefall.net.scheduler import Scheduler, Task
 
 SECOND_US = 1_000_000  # microseconds in a second
-DIAL_TIMEOUT_US = SECOND_US  # of a dial to discovery, and of sending the request
-FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US  # from the request to the first complete object or blank line
+DIAL_TIMEOUT_US = SECOND_US  # limit for a dial to discovery, and for sending the request
+FIRST_ACTIVITY_TIMEOUT_US = 3 * SECOND_US  # time from the request to the first complete object or blank line
 IDLE_TIMEOUT_US = 3 * SECOND_US  # discovery sends a line every 2 s
 BYTES_PER_IDLE_TIMEOUT = 64 * 1024  # each such amount of an incomplete object extends its deadline by one timeout
-MOVE_RETRY_WINDOW_US = 3 * SECOND_US  # after a move, as discovery may come up at the new address a moment later
+MOVE_RETRY_WINDOW_US = 3 * SECOND_US  # span after a move: discovery may start at the new address a moment later
 MOVE_RETRY_INTERVAL_US = SECOND_US // 10
-IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # after an idle timeout or a restarted numbering
+IDLE_RECONNECT_JITTER_US = SECOND_US // 2  # delay after an idle timeout or a restarted numbering
 CLOSED_RECONNECT_JITTER_US = 2 * SECOND_US  # after an active watch broke: senders must not all reconnect at once
 MIN_BACKOFF_US = SECOND_US // 20  # doubled by each further failure
-MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # where lists are pushed
-MAX_POLLED_BACKOFF_US = 4 * SECOND_US // 5  # where lists are polled
-YIELD_BYTES = 32 * 1024  # bytes of a list that are read before other tasks run
-YIELD_ENTRIES = 100  # entries of a list that are read before other tasks run
+MAX_PUSHED_BACKOFF_US = SECOND_US // 2  # backoff limit where lists are pushed
+MAX_POLLED_BACKOFF_US = 4 * SECOND_US // 5  # backoff limit where lists are polled
+YIELD_BYTES = 32 * 1024  # a read of this many bytes of a list yields to other tasks
+YIELD_ENTRIES = 100  # a list with this many entries yields to other tasks
 
 
 class WatchListener(Protocol):
--- a/scalefall/net/scheduler.py
+++ b/scalefall/net/scheduler.py
@@ -26,7 +26,7 @@
 MIN_LAG_US = 10_000  # a timer that runs late by no more than this does not count as lag
 LAG_DECAY_DIVISOR = 10  # the lag decays by the time that passes, divided by this
 IMMEDIATE_POLL_US = 1000  # a poll that returned within this had its results ready: they arrived after the previous poll
-MAX_CANCELLED_TIMERS = 256  # in the heap; more may stay while they are at most half of it
+MAX_CANCELLED_TIMERS = 256  # limit in the heap; more may stay while they are at most half of it
 READY = "ready"  # result of a pause: its socket is ready
 TIMED_OUT = "time up"  # result of a pause: its time is up
 
--- a/scalefall/net/streams.py
+++ b/scalefall/net/streams.py
@@ -8,7 +8,7 @@
 
 from scalefall.net.scheduler import READ, TIMED_OUT, WRITE, Scheduler
 
-MAX_READ_BYTES = 64 * 1024  # of one read
+MAX_READ_BYTES = 64 * 1024  # bytes that one read returns at most
 
 
 class TimedOut(OSError):
--- a/scalefall/policy/engine.py
+++ b/scalefall/policy/engine.py
@@ -52,7 +52,7 @@
         """Start with no endpoint and no message."""
         state = EngineState(settings, random.Random(seed))
         self.state = state
-        self._sequence = 0  # of the last message
+        self._sequence = 0  # number of the last message
         self.schedule = Schedule(state)
         self.pacing = Pacing(state)
         self.outliers = OutlierDetection(state, self.pacing)
--- a/scalefall/policy/state.py
+++ b/scalefall/policy/state.py
@@ -137,7 +137,7 @@
         """Start with no message, destination or endpoint."""
         self.settings = settings
         self.random = randomness
-        self.now = 0  # of the current step
+        self.now = 0  # time of the current step
         self.started_at = -1  # time of the first step
         self.ends_at: float = inf  # when the process exits
         self.actions: list[Action] = []  # of the current step
