--- a/tests/characterization/record.py
+++ b/tests/characterization/record.py
@@ -299,8 +299,8 @@
         endpoint, start = self.in_flight[name, attempt]
         finished = outcome is Outcome.OK or (outcome is Outcome.ERROR and self.chance(self.play.finished * 5))
         report = self.report(now, endpoint) if outcome in (Outcome.OK, Outcome.OVERLOADED) else {}
-        taken = now + latency - start
-        self.push(now + latency, AttemptFinished(name, attempt, endpoint, outcome, taken, finished, wait, report))
+        duration = now + latency - start
+        self.push(now + latency, AttemptFinished(name, attempt, endpoint, outcome, duration, finished, wait, report))
 
     def poll_list(self, now: int) -> None:
         if self.failed_polls_left > 0:
