--- a/scalefall/net/list_stream.py
+++ b/scalefall/net/list_stream.py
@@ -10,10 +10,10 @@
 from scalefall.errors import RemoteProtocolError
 from scalefall.policy.events import Endpoint, EndpointStatus
 
-MAX_NAME_CHARACTERS = 255  # of an id, a zone or a kind: the journal records them with each call
-MAX_DEPTH = 32  # of nested objects; a list has two levels
-ERROR_EXCERPT_BYTES = 40  # of invalid data, in an error's text
-ERROR_EXCERPT_CHARACTERS = 20  # of a name that is too long, in an error's text
+MAX_NAME_CHARACTERS = 255  # limit of an id, a zone or a kind: the journal records them with each call
+MAX_DEPTH = 32  # levels of nested objects; a list has two
+ERROR_EXCERPT_BYTES = 40  # length of the invalid data quoted in an error
+ERROR_EXCERPT_CHARACTERS = 20  # length of the start of a too long name quoted in an error
 HEALTH_STATUS = {
     "in_service": EndpointStatus.READY,
     "terminating": EndpointStatus.DRAINING,
@@ -43,7 +43,7 @@
 
     Attributes:
         seq: The list's version.
-        whole: The object is the whole list; otherwise the changes.
+        whole: The object is the complete list; otherwise the changes.
         hosts: The endpoints.
     """
 
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """The whole list, or its changes, at a version.
+    """The complete list, or its changes, at a version.
 
     Attributes:
         seq: The version.
-        is_whole: The update is the whole list; otherwise the changes.
+        is_whole: The update is the complete list; otherwise the changes.
         entries: The entries.
         unreadable_entries: The ids of the entries that cannot be read; empty strings where the id cannot be read.
     """
@@ -107,7 +107,7 @@
         self._max_bytes = max_bytes
         self._text = bytearray()  # from the start of the first incomplete object
         self._scanned = 0  # bytes of the text that have been scanned
-        self._depth = 0  # of nested objects at the end of the scanned bytes
+        self._depth = 0  # levels of nested objects at the end of the scanned bytes
 
     @property
     def is_between_objects(self) -> bool:
--- a/tests/control/test_world.py
+++ b/tests/control/test_world.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(8), 5116])
-def test_every_rule_is_kept_while_links_fail_and_endpoints_drain(seed):
+def test_every_rule_is_obeyed_while_links_fail_and_endpoints_drain(seed):
     """The rules on drains, grants, repeats and final answers are exercised in each run.
 
     Seed 5116: the allowance decreases twice within one lease, and a grant made in between is not acknowledged. If the
@@ -98,7 +98,7 @@
     assert any(verdicts(world_with_outage(seed, **changes))["fall"].violations for seed in range(5))
 
 
-BROKEN_ROWS = {  # for each rule, rows that just break it
+BROKEN_ROWS = {  # rows that just break a rule, by rule
     "drain": [
         dict(event="endpoint", endpoint="e", now="draining"),
         dict(event="sent", endpoint="e", proxy="p", at=1000001),
@@ -118,7 +118,7 @@
     "twice": [dict(event="effect", id="m", repeat="never"), dict(event="effect", id="m", repeat="never")],
     "answer": [dict(event="taken", id="m"), dict(event="ended", id="m"), dict(event="ended", id="m")],
 }
-CORRECTIONS = {  # for each rule, the change of the last row that makes the rows keep it
+CORRECTIONS = {  # the change of the last row that makes the rows obey the rule, by rule
     "drain": dict(at=1000000),
     "wait": dict(at=500000),
     "fall": dict(a_second=4),
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("rule", audit.RULE_NAMES)
-def test_each_rule_is_broken_just_beyond_its_bound_and_kept_at_it(rule):
+def test_each_rule_is_broken_just_beyond_its_bound_and_obeyed_at_it(rule):
     """The same rows do not concern any other rule."""
 
     def verdicts_on(rows):
